--- a/internal/intake/away.go
+++ b/internal/intake/away.go
@@ -8,97 +8,98 @@
 	gauge "sapphiregauge"
 )
 
-// What a lane does while its part of the table is away.
+// These methods are the circuit breaker of a batcher: they refuse submissions during an outage of
+// the queue's partition of the table.
 
-// answers tells whether the queue's part of the table answers a read.
-func (l *lane) answers(id string) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), probeWait)
+// isTableAnswering reports whether the queue's partition of the table isTableAnswering a read.
+func (l *batcher) isTableAnswering(id string) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	_, _, err := l.intake.conf.Store.Range(ctx, gauge.TableJobs, l.queue, id, id+"\x00")
 	return err == nil
 }
 
-// close shuts the lane and gives up all its jobs, those of the last transaction
-// included.
-func (l *lane) close(last []*pending) {
+// trip opens the circuit breaker and gives up all queued jobs and those of the last transaction.
+func (l *batcher) trip(last []*pendingJob) {
 	l.mu.Lock()
-	given := slices.Concat(last, l.jobs)
-	l.jobs, l.busy = nil, false
-	l.shutDown()
+	given := slices.Concat(last, l.queued)
+	l.queued, l.running = nil, false
+	l.openBreaker()
 	for _, p := range given {
-		if !p.left {
-			p.settled <- p.givenUp()
+		if !p.abandoned {
+			p.result <- p.abandonedOutcome()
 		}
 	}
 	l.mu.Unlock()
-	l.lost(given[0].id, len(given))
+	l.awaitTable(given[0].id, len(given))
 }
 
-// lost logs that the table is away, and waits for its return.
-func (l *lane) lost(id string, given int) {
+// awaitTable logs the outage and starts waiting for its end.
+func (l *batcher) awaitTable(id string, given int) {
 	l.intake.conf.Logs.Info("dependency lost", "table", gauge.TableJobs, "queue", l.queue, "given", given)
-	go l.reopen(id)
+	go l.closeBreakerWhenAnswering(id)
 }
 
-// shutDown has jobs refused from now on. The lock is held.
-func (l *lane) shutDown() { l.shut, l.away = true, l.intake.conf.Now() }
+// openBreaker has submissions refused from now on. b.mu is held.
+func (l *batcher) openBreaker() { l.breakerOpen, l.openSince = true, l.intake.conf.Now() }
 
-// sound tells whether a job may be sent to the table after its pool's owner was
-// refused there. A read shows it: sent first, the job could be stored later, and its
-// caller told nothing but to ask again, until its tries are used up. In an outage that
-// happened to each job once at each entry.
-func (l *lane) sound(id string) bool {
+// canSend reports whether a job may be sent to the table after the table has refused the owner of
+// its pool. A read shows it. A job that was sent without this check could be stored later, so its
+// caller could only be asked to retry, until its attempts are used up. In an outage that happened
+// to each job once at each entry.
+func (l *batcher) canSend(id string) bool {
 	l.mu.Lock()
-	known := l.shut || l.busy // it is refused, or goes with the others
+	known := l.breakerOpen || l.running // it is refused, or joins the other queued jobs
 	l.mu.Unlock()
-	if known || l.answers(id) {
+	if known || l.isTableAnswering(id) {
 		return true
 	}
 	l.mu.Lock()
-	first := !l.shut && !l.busy
+	first := !l.breakerOpen && !l.running
 	if first {
-		l.shutDown()
+		l.openBreaker()
 	}
 	l.mu.Unlock()
 	if first {
-		l.lost(id, 0)
+		l.awaitTable(id, 0)
 	}
 	return false
 }
 
 const (
-	// leastBack and mostBack bound when callers are asked to come back while the table
-	// is away. In between it is as long as it has been away: then the few tries that a
-	// caller has reach past outages of any length, and it misses the table's return by
-	// no more than the outage lasted. With a second each time, five tries were used up
-	// in an outage of four seconds, and every tenth of the largest jobs of a day was lost.
-	leastBack = time.Second
-	mostBack  = 4 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay that callers are given during a table
+	// outage. In between, the delay is as long as the outage has lasted so far: then the few
+	// attempts of a caller outlast outages of any length, and the caller misses the end of the
+	// outage by no more than its duration. With a delay of 1 s each time, five attempts were used
+	// up in an outage of 4 s, and every tenth of the largest jobs of a day was lost.
+	minRetryAfter = time.Second
+	maxRetryAfter  = 4 * time.Second
 )
 
-// refusal is what callers are told while the lane is shut.
-func (l *lane) refusal() error {
+// refusalError returns the error that callers get while the circuit breaker is open.
+func (l *batcher) refusalError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	away := l.intake.conf.Now() - l.away
+	away := l.intake.conf.Now() - l.openSince
 	if l.intake.conf.Without.Has(gauge.MechanismBackoff) {
-		away = leastBack
+		away = minRetryAfter
 	}
-	return gauge.Fail(gauge.KindOutage, "the table doesn't answer").After(min(max(away, leastBack), mostBack))
+	return gauge.Fail(gauge.KindOutage, "the table doesn't answer").After(min(max(away, minRetryAfter), maxRetryAfter))
 }
 
-// reopen waits until the part of the table answers. A read that was sent before the
-// table is back hangs on after that, so that others are sent meanwhile.
-func (l *lane) reopen(id string) {
+// closeBreakerWhenAnswering waits until the partition of the table answers, and then closes the
+// circuit breaker. A read that was sent during the outage may hang beyond its end, so others are
+// sent meanwhile.
+func (l *batcher) closeBreakerWhenAnswering(id string) {
 	began := l.intake.conf.Now()
 	answers := make(chan bool, 1)
 	for {
 		answered := false
 		select {
 		case answered = <-answers:
-		case <-l.intake.conf.After(probeAgain):
+		case <-l.intake.conf.After(probeRetryDelay):
 			go func() {
-				if l.answers(id) {
+				if l.isTableAnswering(id) {
 					select {
 					case answers <- true:
 					default:
@@ -106,9 +107,9 @@
 				}
 			}()
 		}
-		if answered || l.forgotten() {
+		if answered || l.isIdle() {
 			l.mu.Lock()
-			l.shut = false
+			l.breakerOpen = false
 			l.mu.Unlock()
 			l.intake.conf.Logs.Info("dependency regained", "table", gauge.TableJobs, "queue", l.queue, "answered", answered,
 				"away", l.intake.conf.Now()-began)
@@ -117,9 +118,9 @@
 	}
 }
 
-// forgotten tells whether no job has come for long.
-func (l *lane) forgotten() bool {
+// isIdle reports whether no job has been submitted for probeIdleTimeout.
+func (l *batcher) isIdle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.intake.conf.Now()-l.came > probeFor
+	return l.intake.conf.Now()-l.lastSubmitted > probeIdleTimeout
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -7,69 +7,69 @@
 	gauge "sapphiregauge"
 )
 
-// Cancel ends a job. Once it returns nil no task of the job starts any more but
-// for those that the owner had ordered before it learnt of it.
+// Cancel cancels a job. Once it returns nil, no task of the job starts any more except for those
+// that the owner had ordered before it was notified.
 func (n *Intake) Cancel(ctx context.Context, q *gauge.Queue, id string) error {
 	return n.cancel(ctx, q, id, n.conf.Relay)
 }
 
-// CancelHere is Cancel for a call that another entry passes on.
-func (n *Intake) CancelHere(ctx context.Context, q *gauge.Queue, id string) error {
+// CancelLocally is Cancel for a call that another entry has forwarded: it isn't forwarded again.
+func (n *Intake) CancelLocally(ctx context.Context, q *gauge.Queue, id string) error {
 	return n.cancel(ctx, q, id, nil)
 }
 
 func (n *Intake) cancel(ctx context.Context, q *gauge.Queue, id string, relay Relay) error {
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
 		err := n.tryCancel(ctx, q, id)
 		if relay != nil && err != nil && !gauge.Is(err, gauge.KindGone) {
-			err = relayedCancel(err, relay.Cancel(ctx, q, id))
+			err = mergeCancelErrors(err, relay.Cancel(ctx, q, id))
 		}
 		if err == nil {
 			return nil
 		}
-		if gauge.Is(err, gauge.KindGone) || !wait(ctx, rand.N(pause)) {
-			n.log("job not cancelled", q, id, err)
+		if gauge.Is(err, gauge.KindGone) || !sleep(ctx, rand.N(pause)) {
+			n.logFailure("job not cancelled", q, id, err)
 			return err
 		}
 	}
 }
 
-// relayedCancel is what a caller is told if another entry was asked after a try
-// here had failed.
-func relayedCancel(here, there error) error {
+// mergeCancelErrors returns the error for a caller after an attempt here has failed and another
+// entry was asked.
+func mergeCancelErrors(here, there error) error {
 	if there == nil || gauge.Is(there, gauge.KindGone) {
 		return there
 	}
 	return here
 }
 
-// tryCancel reads the job's row and marks it cancelled, once.
+// tryCancel reads the job's row and marks the job as cancelled, in one attempt.
 func (n *Intake) tryCancel(ctx context.Context, q *gauge.Queue, id string) error {
-	row, version, err := n.read(ctx, q, id)
+	row, version, err := n.readJob(ctx, q, id)
 	if err != nil {
 		return err
 	}
 	if row.State.Final() {
 		n.conf.Logs.Info("job over before its cancel", "job", id, "state", row.State, "version", version)
 		if row.State == gauge.JobCancelled {
-			// An earlier try may have been carried out without an answer.
-			n.conf.Tell(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: version})
+			// An earlier attempt may have taken effect without an answer.
+			n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: version})
 		}
 		return nil
 	}
-	stamp, err := n.drop(ctx, q, id, row, version)
+	stamp, err := n.markCancelled(ctx, q, id, row, version)
 	if err != nil {
 		return gauge.Fail(gauge.KindExpired, "it is not known whether the job was cancelled; ask again").Because(err)
 	}
-	n.conf.Event("job cancelled")
+	n.conf.CountEvent("job cancelled")
 	n.conf.Logs.Info("job cancelled", "job", id, "queue", q.Name, "pool", row.Pool, "version", stamp.Version)
-	n.conf.Tell(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: stamp.Version})
+	n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: stamp.Version})
 	return nil
 }
 
-func (n *Intake) drop(ctx context.Context, q *gauge.Queue, id string, row *gauge.JobRow, version int64) (gauge.Stamp, error) {
+func (n *Intake) markCancelled(ctx context.Context, q *gauge.Queue, id string, row *gauge.JobRow, version int64) (gauge.Stamp, error) {
 	row.State = gauge.JobCancelled
-	row.Ended = n.conf.Clock()
+	row.Ended = n.conf.TableClock()
 	value, err := row.Encode()
 	if err != nil {
 		return gauge.Stamp{}, err
--- a/internal/intake/depth_test.go
+++ b/internal/intake/depth_test.go
@@ -12,18 +12,17 @@
 	"sapphiregauge/internal/intake"
 )
 
-// Symptom: 0 jobs are said to wait where hundreds do.
-// Sequence: the owner of a pool doesn't write any more, or hasn't read what waits.
-// Cause: the count that was seen last is told, whatever its age; one that isn't known
-// is told as 0.
+// Guards against a count of 0 where hundreds of jobs wait: the owner of a pool no longer writes, or
+// hasn't read the queue, and callers get the last count that was seen, however old, or 0 for one
+// that isn't known.
 func TestWhichCountIsTold(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		age   time.Duration
 		seen  bool
-		owner bool // it knows
+		owner bool // the owner knows the count
 		want  int
-		kind  gauge.Kind // empty: told
+		kind  gauge.Kind // empty: a count is returned
 	}{
 		{"just seen", 0, true, false, 3, ""},
 		{"seen lately", 2 * time.Second, true, true, 3, ""},
@@ -35,8 +34,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			n := intake.New(intake.Config{
 				Logs:     logr.Discard(),
-				Depth:    func(*gauge.Queue) (int, time.Duration, bool) { return 3, tt.age, tt.seen },
-				AskDepth: func(context.Context, *gauge.Queue) (int, bool) { return 8, tt.owner },
+				SeenDepth:    func(*gauge.Queue) (int, time.Duration, bool) { return 3, tt.age, tt.seen },
+				OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 8, tt.owner },
 			})
 			got, err := n.Depth(t.Context(), &gauge.Queue{Name: "sheets", Pool: "brakes"})
 			if tt.kind != "" {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -1,7 +1,6 @@
-// Package intake takes jobs from callers: it stores them, tells how far they
-// are, and cancels them. It implements gauge.Jobs at every entry alike, and needs
-// nothing but the table for it; the owner of the job's pool is told, but a
-// message that is lost delays the job only.
+// Package intake stores the jobs that callers submit, reports their states and cancels them. It
+// implements gauge.Jobs in the same way at every entry, and needs only the table for it: the owner
+// of a job's pool is notified, but a lost notification only delays the job.
 package intake
 
 import (
@@ -18,42 +17,44 @@
 type Config struct {
 	Store gauge.Parted
 	Logs  logr.Logger
-	Event func(event string)   // counts outcomes of hand-ins
-	Now   func() time.Duration // steady clock
-	Clock func() int64         // the table's clock in milliseconds, about
-	// Depth is how many jobs of a queue have not begun, as the pool's owner last told,
+	CountEvent func(event string) // counts outcomes of submissions
+	Now   func() time.Duration // monotonic clock
+	TableClock func() int64 // approximate time of the table's clock in milliseconds
+	// SeenDepth returns how many jobs of a queue have not begun, as the pool's owner last wrote,
 	// and how old that count is; false: it isn't known.
-	Depth func(q *gauge.Queue) (int, time.Duration, bool)
-	// AskDepth asks the owner itself; false: it doesn't know, or can't be asked.
-	AskDepth func(ctx context.Context, q *gauge.Queue) (int, bool)
-	Tell     func(n Notice) // tells the owner of the pool
-	// Unsure tells the owner of a hand-in that may be stored yet; nil: nobody is told.
-	Unsure func(q *gauge.Queue, id string)
-	// Ask asks the owner of the queue's pool how far a job is; false: it doesn't
-	// know, or can't be asked.
-	Ask func(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool)
-	// Known tells whether the pool's owner is here and has the job; nil: it never is.
-	Known func(q *gauge.Queue, id string) bool
+	SeenDepth func(q *gauge.Queue) (int, time.Duration, bool)
+	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
+	OwnerDepth func(ctx context.Context, q *gauge.Queue) (int, bool)
+	NotifyOwner     func(n Notice) // notifies the owner of the pool
+	// ReportUnsettled notifies the owner of a submission that may still be stored; nil: nobody is
+	// notified.
+	ReportUnsettled func(q *gauge.Queue, id string)
+	// JobState asks the owner of the queue's pool for the state of a job; false: the owner doesn't
+	// know it, or can't be asked.
+	JobState func(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool)
+	// OwnsJob reports whether the pool's owner is at this entry and knows the job; nil: it never
+	// is.
+	OwnsJob func(q *gauge.Queue, id string) bool
 	Relay Relay                                  // nil: there are no other entries
 	After func(d time.Duration) <-chan time.Time // default time.After
-	// Without names what is switched off.
+	// Without names the mechanisms that are switched off.
 	Without gauge.Without
 }
 
-// Relay has the owner of a queue's pool do what the table denies this entry: it
-// writes to that part of the table all the time, or has another entry take over.
-// Errors: KindOutage: surely not done, by the owner's word; KindEmpty: no owner could be
-// asked; KindUnknown: it may be done.
+// Relay forwards to the owner of a queue's pool what the table refuses this entry: the owner writes
+// to that partition of the table all the time, or has another entry take over the pool. Errors:
+// KindOutage: the owner says that it was certainly not done; KindEmpty: no owner could be asked;
+// KindUnknown: it may have been done.
 type Relay interface {
-	// Prefer tells whether the owner should be asked before the table. A part of the
-	// table carries out one transaction after the other: when it is slow, those of
-	// all entries have to go together, and it gets slow from one moment to the next.
-	Prefer(q *gauge.Queue) bool
+	// PreferOwner reports whether to ask the owner before the table is tried. A partition of the
+	// table executes transactions one after the other: in a slow period the submissions of all
+	// entries have to share transactions, and such a period begins without warning.
+	PreferOwner(q *gauge.Queue) bool
 	Submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error
 	Cancel(ctx context.Context, q *gauge.Queue, id string) error
 }
 
-// Notice tells the owner of a pool of a new or cancelled job.
+// Notice notifies the owner of a pool of a new or cancelled job.
 type Notice struct {
 	Pool      string
 	Queue     string
@@ -68,47 +69,48 @@
 type Intake struct {
 	conf   Config
 	mu     sync.Mutex
-	lanes  map[string]*lane         // by queue
-	unsure map[string]time.Duration // ids of hand-ins that may yet be carried out, until when
-	pruned time.Duration            // when old ones were last dropped
+	batchers  map[string]*batcher // by queue
+	unsettledUntil map[string]time.Duration // by job id: until when an unsettled submission may still be stored
+	prunedAt time.Duration // last removal of old ids
 }
 
-// New makes an Intake.
+// New returns an Intake.
 func New(c Config) *Intake {
 	if c.After == nil {
 		c.After = time.After
 	}
-	return &Intake{conf: c, lanes: make(map[string]*lane), unsure: make(map[string]time.Duration)}
+	return &Intake{conf: c, batchers: make(map[string]*batcher), unsettledUntil: make(map[string]time.Duration)}
 }
 
 const (
-	// firstPause and lastPause bound the wait before a repeat at the table.
-	firstPause = 20 * time.Millisecond
-	lastPause  = 200 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the wait before another attempt at the table.
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay  = 200 * time.Millisecond
 )
 
 func jobKey(queue, id string) gauge.RowKey {
 	return gauge.RowKey{Table: gauge.TableJobs, Part: queue, Key: id}
 }
 
-// lane returns the lane of a queue.
-func (n *Intake) lane(queue string) *lane {
+// batcher returns the batcher of a queue, and creates it if there is none.
+func (n *Intake) batcher(queue string) *batcher {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.lanes[queue]
+	l := n.batchers[queue]
 	if l == nil {
-		l = &lane{intake: n, queue: queue}
-		n.lanes[queue] = l
+		l = &batcher{intake: n, queue: queue}
+		n.batchers[queue] = l
 	}
 	return l
 }
 
-func (n *Intake) log(what string, q *gauge.Queue, id string, err error) {
+func (n *Intake) logFailure(what string, q *gauge.Queue, id string, err error) {
 	n.conf.Logs.Info(what, "job", id, "queue", q.Name, "pool", q.Pool, "kind", gauge.KindOf(err), "error", err.Error())
 }
 
-// read fetches a job's row.
-func (n *Intake) read(ctx context.Context, q *gauge.Queue, id string) (*gauge.JobRow, int64, error) {
+// readJob reads a job's row and its version. Errors: KindOutage: the table can't be reached;
+// KindGone: there is no such job.
+func (n *Intake) readJob(ctx context.Context, q *gauge.Queue, id string) (*gauge.JobRow, int64, error) {
 	rows, _, err := n.conf.Store.Range(ctx, gauge.TableJobs, q.Name, id, id+"\x00")
 	if err != nil {
 		return nil, 0, gauge.Fail(gauge.KindOutage, "the table can't be reached").Because(err)
@@ -120,46 +122,44 @@
 	return row, rows[0].Version, err
 }
 
-// State tells how far a job is: by its owner's word, which costs no call to the
-// table, else by the table's.
+// State returns the state of a job: from its owner if that answers, which costs no call to the
+// table, otherwise from the table.
 func (n *Intake) State(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, error) {
-	if state, ok := n.conf.Ask(ctx, q, id); ok {
+	if state, ok := n.conf.JobState(ctx, q, id); ok {
 		return state, nil
 	}
-	for pause := firstPause; ; pause = min(2*pause, lastPause) {
-		row, _, err := n.read(ctx, q, id)
+	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+		row, _, err := n.readJob(ctx, q, id)
 		if err == nil {
 			return row.State, nil
 		}
-		if gauge.Is(err, gauge.KindOutage) && wait(ctx, pause) {
+		if gauge.Is(err, gauge.KindOutage) && sleep(ctx, pause) {
 			continue
 		}
 		if !gauge.Is(err, gauge.KindGone) {
-			n.log("state not told", q, id, err)
+			n.logFailure("state not told", q, id, err)
 		}
 		return "", err
 	}
 }
 
-// countAge is how old a count may be that callers are told: the users' contract allows
-// 2 s.
-const countAge = 2 * time.Second
+// maxCountAge is the maximum age of a count that callers are given: the users' contract allows 2 s.
+const maxCountAge = 2 * time.Second
 
-// Depth tells how many jobs of a queue have not begun. A count that is older than may be
-// is asked of the pool's owner; one that nobody knows is refused, as a wrong one is
-// worse than none.
+// Depth returns how many jobs of a queue have not begun. If the count that was seen is too old, the
+// pool's owner is asked. KindOutage: nobody knows the count, since a wrong one is worse than none.
 func (n *Intake) Depth(ctx context.Context, q *gauge.Queue) (int, error) {
-	if depth, age, ok := n.conf.Depth(q); ok && age <= countAge {
+	if depth, age, ok := n.conf.SeenDepth(q); ok && age <= maxCountAge {
 		return depth, nil
 	}
-	if depth, ok := n.conf.AskDepth(ctx, q); ok {
+	if depth, ok := n.conf.OwnerDepth(ctx, q); ok {
 		return depth, nil
 	}
 	n.conf.Logs.Info("count not told", "queue", q.Name, "pool", q.Pool)
 	return 0, gauge.Fail(gauge.KindOutage, "how many jobs wait isn't known at the moment")
 }
 
-func wait(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -15,20 +15,21 @@
 	"sapphiregauge/internal/intake"
 )
 
-// table answers each transaction as a test says; what it carries out it keeps.
+// table answers each transaction as a test specifies, and stores the rows of those that it
+// executes.
 type table struct {
 	mu      sync.Mutex
 	rows    map[gauge.RowKey]gauge.PartRow
 	version int64
 	txns    []gauge.PartTxn
-	answer  func(n int, carryOut func()) error // nil: carry out and answer
+	answer  func(n int, carryOut func()) error // nil: execute and succeed
 	silent  bool                               // reads fail
 	reads   int
 	onRead  func(n int)
 }
 
-// newHeldTable makes a table whose first transaction hangs until hold is closed; held
-// is closed when it has come.
+// newHangingTable returns a table whose first transaction hangs until release is closed; received
+// is closed when that transaction arrives.
 func newHeldTable() (t *table, held, hold chan struct{}) {
 	t, held, hold = newTable(), make(chan struct{}), make(chan struct{})
 	t.answer = func(n int, _ func()) error {
@@ -108,8 +109,8 @@
 	return len(t.txns)
 }
 
-// clock is a steady clock that a test moves on at each look, so that nothing
-// waits for real time.
+// clock is a monotonic clock that advances by step at each reading, so that tests don't wait for
+// real time.
 type clock struct {
 	mu   sync.Mutex
 	now  time.Duration
@@ -123,7 +124,7 @@
 	return c.now
 }
 
-// timers are the waits of an intake, fired by the test.
+// timers are the timeouts of an intake, fired by the test.
 type timers struct {
 	mu   sync.Mutex
 	wait map[time.Duration]chan time.Time
@@ -142,7 +143,7 @@
 	return t.wait[d]
 }
 
-// fire ends one wait of a length, now or when it comes.
+// fire ends one wait of the given length, now or once it begins.
 func (t *timers) fire(d time.Duration) {
 	t.mu.Lock()
 	c := t.channel(d)
@@ -161,7 +162,7 @@
 	timers  timers
 	mu      sync.Mutex
 	notices []intake.Notice
-	known   map[string]bool // jobs that the owner here has
+	known   map[string]bool // jobs that the owner at this entry knows
 }
 
 func newRig(t *table, c *clock) *rig { return newRelayRig(t, c, nil) }
@@ -170,12 +171,12 @@
 	g := &rig{timers: timers{wait: make(map[time.Duration]chan time.Time)}}
 	g.intake = intake.New(intake.Config{
 		Relay: r, After: g.timers.After,
-		Store: t, Logs: logr.Discard(), Event: func(string) {}, Now: c.Now, Clock: func() int64 { return 1 },
-		Depth:    func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
-		AskDepth: func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
-		Ask:      func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
-		Known:    func(_ *gauge.Queue, id string) bool { return g.known[id] },
-		Tell: func(n intake.Notice) {
+		Store: t, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
+		SeenDepth:    func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
+		OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
+		JobState:      func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
+		OwnsJob:    func(_ *gauge.Queue, id string) bool { return g.known[id] },
+		NotifyOwner: func(n intake.Notice) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			g.notices = append(g.notices, n)
@@ -194,12 +195,12 @@
 
 func outage(int, func()) error { return gauge.Fail(gauge.KindOutage, "refused") }
 
-// handInWait and probeAgain are the waits of an intake that tests end.
+// submitTimeout and probeRetryDelay are the timeouts of an intake that tests end.
 const (
 	handInWait = 2 * time.Second
 	probeAgain = 150 * time.Millisecond
-	// readsBeforeLeaving: at this look at the table, each after a try that failed,
-	// the caller's wait ends.
+	// readsBeforeTimeout is the number of reads, each after a failed attempt, at which the caller's
+	// wait ends.
 	readsBeforeLeaving = 4
 )
 
@@ -226,7 +227,7 @@
 			}
 			return nil
 		}, "", true, 1},
-		// "Not run" must not be said: the first try may be carried out yet.
+		// "Not run" would be wrong: the first attempt may still take effect.
 		{"no answer, then refused for good", func(n int, _ func()) error {
 			if n == 1 {
 				return gauge.Fail(gauge.KindUnknown, "no answer")
@@ -257,10 +258,9 @@
 	}
 }
 
-// Symptom: while the table is slow most jobs are refused.
-// Sequence: forty jobs come while one transaction takes its time; each has a
-// transaction of its own, and the part has more waiting than it takes.
-// Cause: a part carries out one transaction after the other.
+// Guards against most jobs being refused while the table is slow. A partition executes one
+// transaction after the other; with a transaction for each of forty jobs that are submitted during
+// a slow one, more would wait than the partition accepts.
 func TestJobsThatComeDuringATransactionShareTheNext(t *testing.T) {
 	store, held, hold := newHeldTable()
 	g := newRig(store, &clock{})
@@ -275,7 +275,7 @@
 		start(n)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if g.intake.Waiting("sheets") == 40 {
+		if g.intake.QueuedJobs("sheets") == 40 {
 			return poll.Success()
 		}
 		return poll.Continue("40 jobs wait")
@@ -288,11 +288,9 @@
 	assert.Equal(t, store.count(), 3, "one, 24 and 16 jobs")
 }
 
-// Symptom: a job that its caller cancelled runs.
-// Sequence: a hand-in gets no answer but is carried out; the caller cancels the
-// job at another entry; the hand-in is tried again, finds the id taken, and tells
-// the owner of a new job.
-// Cause: the job's row is told as it was handed in, not as the table has it.
+// Guards against running a job that its caller has cancelled. A submission gets no answer but takes
+// effect; the caller cancels the job at another entry; the retry of the submission finds the id and
+// notifies the owner of a new job, with the row as it was submitted instead of as it is stored now.
 func TestUnansweredHandInOfACancelledJobIsNotTold(t *testing.T) {
 	store := newTable()
 	key := gauge.RowKey{Table: gauge.TableJobs, Part: "sheets", Key: id(1)}
--- a/internal/intake/lane.go
+++ b/internal/intake/lane.go
@@ -11,168 +11,166 @@
 )
 
 const (
-	// groupMost jobs go into one transaction of at most 100 entries: a check and
-	// three writes each.
-	groupMost = 24
-	// handInWait is how long a caller waits at this entry for its job to be
-	// stored. A transaction takes some 10 ms, in a slow spell 0.4 to 0.9 s, and one
-	// may be under way already; after that another entry may do better.
-	handInWait = 2 * time.Second
-	// commitWait bounds one transaction, beside the table's own bound.
-	commitWait = 2 * time.Second
-	// probeWait bounds a read that shows whether a part of the table answers. A
-	// read takes 4 ms, in a slow spell 60 to 90 times as long.
-	probeWait = 500 * time.Millisecond
-	// probeAgain is the pause between two such reads: callers may come back so
-	// much later than the table does.
-	probeAgain = 150 * time.Millisecond
-	// probeFor: without a job handed in for so long the reads end, and the next
-	// job finds out by itself.
-	probeFor = 5 * time.Second
+	// maxBatch is the maximum number of jobs in a transaction, which has at most 100 entries: each
+	// job has a check and three writes.
+	maxBatch = 24
+	// submitTimeout is how long a caller waits at this entry for its job to be stored. A
+	// transaction takes some 10 ms, in a slow period 0.4 to 0.9 s, and one may be in progress
+	// already; after that another entry may do better.
+	submitTimeout = 2 * time.Second
+	// commitTimeout bounds one transaction, in addition to the table's own timeout.
+	commitTimeout = 2 * time.Second
+	// probeTimeout bounds a read that shows whether a partition of the table answers. A read takes
+	// 4 ms, in a slow period 60 to 90 times as long.
+	probeTimeout = 500 * time.Millisecond
+	// probeRetryDelay is the pause between two such reads. It delays the end of the refusals after
+	// the outage.
+	probeRetryDelay = 150 * time.Millisecond
+	// probeIdleTimeout is how long the reads go on without a submission. After that the circuit
+	// breaker is closed, and the next job shows whether the table answers.
+	probeIdleTimeout = 5 * time.Second
 )
 
-// lane stores the jobs of one queue, one transaction at a time. Jobs that come
-// while one is under way go together in the next. A part of the table carries
-// out transactions one after the other: when it is slow, one for each job would
-// be turned away.
+// batcher stores the jobs of one queue, one transaction at a time. Jobs that are submitted during a
+// transaction share the next one. A partition of the table executes transactions one after the
+// other: in a slow period it would refuse most of them if there was one for each job.
 //
-// When a transaction and then a read of the part both fail, the lane shuts, as a
-// circuit breaker opens: jobs are refused at once until a read is answered. Otherwise
-// each would be held for as long as its caller waits, only to be refused then; and
-// since a transaction without an answer may be carried out later, jobs that are not
-// sent at all are the only ones that can be told surely that they don't run.
-type lane struct {
+// When a transaction and then a read of the partition both fail, the batcher's circuit breaker
+// opens: jobs are refused at once until a read is answered. Otherwise each job would be kept for as
+// long as its caller waits, only to be refused then. And since a transaction without an answer may
+// take effect later, only for jobs that are never sent can callers be certain that they don't run.
+type batcher struct {
 	intake *Intake
 	queue  string
 
 	mu   sync.Mutex
-	jobs []*pending // that wait for a transaction
-	busy bool
-	shut bool
-	away time.Duration // since when it is shut
-	came time.Duration // when a job last came
+	queued []*pendingJob // queued for a transaction
+	running bool
+	breakerOpen bool
+	openSince time.Duration // since when the circuit breaker is open
+	lastSubmitted time.Duration // last submission
 }
 
-// store has a job stored and waits for the outcome, no longer than handInWait or
-// until ctx ends: then the caller leaves, or this entry stops.
-func (l *lane) store(ctx context.Context, p *pending) outcome {
-	if !l.enter(p) {
-		return outcome{err: l.refusal()}
+// store queues a job and waits for its outcome, at most for submitTimeout or until ctx ends, which
+// means that the caller has gone or this entry stops.
+func (l *batcher) store(ctx context.Context, p *pendingJob) outcome {
+	if !l.enqueue(p) {
+		return outcome{err: l.refusalError()}
 	}
 	select {
-	case o := <-p.settled:
+	case o := <-p.result:
 		return o
-	case <-l.intake.conf.After(handInWait):
+	case <-l.intake.conf.After(submitTimeout):
 	case <-ctx.Done():
 	}
-	return l.leave(p)
+	return l.abandon(p)
 }
 
-// enter queues a job; false: the lane is shut.
-func (l *lane) enter(p *pending) bool {
+// enqueue queues a job. It reports false if the circuit breaker is open.
+func (l *batcher) enqueue(p *pendingJob) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.came = p.began
-	if l.shut {
+	l.lastSubmitted = p.startedAt
+	if l.breakerOpen {
 		return false
 	}
-	l.jobs = append(l.jobs, p)
-	if !l.busy {
-		l.busy = true
+	l.queued = append(l.queued, p)
+	if !l.running {
+		l.running = true
 		go l.run()
 	}
 	return true
 }
 
-// leave gives up waiting for a job. What is in a transaction may yet be stored.
-func (l *lane) leave(p *pending) outcome {
+// abandon stops waiting for a job. A job that is in a transaction may still be stored.
+func (l *batcher) abandon(p *pendingJob) outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case o := <-p.settled:
+	case o := <-p.result:
 		return o
 	default:
 	}
-	p.left = true
-	p.unsure = p.unsure || p.flying
-	return p.givenUp()
+	p.abandoned = true
+	p.unsettled = p.unsettled || p.inFlight
+	return p.abandonedOutcome()
 }
 
-// settle tells the outcome of a job to its caller, or, if that has left, has the
-// owner told of a job that was stored after all.
-func (l *lane) settle(p *pending, o outcome) {
+// settle sends the outcome of a job to its caller. If the caller no longer waits, the owner is
+// notified of a job that was stored after all.
+func (l *batcher) settle(p *pendingJob, o outcome) {
 	l.mu.Lock()
-	left := p.left
+	left := p.abandoned
 	if !left {
-		p.settled <- o
+		p.result <- o
 	}
 	l.mu.Unlock()
 	if left && o.err == nil {
-		l.intake.stored(p, o)
+		l.intake.reportStored(p, o)
 	}
 }
 
-// run sends transactions until no job waits.
-func (l *lane) run() {
-	pause := firstPause
+// run sends transactions until no job is queued or the circuit breaker opens.
+func (l *batcher) run() {
+	pause := minRetryDelay
 	for {
-		group := l.take()
+		group := l.nextBatch()
 		if group == nil {
 			return
 		}
 		again, failed := l.commit(group)
 		if !failed {
-			pause = firstPause
-			l.back(again)
+			pause = minRetryDelay
+			l.requeue(again)
 			continue
 		}
-		if !l.answers(again[0].id) {
-			l.close(again)
+		if !l.isTableAnswering(again[0].id) {
+			l.trip(again)
 			return
 		}
 		time.Sleep(rand.N(pause) + pause/2)
-		pause = min(2*pause, lastPause)
-		l.back(again)
+		pause = min(2*pause, maxRetryDelay)
+		l.requeue(again)
 	}
 }
 
-// take returns the next group, nil when no job waits.
-func (l *lane) take() []*pending {
+// nextBatch removes the next batch from the queue. It returns nil if no job is queued.
+func (l *batcher) nextBatch() []*pendingJob {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := min(groupMost, len(l.jobs))
-	group := slices.Clone(l.jobs[:n])
-	l.jobs = slices.Delete(l.jobs, 0, n)
-	l.busy = n > 0
+	n := min(maxBatch, len(l.queued))
+	group := slices.Clone(l.queued[:n])
+	l.queued = slices.Delete(l.queued, 0, n)
+	l.running = n > 0
 	if n == 0 {
 		return nil
 	}
 	return group
 }
 
-// back puts jobs in front of those that came meanwhile.
-func (l *lane) back(jobs []*pending) {
+// requeue puts jobs requeue in front of those that were queued meanwhile.
+func (l *batcher) requeue(jobs []*pendingJob) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.jobs = append(jobs, l.jobs...)
+	l.queued = append(jobs, l.queued...)
 }
 
-// send marks the jobs that go into a transaction now. Those whose callers have
-// left stay out: some were told that they are not stored.
-func (l *lane) send(group []*pending) []*pending {
+// markInFlight marks the jobs of the transaction that is sent now. Jobs whose callers no longer
+// wait are left out: some callers were told that their jobs are not stored.
+func (l *batcher) markInFlight(group []*pendingJob) []*pendingJob {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	group = slices.DeleteFunc(group, func(p *pending) bool { return p.left })
+	group = slices.DeleteFunc(group, func(p *pendingJob) bool { return p.abandoned })
 	for _, p := range group {
-		p.flying = true
+		p.inFlight = true
 	}
 	return group
 }
 
-// commit sends one transaction and settles the jobs whose outcome it shows. It
-// returns the others; failed: the transaction wasn't carried out, or got no answer.
-func (l *lane) commit(group []*pending) (again []*pending, failed bool) {
-	group = l.send(group)
+// commit sends one transaction and settles the jobs whose outcome it shows. It returns the other
+// jobs, and whether the transaction wasn't executed or got no answer.
+func (l *batcher) commit(group []*pendingJob) (again []*pendingJob, failed bool) {
+	group = l.markInFlight(group)
 	if len(group) == 0 {
 		return nil, false
 	}
@@ -181,10 +179,10 @@
 		txn.Checks = append(txn.Checks, p.txn.Checks...)
 		txn.Writes = append(txn.Writes, p.txn.Writes...)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), commitWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	stamp, rows, err := l.intake.conf.Store.Commit(ctx, txn)
-	l.noteTry(group, err)
+	l.recordAttempt(group, err)
 	switch {
 	case err == nil:
 		for _, p := range group {
@@ -192,48 +190,48 @@
 		}
 		return nil, false
 	case gauge.Is(err, gauge.KindConflict):
-		return l.settleKnown(group, rows), false
+		return l.settleExisting(group, rows), false
 	case gauge.Is(err, gauge.KindUnknown), gauge.Is(err, gauge.KindOutage):
 		return group, true
 	case len(group) > 1:
-		return l.singly(group) // one of them is at fault
+		return l.commitEach(group) // one of the jobs is the cause
 	default:
 		l.settle(group[0], outcome{err: err})
 		return nil, false
 	}
 }
 
-func (l *lane) noteTry(group []*pending, err error) {
+func (l *batcher) recordAttempt(group []*pendingJob, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, p := range group {
-		p.last, p.flying = err, false
-		p.unsure = p.unsure || gauge.Is(err, gauge.KindUnknown)
+		p.lastErr, p.inFlight = err, false
+		p.unsettled = p.unsettled || gauge.Is(err, gauge.KindUnknown)
 	}
 }
 
-func (l *lane) singly(group []*pending) (again []*pending, failed bool) {
+func (l *batcher) commitEach(group []*pendingJob) (again []*pendingJob, failed bool) {
 	for _, p := range group {
-		some, bad := l.commit([]*pending{p})
+		some, bad := l.commit([]*pendingJob{p})
 		again = append(again, some...)
 		failed = failed || bad
 	}
 	return again, failed
 }
 
-// settleKnown answers the jobs whose ids are taken: they were handed in before,
-// or a transaction that got no answer was carried out.
-func (l *lane) settleKnown(group []*pending, rows []gauge.PartRow) []*pending {
+// settleExisting settles the jobs whose ids exist already: they were submitted before, or a
+// transaction that got no answer took effect. It returns the other jobs.
+func (l *batcher) settleExisting(group []*pendingJob, rows []gauge.PartRow) []*pendingJob {
 	taken := make(map[string]gauge.PartRow, len(rows))
 	for _, r := range rows {
 		if r.Version > 0 {
 			taken[r.Key] = r
 		}
 	}
-	var again []*pending
+	var again []*pendingJob
 	for _, p := range group {
 		if r, ok := taken[p.id]; ok {
-			l.settle(p, outcome{version: r.Version, known: true, row: r.Value})
+			l.settle(p, outcome{version: r.Version, duplicate: true, row: r.Value})
 			continue
 		}
 		again = append(again, p)
@@ -241,10 +239,10 @@
 	return again
 }
 
-// Waiting counts the jobs of a queue that wait for a transaction.
-func (n *Intake) Waiting(queue string) int {
-	l := n.lane(queue)
+// QueuedJobs returns how many jobs of a queue are queued for a transaction.
+func (n *Intake) QueuedJobs(queue string) int {
+	l := n.batcher(queue)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.jobs)
+	return len(l.queued)
 }
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -24,10 +24,9 @@
 	})
 }
 
-// Symptom: callers get no answer before they leave, while the table is silent.
-// Sequence: a transaction hangs; another job waits for the next one; both callers'
-// waits end.
-// Cause: what became of a job was looked at between transactions only.
+// Guards against callers that get no answer in time while the table doesn't answer. A transaction
+// hangs, and another job is queued for the next one; both callers' waits must end, although the
+// outcome of a job was only checked between transactions.
 func TestCallersDoNotWaitForATransactionThatHangs(t *testing.T) {
 	store, held, hold := newHeldTable()
 	g := newRig(store, &clock{step: time.Millisecond})
@@ -36,7 +35,7 @@
 	group.Go(func() { results[0] = g.submit(0) })
 	<-held
 	group.Go(func() { results[1] = g.submit(1) })
-	eventually(t, "the second job waits", func() bool { return g.intake.Waiting("sheets") == 1 })
+	eventually(t, "the second job waits", func() bool { return g.intake.QueuedJobs("sheets") == 1 })
 	g.timers.fire(handInWait)
 	g.timers.fire(handInWait)
 	group.Wait()
@@ -51,10 +50,9 @@
 	assert.Equal(t, store.count(), 1, "the refused job is never sent")
 }
 
-// Symptom: while the table is away every hand-in is held for over a second, and
-// what it was sent with may be carried out later.
-// Sequence: a transaction and then a read fail; more jobs come; the table returns.
-// Cause: each job tries for itself what is known to fail.
+// Guards against keeping each submission for over a second during a table outage, with transactions
+// that may take effect later: each job tried for itself what was known to fail. A transaction and
+// then a read fail; more jobs are submitted; the table answers again.
 func TestHandInsAreRefusedAtOnceWhileTheTableIsAway(t *testing.T) {
 	store := newTable()
 	store.silent = true
@@ -74,10 +72,8 @@
 	eventually(t, "jobs are taken again", func() bool { return g.submit(9) == nil })
 }
 
-// Symptom: a job runs that was refused.
-// Sequence: a transaction gets no answer, then reads fail; the job's caller is
-// answered as the lane shuts.
-// Cause: a transaction without an answer may be carried out later.
+// Guards against running a job that was refused. A transaction gets no answer, then reads fail, and
+// the circuit breaker opens; the transaction may still take effect.
 func TestJobsSentBeforeTheTableWentAwayAreNotCalledRefused(t *testing.T) {
 	store := newTable()
 	store.silent = true
@@ -86,7 +82,7 @@
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
 }
 
-// peer is the owner of the pool, as asked by an entry that can't reach the table.
+// peer is the pool's owner at another entry, as seen by an entry that can't reach the table.
 type peer struct {
 	submits, cancels int
 	err              error
@@ -94,7 +90,7 @@
 	onSubmit         func()
 }
 
-func (p *peer) Prefer(*gauge.Queue) bool { return p.prefer }
+func (p *peer) PreferOwner(*gauge.Queue) bool { return p.prefer }
 
 func (p *peer) Submit(context.Context, *gauge.Queue, string, *gauge.JobSpec) error {
 	p.submits++
@@ -109,11 +105,9 @@
 	return p.err
 }
 
-// Symptom: an entry that the table turns away refuses all jobs, though the others
-// could store them.
-// Sequence: transactions fail here; the owner of the pool is asked, and answers
-// one way or another.
-// Cause: each entry has only its own way to the table.
+// Guards against an entry that refuses all jobs when the table refuses only this entry, while
+// others could store them. Transactions fail here; the owner of the pool is asked and answers in
+// different ways.
 func TestOwnerOfThePoolStoresWhatThisEntryCannot(t *testing.T) {
 	unknown := func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
 	for _, tt := range []struct {
@@ -149,8 +143,7 @@
 	}
 }
 
-// The owner of a pool stores what it is handed by another entry itself or not at
-// all: passed on again, a job could go round.
+// Guards against forwarding loops: the owner of a pool stores a forwarded job itself or not at all.
 func TestJobFromAnotherEntryIsNotPassedOn(t *testing.T) {
 	store := newTable()
 	store.silent, store.answer = true, outage
@@ -159,7 +152,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-	err := g.intake.SubmitHere(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
+	err := g.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	assert.Equal(t, gauge.KindOf(err), gauge.KindOutage)
 	assert.Equal(t, p.submits, 0)
 }
@@ -180,11 +173,10 @@
 	assert.Equal(t, p.cancels, 3)
 }
 
-// Symptom: in a slow spell of the table most hand-ins take two seconds or get no
-// final answer.
-// Sequence: a part of the table carries out four transactions a second; jobs of one
-// queue come in at eight entries, each with transactions of its own.
-// Cause: a part carries out one transaction after the other, whoever sent it.
+// Guards against submissions that take two seconds or get no final answer in a slow period of the
+// table. A partition executes one transaction after the other, whichever entry sent it: at four
+// transactions a second, eight entries that submit jobs of one queue can't each have transactions
+// of their own.
 func TestOwnerOfThePoolStoresForAll(t *testing.T) {
 	unknown := gauge.Fail(gauge.KindUnknown, "no answer")
 	lost := func(int, func()) error { return unknown }
@@ -192,9 +184,9 @@
 		name  string
 		there error
 		here  func(int, func()) error
-		takes time.Duration // the owner, until it has answered or is given up
+		takes time.Duration // until the owner has answered or the call is given up
 		want  gauge.Kind    // empty: accepted
-		sent  int           // transactions from here
+		sent  int // transactions sent by this entry
 	}{
 		{"stored there", nil, nil, 0, "", 0},
 		{"surely not stored there", gauge.Fail(gauge.KindOutage, "no owner"), nil, 0, "", 1},
@@ -225,9 +217,8 @@
 	}
 }
 
-// Symptom: an entry that stops is killed with calls in flight.
-// Sequence: a hand-in waits for a transaction that hangs; the entry stops.
-// Cause: the wait ended by its own bound only.
+// Guards against a stopping entry that is killed with calls in flight: a submission that waits for
+// a hanging transaction must also end when its context ends, not only at its own timeout.
 func TestHandInEndsWithItsContext(t *testing.T) {
 	store, held, hold := newHeldTable()
 	defer close(hold)
@@ -236,18 +227,17 @@
 	result := make(chan error, 1)
 	go func() {
 		q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-		result <- g.intake.SubmitHere(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
+		result <- g.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	}()
 	<-held
 	stop()
 	assert.Equal(t, gauge.KindOf(<-result), gauge.KindExpired)
 }
 
-// Symptom: a caller is told that its job never runs, and it runs.
-// Sequence: a hand-in is sent to the table and gets no answer; its caller asks again
-// while the table is away, and is refused since nothing was sent this time; the first
-// transaction is carried out.
-// Cause: a refusal looked at the last try only.
+// Guards against telling a caller that its job never runs, and running it. A submission is sent to
+// the table and gets no answer; its caller retries during the outage and is refused, since nothing
+// was sent this time; then the first transaction takes effect. A refusal must consider all
+// attempts, not just the last one.
 func TestRepeatOfAHandInThatMayBeStoredIsNotRefused(t *testing.T) {
 	store := newTable()
 	store.silent = true
@@ -262,11 +252,9 @@
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage, "nothing of it can be on its way any more")
 }
 
-// Symptom: a caller is told that its cancel is not known, or the job's owner never
-// hears of it.
-// Sequence: the cancel is carried out and its answer lost; it is tried again, and
-// finds the job cancelled.
-// Cause: a job that is over was taken for one that ended before its cancel.
+// Guards against a cancellation whose caller gets no clear answer, or whose owner is never
+// notified. The cancellation takes effect but its answer is lost; the retry finds the job cancelled
+// and must not take it for a job that ended before its cancellation.
 func TestCancelWithoutAnAnswerIsToldWhenItIsFound(t *testing.T) {
 	store := newTable()
 	g := newRig(store, &clock{step: time.Millisecond})
@@ -285,11 +273,9 @@
 	assert.Assert(t, g.notices[1].Cancelled, "the owner is told")
 }
 
-// Symptom: callers use up their tries within an outage of some seconds, and their
-// jobs are lost.
-// Sequence: the table is away; a caller is refused, and comes back a second later,
-// and a second later.
-// Cause: Retry-After says nothing of how long the table has been away.
+// Guards against callers that use up their attempts within an outage of some seconds, so that their
+// jobs are lost: a caller is refused and retries a second later, and again a second later, if
+// Retry-After doesn't grow with the duration of the outage.
 func TestCallersComeBackLaterTheLongerTheTableIsAway(t *testing.T) {
 	store := newTable()
 	store.silent, store.answer = true, outage
@@ -304,11 +290,11 @@
 	}
 }
 
-// Symptom: a caller is told that its job never runs, and it runs.
-// Sequence: an entry sends a hand-in to the table and gets no answer; the caller asks
-// again at another entry, which asks the pool's owner; the owner sent nothing itself and
-// can't reach the table; the first transaction is carried out.
-// Cause: only the first entry knows that the job may be stored.
+// Guards against telling a caller that its job never runs, and running it. An entry sends a
+// submission to the table and gets no answer; the caller retries at another entry, which asks the
+// pool's owner; the owner has sent nothing itself and can't reach the table; then the first
+// transaction takes effect. The owner has to be notified, since only the first entry knows that the
+// job may be stored.
 func TestOwnerKnowsOfHandInsThatOthersAreUnsureOf(t *testing.T) {
 	store := newTable()
 	store.silent = true
@@ -319,11 +305,11 @@
 	owner := newRig(ownerTable, c)
 	var told []string
 	entry := intake.New(intake.Config{
-		Store: store, Logs: logr.Discard(), Event: func(string) {}, Now: c.Now, Clock: func() int64 { return 1 },
-		Tell: func(intake.Notice) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
-		Unsure: func(_ *gauge.Queue, id string) {
+		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
+		NotifyOwner: func(intake.Notice) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
+		ReportUnsettled: func(_ *gauge.Queue, id string) {
 			told = append(told, id)
-			owner.intake.Doubt(id)
+			owner.intake.MarkUnsettled(id)
 		},
 	})
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
@@ -334,7 +320,8 @@
 	assert.Equal(t, gauge.KindOf(owner.submit(2)), gauge.KindOutage)
 }
 
-// A repeat of a hand-in that is told that the job never runs, by the owner that has it.
+// Guards against telling a caller that its job never runs when the owner already has it from an
+// earlier submission.
 func TestOwnerThatHasAJobRefusesNoRepeat(t *testing.T) {
 	store := newTable()
 	store.silent = true
--- a/internal/intake/pending.go
+++ b/internal/intake/pending.go
@@ -6,45 +6,45 @@
 	gauge "sapphiregauge"
 )
 
-// pending is one job on its way into the table.
-type pending struct {
+// pendingJob is a submitted job that isn't settled yet.
+type pendingJob struct {
 	id    string
 	queue *gauge.Queue
 	spec  *gauge.JobSpec
 	row   *gauge.JobRow
 	txn   gauge.PartTxn
-	began time.Duration
+	startedAt time.Duration
 
-	// Guarded by the lane's lock.
-	flying  bool         // it is in a transaction now
-	unsure  bool         // a transaction with it got no answer, and may be carried out
-	left    bool         // its caller was told to ask again
-	last    error        // of its last transaction
-	settled chan outcome // room for one
+	// Guarded by the batcher's mutex.
+	inFlight  bool // it is in the current transaction
+	unsettled  bool // a transaction with it got no answer, and may take effect
+	abandoned    bool // its caller has stopped waiting
+	lastErr    error // of its last transaction
+	result chan outcome // buffered for one outcome
 }
 
-// outcome is what became of a pending job.
+// outcome is the result of a submission.
 type outcome struct {
 	version int64  // of the row, if this call stored it
-	known   bool   // the id was taken before
-	row     []byte // as the table has it, if the id was taken
-	relayed bool   // another entry has stored it, and told the owner
+	duplicate   bool // the id exists already
+	row     []byte // as stored, if the id exists already
+	relayed bool // the owner has stored it at another entry and needs no notification
 	err     error
 }
 
-// pend makes a pending job of what a caller hands in.
-func (n *Intake) pend(q *gauge.Queue, id string, j *gauge.JobSpec) (*pending, error) {
-	p := &pending{id: id, queue: q, spec: j, settled: make(chan outcome, 1)}
-	p.row = &gauge.JobRow{State: gauge.JobPending, Pool: q.Pool, Accepted: n.conf.Clock()}
-	txn, err := insertion(q, id, j, p.row)
+// newPendingJob returns a pending job for a submission.
+func (n *Intake) newPendingJob(q *gauge.Queue, id string, j *gauge.JobSpec) (*pendingJob, error) {
+	p := &pendingJob{id: id, queue: q, spec: j, result: make(chan outcome, 1)}
+	p.row = &gauge.JobRow{State: gauge.JobPending, Pool: q.Pool, Accepted: n.conf.TableClock()}
+	txn, err := insertTxn(q, id, j, p.row)
 	if err != nil {
 		return nil, err
 	}
-	p.txn, p.began = txn, n.conf.Now()
+	p.txn, p.startedAt = txn, n.conf.Now()
 	return p, nil
 }
 
-func insertion(q *gauge.Queue, id string, j *gauge.JobSpec, row *gauge.JobRow) (gauge.PartTxn, error) {
+func insertTxn(q *gauge.Queue, id string, j *gauge.JobSpec, row *gauge.JobRow) (gauge.PartTxn, error) {
 	spec, err := gauge.EncodeJobSpec(j)
 	if err != nil {
 		return gauge.PartTxn{}, err
@@ -64,10 +64,10 @@
 	}, nil
 }
 
-// givenUp is the outcome of a job that is tried no longer.
-func (p *pending) givenUp() outcome {
-	if p.unsure {
-		return outcome{err: unsettled(p.last)}
+// abandonedOutcome returns the outcome of a job that isn't tried any more.
+func (p *pendingJob) abandonedOutcome() outcome {
+	if p.unsettled {
+		return outcome{err: unsettledError(p.lastErr)}
 	}
-	return outcome{err: gauge.Fail(gauge.KindOutage, "the table can't be reached").Because(p.last)}
+	return outcome{err: gauge.Fail(gauge.KindOutage, "the table can't be reached").Because(p.lastErr)}
 }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -8,102 +8,102 @@
 	gauge "sapphiregauge"
 )
 
-// Submit stores a job, once however often it is handed in.
+// Submit stores a job once, however often it is submitted.
 //
-// A transaction without an answer may take effect later, so "not stored" is only
-// said when every try was surely not carried out. The job is sent again under the
-// same condition, which lets only one of the tries take effect. If the table
-// doesn't answer here, the owner of the queue's pool is asked to store it.
+// A transaction without an answer may take effect later, so callers are only told that a job is not
+// stored if no attempt can have taken effect. Each retry has the same condition, which lets only
+// one of the attempts take effect. If the table doesn't answer here, the owner of the queue's pool
+// is asked to store the job.
 func (n *Intake) Submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
 	return n.submit(ctx, q, id, j, n.conf.Relay)
 }
 
-// SubmitHere is Submit for a job that another entry passes on: it goes no further.
-func (n *Intake) SubmitHere(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
+// SubmitLocally is Submit for a job that another entry has forwarded: it isn't forwarded again.
+func (n *Intake) SubmitLocally(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
 	return n.submit(ctx, q, id, j, nil)
 }
 
 func (n *Intake) submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec, relay Relay) error {
-	p, err := n.pend(q, id, j)
+	p, err := n.newPendingJob(q, id, j)
 	if err != nil {
 		return err
 	}
-	o := n.settle(ctx, p, relay)
-	if gauge.Is(o.err, gauge.KindOutage) && (n.doubts(id) || n.conf.Known != nil && n.conf.Known(q, id)) {
-		o.err = unsettled(o.err)
+	o := n.storeOrForward(ctx, p, relay)
+	if gauge.Is(o.err, gauge.KindOutage) && (n.isUnsettled(id) || n.conf.OwnsJob != nil && n.conf.OwnsJob(q, id)) {
+		o.err = unsettledError(o.err)
 	}
-	n.tell(p, o)
+	n.reportOutcome(p, o)
 	return o.err
 }
 
-// doubtFor is how long a hand-in without an answer may yet be carried out: some
-// seconds by the platform's word, with a margin of as much again.
-const doubtFor = 15 * time.Second
+// unsettledFor is how long a submission without an answer may still take effect: some seconds
+// according to the platform, with a margin of as much again.
+const unsettledFor = 15 * time.Second
 
-// remember keeps the ids of hand-ins that may yet be carried out: a repeat of one
-// must not be told that the job never runs.
-func (n *Intake) remember(id string, err error) {
+// recordUnsettled records the id of an unsettled submission: a caller that repeats it must not be
+// told that the job never runs.
+func (n *Intake) recordUnsettled(id string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
 	if gauge.Is(err, gauge.KindExpired) {
-		n.unsure[id] = now + doubtFor
+		n.unsettledUntil[id] = now + unsettledFor
 	}
-	n.prune(now)
+	n.pruneUnsettled(now)
 }
 
-// Doubt takes in that a hand-in of this id at another entry may yet be carried out.
-func (n *Intake) Doubt(id string) {
+// MarkUnsettled records that a submission of this id at another entry may still be stored.
+func (n *Intake) MarkUnsettled(id string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	n.unsure[id] = now + doubtFor
-	n.prune(now)
+	n.unsettledUntil[id] = now + unsettledFor
+	n.pruneUnsettled(now)
 }
 
-// prune drops ids that nothing is to be waited for any more. The lock is held.
-func (n *Intake) prune(now time.Duration) {
-	if now < n.pruned+doubtFor {
+// pruneUnsettled drops the ids of submissions that can't take effect any more. n.mu is held.
+func (n *Intake) pruneUnsettled(now time.Duration) {
+	if now < n.prunedAt+unsettledFor {
 		return
 	}
-	n.pruned = now
-	maps.DeleteFunc(n.unsure, func(_ string, until time.Duration) bool { return now > until })
+	n.prunedAt = now
+	maps.DeleteFunc(n.unsettledUntil, func(_ string, until time.Duration) bool { return now > until })
 }
 
-// doubts tells whether a hand-in of this id may yet be carried out.
-func (n *Intake) doubts(id string) bool {
+// isUnsettled reports whether a submission of this id may still be stored.
+func (n *Intake) isUnsettled(id string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.conf.Now() < n.unsure[id]
+	return n.conf.Now() < n.unsettledUntil[id]
 }
 
-// settle has a job stored, by the owner of its pool or here.
-func (n *Intake) settle(ctx context.Context, p *pending, relay Relay) outcome {
-	l := n.lane(p.queue.Name)
+// storeOrForward has a job stored by the owner of its pool or by this entry.
+func (n *Intake) storeOrForward(ctx context.Context, p *pendingJob, relay Relay) outcome {
+	l := n.batcher(p.queue.Name)
 	if relay == nil {
 		return l.store(ctx, p)
 	}
-	if !relay.Prefer(p.queue) || n.conf.Without.Has(gauge.MechanismRelay) {
+	if !relay.PreferOwner(p.queue) || n.conf.Without.Has(gauge.MechanismRelay) {
 		here := l.store(ctx, p)
-		if !undecided(here.err) {
+		if !isUndecided(here.err) {
 			return here
 		}
-		return merge(here, relay.Submit(ctx, p.queue, p.id, p.spec))
+		return mergeOutcomes(here, relay.Submit(ctx, p.queue, p.id, p.spec))
 	}
 	there := relay.Submit(ctx, p.queue, p.id, p.spec)
-	late := n.conf.Now()-p.began > handInWait/2
-	if !undecided(there) || late && !gauge.Is(there, gauge.KindOutage) {
-		return merge(outcome{err: gauge.Fail(gauge.KindOutage, "not tried here")}, there)
+	late := n.conf.Now()-p.startedAt > submitTimeout/2
+	if !isUndecided(there) || late && !gauge.Is(there, gauge.KindOutage) {
+		return mergeOutcomes(outcome{err: gauge.Fail(gauge.KindOutage, "not tried here")}, there)
 	}
-	if gauge.Is(there, gauge.KindOutage) && !l.sound(p.id) {
-		return merge(outcome{err: l.refusal()}, there)
+	if gauge.Is(there, gauge.KindOutage) && !l.canSend(p.id) {
+		return mergeOutcomes(outcome{err: l.refusalError()}, there)
 	}
-	return merge(l.store(ctx, p), there)
+	return mergeOutcomes(l.store(ctx, p), there)
 }
 
-// undecided tells whether the job may be stored by another entry yet, or surely isn't
+// isUndecided reports whether the job may still be stored by another entry, or was certainly not
 // stored by the one that was asked.
-func undecided(err error) bool {
+func isUndecided(err error) bool {
 	switch gauge.KindOf(err) {
 	case gauge.KindOutage, gauge.KindExpired, gauge.KindUnknown, gauge.KindEmpty:
 		return true
@@ -112,68 +112,68 @@
 	}
 }
 
-// merge is what is known of a job after a try here and one by the owner of its pool.
-// That it is not stored is the owner's word only: a hand-in may be a repeat of one
-// that another entry sent off without an answer, and all of them pass the owner.
-func merge(here outcome, there error) outcome {
+// mergeOutcomes combines an attempt here with one by the owner of the job's pool. Only the owner
+// can say that a job is not stored: a submission may repeat one that another entry has sent without
+// getting an answer, and all of them go through the owner.
+func mergeOutcomes(here outcome, there error) outcome {
 	switch {
-	case !undecided(here.err):
+	case !isUndecided(here.err):
 		return here
 	case there == nil:
 		return outcome{relayed: true}
 	case gauge.Is(here.err, gauge.KindExpired), gauge.Is(there, gauge.KindOutage):
 		return here
-	case undecided(there):
-		return outcome{err: unsettled(there)}
+	case isUndecided(there):
+		return outcome{err: unsettledError(there)}
 	default:
 		return outcome{err: there}
 	}
 }
 
-func unsettled(cause error) error {
+func unsettledError(cause error) error {
 	return gauge.Fail(gauge.KindExpired, "it is not known whether the job was stored; ask again with the same id").Because(cause)
 }
 
-// tell logs the outcome of a hand-in and tells the pool's owner of a new job.
-func (n *Intake) tell(p *pending, o outcome) {
-	n.remember(p.id, o.err)
+// reportOutcome logs and counts the outcome of a submission, and notifies the pool's owner of a new
+// job.
+func (n *Intake) reportOutcome(p *pendingJob, o outcome) {
+	n.recordUnsettled(p.id, o.err)
 	switch {
 	case gauge.Is(o.err, gauge.KindExpired):
-		n.conf.Event("job unsettled")
-		n.log("job unsettled", p.queue, p.id, o.err)
-		if n.conf.Unsure != nil {
-			// A repeat at another entry is refused by the owner's word: it has to know.
-			n.conf.Unsure(p.queue, p.id)
+		n.conf.CountEvent("job unsettled")
+		n.logFailure("job unsettled", p.queue, p.id, o.err)
+		if n.conf.ReportUnsettled != nil {
+			// A retry at another entry is refused according to the owner, so the owner has to know.
+			n.conf.ReportUnsettled(p.queue, p.id)
 		}
 	case o.err != nil:
-		n.conf.Event("job refused")
-		n.log("job refused", p.queue, p.id, o.err)
+		n.conf.CountEvent("job refused")
+		n.logFailure("job refused", p.queue, p.id, o.err)
 	case o.relayed:
-		n.conf.Event("job relayed")
-		n.conf.Logs.Info("job relayed", "job", p.id, "queue", p.queue.Name, "pool", p.queue.Pool, "took", n.conf.Now()-p.began)
+		n.conf.CountEvent("job relayed")
+		n.conf.Logs.Info("job relayed", "job", p.id, "queue", p.queue.Name, "pool", p.queue.Pool, "took", n.conf.Now()-p.startedAt)
 	default:
-		n.stored(p, o)
+		n.reportStored(p, o)
 	}
 }
 
-// stored takes in that a job is in the table.
-func (n *Intake) stored(p *pending, o outcome) {
-	q, took := p.queue, n.conf.Now()-p.began
-	if o.known {
-		n.conf.Logs.Info("job known", "job", p.id, "queue", q.Name, "version", o.version, "unsure", p.unsure, "took", took)
-		n.tellUnsure(q, p, p.spec, o)
+// reportStored logs a job that is in the table, and notifies its owner.
+func (n *Intake) reportStored(p *pendingJob, o outcome) {
+	q, took := p.queue, n.conf.Now()-p.startedAt
+	if o.duplicate {
+		n.conf.Logs.Info("job known", "job", p.id, "queue", q.Name, "version", o.version, "unsure", p.unsettled, "took", took)
+		n.notifyOfUnsettled(q, p, p.spec, o)
 		return
 	}
-	n.conf.Event("job accepted")
-	n.conf.Logs.Info("job accepted", "job", p.id, "queue", q.Name, "pool", q.Pool, "version", o.version, "took", took, "left", p.left)
-	n.conf.Tell(Notice{Pool: q.Pool, Queue: q.Name, ID: p.id, Spec: p.spec, Row: p.row, Version: o.version})
+	n.conf.CountEvent("job accepted")
+	n.conf.Logs.Info("job accepted", "job", p.id, "queue", q.Name, "pool", q.Pool, "version", o.version, "took", took, "left", p.abandoned)
+	n.conf.NotifyOwner(Notice{Pool: q.Pool, Queue: q.Name, ID: p.id, Spec: p.spec, Row: p.row, Version: o.version})
 }
 
-// tellUnsure tells the owner of a job that a transaction without an answer has
-// stored. Its row is told as the table has it: the job may have been cancelled
-// since.
-func (n *Intake) tellUnsure(q *gauge.Queue, p *pending, j *gauge.JobSpec, o outcome) {
-	if !p.unsure {
+// notifyOfUnsettled notifies the owner of a job that was stored by a transaction without an answer.
+// The notification has the row as it is stored now: the job may have been cancelled since.
+func (n *Intake) notifyOfUnsettled(q *gauge.Queue, p *pendingJob, j *gauge.JobSpec, o outcome) {
+	if !p.unsettled {
 		return
 	}
 	row, err := gauge.DecodeJobRow(o.row)
@@ -182,6 +182,6 @@
 		return
 	}
 	if row.State == gauge.JobPending {
-		n.conf.Tell(Notice{Pool: row.Pool, Queue: q.Name, ID: p.id, Spec: j, Row: row, Version: o.version})
+		n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: p.id, Spec: j, Row: row, Version: o.version})
 	}
 }
--- a/internal/node/async.go
+++ b/internal/node/async.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// async does calls beside the rounds of the fleet's holder. What follows from a call
-// is done in a round, so that the holder's state is touched by one thread only.
+// backgroundCalls runs calls beside the rounds of the fleet lease holder. The result of a call is
+// applied in a round, so that only one goroutine changes the holder's state.
 type async struct {
 	mu      sync.Mutex
 	running map[string]bool
 	done    []ended
 }
 
-// ended is a call that has ended, and what follows from it.
+// finishedCall is a call that has ended, and the function that applies its result.
 type ended struct {
 	name string
 	then func()
@@ -18,7 +18,8 @@
 
 func newAsync() *async { return &async{running: make(map[string]bool)} }
 
-// do begins a call; false: one of that name is under way or not settled yet.
+// start starts a call. It reports false if a call of that name is in flight or its result hasn't
+// been applied yet.
 func (a *async) do(name string, call func() (then func())) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -35,7 +36,7 @@
 	return true
 }
 
-// settle does what follows from the calls that have ended.
+// applyResults applies the results of the calls that have ended.
 func (a *async) settle() {
 	a.mu.Lock()
 	done := a.done
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// methodLoad asks a pool's owner what the pool has to do.
+	// methodLoad asks a pool's owner for the demand of the pool.
 	methodLoad = "pool.load"
-	// methodState asks a pool's owner how far a job is.
+	// methodState asks a pool's owner for the state of a job.
 	methodState = "job.state"
-	// stateWait bounds that question: the table answers it too.
+	// stateTimeout bounds that call: the table can answer it too.
 	stateWait = 150 * time.Millisecond
 	// methodDepth asks a pool's owner how many jobs of a queue have not begun.
 	methodDepth = "queue.depth"
-	// depthWait bounds that question: an owner answers within some milliseconds, one on
-	// a slow link within tenths of a second, and the caller waits.
+	// depthTimeout bounds that call: an owner answers within some milliseconds, one on a slow link
+	// within tenths of a second, and the caller waits.
 	depthWait = 400 * time.Millisecond
-	// emptyWait bounds one question to a pool's owner.
+	// emptyTimeout bounds one call to have a worker drained.
 	emptyWait = 600 * time.Millisecond
-	// methodEmpty asks a pool's owner to empty a worker.
+	// methodEmpty asks a pool's owner to drain a worker.
 	methodEmpty = "worker.empty"
 )
 
-// loadWait bounds that question.
+// loadTimeout bounds one call for the demand of a pool.
 const loadWait = 400 * time.Millisecond
 
 type loadCall struct {
 	Pool string   `msgpack:"p"`
-	Soon []string `msgpack:"s,omitempty"` // workers that a wave is to empty before long
+	Soon []string `msgpack:"s,omitempty"` // workers that a maintenance wave is about to drain
 }
 
-// ownerOf returns a pool's owner if it is here, else its address.
+// ownerOf returns a pool's owner if it runs here, otherwise its address.
 func (n *Node) ownerOf(pool string) (*owner.Owner, string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,7 +52,7 @@
 	return nil, row.Addr, nil
 }
 
-// local returns a pool's owner here, for a call of another entry.
+// localOwner returns a pool's owner if it runs here, for a call of another entry.
 func (n *Node) local(pool string) (*owner.Owner, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -62,7 +62,7 @@
 	return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", pool)
 }
 
-// load asks what a pool has to do.
+// poolLoad asks a pool's owner for the demand of the pool.
 func (n *Node) load(ctx context.Context, c loadCall) (gauge.PoolLoad, error) {
 	var l gauge.PoolLoad
 	o, addr, err := n.ownerOf(c.Pool)
@@ -91,7 +91,7 @@
 	return &l, nil
 }
 
-// emptyCall asks to empty a worker; it holds for some seconds.
+// emptyCall asks to drain a worker; the request holds for some seconds.
 type emptyCall struct {
 	Pool   string `msgpack:"p"`
 	Worker string `msgpack:"w"`
@@ -102,7 +102,7 @@
 	Empty bool `msgpack:"e"`
 }
 
-// empty asks a pool's owner to empty a worker; true: nothing runs there.
+// drainWorker asks a pool's owner to drain a worker and reports whether nothing runs there.
 func (n *Node) empty(ctx context.Context, c emptyCall) (bool, error) {
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
@@ -137,10 +137,11 @@
 }
 
 type stateAnswer struct {
-	State gauge.JobState `msgpack:"s"` // empty: not known here
+	State gauge.JobState `msgpack:"s"` // empty: the job isn't known here
 }
 
-// ask asks the owner of a queue's pool how far a job is.
+// jobState asks the owner of a queue's pool for the state of a job. It reports false if the owner
+// doesn't know the job or can't be asked.
 func (n *Node) ask(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
@@ -156,7 +157,7 @@
 	return a.State, err == nil && a.State != ""
 }
 
-// knownHere tells whether this entry owns a queue's pool and has the job.
+// ownsJob reports whether this entry owns a queue's pool and knows the job.
 func (n *Node) knownHere(q *gauge.Queue, id string) bool {
 	o, err := n.local(q.Pool)
 	if err != nil {
@@ -182,7 +183,7 @@
 type depthCall struct {
 	Pool  string `msgpack:"p"`
 	Queue string `msgpack:"q"`
-	Sure  bool   `msgpack:"s"` // the caller's entry knows that there is this queue
+	Sure  bool   `msgpack:"s"` // the calling entry is certain that the queue exists
 }
 
 type depthAnswer struct {
@@ -190,8 +191,8 @@
 	Known bool `msgpack:"k"`
 }
 
-// askDepth asks the owner of a queue's pool how many jobs of it have not begun. An entry
-// that can't know whether there is the queue still needs an owner that can.
+// ownerDepth asks the owner of a queue's pool how many of its jobs have not begun. If this entry
+// can't be certain that the queue exists, the owner must be.
 func (n *Node) askDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -13,7 +13,7 @@
 	"sapphiregauge/internal/terms"
 )
 
-// manage claims pools that are without an owner.
+// manage claims pools that have no owner, until ctx ends.
 func (n *Node) manage(ctx context.Context) {
 	tick := time.NewTicker(manageEvery)
 	defer tick.Stop()
@@ -31,7 +31,7 @@
 	}
 }
 
-// due lists the claims to make now.
+// dueClaims returns the claims to make now, and marks their pools as being claimed.
 func (n *Node) due() []terms.Claim {
 	site := n.Site()
 	if site == nil || !n.going.Load() {
@@ -43,7 +43,7 @@
 		return nil
 	}
 	if n.conf.Now()-n.leases > leasesOld && len(n.board.Pools()) > 0 {
-		return nil // this entry can't see who renews; it would claim in vain
+		return nil // it can't be seen which leases are renewed, so claims would fail
 	}
 	pools := n.board.Pools()
 	if n.conf.Machines != nil {
@@ -62,14 +62,15 @@
 	return claims
 }
 
-// begin notes that a lease is claimed or held here. The lock is held.
+// markClaiming records that a lease is being claimed or held here. n.mu is held.
 func (n *Node) begin(pool string) {
 	n.busy[pool] = true
 	n.taking[pool] = make(chan struct{})
 	n.ownsSome()
 }
 
-// taken notes that a claim has ended, with an owner here or without. The lock is held.
+// markClaimEnded records that a claim has ended, whether or not the pool has an owner here now.
+// n.mu is held.
 func (n *Node) taken(pool string) {
 	if over, ok := n.taking[pool]; ok {
 		close(over)
@@ -77,8 +78,8 @@
 	}
 }
 
-// ownsSome has the list of workers followed for as long as this entry has, or takes,
-// the lease of a pool. The lock is held.
+// updateWorkerListGate has the list of workers followed while this entry holds or claims the lease
+// of a pool. n.mu is held.
 func (n *Node) ownsSome() {
 	pools := len(n.busy)
 	if n.busy[fleetPool] {
@@ -87,7 +88,7 @@
 	n.listing.Set(pools > 0)
 }
 
-// done notes that a lease is not claimed or held here any more.
+// markReleased records that a lease is neither claimed nor held here any more.
 func (n *Node) done(pool string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,11 +101,11 @@
 	return gauge.RowKey{Table: gauge.TableLeases, Part: pool, Key: gauge.KeyOwner}
 }
 
-// readGrants reads what the holder before has ordered, of a lease that nobody offers;
-// false: it can't be read.
+// readGrants reads which orders the previous holder has granted, for a lease that nobody offers. It
+// reports whether the read succeeded.
 func (n *Node) readGrants(ctx context.Context, c *terms.Claim) bool {
 	if c.Version == 0 {
-		return true // nobody has had it
+		return true // there was no previous holder
 	}
 	err := tenure.Read(ctx, n.conf.Store, leaseKey(c.Pool), &c.Row)
 	if err != nil {
@@ -113,8 +114,8 @@
 	return err == nil
 }
 
-// claim tries to take a pool's lease and, with it, runs the pool. From is the
-// holder that offers it, empty if nobody does.
+// claim tries to take a lease and, if it does, runs the pool or the fleet until the lease ends.
+// From is the holder that offers the lease, empty if there is none.
 func (n *Node) claim(ctx context.Context, c terms.Claim, from string) {
 	defer n.done(c.Pool)
 	if from == "" && !n.readGrants(ctx, &c) {
@@ -136,30 +137,30 @@
 	}
 }
 
-// held is a lease that was just taken.
+// takenLease is a lease that this entry has just taken.
 type held struct {
 	lease  *tenure.Tenure
 	fence  gauge.Fence
 	term   int
 	before gauge.LeaseRow
-	early  time.Duration // how much of the term before may not be over
+	early  time.Duration // how much of the previous term may remain
 }
 
-// fleetPool is the name under which the lease of the fleet is kept: its holder
-// moves machines and begins their upkeep. No pool has this name.
+// fleetPool is the key of the fleet lease, whose holder moves machines and starts their
+// maintenance. No pool has this name.
 const fleetPool = ""
 
-// take writes the lease row on condition that it is as it was seen. The version
-// of that transaction is the fencing token: versions only grow, and no two
-// transactions share one. Again: the holder that offers the lease has renewed it
-// meanwhile, and the claim is now of that row.
+// takeLease writes the lease row on condition that it is unchanged since it was read. The version
+// of that transaction is the fencing token: versions only grow, and no two transactions share one.
+// Again reports that the offering holder has renewed the lease meanwhile; c then holds the version
+// of the renewed row.
 func (n *Node) take(ctx context.Context, c *terms.Claim, from string) (h *held, again bool) {
 	term := c.Row.Term
 	if c.Version > 0 {
 		term++
 	}
 	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, Unnoted: c.Row.Unnoted, Renewed: n.clock()}
-	row.CountsOf(&c.Row) // none was made since
+	row.CountsOf(&c.Row) // there was no count since
 	if c.Pool == fleetPool {
 		n.handOn(&row, &c.Row)
 	}
@@ -192,7 +193,7 @@
 	return &held{lease: lease, fence: gauge.Fence(stamp.Version), term: term, before: c.Row, early: c.Early}, false
 }
 
-// notTaken takes in that a claim failed; true: it is worth another try at once.
+// handleClaimFailure applies what a failed claim shows. It reports whether to try again at once.
 func (n *Node) notTaken(c *terms.Claim, from string, rows []gauge.PartRow, err error) bool {
 	if gauge.Is(err, gauge.KindUnknown) {
 		n.mu.Lock()
@@ -214,7 +215,7 @@
 	return false
 }
 
-// own runs a pool until the lease is lost or given up.
+// runPool runs a pool until its lease is lost or given up.
 func (n *Node) own(ctx context.Context, pool string, h *held) {
 	o := owner.New(ctx, owner.Config{
 		Pool: pool, Lease: h.lease, Term: h.term, Fence: h.fence, Earlier: h.before.Workers, Before: h.before, Early: h.early,
@@ -242,11 +243,11 @@
 	o.Run(n.Site(), list)
 }
 
-// claimRest is how long an entry that had to leave a pool claims none.
+// claimPauseAfterLeaving is how long an entry claims nothing after it had to leave a pool.
 const claimRest = 3 * time.Second
 
-// leave has another entry take a pool whose owner here can't write to the table, or
-// lacks processor time. Without one that can the owner goes on.
+// handOverStuckPool has another entry take over a pool whose owner here can't write to the table or
+// is short of processor time. If no entry can, the owner here continues.
 func (n *Node) leave(ctx context.Context, o *owner.Owner, failing time.Duration) {
 	if !n.mayOffer(o.Pool()) {
 		return
@@ -265,7 +266,7 @@
 	}
 }
 
-// mayOffer bounds how often a successor is looked for.
+// allowOffer bounds how often a successor for a pool is searched for.
 func (n *Node) mayOffer(pool string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -282,9 +283,9 @@
 	return offerCall{Pool: o.Pool(), Row: row, Version: version}
 }
 
-// handOver ends a pool's work here and has another entry take it at once, or any
-// entry as soon as it sees that the lease is given up. Each pool writes out what it
-// has taken in while others are offered: an entry that stops has a second for all.
+// handOver stops a pool's owner here and has another entry take the pool over at once; if there is
+// none, the lease is given up and any entry may claim it. Stopping writes the pending changes and
+// runs in parallel with the offers of other pools: a stopping entry has 1 s for all of them.
 func (n *Node) handOver(ctx context.Context, o *owner.Owner, why string) {
 	var group conc.WaitGroup
 	stopped := false
@@ -298,7 +299,8 @@
 	}
 }
 
-// give has an entry take a pool that is stopped here; empty: there is none.
+// offerOrGiveUp offers a stopped pool to an entry, or gives its lease up if the address is empty or
+// the offer fails.
 func (n *Node) give(ctx context.Context, o *owner.Owner, to string) {
 	if to == "" || !n.offer(ctx, to, offerOf(o)) {
 		o.GiveUp(ctx)
--- a/internal/node/doubt.go
+++ b/internal/node/doubt.go
@@ -11,15 +11,15 @@
 	"sapphiregauge/internal/frame"
 )
 
-// A hand-in that an entry sent to the table itself and that got no answer may be stored
-// seconds later. Its caller asks again at another entry, which refuses it by the word of
-// the pool's owner; so the owner has to know of it, or the caller is told that a job never
-// runs which does.
+// A submission that an entry sent to the table itself and that got no answer may be stored seconds
+// later. Its caller retries at another entry, which refuses it if the pool's owner says that it
+// isn't stored. So the owner has to know of the unsettled submission; otherwise a caller is told
+// that a job never runs, and it runs.
 
-// methodDoubt tells a pool's owner of a hand-in that may be stored yet.
+// methodUnsettled notifies a pool's owner of a submission that may still be stored.
 const methodDoubt = "job.doubt"
 
-// doubtWait bounds the call. The caller waits for it, and comes back a tenth of a second
+// unsettledTimeout bounds the call. The caller of the submission waits for it, and retries 100 ms
 // after its answer.
 const doubtWait = 200 * time.Millisecond
 
@@ -29,18 +29,19 @@
 }
 
 type doubtAnswer struct {
-	Owns bool `msgpack:"o"` // the pool: it is the owner that was told
+	Owns bool `msgpack:"o"` // whether the answering entry owns the pool
 }
 
 const (
-	// doubtAgain is the pause between two tries to tell, and doubtTries how many there are:
-	// a hand-in may be stored for some seconds, and a pool has an owner again within three.
+	// unsettledRetryDelay is the pause between two attempts to notify the owner, and
+	// maxUnsettledRetries their number: a submission may still be stored for some seconds, and a
+	// pool has an owner again within three.
 	doubtAgain = 100 * time.Millisecond
 	doubtTries = 50
 )
 
-// tellDoubt tells the owner once before the caller is answered, and goes on beside that if
-// it fails: the next try may come to the owner later than the word does.
+// reportUnsettled notifies the owner once before the caller gets its answer, and retries in the
+// background if that fails: the caller's next attempt may reach the owner after the notification.
 func (n *Node) tellDoubt(q *gauge.Queue, id string) {
 	err := n.sendDoubt(q.Pool, id)
 	if err == nil {
@@ -63,16 +64,16 @@
 }
 
 const (
-	// spreadsAtOnce bounds how many hand-ins are told to all entries at a time, and
-	// toldAtOnce how many entries one of them: with hundreds of entries, and an owner that
-	// nobody reaches, the telling would take the link from all else.
+	// maxConcurrentBroadcasts bounds how many submissions are broadcast to all entries at a time,
+	// and maxConcurrentBroadcastCalls the concurrent calls of each broadcast. With hundreds of
+	// entries and an owner that nobody can reach, the broadcasts would use up the link.
 	spreadsAtOnce = 4
 	toldAtOnce    = 16
 )
 
-// spreadDoubt tells all other entries, while the owner isn't known here or doesn't answer: it is
-// one of them, or will be. An entry that is cut off from the table may not hear who it is before
-// the caller comes to it.
+// broadcastUnsettled notifies all other entries when the owner isn't known here or doesn't answer:
+// one of them is the owner or will be. An entry that is cut off from the table may not learn who
+// the owner is before the caller retries there.
 func (n *Node) spreadDoubt(of, id string) {
 	select {
 	case n.spreads <- struct{}{}:
@@ -100,11 +101,12 @@
 	n.conf.Logs.Info("doubt spread", "job", id, "told", told.Load(), "of", len(peers))
 }
 
-// sendDoubt tells the pool's owner; nil: it knows, also if it is this entry.
+// sendUnsettled notifies the pool's owner. It returns nil if the owner knows, also if that is this
+// entry.
 func (n *Node) sendDoubt(pool, id string) error {
 	o, addr, err := n.ownerOf(pool)
 	if err != nil || o != nil {
-		return err // this entry remembers it in any case
+		return err // this entry has recorded it in any case
 	}
 	ctx, cancel := context.WithTimeout(n.context(), doubtWait)
 	defer cancel()
@@ -123,7 +125,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	n.intake.Doubt(c.ID)
+	n.intake.MarkUnsettled(c.ID)
 	n.conf.Logs.Info("doubt taken in", "job", c.ID)
 	_, err := n.local(c.Pool)
 	return doubtAnswer{Owns: err == nil}, nil
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// fleetEvery is how often the fleet's holder looks at its waves.
+	// fleetInterval is the interval between two rounds of the fleet lease holder.
 	fleetEvery = 100 * time.Millisecond
-	// readyGap is how long a machine that has got empty waits for others before it is
-	// ordered: each round with new orders is a write.
+	// drainedBatchDelay is how long a drained machine waits for others before it is ordered: each
+	// round with new orders is a write.
 	readyGap = 40 * time.Millisecond
-	// fleetRenew is how often the fleet's lease is renewed without other writes.
+	// fleetRenewInterval is the interval at which the fleet lease is renewed if nothing else is
+	// written.
 	fleetRenew = 400 * time.Millisecond
-	// listEvery is how often the machines are listed.
+	// machineListInterval is the interval at which the machines are listed.
 	listEvery = 400 * time.Millisecond
-	// firstWait is how long after the very first start machines are left where
-	// they are: until then not all of them are listed.
+	// initialOrderDelay is how long after the very first start no machine is ordered: until then
+	// not all of them are listed.
 	firstWait = 2 * time.Second
 )
 
-// fleet carries out waves for as long as this entry holds the fleet's lease.
+// fleet carries out maintenance waves and moves of machines between pools for as long as this entry
+// holds the fleet lease.
 type fleet struct {
 	node    *Node
 	held    *held
@@ -37,20 +39,20 @@
 	from    time.Duration // no machine is ordered before this
 	turns   *turns.Turns
 	renewed time.Duration
-	offered time.Duration // when the lease was last offered
+	offered time.Duration // last offer of the lease
 	listed  time.Duration
-	states  map[int64]bool // waves of which the operator was told that they run
+	states  map[int64]bool // waves whose running state was reported to the operator
 	async   *async
-	ready   chan struct{}  // a machine has got empty that is to move
-	unsaved map[int64]bool // waves with orders that the table doesn't know
+	ready   chan struct{} // wakes the next round: a machine that is to move has been drained
+	unsaved map[int64]bool // waves with orders that aren't in the table yet
 
 	next atomic.Pointer[string] // address of the entry that the lease is to move to
 
-	gate sync.Mutex // between the last orders and the lease's end
-	over bool       // nothing is ordered any more
+	gate sync.Mutex // guards over, so that no order is sent after the lease was given away
+	over bool // no more orders
 }
 
-// keep runs the fleet until its lease is lost or given up.
+// runFleet runs the fleet until its lease is lost or given up.
 func (n *Node) keep(ctx context.Context, h *held) {
 	f := &fleet{
 		node: n, held: h, states: make(map[int64]bool),
@@ -91,16 +93,16 @@
 	n.fleet = f
 }
 
-// moveTo has the lease handed to an entry after the round that is under way; empty:
-// it stays.
+// requestMove has the lease handed to an entry after the current round. An empty address leaves it
+// here.
 func (f *fleet) moveTo(addr string) {
 	if addr != "" {
 		f.next.Store(&addr)
 	}
 }
 
-// handOver ends the work here and has another entry take the fleet over; to is empty
-// if none was chosen yet.
+// handOver ends the work here and has another entry take over the fleet. An empty address means
+// that none has been chosen yet.
 func (f *fleet) handOver(ctx context.Context, why, to string) {
 	n, h := f.node, f.held
 	f.end()
@@ -122,8 +124,8 @@
 	}
 }
 
-// leave has another entry take the fleet over when writes fail here; true: it
-// was offered.
+// handOverIfStuck offers the fleet to another entry when writes fail here. It reports whether the
+// lease was offered.
 func (f *fleet) leave(ctx context.Context) bool {
 	now := f.node.conf.Now()
 	if now-f.renewed < fleetRenew+stuckAfter || now-f.offered < offerAgain {
@@ -143,7 +145,8 @@
 	return true
 }
 
-// offer offers the fleet's lease, with what was ordered since its row was written.
+// leaseOffer returns the offer of the fleet lease, which includes the orders since its row was last
+// written.
 func (f *fleet) offer() offerCall {
 	row := f.row(nil)
 	row.Term = f.held.term
@@ -159,9 +162,9 @@
 	}
 }
 
-// round looks at waves and pools once. It waits for the table only: an owner or a
-// machine service that doesn't answer would hold up all others, and the renewal of
-// the lease. Their answers count in a later round.
+// runRound handles waves and pools once. It waits for calls to the table only: a pool owner or a
+// machine service that doesn't answer would delay all others, and the renewal of the lease. Their
+// answers are applied in a later round.
 func (f *fleet) round(ctx context.Context) {
 	f.async.settle()
 	for number := range f.unsaved {
@@ -193,7 +196,8 @@
 	f.resize(ctx, moves)
 }
 
-// commit writes on condition that the fleet's lease is still this entry's.
+// commit writes on condition that this entry still holds the fleet lease, and reports whether it
+// succeeded.
 func (f *fleet) commit(ctx context.Context, txn gauge.PartTxn) bool {
 	return f.commitRow(ctx, f.row(f.turns.Announced()), txn)
 }
@@ -210,7 +214,7 @@
 	return true
 }
 
-// list has the machines read, if the list is old.
+// refreshMachines has the machines listed if the last list is too old.
 func (f *fleet) list(ctx context.Context) {
 	now := f.node.conf.Now()
 	if f.listed > 0 && now-f.listed < listEvery {
@@ -226,7 +230,7 @@
 	})
 }
 
-// machines takes in the list, as asked for at a time.
+// setMachines applies a list of the machines that was requested at the given time.
 func (f *fleet) machines(list []gauge.Machine, asked time.Duration) {
 	f.listed = asked
 	f.keeper.Machines(list, asked)
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -9,7 +9,8 @@
 	"sapphiregauge/internal/watch"
 )
 
-// follow follows a table, of which the caller says what differs between tables.
+// followTable follows a table until ctx ends. The caller sets the parts of the configuration that
+// differ between tables.
 func (n *Node) follow(ctx context.Context, c watch.Config) {
 	c.Store, c.Logs, c.Now = n.conf.Store, n.conf.Logs, n.conf.Now
 	if c.Stamp == nil {
@@ -22,7 +23,7 @@
 
 func always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// leasePause is the pause between two looks at the leases.
+// leasePause returns the pause between two polls of the leases.
 func (n *Node) leasePause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -32,9 +33,8 @@
 	return leasePause
 }
 
-// stamp takes in a reading of the table's clock, from a call that was sent at a
-// time. One that took long says little, and the clocks don't drift within a day
-// by as much.
+// recordTableClock records a reading of the table's clock from a call that was sent at the given
+// time. A reading from a slow call is imprecise, by more than the clocks drift apart within a day.
 func (n *Node) stamp(s gauge.Stamp, sent time.Duration) {
 	now := n.conf.Now()
 	if s.Now > 0 && (now-sent < stampWithin || n.offset.Load() == 0) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// sawLeases notes that the leases were read, changed or not.
+// recordLeaseRead records that the leases were read, whether or not they have changed.
 func (n *Node) sawLeases(s gauge.Stamp, sent time.Duration) {
 	n.stamp(s, sent)
 	now := n.conf.Now()
@@ -56,10 +56,11 @@
 	n.sighted.Store(true)
 }
 
-// stampWithin: a reading from an answer that took longer is not used.
+// maxClockReadingTime is the longest duration of a call whose reading of the table's clock is used.
 const stampWithin = 100 * time.Millisecond
 
-// clock is the table's clock now, in milliseconds, late by an answer's way.
+// tableClock returns the current time of the table's clock in milliseconds, late by the transit
+// time of an answer.
 func (n *Node) clock() int64 {
 	return (n.conf.Now() + time.Duration(n.offset.Load())).Milliseconds()
 }
@@ -84,7 +85,7 @@
 	}
 }
 
-// configure puts a configuration in force, never an older one.
+// applyConfiguration puts a configuration in force unless it is older than the current one.
 func (n *Node) configure(site *gauge.Site) {
 	old := n.site.Load()
 	if old != nil && old.Version >= site.Version {
@@ -158,7 +159,7 @@
 	}
 }
 
-// clockIfKnown is the table's clock, 0 before it was read once.
+// tableClockIfKnown returns the table's clock, or 0 before the first reading.
 func (n *Node) clockIfKnown() int64 {
 	if n.offset.Load() == 0 {
 		return 0
@@ -166,11 +167,11 @@
 	return n.clock()
 }
 
-// depth is how many jobs of a queue have not begun, as its pool's owner told, and how
-// old that count is by the table's clock: a feed that brings nothing, an owner that
-// can't write and one that hasn't read the queue all make it old. Rows of leases go on
-// having a queue that was dropped, of which this entry hasn't heard; it is told of by an
-// entry that can know.
+// seenDepth returns how many jobs of a queue have not begun, as its pool's owner last wrote, and
+// how old that count is by the table's clock. The count ages if the feed brings no changes, if the
+// owner can't write, and if the owner hasn't read the queue. Lease rows still hold the count of a
+// queue that was deleted, which this entry may not know of yet; so it reports false unless this
+// entry's configuration is current.
 func (n *Node) depth(q *gauge.Queue) (int, time.Duration, bool) {
 	clock := n.clockIfKnown()
 	n.mu.Lock()
--- a/internal/node/gone.go
+++ b/internal/node/gone.go
@@ -9,20 +9,19 @@
 	gauge "sapphiregauge"
 )
 
-// A pool whose owner's process ends stands still until the lease has run out, though
-// the end is known at once: its connections are closed. Workers keep an owner that is
-// taken for dead by mistake from ordering anything, so that an early claim does no
-// harm; the lease is waited out only for holders that can't be told from one that is
-// cut off.
+// A pool whose owner's process ends would stand still until the lease expires, although the end
+// shows at once: its connections are closed. An early claim does no harm, since workers accept no
+// orders from an owner that was wrongly taken for dead. So the full term is only waited for if the
+// holder may just be unreachable from here.
 
 const (
-	// dialWait bounds the connecting to a holder.
+	// dialTimeout bounds connecting to a holder.
 	dialWait = time.Second
-	// checkEvery is the pause between two looks at the holders while the table is away.
+	// holderCheckInterval is the interval between two checks of the holders during a table outage.
 	checkEvery = 500 * time.Millisecond
 )
 
-// dial keeps a connection to a holder, so that its end is noticed.
+// keepConnected keeps a connection to a holder open, so that the end of its process shows.
 func (n *Node) dial(addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialWait)
 	defer cancel()
@@ -32,8 +31,8 @@
 	}
 }
 
-// checkHolders looks at all holders while the table is away: those that answer have
-// time to renew their leases when it is back, the others' are claimed then.
+// checkHolders checks all holders during a table outage. Those that answer get time to renew their
+// leases when the table is reachable again; the leases of the others are claimed then.
 func (n *Node) checkHolders() {
 	n.mu.Lock()
 	now := n.conf.Now()
@@ -50,8 +49,8 @@
 	}
 }
 
-// suspectAfter is how long a lease may go without a renewal before its holder is asked
-// whether it lives: two renewals and a look at the leases later than due.
+// suspectAfter returns how long a lease may go without a renewal before its holder is probed: two
+// renewals and one poll of the leases are overdue by then. 0: holders aren't probed.
 func suspectAfter(without gauge.Without) time.Duration {
 	if without.Has(gauge.MechanismSuspect) {
 		return 0
@@ -59,7 +58,7 @@
 	return time.Second
 }
 
-// askSuspects asks holders whose leases aren't renewed whether they live.
+// probeSuspects probes the holders whose leases aren't renewed.
 func (n *Node) askSuspects() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,8 +83,8 @@
 	}
 }
 
-// CheckHolder finds out whether the process that held leases at an address has
-// ended: nothing listens there, or another start of it does.
+// CheckHolder finds out whether the process that held leases at an address has ended: nothing
+// listens there, or another process of that host's entry does.
 func (n *Node) CheckHolder(addr string) {
 	n.mu.Lock()
 	holders := n.board.HoldersAt(addr)
--- a/internal/node/known.go
+++ b/internal/node/known.go
@@ -7,12 +7,12 @@
 	gauge "sapphiregauge"
 )
 
-// knowledge is as of when this entry knows all that is in the tables that it follows. An
-// entry that the table turns away, or whose link or processor is used up, goes on by what it
-// was told last; without this nothing shows how old that is.
+// tableFreshness holds as of when this entry has seen all rows of each table that it follows. An
+// entry that is refused by the table, or whose link or processor is used up, continues with the
+// last rows that it has read; without this nothing would show how old they are.
 type knowledge struct {
 	mu   sync.Mutex
-	asOf map[string]time.Duration // by table
+	asOf map[string]time.Duration // by table name, on the monotonic clock
 }
 
 func newKnowledge() *knowledge { return &knowledge{asOf: make(map[string]time.Duration)} }
@@ -23,14 +23,15 @@
 	k.asOf[table] = max(asOf, k.asOf[table])
 }
 
-// forget takes in that a table isn't followed any more.
+// remove drops a table that is no longer followed.
 func (k *knowledge) forget(table string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.asOf, table)
 }
 
-// age is how long ago all of a table was known; false: it never was.
+// age returns how long ago the rows of a table were certain to be complete. It reports false if
+// they never were.
 func (k *knowledge) age(table string, now time.Duration) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -41,7 +42,8 @@
 	return now - asOf, true
 }
 
-// Ages is how long ago all of each table that is followed was known here.
+// Ages returns, for each table that this entry follows, how long ago its rows here were certain to
+// be complete.
 func (n *Node) Ages() map[string]time.Duration {
 	n.known.mu.Lock()
 	defer n.known.mu.Unlock()
@@ -52,20 +54,21 @@
 	return ages
 }
 
-// configurationAge is how long ago the configuration in force here was surely the newest.
+// configurationAge returns how long ago the configuration in force here was certain to be the
+// newest one. It reports false if it never was.
 func (n *Node) configurationAge() (time.Duration, bool) {
 	return n.known.age(n.conf.Words.OperatorTable(), n.conf.Now())
 }
 
-// current tells whether a change that is in force everywhere by now would be known here. It
-// holds for a configuration that is looked at after this was asked; one looked at before
-// may have been replaced in between.
+// isConfigCurrent reports whether this entry would know of any change that has to be in force
+// everywhere by now. The result applies to a configuration that is loaded after this call; one
+// loaded before may have been replaced in between.
 func (n *Node) current() bool {
 	age, ok := n.configurationAge()
 	return ok && age <= n.conf.Apply
 }
 
-// serves tells whether there surely is a queue.
+// isQueueKnown reports whether a queue is certain to exist.
 func (n *Node) serves(queue string) bool {
 	if !n.current() {
 		return false
@@ -74,8 +77,9 @@
 	return site != nil && site.QueueByName(queue) != nil
 }
 
-// Route finds the queue of a call by the configuration in force, and what follows its
-// prefix. That there is none is said only by an entry that can know.
+// Route returns the queue of a call according to the configuration in force, and the rest of the
+// path after the queue's prefix. Errors: KindMissing: no queue matches, only returned by an entry
+// whose configuration is current; KindUnready: this entry can't know.
 func (n *Node) Route(host, path string) (*gauge.Queue, string, error) {
 	current := n.current()
 	site := n.Serves()
@@ -88,14 +92,14 @@
 	age, _ := n.configurationAge()
 	n.conf.Logs.Info("queue not found", "host", short(host), "path", short(path), "version", site.Version, "age", age, "current", current)
 	if !current {
-		// The queue may have been added since. A caller who is told that there is none goes
-		// away for good, though all other entries would have served it.
+		// The queue may have been added since. A caller that is told that there is none doesn't
+		// retry, although all other entries would have served it.
 		return nil, "", gauge.Fail(gauge.KindUnready, "whether there is such a queue isn't known at the moment")
 	}
 	return nil, "", gauge.Fail(gauge.KindMissing, "no such queue")
 }
 
-// loggedText bounds, in bytes, what a caller has written in a line of the log.
+// maxLoggedBytes bounds the texts of a caller that are logged.
 const loggedText = 200
 
 func short(text string) string { return text[:min(len(text), loggedText)] }
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -9,18 +9,19 @@
 	"sapphiregauge/internal/watch"
 )
 
-// The list of workers is followed by entries that own pools alone. Each worker rewrites
-// its row every second or two: followed by all entries, the list was most of what some
-// hundred entries read from the table, and took a fifth of a weak host's link. An entry
-// that takes a pool reads it whole, beside the pool's jobs.
+// Only entries that own pools follow the list of workers. Each worker rewrites its row every second
+// or two: when all entries followed the list, it made up most of what some hundred entries read
+// from the table, and took a fifth of a small host's link. An entry that takes a pool reads the
+// whole list while it reads the pool's jobs.
 
+// followWorkers follows the list of workers whenever this entry has a pool, until ctx ends.
 func (n *Node) followWorkers(ctx context.Context) {
 	for n.listing.Open(ctx) {
 		n.followList(ctx)
 	}
 }
 
-// followList follows the list until it isn't wanted any more.
+// followWorkerList follows the list of workers until it has not been needed for workerListLinger.
 func (n *Node) followList(ctx context.Context) {
 	wanted, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
@@ -32,7 +33,7 @@
 	group.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.workers) // what is read next time is another state
+	clear(n.workers) // by the next time the rows will have changed
 }
 
 func (n *Node) toldWorkers(rows []gauge.PartRow, whole bool) {
@@ -47,7 +48,7 @@
 		}
 		w, err := n.conf.Words.Worker(r)
 		if err != nil {
-			// An earlier row may have named a worker: nobody knows whether that still holds.
+			// An earlier row may have described a worker, which may not be valid any more.
 			delete(n.workers, r.Key)
 			n.conf.Logs.Error(err, "worker's row not read", "worker", r.Key, "version", r.Version)
 			continue
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,6 @@
-// Package node puts one entry together: it follows the configuration, the list
-// of workers and the leases, claims pools that are without an owner, runs those
-// that it owns, and passes notices of jobs on to the owners of the others.
+// Package node assembles one entry, the process that takes requests on a host. It follows the
+// configuration, the list of workers and the leases, claims pools that have no owner, runs the
+// pools that it owns, and notifies the owners of other pools of new and cancelled jobs.
 package node
 
 import (
@@ -24,94 +24,98 @@
 
 // Config sets up a Node.
 type Config struct {
-	Name     string  // of this entry's host
-	Start    string  // differs between two starts of one host
-	Addr     string  // ip:port for other entries
-	Capacity float64 // what this host can carry, in cores of plain speed; 0: not known
+	Name     string // name of this entry's host
+	Start    string // identifies this process: differs between two starts on one host
+	Addr     string // ip:port at which other entries reach this one
+	Capacity float64 // of this host, in cores of standard speed; 0: not known
 	Store    gauge.Parted
 	Workers  gauge.Workers
 	Machines gauge.Machines // nil: the platform has no machine service
-	Adviser  gauge.Adviser  // nil: the platform has no advice service
+	Adviser  gauge.Adviser // nil: the platform has no advice service
 	Words    gauge.Words
 	Mesh     *mesh.Node
 	Logs     logr.Logger
-	Now      func() time.Duration // steady clock
+	Now      func() time.Duration // monotonic clock
 	Wall     func() time.Time
-	Count    func(event string, took time.Duration)
-	Event    func(event string)                  // counts what an operator should see
-	Backlog  func(pool string, b *gauge.Backlog) // told what waits at the owners here; nil: nobody is
-	Longest  time.Duration                       // longest lease that a worker takes
-	Apply    time.Duration                       // a change of the configuration is in force everywhere so long after it was stored; default 2 s
-	TurnGap  time.Duration                       // two entries may not order one machine within this
-	Upkeep   time.Duration                       // length of a machine's upkeep
-	Keep     time.Duration                       // how long an ended job can be asked for
-	Without  gauge.Without                       // what is switched off
+	Count    func(event string, took time.Duration) // records the duration of a call
+	Event    func(event string) // counts an event that an operator should see
+	Backlog  func(pool string, b *gauge.Backlog) // receives the backlog of each pool that is owned here; nil: it is not reported
+	Longest  time.Duration // longest lease that a worker accepts
+	Apply    time.Duration // a configuration change is in force at all entries this long after it was stored; default 2 s
+	TurnGap  time.Duration // minimum time between orders of two entries for the same machine
+	Upkeep   time.Duration // duration of a machine's maintenance
+	Keep     time.Duration // how long callers can query an ended job
+	Without  gauge.Without // mechanisms that are switched off
 }
 
 const (
-	// leaseTerm: an owner that is gone is replaced after this. With the table
-	// slowed 60 times a renewal is known 1.6 s after the one before was sent.
+	// leaseTerm is the duration of an owner's lease: a lost owner is replaced after this. With a
+	// table that is 60 times slower than usual, a renewal is confirmed 1.6 s after the previous one
+	// was sent.
 	leaseTerm = 2 * time.Second
-	// grantGrace is how far holds may reach beyond the lease's end, so that runs
-	// outlive an outage of the table. A successor waits as long for workers that
-	// don't answer.
+	// holdGrace is how far worker leases may reach beyond the end of the owner's lease, so that
+	// runs survive a table outage. A successor waits this long for workers that don't answer.
 	grantGrace = 6 * time.Second
-	// holdSpan extends a worker's lease: it outlasts the replacement of an owner,
-	// which takes the lease's term and about a second, from up to a second after
-	// the last hold.
+	// workerLeaseDuration is the worker lease that each heartbeat requests. It outlasts the
+	// replacement of an owner, which takes the lease's term and about 1 s, counted from up to 1 s
+	// after the last heartbeat.
 	holdSpan = 4500 * time.Millisecond
-	// claimSpread and claimHeld keep entries from claiming one pool at once, and
-	// spread the pools over them.
+	// claimSpread and claimDelayPerLease delay claims, so that entries don't claim one pool at the
+	// same time, and so that pools are spread over the entries.
 	claimSpread = 200 * time.Millisecond
 	claimHeld   = 150 * time.Millisecond
-	// regainWait: when the table is back after leasesLost, holders have so long to
-	// renew. Their next try may have hung up to 0.8 s before.
+	// renewalGrace is how long holders may take to renew their leases when the table answers again
+	// after an outage. Their next attempt may have been hanging for up to 0.8 s.
 	regainWait = 800 * time.Millisecond
+	// tableOutageAfter is how long reads of the leases must have failed for the table to count as
+	// unreachable.
 	leasesLost = time.Second
-	// manageEvery is how often leases are looked at.
+	// manageInterval is the interval between two checks of the leases that were seen.
 	manageEvery = 50 * time.Millisecond
-	// feedWait is how long a feed of the configuration waits for a change, at the most. A
-	// connection that has gone silent is found out after this and the call's own bound.
+	// configPollTimeout bounds how long a feed of the configuration waits for a change. A
+	// connection that no longer carries data is detected after this and the timeout of the call
+	// itself.
 	feedWait = time.Second
-	// applyLooks is how often an entry makes sure of the configuration, at the least, within
-	// the time in which a change has to be in force: one answer may be slow.
+	// configPollsPerApply is the minimum number of configuration polls within the time in which a
+	// change has to be in force: a single answer may be slow.
 	applyLooks = 2
-	// defaultApply is what the users' first deployments ask for.
+	// defaultApplyDelay is the value that the first deployments require.
 	defaultApply = 2 * time.Second
-	// workerWait is that for the list of workers, of which some change every few
-	// hundredths of a second: a machine that has moved is of no use before it is seen.
+	// workerPollTimeout bounds how long a feed of the list of workers waits for a change. Some
+	// workers change every few hundredths of a second, and a machine that has moved can't be used
+	// before it is seen.
 	workerWait = 200 * time.Millisecond
-	// leasePause is the time between two looks at the leases, which change with
-	// every write of an owner.
+	// leasePollDelay is the pause between two polls of the leases, which change with every write of
+	// an owner.
 	leasePause = 300 * time.Millisecond
-	// weakPause is that time at a weak host without a lease: others take what is free
-	// before it would, and who owns a pool is told soon enough for the few callers that
-	// come to it. Hundreds of such hosts look for nothing most of the time.
+	// smallHostLeasePollDelay is the pause at a small host without a lease. Larger hosts claim free
+	// pools before it would, and the few callers that use it learn of a new owner soon enough.
+	// Hundreds of such hosts find nothing new most of the time.
 	weakPause = 600 * time.Millisecond
-	// entryPause is the time between two looks at the entries' rows, and entryWait how
-	// long a look waits for a change. Rows change when an entry starts; hundreds that
-	// start together are seen in a look or two.
+	// entryPollDelay is the pause between two polls of the entries' rows, and entryPollTimeout how
+	// long a poll waits for a change. A row changes when its entry starts; hundreds of entries that
+	// start together are seen in one or two polls.
 	entryPause = 2 * time.Second
 	entryWait  = 10 * time.Second
-	// leasesOld: with leases that were seen so long ago nothing is claimed. Each
-	// owner renews several times a second.
+	// maxClaimViewAge is the maximum age of the lease table view for claims: with an older one
+	// nothing is claimed. Each owner renews its lease several times a second.
 	leasesOld = 1500 * time.Millisecond
-	// workerPause is the time between two looks at the list of workers, which changes
-	// all the while: a new worker is used so much later, on average half of it.
+	// workerPollDelay is the pause between two polls of the list of workers, which changes
+	// continually. It delays the use of a new worker, by half of it on average.
 	workerPause = 150 * time.Millisecond
-	// listLinger is how much longer than it has a pool an entry follows the list of
-	// workers: a claim that fails is tried again within this.
+	// workerListLinger is how long an entry goes on following the list of workers after its last
+	// pool: a failed claim is retried within this.
 	listLinger = 2 * time.Second
-	// retryPause is the time between two tries to tell an owner of a job.
+	// notificationRetryDelay is the pause between two attempts to notify a pool owner of a job.
 	retryPause = 250 * time.Millisecond
-	// keepFactor: rows of ended jobs are kept for so many times as long as they
-	// have to be told, beyond any late repeat of a hand-in.
+	// retentionFactor multiplies the time for which an ended job can be queried to give the time
+	// for which its rows are kept, beyond any late repetition of its submission.
 	keepFactor  = 3
 	noticeTries = 4
 	noticeWait  = time.Second
-	// cancelWait bounds the try to tell of a cancel that its caller waits for. A call
-	// takes some milliseconds, the first one to an owner that has little processor time
-	// some hundred; callers wait for 4 s.
+	// cancelNotificationTimeout bounds the attempt to notify the owner of a cancellation while the
+	// caller waits. A call takes some milliseconds, or some hundred for the first one to an owner
+	// that is short of processor time; callers wait for 4 s.
 	cancelWait = 800 * time.Millisecond
 )
 
@@ -121,46 +125,46 @@
 	holder  string
 	intake  *intake.Intake
 	site    atomic.Pointer[gauge.Site]
-	offset  atomic.Int64                    // the table's clock less ours, nanoseconds
-	listing *gate.Gate                      // open while the list of workers is followed
-	going   atomic.Bool                     // it takes pools
-	sighted atomic.Bool                     // the leases were read once
-	ctx     atomic.Pointer[context.Context] // of the running entry
+	offset  atomic.Int64 // table's clock minus the local one, in nanoseconds
+	listing *gate.Gate // open while the list of workers is followed
+	going   atomic.Bool // false before the start and once the entry stops: it takes no pools then
+	sighted atomic.Bool // the leases were read at least once
+	ctx     atomic.Pointer[context.Context] // of Run
 	group   conc.WaitGroup
 	known   *knowledge
 
-	// offering is held from the choice of a successor to its answer: leases that this
-	// entry offers one after the other go to different entries.
+	// offerMu is held from the choice of a successor to its answer, so that leases that this entry
+	// offers one after the other go to different entries.
 	offering sync.Mutex
 
 	mu        sync.Mutex
 	board     *terms.Board
-	back      time.Duration // when the table was back last; 0: it was not away
-	checked   time.Duration // when the holders were last looked at, while the table is away
-	leases    time.Duration // when the last look at the leases that was answered was sent
-	restUntil time.Duration // no pool is claimed before
+	back      time.Duration // when the table last became reachable again; 0: there was no outage
+	checked   time.Duration // last check of the holders during a table outage
+	leases    time.Duration // when the last successful read of the leases was sent
+	restUntil time.Duration // no pool is claimed before this
 	owners    map[string]*owner.Owner
-	busy      map[string]bool          // leases that are claimed or held
-	taking    map[string]chan struct{} // pools that are claimed and have no owner here yet; closed when that is over
-	moves     map[string]move          // where pools' owners have gone, as told
-	offers    map[string]time.Duration // when a successor for a pool was last looked for
-	placed    time.Duration            // until then a place is kept for a lease that is to move here
-	fleet     *fleet                   // nil: another entry has it
-	asked     map[string]bool          // holders' addresses that are asked just now whether they live
-	doubted   map[string]time.Duration // owners' addresses that didn't answer, until when they aren't asked
+	busy      map[string]bool // leases that are being claimed or held
+	taking    map[string]chan struct{} // pools that are being claimed and have no owner here yet; closed when the claim has ended
+	moves     map[string]move // where the owners of pools have moved, as other entries reported it
+	offers    map[string]time.Duration // by pool: last search for a successor
+	placed    time.Duration // end of the reservation for a lease that is about to move here
+	fleet     *fleet // nil: another entry holds the fleet lease
+	asked     map[string]bool // addresses of holders with a liveness probe in flight
+	doubted   map[string]time.Duration // by address: until when an unresponsive owner isn't called
 	workers   map[string]gauge.Worker
-	spreads   chan struct{} // doubts that all entries are being told of
+	spreads   chan struct{} // semaphore of the broadcasts of unsettled submissions
 	waves     map[int64]gauge.UpkeepOrder
 }
 
-// move is where a pool's owner has gone, and the version of the lease's row that was
-// known then.
+// ownerMove is where a pool's owner has moved, and the version of the lease row that was known at
+// that time.
 type move struct {
 	addr    string
 	version int64
 }
 
-// New makes a Node.
+// New returns a Node; Run starts it.
 func New(c Config) *Node {
 	if c.Capacity == 0 {
 		c.Capacity = terms.FullCapacity
@@ -173,8 +177,8 @@
 	}
 	n.board = terms.New(terms.Config{Self: n.holder, Addr: c.Addr, Capacity: c.Capacity, Term: leaseTerm, Spread: claimSpread, Held: claimHeld, Suspect: suspectAfter(c.Without), Regain: regainWait})
 	n.intake = intake.New(intake.Config{
-		Store: c.Store, Logs: c.Logs, Event: c.Event, Now: c.Now, Clock: n.clock, Depth: n.depth, AskDepth: n.askDepth, Tell: n.notify, Ask: n.ask,
-		Relay: relay{n}, Unsure: n.tellDoubt, Known: n.knownHere, Without: c.Without,
+		Store: c.Store, Logs: c.Logs, CountEvent: c.Event, Now: c.Now, TableClock: n.clock, SeenDepth: n.depth, OwnerDepth: n.askDepth, NotifyOwner: n.notify, JobState: n.ask,
+		Relay: relay{n}, ReportUnsettled: n.tellDoubt, OwnsJob: n.knownHere, Without: c.Without,
 	})
 	c.Mesh.Handle(methodNotice, n.handleNotice)
 	c.Mesh.Handle(methodDoubt, n.handleDoubt)
@@ -189,16 +193,16 @@
 	return n
 }
 
-// Jobs is what callers can do here.
+// Jobs returns the job operations that this entry offers to callers.
 func (n *Node) Jobs() gauge.Jobs { return n.intake }
 
-// Site is the newest configuration, nil without one.
+// Site returns the newest configuration, nil if none was read yet.
 func (n *Node) Site() *gauge.Site { return n.site.Load() }
 
-// Serves is the configuration by which callers are served: none before this entry has
-// seen who owns the pools. A hand-in that it sent to the table itself then, and that got no
-// answer, it could tell nobody of, and the owner refused the caller's next try of a job that
-// ran after all.
+// Serves returns the configuration by which callers are served, nil before this entry has read
+// which entries own the pools. Without owners it would send a submission to the table itself; if
+// that got no answer, it could notify no owner, and the owner would refuse the caller's retry of a
+// job that runs after all.
 func (n *Node) Serves() *gauge.Site {
 	if !n.sighted.Load() {
 		return nil
@@ -206,12 +210,12 @@
 	return n.Site()
 }
 
-// Ready tells whether callers should be sent here. Others know better what there is than
-// an entry that can't know whether the configuration has changed.
+// Ready reports whether callers should be sent here. An entry that can't know whether the
+// configuration has changed isn't ready, since others know better which queues exist.
 func (n *Node) Ready() bool { return n.going.Load() && n.Serves() != nil && n.current() }
 
-// Run works until ctx ends, then gives up what it owns; it goes on following the
-// configuration until Stop.
+// Run works until ctx ends and then gives up the pools that it owns. It returns when all its
+// goroutines have ended.
 func (n *Node) Run(ctx context.Context) {
 	n.ctx.Store(&ctx)
 	n.going.Store(true)
@@ -235,8 +239,8 @@
 	n.group.Wait()
 }
 
-// Release gives up the pools that this entry owns and takes no more. While the table is
-// slow or away it keeps them for some time, as long as they are better off here.
+// Release gives up the pools that this entry owns and takes no more. While the table is slow or
+// unreachable, a pool is better off here: it is kept until that ends, for at most patience.
 func (n *Node) Release(ctx context.Context, patience time.Duration) {
 	n.going.Store(false)
 	until := n.conf.Now() + patience
@@ -258,8 +262,8 @@
 	group.Wait()
 }
 
-// calmLook is how often an entry that stops looks whether the table is quick again.
+// releaseCheckInterval is how often a stopping entry checks whether the table is fast again.
 const calmLook = 50 * time.Millisecond
 
-// context is that of the running entry.
+// runContext returns the context of Run.
 func (n *Node) context() context.Context { return *n.ctx.Load() }
--- a/internal/node/notice.go
+++ b/internal/node/notice.go
@@ -9,16 +9,16 @@
 	"sapphiregauge/internal/intake"
 )
 
-// methodNotice tells a pool's owner of a new or cancelled job.
+// methodNotice notifies a pool's owner of a new or cancelled job.
 const methodNotice = "job.notice"
 
-// noticeAnswer is empty: the owner has taken the notice in.
+// noticeAnswer is empty: the owner has accepted the notification.
 type noticeAnswer struct{}
 
-// notify tells the owner of a job's pool, in the background. If all tries fail
-// the owner finds the job by its own scan. A cancel is told once before its caller
-// gets the answer: the owner, asked for the job's state right after, would still
-// say that it runs.
+// notify notifies the owner of a job's pool in the background. If all attempts fail, the owner
+// finds the job by its own scan. A cancellation is sent once before its caller gets the answer,
+// since an owner that is asked for the job's state right afterwards would otherwise still report it
+// as running.
 func (n *Node) notify(notice intake.Notice) {
 	if n.deliver(notice) {
 		return
@@ -57,9 +57,9 @@
 	return n.conf.Mesh.Call(ctx, row.Addr, methodNotice, &notice, &answer)
 }
 
-// holderOf finds the owner of a notice's pool. An entry that has just started, or whose
-// pool has just got its first owner, hasn't seen the lease yet; the owner would go on
-// telling that a job runs whose cancel was acknowledged, so that for a cancel the row is
+// findOwner returns the lease row of a notification's pool. An entry that has just started, or
+// whose pool has just got its first owner, hasn't seen the lease yet. The owner would go on
+// reporting a job as running whose cancellation was acknowledged, so for a cancellation the row is
 // read.
 func (n *Node) holderOf(ctx context.Context, notice intake.Notice) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
@@ -79,7 +79,8 @@
 	return n.board.Holder(notice.Pool)
 }
 
-// deliver hands a notice to the owner if that is here.
+// deliverLocally passes a notification to the pool's owner if that is this entry, and reports
+// whether it was accepted.
 func (n *Node) deliver(notice intake.Notice) bool {
 	n.mu.Lock()
 	o := n.owners[notice.Pool]
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -9,70 +9,70 @@
 	"sapphiregauge/internal/terms"
 )
 
-// A holder that can't write to the table, or that is to stop, would leave its pool
-// without an owner until the lease runs out. It asks another entry to take over,
-// once all its own work has ended. Neither call needs the table: when that is slow
-// a look at the lease's row would take longer than a busy pool should wait.
+// A holder that can't write to the table, or that stops, would leave its pool without an owner
+// until the lease expires. So it asks another entry to take over once all its own work has ended.
+// Neither of the two calls needs the table: with a slow table, a read of the lease row would take
+// longer than a busy pool can wait.
 
 const (
-	// methodProbe asks whether an entry can take a lease over.
+	// methodProbe asks whether an entry can take over a lease.
 	methodProbe = "lease.probe"
-	// methodOffer has it taken over.
+	// methodOffer asks an entry to take over a lease.
 	methodOffer = "lease.offer"
-	// stuckAfter is how long writes must fail before a lease is offered: longer
-	// than a single answer that is lost.
+	// stuckAfter is how long writes must fail before a lease is offered: longer than one lost
+	// answer.
 	stuckAfter = 500 * time.Millisecond
-	// offerWait bounds each of the two calls.
+	// offerTimeout bounds each of the two calls.
 	offerWait = 400 * time.Millisecond
-	// offerAgain is the pause between two rounds of offers.
+	// offerRetryDelay is the pause between two rounds of offers.
 	offerAgain = 300 * time.Millisecond
-	// probeMargin: an entry that had an answer from the table so much later than the
-	// holder's first failure reaches what the holder can't. Each looks at the leases
-	// every 0.3 s, so that when the table is away for all, all of them had their last
-	// answer before that failure or not long after.
+	// probeMargin is by how much an entry's last answer from the table must be later than the
+	// holder's first failure to show that the entry reaches what the holder can't. Each entry polls
+	// the leases every 0.3 s, so in an outage for all, each had its last answer before that failure
+	// or shortly after it.
 	probeMargin = 350 * time.Millisecond
-	// leasesNew: an entry that saw the leases so long ago at the most takes others'. It
-	// looks every 0.3 s, which takes as long in a slow spell.
+	// maxTakeOverViewAge is the maximum age of the lease table view of an entry that takes over a
+	// lease. Entries poll every 0.3 s, and the poll takes as long in a slow period of the table.
 	leasesNew = 800 * time.Millisecond
-	// probesAtOnce entries are asked at a time, and as many more each probeAgain as long
-	// as none is ready: a call takes some milliseconds, and a tenth of a second more where
-	// a quota of processor time is used up.
+	// maxConcurrentProbes entries are probed at first, and as many more after each nextProbesDelay
+	// while none is ready. A call takes some milliseconds, and 100 ms more where a quota of
+	// processor time is used up.
 	probesAtOnce = 4
 	probeAgain   = 100 * time.Millisecond
-	// gatherWait is how long entries that are ready as well may take longer to say so:
-	// a call takes some milliseconds.
+	// readyGatherTimeout is how long answers of other entries are awaited after the first one that
+	// is ready: a call takes some milliseconds.
 	gatherWait = 30 * time.Millisecond
-	// offerTries: between an offer and its claim a renewal of the holder may land,
-	// and one more that got no answer.
+	// offerClaimAttempts covers one renewal of the holder that lands between an offer and its
+	// claim, and one more that got no answer.
 	offerTries = 3
 )
 
-// probeCall asks whether an entry can take a lease over.
+// probeCall asks whether an entry can take over a lease.
 type probeCall struct {
-	// Failing is for how long the table has not answered the holder; 0: it does.
+	// FailingFor is for how long the table hasn't answered the holder; 0: it does answer.
 	Failing time.Duration `msgpack:"f"`
-	// Place asks to keep a place for a lease that is well but is to move there.
+	// Reserve asks for a reservation for a healthy lease that is about to move there.
 	Place bool `msgpack:"p"`
 }
 
-// offerCall offers a lease whose row names this holder.
+// offerCall offers a lease whose row names the caller as its holder.
 type offerCall struct {
 	Pool    string         `msgpack:"p"`
 	Holder  string         `msgpack:"h"`
-	Version int64          `msgpack:"v"` // of the row, as the holder last knew it
+	Version int64          `msgpack:"v"` // of the row, as last known to the holder
 	Row     gauge.LeaseRow `msgpack:"r"` // what the holder would write now
 }
 
 type offerAnswer struct {
 	Ready    bool    `msgpack:"r"`
-	Holder   string  `msgpack:"h"` // who answers
-	Held     int     `msgpack:"n"` // leases that it has, or is about to
+	Holder   string  `msgpack:"h"` // that answers
+	Held     int     `msgpack:"n"` // leases that it holds or is claiming
 	Capacity float64 `msgpack:"c"` // of its host
 }
 
 func (a *offerAnswer) burden() terms.Burden { return terms.Burden{Held: a.Held, Capacity: a.Capacity} }
 
-// peers lists the addresses of other entries, those of the least burdened hosts first.
+// peerAddrs lists the addresses of the other entries, the least loaded hosts first.
 func (n *Node) peers(pool string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,8 +83,8 @@
 	return addrs
 }
 
-// register writes this entry's row where the others find it. A row that is out of
-// date does little harm: an entry is asked before it is given anything.
+// register writes this entry's row, by which other entries find it. An outdated row does little
+// harm, since an entry is probed before a lease is offered to it.
 func (n *Node) register(ctx context.Context) {
 	self := gauge.EntryRow{Addr: n.conf.Addr, Capacity: n.conf.Capacity}
 	value, err := self.Encode()
@@ -103,16 +103,16 @@
 	}
 }
 
-// registerAgain is the pause after a try that failed. Until the others know of a strong
-// host weak ones claim as if there were none; they look as often.
+// registerRetryDelay is the pause after a failed attempt. Until the other entries know of a large
+// host, small ones claim as if there were none; they poll just as often.
 const registerAgain = 300 * time.Millisecond
 
-// successor finds an entry that can take a pool's lease over: of those that say so
-// at about the same time the one on the least burdened host. Empty: none. Failing is for
-// how long the table has not answered here.
+// findSuccessor returns the address of an entry that can take over a pool's lease, or "" if there
+// is none. Of the entries that answer at about the same time it chooses the one on the least loaded
+// host. Failing is for how long the table hasn't answered here.
 //
-// Hosts without power don't answer, and may be the least burdened ones: waited for, a
-// dozen of them took up the second in which an entry that stops gives its pools away.
+// Hosts without power don't answer, and may count as the least loaded. Waiting for each of them is
+// too slow: a dozen used up the 1 s in which a stopping entry hands over its pools.
 func (n *Node) successor(ctx context.Context, pool string, failing time.Duration) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -146,13 +146,14 @@
 	return best.addr
 }
 
-// reply is an entry's answer to a probe.
+// probeReply is an entry's answer to a probe.
 type reply struct {
 	addr string
 	offerAnswer
 }
 
-// better is the one of two that is ready, or on the less burdened host.
+// betterReply returns the reply that is ready, and of two that are, the one from the less loaded
+// host.
 func better(best, r reply) reply {
 	if r.Ready && (!best.Ready || r.burden().Next() < best.burden().Next()) {
 		return r
@@ -160,7 +161,7 @@
 	return best
 }
 
-// askReady asks an entry whether it can take a lease over.
+// probeInBackground asks an entry whether it can take over a lease.
 func (n *Node) askReady(ctx context.Context, addr string, failing time.Duration, replies chan<- reply) {
 	go func() {
 		a, err := n.probe(ctx, addr, probeCall{Failing: failing})
@@ -169,8 +170,8 @@
 	}()
 }
 
-// choose asks some entries at once, and waits for the others for gatherWait once
-// one is ready. Of those that are it returns the one on the least burdened host.
+// chooseReady probes some entries at the same time and, once one is ready, waits for the others for
+// readyGatherTimeout. It returns the ready one on the least loaded host.
 func (n *Node) choose(ctx context.Context, addrs []string) reply {
 	replies := make(chan reply, len(addrs))
 	for _, addr := range addrs {
@@ -192,7 +193,7 @@
 	return best
 }
 
-// probe asks an entry who it is and whether it can take a lease over.
+// probe asks an entry for its identity and whether it can take over a lease.
 func (n *Node) probe(ctx context.Context, addr string, c probeCall) (offerAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, offerWait)
 	defer cancel()
@@ -201,8 +202,8 @@
 	return a, err
 }
 
-// offer has an entry take a lease over; true: it does. The holder must have stopped
-// all its orders. If the call is lost, the lease runs out by itself.
+// offerLease asks an entry to take over a lease and reports whether it does. The holder must have
+// stopped all its orders. If the call is lost, the lease expires.
 func (n *Node) offer(ctx context.Context, addr string, c offerCall) bool {
 	c.Holder = n.holder
 	ctx, cancel := context.WithTimeout(ctx, offerWait)
@@ -254,16 +255,16 @@
 	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.busy), Capacity: n.conf.Capacity}
 }
 
-// offered is the claim of an offered lease. Its holder has stopped: nothing has to
-// be waited for.
+// claimOf returns the claim of an offered lease. Its holder has stopped, so the claim doesn't wait
+// for anything.
 func (n *Node) offered(c offerCall) terms.Claim {
 	c.Row.Holder, c.Row.Addr = "", ""
 	return terms.Claim{Pool: c.Pool, Version: c.Version, Row: c.Row}
 }
 
-// mayTake tells whether this entry can take a lease over: it is to go on, didn't
-// have to leave a pool itself just now, and had the table answer within some time.
-// One for which the table is just back leaves holders the time to find out as well.
+// canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't had to
+// leave a pool just now, and the table has answered within the given time. After an outage it first
+// leaves the holders the time to notice that the table answers again.
 func (n *Node) mayTake(within time.Duration) bool {
 	if !n.going.Load() || n.Site() == nil {
 		return false
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -8,51 +8,52 @@
 	"sapphiregauge/internal/frame"
 )
 
-// Jobs are stored by the owner of their queue's pool, which writes to that part of
-// the table several times a second: a slow table would turn most of them away if
-// each entry had transactions of its own. It needs no notice of them, and is there
-// for entries that the table turns away. An owner that doesn't answer is not waited
-// for: the row's condition lets both entries store the job.
+// Jobs are stored by the owner of their queue's pool, which writes to that partition of the table
+// several times a second: a slow table would refuse most jobs if each entry ran transactions of its
+// own. An owner needs no notification of the jobs that it stores, and it can store jobs for entries
+// that the table refuses. An owner that doesn't answer is not waited for: thanks to the condition
+// on the row, both entries may try to store the job.
 
 const (
-	// methodSubmit has the pool's owner store a job, methodCancel cancel one.
+	// methodSubmit asks the pool's owner to store a job, methodCancel to cancel one.
 	methodSubmit = "job.submit"
 	methodCancel = "job.cancel"
-	// relayLate: a call takes some 15 ms. After this the owner is asked whether it
-	// lives: then the table is slow, for this entry as well; else it is frozen, cut
-	// off or without processor time, and this entry does what it can.
+	// relayProbeDelay is the delay after which the owner is probed; a call takes some 15 ms. If it
+	// answers the probe, the table is slow, for this entry as well; otherwise the owner is frozen,
+	// unreachable or short of processor time, and this entry stores the job itself.
 	relayLate = 100 * time.Millisecond
-	// relayMost bounds each of the two calls: while the table is slow a transaction
-	// takes 0.4 to 0.9 s, and one may be under way already.
+	// relayTimeout bounds each of the two calls: in a slow period of the table a transaction takes
+	// 0.4 to 0.9 s, and one may be in progress already.
 	relayMost = 1800 * time.Millisecond
-	// movesMost owners are asked one after the other, each told by the one before.
+	// maxOwnersAsked is how many owners are called one after the other, each named by the previous
+	// one.
 	movesMost = 3
-	// doubtFor is how long an owner that didn't answer isn't asked again.
+	// unresponsivePause is how long an owner that didn't answer isn't called again.
 	doubtFor = time.Second
 )
 
-// relay implements intake.Relay.
+// ownerRelay implements intake.Relay.
 type relay struct{ node *Node }
 
 type submitCall struct {
 	Queue   string         `msgpack:"q"`
 	ID      string         `msgpack:"i"`
 	Spec    *gauge.JobSpec `msgpack:"s"`
-	Version int64          `msgpack:"v"` // of the configuration that has the queue
+	Version int64          `msgpack:"v"` // of the configuration that defines the queue
 }
 
 type cancelCall struct {
 	Queue   string `msgpack:"q"`
 	ID      string `msgpack:"i"`
-	Version int64  `msgpack:"v"` // of the configuration that has the queue
+	Version int64  `msgpack:"v"` // of the configuration that defines the queue
 }
 
-// doneAnswer is what came of a call. An error that the owner tells is its word; one
-// of the call itself says nothing of it.
+// relayAnswer is the outcome of a call. Errors in it are the owner's own statement; an error of the
+// call itself says nothing about the outcome.
 type doneAnswer struct {
 	Kind   gauge.Kind `msgpack:"k"` // empty: done
 	Reason string     `msgpack:"r"`
-	Moved  string     `msgpack:"m"` // where the owner is, if it isn't here
+	Moved  string     `msgpack:"m"` // address of the owner if this entry isn't the owner
 }
 
 func (a doneAnswer) err(addr string) error {
@@ -69,8 +70,8 @@
 	return doneAnswer{Kind: gauge.KindOf(err), Reason: err.Error()}
 }
 
-// Prefer tells whether another entry owns the pool and has answered lately.
-func (r relay) Prefer(q *gauge.Queue) bool {
+// PreferOwner reports whether another entry owns the pool and hasn't been unresponsive lately.
+func (r relay) PreferOwner(q *gauge.Queue) bool {
 	o, addr, err := r.node.ownerOf(q.Pool)
 	if o != nil || err != nil {
 		return false
@@ -80,18 +81,18 @@
 	return r.node.conf.Now() >= r.node.doubted[addr]
 }
 
-// Submit has the owner of a queue's pool store a job.
+// Submit asks the owner of a queue's pool to store a job.
 func (r relay) Submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
 	return r.node.askOwner(ctx, q.Pool, methodSubmit, &submitCall{Queue: q.Name, ID: id, Spec: j, Version: r.node.Site().Version})
 }
 
-// Cancel has the owner of a queue's pool cancel a job.
+// Cancel asks the owner of a queue's pool to cancel a job.
 func (r relay) Cancel(ctx context.Context, q *gauge.Queue, id string) error {
 	return r.node.askOwner(ctx, q.Pool, methodCancel, &cancelCall{Queue: q.Name, ID: id, Version: r.node.Site().Version})
 }
 
-// askOwner calls the owner of a pool at another entry, and follows it where it has
-// gone. KindEmpty: none could be asked.
+// askOwner calls the owner of a pool at another entry, and follows it if it has moved. KindEmpty:
+// no owner could be asked.
 func (n *Node) askOwner(ctx context.Context, pool, method string, call any) error {
 	for range movesMost {
 		o, addr, err := n.ownerOf(pool)
@@ -134,9 +135,9 @@
 	return answer, err
 }
 
-// moved notes where a pool's owner is, as told by an entry that had it. It holds
-// until a newer row of the lease is seen: an entry that the table turns away would
-// go on asking the owner that it saw last.
+// recordMove records where a pool's owner is, as reported by the previous owner. It holds until a
+// newer row of the lease is seen: an entry that the table refuses would otherwise go on calling the
+// owner that it saw last.
 func (n *Node) moved(pool, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -144,7 +145,7 @@
 	n.conf.Logs.Info("owner moved", "pool", pool, "to", addr, "seen", n.board.Version(pool))
 }
 
-// doubt has an owner that doesn't answer not asked for a while.
+// markUnresponsive excludes an owner that doesn't answer from calls for unresponsivePause.
 func (n *Node) doubt(pool, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -171,9 +172,9 @@
 	defer cancel()
 	n.awaitClaim(ctx, q.Pool)
 	if a, elsewhere := n.elsewhere(q.Pool); elsewhere {
-		return a, nil // this entry's word would be worth no more than the caller's
+		return a, nil // this entry's own result would be worth no more than the caller's
 	}
-	return answerOf(n.intake.SubmitHere(ctx, q, c.ID, c.Spec)), nil
+	return answerOf(n.intake.SubmitLocally(ctx, q, c.ID, c.Spec)), nil
 }
 
 func (n *Node) handleCancel(ctx context.Context, body []byte) (any, error) {
@@ -187,17 +188,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayMost)
 	defer cancel()
-	return answerOf(n.intake.CancelHere(ctx, q, c.ID)), nil
+	return answerOf(n.intake.CancelLocally(ctx, q, c.ID)), nil
 }
 
-// claimMost bounds the wait for a claim of this entry: in a slow spell it takes a read and a
-// transaction, 0.2 to 0.4 s each.
+// claimWaitTimeout bounds the wait for a claim of this entry: in a slow period of the table it
+// takes a read and a transaction, 0.2 to 0.4 s each.
 const claimMost = time.Second
 
-// awaitClaim waits while this entry claims a pool. The holder that offered it names this
-// entry as the owner, and the table, which this entry would go by, still names that
-// holder: hand-ins went to and fro between the two until they were given up, and their
-// callers got no clear answer just when the table was slow.
+// awaitClaim waits while this entry claims a pool. The holder that offered the lease names this
+// entry as the owner, while the table, which this entry would follow, still names that holder:
+// submissions were passed back and forth between the two until they were given up, and callers got
+// no clear answer just when the table was slow.
 func (n *Node) awaitClaim(ctx context.Context, pool string) {
 	n.mu.Lock()
 	over := n.taking[pool]
@@ -214,7 +215,8 @@
 	}
 }
 
-// elsewhere answers a call for a pool that this entry doesn't own.
+// redirect returns the answer to a call for a pool that this entry doesn't own. It reports false if
+// this entry owns the pool.
 func (n *Node) elsewhere(pool string) (doneAnswer, bool) {
 	_, err := n.local(pool)
 	if err == nil {
@@ -227,10 +229,10 @@
 	return a, true
 }
 
-// queue finds the queue of another entry's call, which has it by a version of the
-// configuration. With an older one this entry can't say that there is none: the caller,
-// whose entry serves the queue, would be refused for good. KindEmpty has that entry go on by
-// itself.
+// queueForCall returns the queue of another entry's call, which knows the queue from the given
+// version of the configuration. With an older version this entry can't say that the queue doesn't
+// exist: the caller, whose entry serves the queue, would be refused for good. KindEmpty lets that
+// entry continue without the owner.
 func (n *Node) queue(name string, version int64) (*gauge.Queue, error) {
 	site := n.Site()
 	if site == nil {
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -8,8 +8,8 @@
 	"sapphiregauge/internal/sizing"
 )
 
-// loads asks all owners what their pools have to do. Without a fresh load a pool
-// stays as it is.
+// requestLoads asks all pool owners for the demand of their pools. A pool without a recent answer
+// keeps its size.
 func (f *fleet) loads(ctx context.Context) {
 	site := f.node.Site()
 	if site == nil {
@@ -31,18 +31,18 @@
 	}
 }
 
-// moves are those that are to be emptied or ordered.
+// nextMoves returns the machines to drain or to order now.
 func (f *fleet) moves() []sizing.Move {
 	now := f.node.conf.Now()
 	taken := func(machine string) bool { return f.keeper.Takes(machine) || f.turns.Waits(machine, now) }
 	return f.sizer.Next(now, taken, f.keeper.Waits)
 }
 
-// resize moves machines between pools. One that is in use is emptied first and ordered in
-// a later round, once the lease's row names it: named while it is emptied, which takes up
-// to two seconds, it would have to be left alone by the next holder if this one is gone.
-// After all entries had lost power in a change of turns half of a pool's machines came two
-// seconds later for that.
+// moveMachines moves machines between pools. A machine that is in use is drained first and ordered
+// in a later round, once the lease row names it. If the row named it during draining, which takes
+// up to two seconds, a next holder would have to leave the machine alone if this one is lost: after
+// a power loss of all entries while demand moved from one pool to another, half of a pool's
+// machines came two seconds later for that reason.
 func (f *fleet) resize(ctx context.Context, moves []sizing.Move) {
 	for _, m := range moves {
 		began := f.async.do("move "+m.Machine, func() func() {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// hurry has the next round begin soon, as a machine can be ordered.
+// wake starts the next round soon, since a machine can be ordered.
 func (f *fleet) hurry() {
 	select {
 	case f.ready <- struct{}{}:
@@ -82,7 +82,7 @@
 	}
 }
 
-// rest waits for the next round.
+// waitForRound waits for the next round.
 func (f *fleet) rest(ctx context.Context) {
 	timer := time.NewTimer(fleetEvery)
 	defer timer.Stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// order moves one machine, while the lease surely lasts.
+// orderMove orders the move of one machine while the lease is certain to last.
 func (f *fleet) order(ctx context.Context, m sizing.Move) error {
 	if !f.mayOrder(m.Machine) {
 		return gauge.Fail(gauge.KindOutage, "the lease is over")
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -9,26 +9,26 @@
 	"sapphiregauge/internal/terms"
 )
 
-// Leases are taken by those that see them free, and stay for as long as their holders
-// are well. A weak host would keep its pool while a strong one that came later, or was
-// down for a while, has nothing to do. So a holder that is far more burdened than
-// another moves its leases there, one at a time, the way they go at SIGTERM.
+// Leases are claimed by entries that see them free, and stay while their holders are healthy. So a
+// small host would keep its pool while a larger one that started later, or was down for a while,
+// has nothing to do. Therefore a holder that is far more loaded than another moves its leases
+// there, one at a time, with the same hand-over as at SIGTERM.
 
 const (
-	// spreadEvery is how often a lease may move away. The counts of leases, as the
-	// table tells them, are right again by then.
+	// rebalanceInterval is the interval at which a lease may move away. By then the counts of
+	// leases in the table are correct again.
 	spreadEvery = 2 * time.Second
-	// settleAfter: a pool that was taken later stays. Its workers are heard first, and
-	// each move has it stand still for some tenths of a second.
+	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its
+	// workers have to report first, and each move makes it stand still for some tenths of a second.
 	settleAfter = 3 * time.Second
-	// placeKept is how long an entry keeps a place for a lease that is to move to it:
-	// longer than the offer and the claim's transaction take.
+	// reservationDuration is how long an entry reserves room for a lease that is to move to it:
+	// longer than the offer and the transaction of the claim take.
 	placeKept = time.Second
-	// lessBurdened is why a lease that is well moves.
+	// reasonLessLoaded is the logged reason for moving a healthy lease.
 	lessBurdened = "another host is far less burdened"
 )
 
-// spread moves a lease from time to time, if another host is far less burdened.
+// rebalance moves one lease at each interval if another host is far less loaded, until ctx ends.
 func (n *Node) spread(ctx context.Context) {
 	for {
 		pause(ctx, spreadEvery)
@@ -43,8 +43,8 @@
 	}
 }
 
-// settled returns the pool that was taken first, of those that may move, and the fleet
-// if it may.
+// movable returns, of the pools that may move, the one that has been owned the longest, and the
+// fleet if it may move. Each is nil if there is none.
 func (n *Node) settled() (*owner.Owner, *fleet) {
 	n.mu.Lock()
 	owners, f := n.ownersLocked(), n.fleet
@@ -63,9 +63,9 @@
 	return first, f
 }
 
-// move has another entry take a pool, if one is far less burdened. An entry that stops
-// doesn't wait for the choice: those that are asked may be dead, and what is chosen
-// keeps a place.
+// movePool has another entry take over a pool if its host is far less loaded. The search doesn't
+// hold offerMu, so that a stopping entry doesn't wait for it: probed entries may be dead, and the
+// chosen one keeps a reservation anyway.
 func (n *Node) move(ctx context.Context, o *owner.Owner) {
 	to := n.lighter(ctx, o.Pool())
 	if to == "" {
@@ -78,8 +78,8 @@
 	}
 }
 
-// lighter finds an entry that is ready and so much less burdened that a lease should
-// move there, and has a place kept for it. Empty: none.
+// findLessLoaded returns the address of a ready entry that is so much less loaded that a lease
+// should move there, and has that entry make a reservation. It returns "" if there is none.
 func (n *Node) lighter(ctx context.Context, pool string) string {
 	here, peers := n.burdens(pool)
 	for some := range slices.Chunk(peers, probesAtOnce) {
@@ -87,7 +87,7 @@
 		if !best.Ready || !here.Moves(best.burden()) {
 			continue
 		}
-		// Others may have chosen it as well.
+		// Other holders may have chosen the same entry.
 		kept, err := n.probe(ctx, best.addr, probeCall{Place: true})
 		if err != nil || !kept.Ready || !here.Moves(kept.burden()) {
 			return ""
@@ -99,9 +99,9 @@
 	return ""
 }
 
-// burdens returns this host's burden and the addresses of those that are less
-// burdened by far, as the table tells. While it doesn't, or this entry is to leave,
-// nothing moves.
+// moveCandidates returns this host's load and, according to the table, the addresses of entries on
+// far less loaded hosts. There are none while the table is out of reach or this entry is about to
+// stop.
 func (n *Node) burdens(pool string) (here terms.Burden, lighter []string) {
 	if !n.mayTake(leasesNew) {
 		return here, nil
@@ -117,9 +117,9 @@
 	return here, lighter
 }
 
-// keepPlace keeps a place for a lease that is to move here; false: one is kept for
-// another already. Several owners that see this host free would otherwise all move
-// their leases here at once.
+// reserve makes a reservation for a lease that is about to move here. It reports false if there is
+// one already. Without reservations, several owners that see this host as free would all move their
+// leases here at once.
 func (n *Node) keepPlace() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/upkeep.go
+++ b/internal/node/upkeep.go
@@ -11,17 +11,18 @@
 	"sapphiregauge/internal/waves"
 )
 
-// tableWaves keeps which machines of a wave have had their order.
+// tableWaves is the table of maintenance waves and of the machines in them that have been ordered.
 const tableWaves = "waves"
 
-// waveRow is what the table keeps of a wave.
+// waveRow is the stored state of a wave.
 type waveRow struct {
 	Begun []string `msgpack:"b"`
 	Done  bool     `msgpack:"d"`
-	Since int64    `msgpack:"s,omitempty"` // when it was first seen, the table's clock in milliseconds; 0: not known
+	Since int64    `msgpack:"s,omitempty"` // when the wave was first seen, by the table's clock in milliseconds; 0: not known
 }
 
-// takeIn tells the keeper of waves that it doesn't know.
+// addNewWaves passes new waves to the keeper, with their stored state. It reports whether all could
+// be read.
 func (f *fleet) takeIn(ctx context.Context) bool {
 	f.node.mu.Lock()
 	var fresh []gauge.UpkeepOrder
@@ -62,7 +63,7 @@
 	return row, msgpack.Unmarshal(rows[0].Value, &row)
 }
 
-// ask has workers emptied by their pools' owners.
+// requestDraining asks pool owners to drain workers.
 func (f *fleet) ask(ctx context.Context, asks []waves.Ask) {
 	for _, a := range asks {
 		f.async.do("empty "+a.Machine, func() func() {
@@ -75,7 +76,8 @@
 	}
 }
 
-// begin orders upkeeps. Each is asked for only while the lease surely lasts.
+// orderMaintenance orders the maintenance of machines, each only while the lease is certain to
+// last.
 func (f *fleet) begin(ctx context.Context, begins []waves.Begin) {
 	duty := gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.fence}
 	for _, b := range begins {
@@ -89,7 +91,7 @@
 	}
 }
 
-// begun takes in the outcome of an order, and notes it.
+// recordMaintenance applies the outcome of an order.
 func (f *fleet) begun(b waves.Begin, err error) {
 	if gauge.Is(err, gauge.KindFenced) {
 		f.held.lease.Lose()
@@ -100,7 +102,8 @@
 	f.unsaved[b.Wave] = true
 }
 
-// save writes how far a wave is, for the operator and for the next holder.
+// saveWave writes the progress of a wave, for the operator and for the next holder, and reports
+// whether it succeeded.
 func (f *fleet) save(ctx context.Context, number int64, done bool) bool {
 	since := f.node.clock() - f.keeper.Age(number, f.node.conf.Now()).Milliseconds()
 	value, err := msgpack.Marshal(&waveRow{Begun: f.keeper.Lists(number), Done: done, Since: since})
