--- a/internal/intake/lane.go
+++ b/internal/intake/batcher.go
@@ -43,49 +43,49 @@
 	intake *Intake
 	queue  string
 
-	mu   sync.Mutex
-	queued []*pendingJob // queued for a transaction
-	running bool
-	breakerOpen bool
-	openSince time.Duration // since when the circuit breaker is open
+	mu            sync.Mutex
+	queued        []*pendingJob // queued for a transaction
+	running       bool
+	breakerOpen   bool
+	openSince     time.Duration // since when the circuit breaker is open
 	lastSubmitted time.Duration // last submission
 }
 
 // store queues a job and waits for its outcome, at most for submitTimeout or until ctx ends, which
 // means that the caller has gone or this entry stops.
-func (l *batcher) store(ctx context.Context, p *pendingJob) outcome {
-	if !l.enqueue(p) {
-		return outcome{err: l.refusalError()}
+func (b *batcher) store(ctx context.Context, p *pendingJob) outcome {
+	if !b.enqueue(p) {
+		return outcome{err: b.refusalError()}
 	}
 	select {
 	case o := <-p.result:
 		return o
-	case <-l.intake.conf.After(submitTimeout):
+	case <-b.intake.conf.After(submitTimeout):
 	case <-ctx.Done():
 	}
-	return l.abandon(p)
+	return b.abandon(p)
 }
 
 // enqueue queues a job. It reports false if the circuit breaker is open.
-func (l *batcher) enqueue(p *pendingJob) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.lastSubmitted = p.startedAt
-	if l.breakerOpen {
+func (b *batcher) enqueue(p *pendingJob) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastSubmitted = p.startedAt
+	if b.breakerOpen {
 		return false
 	}
-	l.queued = append(l.queued, p)
-	if !l.running {
-		l.running = true
-		go l.run()
+	b.queued = append(b.queued, p)
+	if !b.running {
+		b.running = true
+		go b.run()
 	}
 	return true
 }
 
 // abandon stops waiting for a job. A job that is in a transaction may still be stored.
-func (l *batcher) abandon(p *pendingJob) outcome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (b *batcher) abandon(p *pendingJob) outcome {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	select {
 	case o := <-p.result:
 		return o
@@ -98,151 +98,151 @@
 
 // settle sends the outcome of a job to its caller. If the caller no longer waits, the owner is
 // notified of a job that was stored after all.
-func (l *batcher) settle(p *pendingJob, o outcome) {
-	l.mu.Lock()
-	left := p.abandoned
-	if !left {
+func (b *batcher) settle(p *pendingJob, o outcome) {
+	b.mu.Lock()
+	abandoned := p.abandoned
+	if !abandoned {
 		p.result <- o
 	}
-	l.mu.Unlock()
-	if left && o.err == nil {
-		l.intake.reportStored(p, o)
+	b.mu.Unlock()
+	if abandoned && o.err == nil {
+		b.intake.reportStored(p, o)
 	}
 }
 
 // run sends transactions until no job is queued or the circuit breaker opens.
-func (l *batcher) run() {
-	pause := minRetryDelay
+func (b *batcher) run() {
+	delay := minRetryDelay
 	for {
-		group := l.nextBatch()
-		if group == nil {
+		batch := b.nextBatch()
+		if batch == nil {
 			return
 		}
-		again, failed := l.commit(group)
+		retry, failed := b.commit(batch)
 		if !failed {
-			pause = minRetryDelay
-			l.requeue(again)
+			delay = minRetryDelay
+			b.requeue(retry)
 			continue
 		}
-		if !l.isTableAnswering(again[0].id) {
-			l.trip(again)
+		if !b.isTableAnswering(retry[0].id) {
+			b.trip(retry)
 			return
 		}
-		time.Sleep(rand.N(pause) + pause/2)
-		pause = min(2*pause, maxRetryDelay)
-		l.requeue(again)
+		time.Sleep(rand.N(delay) + delay/2)
+		delay = min(2*delay, maxRetryDelay)
+		b.requeue(retry)
 	}
 }
 
 // nextBatch removes the next batch from the queue. It returns nil if no job is queued.
-func (l *batcher) nextBatch() []*pendingJob {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := min(maxBatch, len(l.queued))
-	group := slices.Clone(l.queued[:n])
-	l.queued = slices.Delete(l.queued, 0, n)
-	l.running = n > 0
+func (b *batcher) nextBatch() []*pendingJob {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := min(maxBatch, len(b.queued))
+	batch := slices.Clone(b.queued[:n])
+	b.queued = slices.Delete(b.queued, 0, n)
+	b.running = n > 0
 	if n == 0 {
 		return nil
 	}
-	return group
+	return batch
 }
 
-// requeue puts jobs requeue in front of those that were queued meanwhile.
-func (l *batcher) requeue(jobs []*pendingJob) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.queued = append(jobs, l.queued...)
+// requeue puts jobs back in front of those that were queued meanwhile.
+func (b *batcher) requeue(jobs []*pendingJob) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.queued = append(jobs, b.queued...)
 }
 
 // markInFlight marks the jobs of the transaction that is sent now. Jobs whose callers no longer
 // wait are left out: some callers were told that their jobs are not stored.
-func (l *batcher) markInFlight(group []*pendingJob) []*pendingJob {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	group = slices.DeleteFunc(group, func(p *pendingJob) bool { return p.abandoned })
-	for _, p := range group {
+func (b *batcher) markInFlight(batch []*pendingJob) []*pendingJob {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	batch = slices.DeleteFunc(batch, func(p *pendingJob) bool { return p.abandoned })
+	for _, p := range batch {
 		p.inFlight = true
 	}
-	return group
+	return batch
 }
 
 // commit sends one transaction and settles the jobs whose outcome it shows. It returns the other
 // jobs, and whether the transaction wasn't executed or got no answer.
-func (l *batcher) commit(group []*pendingJob) (again []*pendingJob, failed bool) {
-	group = l.markInFlight(group)
-	if len(group) == 0 {
+func (b *batcher) commit(batch []*pendingJob) (retry []*pendingJob, failed bool) {
+	batch = b.markInFlight(batch)
+	if len(batch) == 0 {
 		return nil, false
 	}
 	var txn gauge.PartTxn
-	for _, p := range group {
+	for _, p := range batch {
 		txn.Checks = append(txn.Checks, p.txn.Checks...)
 		txn.Writes = append(txn.Writes, p.txn.Writes...)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	stamp, rows, err := l.intake.conf.Store.Commit(ctx, txn)
-	l.recordAttempt(group, err)
+	stamp, rows, err := b.intake.conf.Store.Commit(ctx, txn)
+	b.recordAttempt(batch, err)
 	switch {
 	case err == nil:
-		for _, p := range group {
-			l.settle(p, outcome{version: stamp.Version})
+		for _, p := range batch {
+			b.settle(p, outcome{version: stamp.Version})
 		}
 		return nil, false
 	case gauge.Is(err, gauge.KindConflict):
-		return l.settleExisting(group, rows), false
+		return b.settleExisting(batch, rows), false
 	case gauge.Is(err, gauge.KindUnknown), gauge.Is(err, gauge.KindOutage):
-		return group, true
-	case len(group) > 1:
-		return l.commitEach(group) // one of the jobs is the cause
+		return batch, true
+	case len(batch) > 1:
+		return b.commitEach(batch) // one of the jobs is the cause
 	default:
-		l.settle(group[0], outcome{err: err})
+		b.settle(batch[0], outcome{err: err})
 		return nil, false
 	}
 }
 
-func (l *batcher) recordAttempt(group []*pendingJob, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, p := range group {
+func (b *batcher) recordAttempt(batch []*pendingJob, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range batch {
 		p.lastErr, p.inFlight = err, false
 		p.unsettled = p.unsettled || gauge.Is(err, gauge.KindUnknown)
 	}
 }
 
-func (l *batcher) commitEach(group []*pendingJob) (again []*pendingJob, failed bool) {
-	for _, p := range group {
-		some, bad := l.commit([]*pendingJob{p})
-		again = append(again, some...)
+func (b *batcher) commitEach(batch []*pendingJob) (retry []*pendingJob, failed bool) {
+	for _, p := range batch {
+		undone, bad := b.commit([]*pendingJob{p})
+		retry = append(retry, undone...)
 		failed = failed || bad
 	}
-	return again, failed
+	return retry, failed
 }
 
 // settleExisting settles the jobs whose ids exist already: they were submitted before, or a
 // transaction that got no answer took effect. It returns the other jobs.
-func (l *batcher) settleExisting(group []*pendingJob, rows []gauge.PartRow) []*pendingJob {
-	taken := make(map[string]gauge.PartRow, len(rows))
+func (b *batcher) settleExisting(batch []*pendingJob, rows []gauge.PartRow) []*pendingJob {
+	existing := make(map[string]gauge.PartRow, len(rows))
 	for _, r := range rows {
 		if r.Version > 0 {
-			taken[r.Key] = r
+			existing[r.Key] = r
 		}
 	}
-	var again []*pendingJob
-	for _, p := range group {
-		if r, ok := taken[p.id]; ok {
-			l.settle(p, outcome{version: r.Version, duplicate: true, row: r.Value})
+	var retry []*pendingJob
+	for _, p := range batch {
+		if r, ok := existing[p.id]; ok {
+			b.settle(p, outcome{version: r.Version, duplicate: true, row: r.Value})
 			continue
 		}
-		again = append(again, p)
+		retry = append(retry, p)
 	}
-	return again
+	return retry
 }
 
 // QueuedJobs returns how many jobs of a queue are queued for a transaction.
 func (n *Intake) QueuedJobs(queue string) int {
-	l := n.batcher(queue)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.queued)
+	b := n.batcher(queue)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.queued)
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -19,7 +19,7 @@
 }
 
 func (n *Intake) cancel(ctx context.Context, q *gauge.Queue, id string, relay Relay) error {
-	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := n.tryCancel(ctx, q, id)
 		if relay != nil && err != nil && !gauge.Is(err, gauge.KindGone) {
 			err = mergeCancelErrors(err, relay.Cancel(ctx, q, id))
@@ -27,7 +27,7 @@
 		if err == nil {
 			return nil
 		}
-		if gauge.Is(err, gauge.KindGone) || !sleep(ctx, rand.N(pause)) {
+		if gauge.Is(err, gauge.KindGone) || !sleep(ctx, rand.N(delay)) {
 			n.logFailure("job not cancelled", q, id, err)
 			return err
 		}
@@ -50,7 +50,7 @@
 		return err
 	}
 	if row.State.Final() {
-		n.conf.Logs.Info("job over before its cancel", "job", id, "state", row.State, "version", version)
+		n.conf.Logs.Info("job ended before its cancellation", "job", id, "state", row.State, "version", version)
 		if row.State == gauge.JobCancelled {
 			// An earlier attempt may have taken effect without an answer.
 			n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: version})
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -15,17 +15,17 @@
 
 // Config sets up an Intake.
 type Config struct {
-	Store gauge.Parted
-	Logs  logr.Logger
-	CountEvent func(event string) // counts outcomes of submissions
-	Now   func() time.Duration // monotonic clock
-	TableClock func() int64 // approximate time of the table's clock in milliseconds
+	Store      gauge.Parted
+	Logs       logr.Logger
+	CountEvent func(event string)   // counts outcomes of submissions
+	Now        func() time.Duration // monotonic clock
+	TableClock func() int64         // approximate time of the table's clock in milliseconds
 	// SeenDepth returns how many jobs of a queue have not begun, as the pool's owner last wrote,
 	// and how old that count is; false: it isn't known.
 	SeenDepth func(q *gauge.Queue) (int, time.Duration, bool)
 	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
-	OwnerDepth func(ctx context.Context, q *gauge.Queue) (int, bool)
-	NotifyOwner     func(n Notice) // notifies the owner of the pool
+	OwnerDepth  func(ctx context.Context, q *gauge.Queue) (int, bool)
+	NotifyOwner func(n Notice) // notifies the owner of the pool
 	// ReportUnsettled notifies the owner of a submission that may still be stored; nil: nobody is
 	// notified.
 	ReportUnsettled func(q *gauge.Queue, id string)
@@ -35,10 +35,10 @@
 	// OwnsJob reports whether the pool's owner is at this entry and knows the job; nil: it never
 	// is.
 	OwnsJob func(q *gauge.Queue, id string) bool
-	Relay Relay                                  // nil: there are no other entries
-	After func(d time.Duration) <-chan time.Time // default time.After
-	// Without names the mechanisms that are switched off.
-	Without gauge.Without
+	Relay   Relay                                  // nil: there are no other entries
+	After   func(d time.Duration) <-chan time.Time // default time.After
+	// Disabled names the mechanisms that are switched off.
+	Disabled gauge.Without
 }
 
 // Relay forwards to the owner of a queue's pool what the table refuses this entry: the owner writes
@@ -67,11 +67,11 @@
 
 // Intake implements gauge.Jobs.
 type Intake struct {
-	conf   Config
-	mu     sync.Mutex
-	batchers  map[string]*batcher // by queue
+	conf           Config
+	mu             sync.Mutex
+	batchers       map[string]*batcher      // by queue
 	unsettledUntil map[string]time.Duration // by job id: until when an unsettled submission may still be stored
-	prunedAt time.Duration // last removal of old ids
+	prunedAt       time.Duration            // last removal of old ids
 }
 
 // New returns an Intake.
@@ -85,7 +85,7 @@
 const (
 	// minRetryDelay and maxRetryDelay bound the wait before another attempt at the table.
 	minRetryDelay = 20 * time.Millisecond
-	maxRetryDelay  = 200 * time.Millisecond
+	maxRetryDelay = 200 * time.Millisecond
 )
 
 func jobKey(queue, id string) gauge.RowKey {
@@ -96,16 +96,16 @@
 func (n *Intake) batcher(queue string) *batcher {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := n.batchers[queue]
-	if l == nil {
-		l = &batcher{intake: n, queue: queue}
-		n.batchers[queue] = l
+	b := n.batchers[queue]
+	if b == nil {
+		b = &batcher{intake: n, queue: queue}
+		n.batchers[queue] = b
 	}
-	return l
+	return b
 }
 
-func (n *Intake) logFailure(what string, q *gauge.Queue, id string, err error) {
-	n.conf.Logs.Info(what, "job", id, "queue", q.Name, "pool", q.Pool, "kind", gauge.KindOf(err), "error", err.Error())
+func (n *Intake) logFailure(message string, q *gauge.Queue, id string, err error) {
+	n.conf.Logs.Info(message, "job", id, "queue", q.Name, "pool", q.Pool, "kind", gauge.KindOf(err), "error", err.Error())
 }
 
 // readJob reads a job's row and its version. Errors: KindOutage: the table can't be reached;
@@ -128,16 +128,16 @@
 	if state, ok := n.conf.JobState(ctx, q, id); ok {
 		return state, nil
 	}
-	for pause := minRetryDelay; ; pause = min(2*pause, maxRetryDelay) {
+	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		row, _, err := n.readJob(ctx, q, id)
 		if err == nil {
 			return row.State, nil
 		}
-		if gauge.Is(err, gauge.KindOutage) && sleep(ctx, pause) {
+		if gauge.Is(err, gauge.KindOutage) && sleep(ctx, delay) {
 			continue
 		}
 		if !gauge.Is(err, gauge.KindGone) {
-			n.logFailure("state not told", q, id, err)
+			n.logFailure("job state not read", q, id, err)
 		}
 		return "", err
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -22,27 +22,27 @@
 	rows    map[gauge.RowKey]gauge.PartRow
 	version int64
 	txns    []gauge.PartTxn
-	answer  func(n int, carryOut func()) error // nil: execute and succeed
-	silent  bool                               // reads fail
+	answer  func(n int, execute func()) error // nil: execute and succeed
+	silent  bool                              // reads fail
 	reads   int
 	onRead  func(n int)
 }
 
 // newHangingTable returns a table whose first transaction hangs until release is closed; received
 // is closed when that transaction arrives.
-func newHeldTable() (t *table, held, hold chan struct{}) {
-	t, held, hold = newTable(), make(chan struct{}), make(chan struct{})
+func newHangingTable() (t *table, received, release chan struct{}) {
+	t, received, release = newTable(), make(chan struct{}), make(chan struct{})
 	t.answer = func(n int, _ func()) error {
 		if n == 1 {
-			close(held)
-			<-hold
+			close(received)
+			<-release
 		}
 		return nil
 	}
-	return t, held, hold
+	return t, received, release
 }
 
-func (t *table) mute(silent bool) {
+func (t *table) setSilent(silent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.silent = silent
@@ -65,18 +65,18 @@
 	if conflict {
 		return gauge.Stamp{}, current, gauge.Fail(gauge.KindConflict, "a row has changed")
 	}
-	carryOut := func() {
+	execute := func() {
 		t.version++
 		for _, w := range txn.Writes {
 			t.rows[w.RowKey] = gauge.PartRow{RowKey: w.RowKey, Value: w.Value, Version: t.version}
 		}
 	}
 	if t.answer != nil {
-		if err := t.answer(len(t.txns), carryOut); err != nil {
+		if err := t.answer(len(t.txns), execute); err != nil {
 			return gauge.Stamp{}, nil, err
 		}
 	}
-	carryOut()
+	execute()
 	return gauge.Stamp{Version: t.version}, nil, nil
 }
 
@@ -126,8 +126,8 @@
 
 // timers are the timeouts of an intake, fired by the test.
 type timers struct {
-	mu   sync.Mutex
-	wait map[time.Duration]chan time.Time
+	mu       sync.Mutex
+	channels map[time.Duration]chan time.Time
 }
 
 func (t *timers) After(d time.Duration) <-chan time.Time {
@@ -137,10 +137,10 @@
 }
 
 func (t *timers) channel(d time.Duration) chan time.Time {
-	if t.wait[d] == nil {
-		t.wait[d] = make(chan time.Time, 1)
+	if t.channels[d] == nil {
+		t.channels[d] = make(chan time.Time, 1)
 	}
-	return t.wait[d]
+	return t.channels[d]
 }
 
 // fire ends one wait of the given length, now or once it begins.
@@ -151,7 +151,7 @@
 	c <- time.Time{}
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *clock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now += d
@@ -168,13 +168,13 @@
 func newRig(t *table, c *clock) *rig { return newRelayRig(t, c, nil) }
 
 func newRelayRig(t *table, c *clock, r intake.Relay) *rig {
-	g := &rig{timers: timers{wait: make(map[time.Duration]chan time.Time)}}
+	g := &rig{timers: timers{channels: make(map[time.Duration]chan time.Time)}}
 	g.intake = intake.New(intake.Config{
 		Relay: r, After: g.timers.After,
 		Store: t, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
-		SeenDepth:    func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
+		SeenDepth:  func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
 		OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
-		JobState:      func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
+		JobState:   func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
 		OwnsJob:    func(_ *gauge.Queue, id string) bool { return g.known[id] },
 		NotifyOwner: func(n intake.Notice) {
 			g.mu.Lock()
@@ -197,17 +197,17 @@
 
 // submitTimeout and probeRetryDelay are the timeouts of an intake that tests end.
 const (
-	handInWait = 2 * time.Second
-	probeAgain = 150 * time.Millisecond
+	submitTimeout   = 2 * time.Second
+	probeRetryDelay = 150 * time.Millisecond
 	// readsBeforeTimeout is the number of reads, each after a failed attempt, at which the caller's
 	// wait ends.
-	readsBeforeLeaving = 4
+	readsBeforeTimeout = 4
 )
 
-func TestWhatTheCallerIsTold(t *testing.T) {
+func TestSubmissionOutcomes(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		answer  func(n int, carryOut func()) error
+		answer  func(n int, execute func()) error
 		kind    gauge.Kind // empty: accepted
 		stored  bool
 		notices int
@@ -219,16 +219,16 @@
 			}
 			return nil
 		}, "", true, 1},
-		{"refused for good", outage, gauge.KindOutage, false, 0},
-		{"carried out, answer lost", func(n int, carryOut func()) error {
+		{"always refused", outage, gauge.KindOutage, false, 0},
+		{"executed, answer lost", func(n int, execute func()) error {
 			if n == 1 {
-				carryOut()
+				execute()
 				return gauge.Fail(gauge.KindUnknown, "no answer")
 			}
 			return nil
 		}, "", true, 1},
 		// "Not run" would be wrong: the first attempt may still take effect.
-		{"no answer, then refused for good", func(n int, _ func()) error {
+		{"no answer, then always refused", func(n int, _ func()) error {
 			if n == 1 {
 				return gauge.Fail(gauge.KindUnknown, "no answer")
 			}
@@ -240,8 +240,8 @@
 			g := newRig(store, &clock{step: time.Millisecond})
 			store.answer = tt.answer
 			store.onRead = func(n int) {
-				if n == readsBeforeLeaving {
-					g.timers.fire(handInWait)
+				if n == readsBeforeTimeout {
+					g.timers.fire(submitTimeout)
 				}
 			}
 			err := g.submit(1)
@@ -261,8 +261,8 @@
 // Guards against most jobs being refused while the table is slow. A partition executes one
 // transaction after the other; with a transaction for each of forty jobs that are submitted during
 // a slow one, more would wait than the partition accepts.
-func TestJobsThatComeDuringATransactionShareTheNext(t *testing.T) {
-	store, held, hold := newHeldTable()
+func TestJobsSubmittedDuringATransactionShareTheNext(t *testing.T) {
+	store, received, release := newHangingTable()
 	g := newRig(store, &clock{})
 	var group sync.WaitGroup
 	results := make([]error, 41)
@@ -270,7 +270,7 @@
 		group.Go(func() { results[n] = g.submit(n) })
 	}
 	start(0)
-	<-held
+	<-received
 	for n := 1; n <= 40; n++ {
 		start(n)
 	}
@@ -278,9 +278,9 @@
 		if g.intake.QueuedJobs("sheets") == 40 {
 			return poll.Success()
 		}
-		return poll.Continue("40 jobs wait")
+		return poll.Continue("40 jobs are queued")
 	})
-	close(hold)
+	close(release)
 	group.Wait()
 	for n, err := range results {
 		assert.NilError(t, err, "job %d", n)
@@ -291,14 +291,14 @@
 // Guards against running a job that its caller has cancelled. A submission gets no answer but takes
 // effect; the caller cancels the job at another entry; the retry of the submission finds the id and
 // notifies the owner of a new job, with the row as it was submitted instead of as it is stored now.
-func TestUnansweredHandInOfACancelledJobIsNotTold(t *testing.T) {
+func TestUnsettledSubmissionOfACancelledJobIsNotNotified(t *testing.T) {
 	store := newTable()
 	key := gauge.RowKey{Table: gauge.TableJobs, Part: "sheets", Key: id(1)}
-	store.answer = func(n int, carryOut func()) error {
+	store.answer = func(n int, execute func()) error {
 		if n > 1 {
 			return nil
 		}
-		carryOut()
+		execute()
 		value, err := (&gauge.JobRow{State: gauge.JobCancelled}).Encode()
 		assert.NilError(t, err)
 		store.version++
@@ -321,5 +321,5 @@
 	assert.NilError(t, err)
 	assert.Equal(t, state, gauge.JobCancelled)
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)), "again")
-	assert.Equal(t, len(g.notices), 3, "the owner is told each time: it may have missed the first")
+	assert.Equal(t, len(g.notices), 3, "the owner is notified each time: it may have missed the first")
 }
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -14,35 +14,35 @@
 	"sapphiregauge/internal/intake"
 )
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if holds() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	})
 }
 
 // Guards against callers that get no answer in time while the table doesn't answer. A transaction
 // hangs, and another job is queued for the next one; both callers' waits must end, although the
 // outcome of a job was only checked between transactions.
-func TestCallersDoNotWaitForATransactionThatHangs(t *testing.T) {
-	store, held, hold := newHeldTable()
+func TestCallersDoNotWaitForAHangingTransaction(t *testing.T) {
+	store, received, release := newHangingTable()
 	g := newRig(store, &clock{step: time.Millisecond})
 	var group sync.WaitGroup
 	results := make([]error, 2)
 	group.Go(func() { results[0] = g.submit(0) })
-	<-held
+	<-received
 	group.Go(func() { results[1] = g.submit(1) })
-	eventually(t, "the second job waits", func() bool { return g.intake.QueuedJobs("sheets") == 1 })
-	g.timers.fire(handInWait)
-	g.timers.fire(handInWait)
+	waitFor(t, "the second job is queued", func() bool { return g.intake.QueuedJobs("sheets") == 1 })
+	g.timers.fire(submitTimeout)
+	g.timers.fire(submitTimeout)
 	group.Wait()
-	assert.Equal(t, gauge.KindOf(results[0]), gauge.KindExpired, "it may be stored yet")
+	assert.Equal(t, gauge.KindOf(results[0]), gauge.KindExpired, "it may still be stored")
 	assert.Equal(t, gauge.KindOf(results[1]), gauge.KindOutage, "it was not sent")
-	close(hold)
-	eventually(t, "the owner is told of the job that was stored after all", func() bool {
+	close(release)
+	waitFor(t, "the owner is notified of the job that was stored after all", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		return len(g.notices) == 1 && g.notices[0].ID == id(0)
@@ -53,7 +53,7 @@
 // Guards against keeping each submission for over a second during a table outage, with transactions
 // that may take effect later: each job tried for itself what was known to fail. A transaction and
 // then a read fail; more jobs are submitted; the table answers again.
-func TestHandInsAreRefusedAtOnceWhileTheTableIsAway(t *testing.T) {
+func TestSubmissionsAreRefusedAtOnceDuringATableOutage(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = outage
@@ -63,18 +63,18 @@
 		assert.Equal(t, gauge.KindOf(g.submit(2+n)), gauge.KindOutage)
 	}
 	assert.Equal(t, store.count(), 1, "nothing more is sent")
-	g.timers.fire(probeAgain) // the table is away still
+	g.timers.fire(probeRetryDelay) // still unreachable
 	store.mu.Lock()
 	store.answer = nil
 	store.mu.Unlock()
-	store.mute(false)
-	g.timers.fire(probeAgain)
-	eventually(t, "jobs are taken again", func() bool { return g.submit(9) == nil })
+	store.setSilent(false)
+	g.timers.fire(probeRetryDelay)
+	waitFor(t, "jobs are accepted again", func() bool { return g.submit(9) == nil })
 }
 
 // Guards against running a job that was refused. A transaction gets no answer, then reads fail, and
 // the circuit breaker opens; the transaction may still take effect.
-func TestJobsSentBeforeTheTableWentAwayAreNotCalledRefused(t *testing.T) {
+func TestJobsSentBeforeATableOutageAreUnsettled(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
@@ -86,11 +86,11 @@
 type peer struct {
 	submits, cancels int
 	err              error
-	prefer           bool
+	preferred        bool
 	onSubmit         func()
 }
 
-func (p *peer) PreferOwner(*gauge.Queue) bool { return p.prefer }
+func (p *peer) PreferOwner(*gauge.Queue) bool { return p.preferred }
 
 func (p *peer) Submit(context.Context, *gauge.Queue, string, *gauge.JobSpec) error {
 	p.submits++
@@ -108,7 +108,7 @@
 // Guards against an entry that refuses all jobs when the table refuses only this entry, while
 // others could store them. Transactions fail here; the owner of the pool is asked and answers in
 // different ways.
-func TestOwnerOfThePoolStoresWhatThisEntryCannot(t *testing.T) {
+func TestPoolOwnerStoresWhatThisEntryCannot(t *testing.T) {
 	unknown := func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
 	for _, tt := range []struct {
 		name  string
@@ -144,7 +144,7 @@
 }
 
 // Guards against forwarding loops: the owner of a pool stores a forwarded job itself or not at all.
-func TestJobFromAnotherEntryIsNotPassedOn(t *testing.T) {
+func TestForwardedJobIsNotForwardedAgain(t *testing.T) {
 	store := newTable()
 	store.silent, store.answer = true, outage
 	p := &peer{}
@@ -157,7 +157,7 @@
 	assert.Equal(t, p.submits, 0)
 }
 
-func TestCancelByTheOwnerOfThePool(t *testing.T) {
+func TestCancelByPoolOwner(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	p := &peer{}
@@ -177,22 +177,22 @@
 // table. A partition executes one transaction after the other, whichever entry sent it: at four
 // transactions a second, eight entries that submit jobs of one queue can't each have transactions
 // of their own.
-func TestOwnerOfThePoolStoresForAll(t *testing.T) {
+func TestPoolOwnerStoresForAllEntries(t *testing.T) {
 	unknown := gauge.Fail(gauge.KindUnknown, "no answer")
 	lost := func(int, func()) error { return unknown }
 	for _, tt := range []struct {
 		name  string
 		there error
 		here  func(int, func()) error
-		takes time.Duration // until the owner has answered or the call is given up
+		delay time.Duration // until the owner has answered or the call is given up
 		want  gauge.Kind    // empty: accepted
-		sent  int // transactions sent by this entry
+		sent  int           // transactions sent by this entry
 	}{
 		{"stored there", nil, nil, 0, "", 0},
-		{"surely not stored there", gauge.Fail(gauge.KindOutage, "no owner"), nil, 0, "", 1},
+		{"certainly not stored there", gauge.Fail(gauge.KindOutage, "no owner"), nil, 0, "", 1},
 		{"may be stored there, stored here", unknown, nil, 0, "", 1},
 		{"may be stored there, not here", unknown, outage, 0, gauge.KindExpired, 1},
-		{"may be stored there after a long wait", unknown, nil, handInWait, gauge.KindExpired, 0},
+		{"may be stored there after a long wait", unknown, nil, submitTimeout, gauge.KindExpired, 0},
 		{"no owner to ask, stored here", gauge.Fail(gauge.KindEmpty, "no owner"), nil, 0, "", 1},
 		{"no owner to ask, not stored here", gauge.Fail(gauge.KindEmpty, "no owner"), outage, 0, gauge.KindExpired, 1},
 		{"stored by neither", gauge.Fail(gauge.KindOutage, "no owner"), outage, 0, gauge.KindOutage, 0},
@@ -202,9 +202,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			store := newTable()
 			store.answer, store.silent = tt.here, tt.here != nil
-			p := &peer{prefer: true, err: tt.there}
+			p := &peer{preferred: true, err: tt.there}
 			c := &clock{step: time.Millisecond}
-			p.onSubmit = func() { c.pass(tt.takes) }
+			p.onSubmit = func() { c.advance(tt.delay) }
 			err := newRelayRig(store, c, p).submit(1)
 			assert.Equal(t, store.count(), tt.sent)
 			assert.Equal(t, p.submits, 1)
@@ -219,9 +219,9 @@
 
 // Guards against a stopping entry that is killed with calls in flight: a submission that waits for
 // a hanging transaction must also end when its context ends, not only at its own timeout.
-func TestHandInEndsWithItsContext(t *testing.T) {
-	store, held, hold := newHeldTable()
-	defer close(hold)
+func TestSubmissionEndsWithItsContext(t *testing.T) {
+	store, received, release := newHangingTable()
+	defer close(release)
 	g := newRig(store, &clock{step: time.Millisecond})
 	ctx, stop := context.WithCancel(context.Background())
 	result := make(chan error, 1)
@@ -229,7 +229,7 @@
 		q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 		result <- g.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	}()
-	<-held
+	<-received
 	stop()
 	assert.Equal(t, gauge.KindOf(<-result), gauge.KindExpired)
 }
@@ -238,45 +238,45 @@
 // the table and gets no answer; its caller retries during the outage and is refused, since nothing
 // was sent this time; then the first transaction takes effect. A refusal must consider all
 // attempts, not just the last one.
-func TestRepeatOfAHandInThatMayBeStoredIsNotRefused(t *testing.T) {
+func TestRetryOfAnUnsettledSubmissionIsNotRefused(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
 	c := &clock{step: time.Millisecond}
 	g := newRig(store, c)
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
-	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindOutage, "another job was surely not sent")
+	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindOutage, "another job was certainly not sent")
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
 	assert.Equal(t, store.count(), 1)
-	c.pass(time.Hour)
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage, "nothing of it can be on its way any more")
+	c.advance(time.Hour)
+	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage, "it can no longer take effect")
 }
 
 // Guards against a cancellation whose caller gets no clear answer, or whose owner is never
 // notified. The cancellation takes effect but its answer is lost; the retry finds the job cancelled
 // and must not take it for a job that ended before its cancellation.
-func TestCancelWithoutAnAnswerIsToldWhenItIsFound(t *testing.T) {
+func TestRetriedCancelNotifiesTheOwner(t *testing.T) {
 	store := newTable()
 	g := newRig(store, &clock{step: time.Millisecond})
 	assert.NilError(t, g.submit(1))
-	store.answer = func(n int, carryOut func()) error {
+	store.answer = func(n int, execute func()) error {
 		if n != 2 {
 			return nil
 		}
-		carryOut()
+		execute()
 		return gauge.Fail(gauge.KindUnknown, "no answer")
 	}
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
-	assert.Equal(t, store.count(), 2, "it is not carried out twice")
+	assert.Equal(t, store.count(), 2, "it does not take effect twice")
 	assert.Equal(t, len(g.notices), 2)
-	assert.Assert(t, g.notices[1].Cancelled, "the owner is told")
+	assert.Assert(t, g.notices[1].Cancelled, "the owner is notified")
 }
 
 // Guards against callers that use up their attempts within an outage of some seconds, so that their
 // jobs are lost: a caller is refused and retries a second later, and again a second later, if
 // Retry-After doesn't grow with the duration of the outage.
-func TestCallersComeBackLaterTheLongerTheTableIsAway(t *testing.T) {
+func TestRetryAfterGrowsWithTheOutage(t *testing.T) {
 	store := newTable()
 	store.silent, store.answer = true, outage
 	c := &clock{}
@@ -285,7 +285,7 @@
 	for i, tt := range []struct{ away, want time.Duration }{
 		{0, time.Second}, {2 * time.Second, 2 * time.Second}, {time.Minute, 4 * time.Second},
 	} {
-		c.pass(tt.away)
+		c.advance(tt.away)
 		assert.Equal(t, gauge.AsError(g.submit(2+i)).Retry, tt.want)
 	}
 }
@@ -295,7 +295,7 @@
 // pool's owner; the owner has sent nothing itself and can't reach the table; then the first
 // transaction takes effect. The owner has to be notified, since only the first entry knows that the
 // job may be stored.
-func TestOwnerKnowsOfHandInsThatOthersAreUnsureOf(t *testing.T) {
+func TestOwnerLearnsOfUnsettledSubmissions(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
@@ -303,26 +303,26 @@
 	ownerTable := newTable()
 	ownerTable.silent, ownerTable.answer = true, outage
 	owner := newRig(ownerTable, c)
-	var told []string
+	var notified []string
 	entry := intake.New(intake.Config{
 		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
 		NotifyOwner: func(intake.Notice) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
 		ReportUnsettled: func(_ *gauge.Queue, id string) {
-			told = append(told, id)
+			notified = append(notified, id)
 			owner.intake.MarkUnsettled(id)
 		},
 	})
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	err := entry.Submit(context.Background(), q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	assert.Equal(t, gauge.KindOf(err), gauge.KindExpired)
-	assert.DeepEqual(t, told, []string{id(1)})
-	assert.Equal(t, gauge.KindOf(owner.submit(1)), gauge.KindExpired, "it may be stored yet")
+	assert.DeepEqual(t, notified, []string{id(1)})
+	assert.Equal(t, gauge.KindOf(owner.submit(1)), gauge.KindExpired, "it may still be stored")
 	assert.Equal(t, gauge.KindOf(owner.submit(2)), gauge.KindOutage)
 }
 
 // Guards against telling a caller that its job never runs when the owner already has it from an
 // earlier submission.
-func TestOwnerThatHasAJobRefusesNoRepeat(t *testing.T) {
+func TestOwnerThatKnowsAJobRefusesNoRetry(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = outage
--- a/internal/intake/pending.go
+++ b/internal/intake/pending.go
@@ -8,28 +8,28 @@
 
 // pendingJob is a submitted job that isn't settled yet.
 type pendingJob struct {
-	id    string
-	queue *gauge.Queue
-	spec  *gauge.JobSpec
-	row   *gauge.JobRow
-	txn   gauge.PartTxn
+	id        string
+	queue     *gauge.Queue
+	spec      *gauge.JobSpec
+	row       *gauge.JobRow
+	txn       gauge.PartTxn
 	startedAt time.Duration
 
 	// Guarded by the batcher's mutex.
-	inFlight  bool // it is in the current transaction
-	unsettled  bool // a transaction with it got no answer, and may take effect
-	abandoned    bool // its caller has stopped waiting
-	lastErr    error // of its last transaction
-	result chan outcome // buffered for one outcome
+	inFlight  bool         // it is in the current transaction
+	unsettled bool         // a transaction with it got no answer, and may take effect
+	abandoned bool         // its caller has stopped waiting
+	lastErr   error        // of its last transaction
+	result    chan outcome // buffered for one outcome
 }
 
 // outcome is the result of a submission.
 type outcome struct {
-	version int64  // of the row, if this call stored it
-	duplicate   bool // the id exists already
-	row     []byte // as stored, if the id exists already
-	relayed bool // the owner has stored it at another entry and needs no notification
-	err     error
+	version   int64  // of the row, if this call stored it
+	duplicate bool   // the id exists already
+	row       []byte // as stored, if the id exists already
+	relayed   bool   // the owner has stored it at another entry and needs no notification
+	err       error
 }
 
 // newPendingJob returns a pending job for a submission.
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -79,26 +79,26 @@
 
 // storeOrForward has a job stored by the owner of its pool or by this entry.
 func (n *Intake) storeOrForward(ctx context.Context, p *pendingJob, relay Relay) outcome {
-	l := n.batcher(p.queue.Name)
+	b := n.batcher(p.queue.Name)
 	if relay == nil {
-		return l.store(ctx, p)
+		return b.store(ctx, p)
 	}
-	if !relay.PreferOwner(p.queue) || n.conf.Without.Has(gauge.MechanismRelay) {
-		here := l.store(ctx, p)
+	if !relay.PreferOwner(p.queue) || n.conf.Disabled.Has(gauge.MechanismRelay) {
+		here := b.store(ctx, p)
 		if !isUndecided(here.err) {
 			return here
 		}
 		return mergeOutcomes(here, relay.Submit(ctx, p.queue, p.id, p.spec))
 	}
 	there := relay.Submit(ctx, p.queue, p.id, p.spec)
-	late := n.conf.Now()-p.startedAt > submitTimeout/2
-	if !isUndecided(there) || late && !gauge.Is(there, gauge.KindOutage) {
-		return mergeOutcomes(outcome{err: gauge.Fail(gauge.KindOutage, "not tried here")}, there)
+	tooLate := n.conf.Now()-p.startedAt > submitTimeout/2
+	if !isUndecided(there) || tooLate && !gauge.Is(there, gauge.KindOutage) {
+		return mergeOutcomes(outcome{err: gauge.Fail(gauge.KindOutage, "not tried at this entry")}, there)
 	}
-	if gauge.Is(there, gauge.KindOutage) && !l.canSend(p.id) {
-		return mergeOutcomes(outcome{err: l.refusalError()}, there)
+	if gauge.Is(there, gauge.KindOutage) && !b.canSend(p.id) {
+		return mergeOutcomes(outcome{err: b.refusalError()}, there)
 	}
-	return mergeOutcomes(l.store(ctx, p), there)
+	return mergeOutcomes(b.store(ctx, p), there)
 }
 
 // isUndecided reports whether the job may still be stored by another entry, or was certainly not
@@ -143,7 +143,7 @@
 		n.conf.CountEvent("job unsettled")
 		n.logFailure("job unsettled", p.queue, p.id, o.err)
 		if n.conf.ReportUnsettled != nil {
-			// A retry at another entry is refused according to the owner, so the owner has to know.
+			// Another entry asks the owner about a retry, and refuses it unless the owner knows.
 			n.conf.ReportUnsettled(p.queue, p.id)
 		}
 	case o.err != nil:
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -15,7 +15,7 @@
 
 // manage claims pools that have no owner, until ctx ends.
 func (n *Node) manage(ctx context.Context) {
-	tick := time.NewTicker(manageEvery)
+	tick := time.NewTicker(manageInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -24,25 +24,25 @@
 		case <-tick.C:
 		}
 		n.checkHolders()
-		n.askSuspects()
-		for _, c := range n.due() {
+		n.probeSuspects()
+		for _, c := range n.dueClaims() {
 			n.group.Go(func() { n.claim(ctx, c, "") })
 		}
 	}
 }
 
 // dueClaims returns the claims to make now, and marks their pools as being claimed.
-func (n *Node) due() []terms.Claim {
+func (n *Node) dueClaims() []terms.Claim {
 	site := n.Site()
-	if site == nil || !n.going.Load() {
+	if site == nil || !n.running.Load() {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.conf.Now() < n.restUntil {
+	if n.conf.Now() < n.claimPauseUntil {
 		return nil
 	}
-	if n.conf.Now()-n.leases > leasesOld && len(n.board.Pools()) > 0 {
+	if n.conf.Now()-n.leasesReadAt > maxClaimViewAge && len(n.board.Pools()) > 0 {
 		return nil // it can't be seen which leases are renewed, so claims would fail
 	}
 	pools := n.board.Pools()
@@ -54,47 +54,47 @@
 	}
 	slices.Sort(pools)
 	pools = slices.Compact(pools)
-	pools = slices.DeleteFunc(pools, func(p string) bool { return n.busy[p] })
-	claims := n.board.Due(pools, len(n.busy), n.conf.Now())
+	pools = slices.DeleteFunc(pools, func(p string) bool { return n.leasesInUse[p] })
+	claims := n.board.Due(pools, len(n.leasesInUse), n.conf.Now())
 	for _, c := range claims {
-		n.begin(c.Pool)
+		n.markClaiming(c.Pool)
 	}
 	return claims
 }
 
 // markClaiming records that a lease is being claimed or held here. n.mu is held.
-func (n *Node) begin(pool string) {
-	n.busy[pool] = true
-	n.taking[pool] = make(chan struct{})
-	n.ownsSome()
+func (n *Node) markClaiming(pool string) {
+	n.leasesInUse[pool] = true
+	n.claiming[pool] = make(chan struct{})
+	n.updateWorkerListGate()
 }
 
 // markClaimEnded records that a claim has ended, whether or not the pool has an owner here now.
 // n.mu is held.
-func (n *Node) taken(pool string) {
-	if over, ok := n.taking[pool]; ok {
+func (n *Node) markClaimEnded(pool string) {
+	if over, ok := n.claiming[pool]; ok {
 		close(over)
-		delete(n.taking, pool)
+		delete(n.claiming, pool)
 	}
 }
 
 // updateWorkerListGate has the list of workers followed while this entry holds or claims the lease
 // of a pool. n.mu is held.
-func (n *Node) ownsSome() {
-	pools := len(n.busy)
-	if n.busy[fleetPool] {
+func (n *Node) updateWorkerListGate() {
+	pools := len(n.leasesInUse)
+	if n.leasesInUse[fleetPool] {
 		pools--
 	}
-	n.listing.Set(pools > 0)
+	n.workerListGate.Set(pools > 0)
 }
 
 // markReleased records that a lease is neither claimed nor held here any more.
-func (n *Node) done(pool string) {
+func (n *Node) markReleased(pool string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.busy, pool)
-	n.taken(pool)
-	n.ownsSome()
+	delete(n.leasesInUse, pool)
+	n.markClaimEnded(pool)
+	n.updateWorkerListGate()
 }
 
 func leaseKey(pool string) gauge.RowKey {
@@ -117,33 +117,33 @@
 // claim tries to take a lease and, if it does, runs the pool or the fleet until the lease ends.
 // From is the holder that offers the lease, empty if there is none.
 func (n *Node) claim(ctx context.Context, c terms.Claim, from string) {
-	defer n.done(c.Pool)
+	defer n.markReleased(c.Pool)
 	if from == "" && !n.readGrants(ctx, &c) {
 		return
 	}
-	var h *held
-	for range offerTries {
+	var h *takenLease
+	for range offerClaimAttempts {
 		var again bool
-		if h, again = n.take(ctx, &c, from); !again {
+		if h, again = n.takeLease(ctx, &c, from); !again {
 			break
 		}
 	}
 	switch {
 	case h == nil:
 	case c.Pool == fleetPool:
-		n.keep(ctx, h)
+		n.runFleet(ctx, h)
 	default:
-		n.own(ctx, c.Pool, h)
+		n.runPool(ctx, c.Pool, h)
 	}
 }
 
 // takenLease is a lease that this entry has just taken.
-type held struct {
-	lease  *tenure.Tenure
-	fence  gauge.Fence
-	term   int
-	before gauge.LeaseRow
-	early  time.Duration // how much of the previous term may remain
+type takenLease struct {
+	lease         *tenure.Tenure
+	token         gauge.Fence
+	term          int
+	previousRow   gauge.LeaseRow
+	remainingTerm time.Duration // how much of the previous term may remain
 }
 
 // fleetPool is the key of the fleet lease, whose holder moves machines and starts their
@@ -154,15 +154,15 @@
 // of that transaction is the fencing token: versions only grow, and no two transactions share one.
 // Again reports that the offering holder has renewed the lease meanwhile; c then holds the version
 // of the renewed row.
-func (n *Node) take(ctx context.Context, c *terms.Claim, from string) (h *held, again bool) {
+func (n *Node) takeLease(ctx context.Context, c *terms.Claim, from string) (h *takenLease, again bool) {
 	term := c.Row.Term
 	if c.Version > 0 {
 		term++
 	}
-	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, Unnoted: c.Row.Unnoted, Renewed: n.clock()}
+	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, Unnoted: c.Row.Unnoted, Renewed: n.tableClock()}
 	row.CountsOf(&c.Row) // there was no count since
 	if c.Pool == fleetPool {
-		n.handOn(&row, &c.Row)
+		n.carryOverOrders(&row, &c.Row)
 	}
 	key := leaseKey(c.Pool)
 	writes, err := tenure.Writes(key, &row)
@@ -177,9 +177,9 @@
 	})
 	if err != nil {
 		n.conf.Logs.Info("lease not taken", "pool", c.Pool, "version", c.Version, "kind", gauge.KindOf(err), "from", from)
-		return nil, n.notTaken(c, from, rows, err)
+		return nil, n.handleClaimFailure(c, from, rows, err)
 	}
-	n.stamp(stamp, sent)
+	n.recordTableClock(stamp, sent)
 	n.mu.Lock()
 	n.board.Tell(c.Pool, row, stamp.Version, n.conf.Now(), 0)
 	n.mu.Unlock()
@@ -188,19 +188,19 @@
 		"workers", len(c.Row.Workers), "seen", c.Version)
 	lease := tenure.New(tenure.Config{
 		Key: key, Holder: n.holder, Addr: n.conf.Addr, Term: term, Version: stamp.Version, Taken: sent, Lasts: leaseTerm,
-		Store: n.conf.Store, Now: n.conf.Now, Clock: n.clock,
+		Store: n.conf.Store, Now: n.conf.Now, Clock: n.tableClock,
 	})
-	return &held{lease: lease, fence: gauge.Fence(stamp.Version), term: term, before: c.Row, early: c.Early}, false
+	return &takenLease{lease: lease, token: gauge.Fence(stamp.Version), term: term, previousRow: c.Row, remainingTerm: c.Early}, false
 }
 
 // handleClaimFailure applies what a failed claim shows. It reports whether to try again at once.
-func (n *Node) notTaken(c *terms.Claim, from string, rows []gauge.PartRow, err error) bool {
+func (n *Node) handleClaimFailure(c *terms.Claim, from string, rows []gauge.PartRow, err error) bool {
 	if gauge.Is(err, gauge.KindUnknown) {
 		n.mu.Lock()
 		n.board.Unsure(c.Pool)
 		n.mu.Unlock()
 	}
-	n.toldLeases(rows, false)
+	n.applyLeaseRows(rows, false)
 	if from == "" || !gauge.Is(err, gauge.KindConflict) {
 		return false
 	}
@@ -216,24 +216,24 @@
 }
 
 // runPool runs a pool until its lease is lost or given up.
-func (n *Node) own(ctx context.Context, pool string, h *held) {
+func (n *Node) runPool(ctx context.Context, pool string, h *takenLease) {
 	o := owner.New(ctx, owner.Config{
-		Pool: pool, Lease: h.lease, Term: h.term, Fence: h.fence, Earlier: h.before.Workers, Before: h.before, Early: h.early,
-		Grace: grantGrace, Keep: keepFactor * n.conf.Keep, Hold: min(holdSpan, n.conf.Longest), Longest: n.conf.Longest,
+		Pool: pool, Lease: h.lease, Term: h.term, Fence: h.token, Earlier: h.previousRow.Workers, Before: h.previousRow, Early: h.remainingTerm,
+		Grace: holdGrace, Keep: retentionFactor * n.conf.Keep, Hold: min(workerLeaseDuration, n.conf.Longest), Longest: n.conf.Longest,
 		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, Wall: n.conf.Wall,
-		Stamp: n.stamp, Clock: n.clock, Count: n.conf.Count, Event: n.conf.Event, Backlog: n.conf.Backlog,
+		Stamp: n.recordTableClock, Clock: n.tableClock, Count: n.conf.Count, Event: n.conf.Event, Backlog: n.conf.Backlog,
 		Without: n.conf.Without,
 	})
-	o.OnStuck(stuckAfter, func(failing time.Duration) { n.leave(ctx, o, failing) })
+	o.OnStuck(stuckAfter, func(failing time.Duration) { n.handOverStuckPool(ctx, o, failing) })
 	n.mu.Lock()
-	if !n.going.Load() {
+	if !n.running.Load() {
 		n.mu.Unlock()
 		n.handOver(ctx, o, "the entry stops")
 		return
 	}
 	n.owners[pool] = o
-	n.taken(pool)
-	list := n.listLocked()
+	n.markClaimEnded(pool)
+	list := n.workersLocked()
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
@@ -244,37 +244,37 @@
 }
 
 // claimPauseAfterLeaving is how long an entry claims nothing after it had to leave a pool.
-const claimRest = 3 * time.Second
+const claimPauseAfterLeaving = 3 * time.Second
 
 // handOverStuckPool has another entry take over a pool whose owner here can't write to the table or
 // is short of processor time. If no entry can, the owner here continues.
-func (n *Node) leave(ctx context.Context, o *owner.Owner, failing time.Duration) {
-	if !n.mayOffer(o.Pool()) {
+func (n *Node) handOverStuckPool(ctx context.Context, o *owner.Owner, failing time.Duration) {
+	if !n.allowOffer(o.Pool()) {
 		return
 	}
-	n.offering.Lock()
-	defer n.offering.Unlock()
-	to := n.successor(ctx, o.Pool(), failing)
+	n.offerMu.Lock()
+	defer n.offerMu.Unlock()
+	to := n.findSuccessor(ctx, o.Pool(), failing)
 	if to == "" {
 		return
 	}
 	n.mu.Lock()
-	n.restUntil = n.conf.Now() + claimRest
+	n.claimPauseUntil = n.conf.Now() + claimPauseAfterLeaving
 	n.mu.Unlock()
-	if o.Stop("writes fail here, or it lags") {
-		n.offer(ctx, to, offerOf(o))
+	if o.Stop("writes fail here, or the owner lags") {
+		n.offerLease(ctx, to, offerOf(o))
 	}
 }
 
 // allowOffer bounds how often a successor for a pool is searched for.
-func (n *Node) mayOffer(pool string) bool {
+func (n *Node) allowOffer(pool string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	if last, ok := n.offers[pool]; ok && now-last < offerAgain {
+	if last, ok := n.lastOffers[pool]; ok && now-last < offerRetryDelay {
 		return false
 	}
-	n.offers[pool] = now
+	n.lastOffers[pool] = now
 	return true
 }
 
@@ -290,19 +290,19 @@
 	var group conc.WaitGroup
 	stopped := false
 	group.Go(func() { stopped = o.Stop(why) })
-	n.offering.Lock()
-	defer n.offering.Unlock()
-	to := n.successor(ctx, o.Pool(), 0)
+	n.offerMu.Lock()
+	defer n.offerMu.Unlock()
+	to := n.findSuccessor(ctx, o.Pool(), 0)
 	group.Wait()
 	if stopped {
-		n.give(ctx, o, to)
+		n.offerOrGiveUp(ctx, o, to)
 	}
 }
 
 // offerOrGiveUp offers a stopped pool to an entry, or gives its lease up if the address is empty or
 // the offer fails.
-func (n *Node) give(ctx context.Context, o *owner.Owner, to string) {
-	if to == "" || !n.offer(ctx, to, offerOf(o)) {
+func (n *Node) offerOrGiveUp(ctx context.Context, o *owner.Owner, to string) {
+	if to == "" || !n.offerLease(ctx, to, offerOf(o)) {
 		o.GiveUp(ctx)
 	}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -14,80 +14,80 @@
 
 const (
 	// fleetInterval is the interval between two rounds of the fleet lease holder.
-	fleetEvery = 100 * time.Millisecond
+	fleetInterval = 100 * time.Millisecond
 	// drainedBatchDelay is how long a drained machine waits for others before it is ordered: each
 	// round with new orders is a write.
-	readyGap = 40 * time.Millisecond
+	drainedBatchDelay = 40 * time.Millisecond
 	// fleetRenewInterval is the interval at which the fleet lease is renewed if nothing else is
 	// written.
-	fleetRenew = 400 * time.Millisecond
+	fleetRenewInterval = 400 * time.Millisecond
 	// machineListInterval is the interval at which the machines are listed.
-	listEvery = 400 * time.Millisecond
+	machineListInterval = 400 * time.Millisecond
 	// initialOrderDelay is how long after the very first start no machine is ordered: until then
 	// not all of them are listed.
-	firstWait = 2 * time.Second
+	initialOrderDelay = 2 * time.Second
 )
 
 // fleet carries out maintenance waves and moves of machines between pools for as long as this entry
 // holds the fleet lease.
 type fleet struct {
-	node    *Node
-	held    *held
-	keeper  *waves.Keeper
-	sizer   *sizing.Sizer
-	taken   time.Duration
-	from    time.Duration // no machine is ordered before this
-	turns   *turns.Turns
-	renewed time.Duration
-	offered time.Duration // last offer of the lease
-	listed  time.Duration
-	states  map[int64]bool // waves whose running state was reported to the operator
-	async   *async
-	ready   chan struct{} // wakes the next round: a machine that is to move has been drained
-	unsaved map[int64]bool // waves with orders that aren't in the table yet
-
-	next atomic.Pointer[string] // address of the entry that the lease is to move to
-
-	gate sync.Mutex // guards over, so that no order is sent after the lease was given away
-	over bool // no more orders
+	node          *Node
+	held          *takenLease
+	keeper        *waves.Keeper
+	sizer         *sizing.Sizer
+	takenAt       time.Duration
+	ordersFrom    time.Duration // no machine is ordered before this
+	turns         *turns.Turns
+	renewedAt     time.Duration
+	offeredAt     time.Duration // last offer of the lease
+	listedAt      time.Duration
+	statusWritten map[int64]bool // waves whose running state was reported to the operator
+	calls         *backgroundCalls
+	drained       chan struct{}  // wakes the next round: a machine that is to move has been drained
+	unsaved       map[int64]bool // waves with orders that aren't in the table yet
+
+	moveTarget atomic.Pointer[string] // address of the entry that the lease is to move to
+
+	orderMu     sync.Mutex // guards over, so that no order is sent after the lease was given away
+	ordersEnded bool       // no more orders
 }
 
 // runFleet runs the fleet until its lease is lost or given up.
-func (n *Node) keep(ctx context.Context, h *held) {
+func (n *Node) runFleet(ctx context.Context, h *takenLease) {
 	f := &fleet{
-		node: n, held: h, states: make(map[int64]bool),
+		node: n, held: h, statusWritten: make(map[int64]bool),
 		keeper: waves.New(waves.Config{
 			Upkeep: n.conf.Upkeep, Without: n.conf.Without, Logs: n.conf.Logs,
 		}),
 		sizer: sizing.New(sizing.Config{Without: n.conf.Without, Logs: n.conf.Logs}),
-		turns: turns.New(n.conf.TurnGap+grantMargin, turns.Lists{Own: h.before.Ordered, Earlier: h.before.Earlier},
-			n.wasMine(&h.before), n.clock(), n.conf.Now()),
-		renewed: n.conf.Now(), taken: n.conf.Now(),
-		async: newAsync(), ready: make(chan struct{}, 1),
+		turns: turns.New(n.conf.TurnGap+monotonicClockMargin, turns.Lists{Own: h.previousRow.Ordered, Earlier: h.previousRow.Earlier},
+			n.wasOwnLease(&h.previousRow), n.tableClock(), n.conf.Now()),
+		renewedAt: n.conf.Now(), takenAt: n.conf.Now(),
+		calls: newBackgroundCalls(), drained: make(chan struct{}, 1),
 		unsaved: make(map[int64]bool),
 	}
-	f.sizer.Learnt(time.Duration(h.before.Kept)*time.Millisecond, n.conf.Now())
-	f.from = n.conf.Now() + firstWait
+	f.sizer.Learnt(time.Duration(h.previousRow.Kept)*time.Millisecond, n.conf.Now())
+	f.ordersFrom = n.conf.Now() + initialOrderDelay
 	if h.term > 0 {
-		f.from = n.turnFrom(h)
+		f.ordersFrom = n.firstOrderTime(h)
 	}
-	n.holdFleet(f)
-	defer n.holdFleet(nil)
-	for ctx.Err() == nil && n.going.Load() && !h.lease.Lost() {
-		f.round(ctx)
-		if f.leave(ctx) {
+	n.setFleet(f)
+	defer n.setFleet(nil)
+	for ctx.Err() == nil && n.running.Load() && !h.lease.Lost() {
+		f.runRound(ctx)
+		if f.handOverIfStuck(ctx) {
 			return
 		}
-		if to := f.next.Load(); to != nil {
-			f.handOver(ctx, lessBurdened, *to)
+		if to := f.moveTarget.Load(); to != nil {
+			f.handOver(ctx, reasonLessLoaded, *to)
 			return
 		}
-		f.rest(ctx)
+		f.waitForRound(ctx)
 	}
 	f.handOver(ctx, "the entry stops", "")
 }
 
-func (n *Node) holdFleet(f *fleet) {
+func (n *Node) setFleet(f *fleet) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.fleet = f
@@ -95,9 +95,9 @@
 
 // requestMove has the lease handed to an entry after the current round. An empty address leaves it
 // here.
-func (f *fleet) moveTo(addr string) {
+func (f *fleet) requestMove(addr string) {
 	if addr != "" {
-		f.next.Store(&addr)
+		f.moveTarget.Store(&addr)
 	}
 }
 
@@ -105,55 +105,55 @@
 // that none has been chosen yet.
 func (f *fleet) handOver(ctx context.Context, why, to string) {
 	n, h := f.node, f.held
-	f.end()
+	f.endOrders()
 	if h.lease.Lost() {
-		n.conf.Logs.Info("fleet left", "fence", h.fence, "reason", "the lease is lost")
+		n.conf.Logs.Info("fleet left", "fence", h.token, "reason", "the lease is lost")
 		return
 	}
-	n.conf.Logs.Info("fleet left", "fence", h.fence, "reason", why)
-	n.offering.Lock()
-	defer n.offering.Unlock()
+	n.conf.Logs.Info("fleet left", "fence", h.token, "reason", why)
+	n.offerMu.Lock()
+	defer n.offerMu.Unlock()
 	if to == "" {
-		to = n.successor(ctx, fleetPool, 0)
+		to = n.findSuccessor(ctx, fleetPool, 0)
 	}
-	if to != "" && n.offer(ctx, to, f.offer()) {
+	if to != "" && n.offerLease(ctx, to, f.leaseOffer()) {
 		return
 	}
-	if err := h.lease.GiveUp(ctx, f.row(nil)); err != nil {
+	if err := h.lease.GiveUp(ctx, f.leaseRow(nil)); err != nil {
 		n.conf.Logs.Info("lease not given up", "pool", fleetPool, "error", err.Error())
 	}
 }
 
 // handOverIfStuck offers the fleet to another entry when writes fail here. It reports whether the
 // lease was offered.
-func (f *fleet) leave(ctx context.Context) bool {
+func (f *fleet) handOverIfStuck(ctx context.Context) bool {
 	now := f.node.conf.Now()
-	if now-f.renewed < fleetRenew+stuckAfter || now-f.offered < offerAgain {
+	if now-f.renewedAt < fleetRenewInterval+stuckAfter || now-f.offeredAt < offerRetryDelay {
 		return false
 	}
-	f.offered = now
-	f.node.offering.Lock()
-	defer f.node.offering.Unlock()
-	to := f.node.successor(ctx, fleetPool, now-f.renewed-fleetRenew)
+	f.offeredAt = now
+	f.node.offerMu.Lock()
+	defer f.node.offerMu.Unlock()
+	to := f.node.findSuccessor(ctx, fleetPool, now-f.renewedAt-fleetRenewInterval)
 	if to == "" {
 		return false
 	}
-	f.end()
+	f.endOrders()
 	f.held.lease.Lose()
-	f.node.conf.Logs.Info("fleet left", "fence", f.held.fence, "reason", "writes fail here")
-	f.node.offer(ctx, to, f.offer())
+	f.node.conf.Logs.Info("fleet left", "fence", f.held.token, "reason", "writes fail here")
+	f.node.offerLease(ctx, to, f.leaseOffer())
 	return true
 }
 
 // leaseOffer returns the offer of the fleet lease, which includes the orders since its row was last
 // written.
-func (f *fleet) offer() offerCall {
-	row := f.row(nil)
+func (f *fleet) leaseOffer() offerCall {
+	row := f.leaseRow(nil)
 	row.Term = f.held.term
 	return offerCall{Pool: fleetPool, Row: row, Version: f.held.lease.Version()}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -165,41 +165,41 @@
 // runRound handles waves and pools once. It waits for calls to the table only: a pool owner or a
 // machine service that doesn't answer would delay all others, and the renewal of the lease. Their
 // answers are applied in a later round.
-func (f *fleet) round(ctx context.Context) {
-	f.async.settle()
+func (f *fleet) runRound(ctx context.Context) {
+	f.calls.applyResults()
 	for number := range f.unsaved {
-		if f.save(ctx, number, false) {
+		if f.saveWave(ctx, number, false) {
 			delete(f.unsaved, number)
 		}
 	}
-	if f.node.conf.Now()-f.renewed >= fleetRenew {
+	if f.node.conf.Now()-f.renewedAt >= fleetRenewInterval {
 		f.commit(ctx, gauge.PartTxn{})
 	}
-	if !f.takeIn(ctx) {
+	if !f.addNewWaves(ctx) {
 		return
 	}
-	f.list(ctx)
-	f.loads(ctx)
-	if f.listed == 0 || f.node.conf.Now() < f.from {
+	f.refreshMachines(ctx)
+	f.requestLoads(ctx)
+	if f.listedAt == 0 || f.node.conf.Now() < f.ordersFrom {
 		return
 	}
 	steps := f.keeper.Next(f.node.conf.Now(), waves.Sight{
-		Moving: f.sizer.Moving, Ordered: f.orderedBefore, Pressed: f.sizer.Pressed, Lasting: f.sizer.Lasting,
+		Moving: f.sizer.Moving, Ordered: f.orderedByPrevious, Pressed: f.sizer.Pressed, Lasting: f.sizer.Lasting,
 	})
-	moves := f.moves()
-	f.announce(ctx, ordered(steps, moves))
-	f.ask(ctx, steps.Asks)
-	f.begin(ctx, steps.Begins)
+	moves := f.nextMoves()
+	f.announceOrders(ctx, machinesToOrder(steps, moves))
+	f.requestDraining(ctx, steps.Asks)
+	f.orderMaintenance(ctx, steps.Begins)
 	for _, number := range steps.Complete {
-		f.complete(ctx, number)
+		f.completeWave(ctx, number)
 	}
-	f.resize(ctx, moves)
+	f.moveMachines(ctx, moves)
 }
 
 // commit writes on condition that this entry still holds the fleet lease, and reports whether it
 // succeeded.
 func (f *fleet) commit(ctx context.Context, txn gauge.PartTxn) bool {
-	return f.commitRow(ctx, f.row(f.turns.Announced()), txn)
+	return f.commitRow(ctx, f.leaseRow(f.turns.Announced()), txn)
 }
 
 func (f *fleet) commitRow(ctx context.Context, row gauge.LeaseRow, txn gauge.PartTxn) bool {
@@ -209,30 +209,30 @@
 		f.node.conf.Logs.Info("fleet write failed", "kind", gauge.KindOf(err), "error", err.Error())
 		return false
 	}
-	f.renewed = sent
-	f.node.stamp(stamp, sent)
+	f.renewedAt = sent
+	f.node.recordTableClock(stamp, sent)
 	return true
 }
 
 // refreshMachines has the machines listed if the last list is too old.
-func (f *fleet) list(ctx context.Context) {
+func (f *fleet) refreshMachines(ctx context.Context) {
 	now := f.node.conf.Now()
-	if f.listed > 0 && now-f.listed < listEvery {
+	if f.listedAt > 0 && now-f.listedAt < machineListInterval {
 		return
 	}
-	f.async.do("list", func() func() {
+	f.calls.start("list", func() func() {
 		machines, err := f.node.conf.Machines.List(ctx)
 		if err != nil {
 			f.node.conf.Logs.Info("machines not listed", "error", err.Error())
 			return func() {}
 		}
-		return func() { f.machines(machines, now) }
+		return func() { f.setMachines(machines, now) }
 	})
 }
 
 // setMachines applies a list of the machines that was requested at the given time.
-func (f *fleet) machines(list []gauge.Machine, asked time.Duration) {
-	f.listed = asked
+func (f *fleet) setMachines(list []gauge.Machine, asked time.Duration) {
+	f.listedAt = asked
 	f.keeper.Machines(list, asked)
 	var standby []string
 	if site := f.node.Site(); site != nil {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -11,61 +11,61 @@
 
 // followTable follows a table until ctx ends. The caller sets the parts of the configuration that
 // differ between tables.
-func (n *Node) follow(ctx context.Context, c watch.Config) {
+func (n *Node) followTable(ctx context.Context, c watch.Config) {
 	c.Store, c.Logs, c.Now = n.conf.Store, n.conf.Logs, n.conf.Now
 	if c.Stamp == nil {
-		c.Stamp = n.stamp
+		c.Stamp = n.recordTableClock
 	}
-	c.Seen = func(asOf time.Duration) { n.known.told(c.Name, asOf) }
-	defer n.known.forget(c.Name)
+	c.Seen = func(asOf time.Duration) { n.freshness.update(c.Name, asOf) }
+	defer n.freshness.remove(c.Name)
 	watch.New(c).Run(ctx)
 }
 
-func always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+func fixedDelay(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // leasePause returns the pause between two polls of the leases.
 func (n *Node) leasePause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.busy) == 0 && n.board.Weak() {
-		return weakPause
+	if len(n.leasesInUse) == 0 && n.board.Weak() {
+		return smallHostLeasePollDelay
 	}
-	return leasePause
+	return leasePollDelay
 }
 
 // recordTableClock records a reading of the table's clock from a call that was sent at the given
 // time. A reading from a slow call is imprecise, by more than the clocks drift apart within a day.
-func (n *Node) stamp(s gauge.Stamp, sent time.Duration) {
+func (n *Node) recordTableClock(s gauge.Stamp, sent time.Duration) {
 	now := n.conf.Now()
-	if s.Now > 0 && (now-sent < stampWithin || n.offset.Load() == 0) {
-		n.offset.Store(int64(s.Now - now))
+	if s.Now > 0 && (now-sent < maxClockReadingTime || n.clockOffset.Load() == 0) {
+		n.clockOffset.Store(int64(s.Now - now))
 	}
 }
 
 // recordLeaseRead records that the leases were read, whether or not they have changed.
-func (n *Node) sawLeases(s gauge.Stamp, sent time.Duration) {
-	n.stamp(s, sent)
+func (n *Node) recordLeaseRead(s gauge.Stamp, sent time.Duration) {
+	n.recordTableClock(s, sent)
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leases > 0 && now-n.leases > leasesLost {
+	if n.leasesReadAt > 0 && now-n.leasesReadAt > tableOutageAfter {
 		n.board.Regained(now)
-		n.back = now
+		n.tableBackAt = now
 	}
-	n.leases = sent
-	n.sighted.Store(true)
+	n.leasesReadAt = sent
+	n.leasesRead.Store(true)
 }
 
 // maxClockReadingTime is the longest duration of a call whose reading of the table's clock is used.
-const stampWithin = 100 * time.Millisecond
+const maxClockReadingTime = 100 * time.Millisecond
 
 // tableClock returns the current time of the table's clock in milliseconds, late by the transit
 // time of an answer.
-func (n *Node) clock() int64 {
-	return (n.conf.Now() + time.Duration(n.offset.Load())).Milliseconds()
+func (n *Node) tableClock() int64 {
+	return (n.conf.Now() + time.Duration(n.clockOffset.Load())).Milliseconds()
 }
 
-func (n *Node) toldOperator(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyOperatorRows(rows []gauge.PartRow, _ bool) {
 	for _, r := range rows {
 		if r.Dropped {
 			continue
@@ -73,9 +73,9 @@
 		site, wave, err := n.conf.Words.Operator(r)
 		switch {
 		case err != nil:
-			n.conf.Logs.Error(err, "operator's row not read", "key", r.Key, "version", r.Version)
+			n.conf.Logs.Error(err, "operator row not read", "key", r.Key, "version", r.Version)
 		case site != nil:
-			n.configure(site)
+			n.applyConfiguration(site)
 		case wave != nil:
 			n.mu.Lock()
 			n.waves[wave.Wave] = *wave
@@ -86,7 +86,7 @@
 }
 
 // applyConfiguration puts a configuration in force unless it is older than the current one.
-func (n *Node) configure(site *gauge.Site) {
+func (n *Node) applyConfiguration(site *gauge.Site) {
 	old := n.site.Load()
 	if old != nil && old.Version >= site.Version {
 		return
@@ -111,19 +111,19 @@
 	return os
 }
 
-func (n *Node) toldLeases(rows []gauge.PartRow, whole bool) {
+func (n *Node) applyLeaseRows(rows []gauge.PartRow, whole bool) {
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range rows {
-		n.toldLease(r, now)
+		n.applyLeaseRow(r, now)
 	}
 	if whole {
 		n.board.Read()
 	}
 }
 
-func (n *Node) toldLease(r gauge.PartRow, now time.Duration) {
+func (n *Node) applyLeaseRow(r gauge.PartRow, now time.Duration) {
 	if r.Dropped || r.Key != gauge.KeyOwner {
 		return
 	}
@@ -133,22 +133,22 @@
 		return
 	}
 	if old, ok := n.board.Holder(r.Part); lease.Holder != "" && (!ok || old.Addr != lease.Addr) && lease.Addr != n.conf.Addr {
-		n.group.Go(func() { n.dial(lease.Addr) })
+		n.group.Go(func() { n.keepConnected(lease.Addr) })
 	}
-	n.board.Tell(r.Part, *lease, r.Version, now, n.clockIfKnown())
+	n.board.Tell(r.Part, *lease, r.Version, now, n.tableClockIfKnown())
 }
 
-func (n *Node) toldEntries(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyEntryRows(rows []gauge.PartRow, _ bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range rows {
 		if !r.Dropped {
-			n.toldEntry(r)
+			n.applyEntryRow(r)
 		}
 	}
 }
 
-func (n *Node) toldEntry(r gauge.PartRow) {
+func (n *Node) applyEntryRow(r gauge.PartRow) {
 	row, err := gauge.DecodeEntryRow(r.Value)
 	if err != nil {
 		n.conf.Logs.Error(err, "entry row not read", "peer", r.Key, "version", r.Version)
@@ -160,11 +160,11 @@
 }
 
 // tableClockIfKnown returns the table's clock, or 0 before the first reading.
-func (n *Node) clockIfKnown() int64 {
-	if n.offset.Load() == 0 {
+func (n *Node) tableClockIfKnown() int64 {
+	if n.clockOffset.Load() == 0 {
 		return 0
 	}
-	return n.clock()
+	return n.tableClock()
 }
 
 // seenDepth returns how many jobs of a queue have not begun, as its pool's owner last wrote, and
@@ -172,12 +172,12 @@
 // owner can't write, and if the owner hasn't read the queue. Lease rows still hold the count of a
 // queue that was deleted, which this entry may not know of yet; so it reports false unless this
 // entry's configuration is current.
-func (n *Node) depth(q *gauge.Queue) (int, time.Duration, bool) {
-	clock := n.clockIfKnown()
+func (n *Node) seenDepth(q *gauge.Queue) (int, time.Duration, bool) {
+	clock := n.tableClockIfKnown()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	row, ok := n.board.Holder(q.Pool)
-	if !ok || clock == 0 || !n.serves(q.Name) {
+	if !ok || clock == 0 || !n.isQueueKnown(q.Name) {
 		return 0, 0, false
 	}
 	depth, known := row.Depth(q.Name)
--- a/internal/node/known.go
+++ b/internal/node/freshness.go
@@ -10,21 +10,23 @@
 // tableFreshness holds as of when this entry has seen all rows of each table that it follows. An
 // entry that is refused by the table, or whose link or processor is used up, continues with the
 // last rows that it has read; without this nothing would show how old they are.
-type knowledge struct {
+type tableFreshness struct {
 	mu   sync.Mutex
 	asOf map[string]time.Duration // by table name, on the monotonic clock
 }
 
-func newKnowledge() *knowledge { return &knowledge{asOf: make(map[string]time.Duration)} }
+func newTableFreshness() *tableFreshness {
+	return &tableFreshness{asOf: make(map[string]time.Duration)}
+}
 
-func (k *knowledge) told(table string, asOf time.Duration) {
+func (k *tableFreshness) update(table string, asOf time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.asOf[table] = max(asOf, k.asOf[table])
 }
 
 // remove drops a table that is no longer followed.
-func (k *knowledge) forget(table string) {
+func (k *tableFreshness) remove(table string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.asOf, table)
@@ -32,7 +34,7 @@
 
 // age returns how long ago the rows of a table were certain to be complete. It reports false if
 // they never were.
-func (k *knowledge) age(table string, now time.Duration) (time.Duration, bool) {
+func (k *tableFreshness) age(table string, now time.Duration) (time.Duration, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	asOf, ok := k.asOf[table]
@@ -45,10 +47,10 @@
 // Ages returns, for each table that this entry follows, how long ago its rows here were certain to
 // be complete.
 func (n *Node) Ages() map[string]time.Duration {
-	n.known.mu.Lock()
-	defer n.known.mu.Unlock()
-	now, ages := n.conf.Now(), make(map[string]time.Duration, len(n.known.asOf))
-	for table, asOf := range n.known.asOf {
+	n.freshness.mu.Lock()
+	defer n.freshness.mu.Unlock()
+	now, ages := n.conf.Now(), make(map[string]time.Duration, len(n.freshness.asOf))
+	for table, asOf := range n.freshness.asOf {
 		ages[table] = now - asOf
 	}
 	return ages
@@ -57,20 +59,20 @@
 // configurationAge returns how long ago the configuration in force here was certain to be the
 // newest one. It reports false if it never was.
 func (n *Node) configurationAge() (time.Duration, bool) {
-	return n.known.age(n.conf.Words.OperatorTable(), n.conf.Now())
+	return n.freshness.age(n.conf.Words.OperatorTable(), n.conf.Now())
 }
 
 // isConfigCurrent reports whether this entry would know of any change that has to be in force
 // everywhere by now. The result applies to a configuration that is loaded after this call; one
 // loaded before may have been replaced in between.
-func (n *Node) current() bool {
+func (n *Node) isConfigCurrent() bool {
 	age, ok := n.configurationAge()
 	return ok && age <= n.conf.Apply
 }
 
 // isQueueKnown reports whether a queue is certain to exist.
-func (n *Node) serves(queue string) bool {
-	if !n.current() {
+func (n *Node) isQueueKnown(queue string) bool {
+	if !n.isConfigCurrent() {
 		return false
 	}
 	site := n.Site()
@@ -81,7 +83,7 @@
 // path after the queue's prefix. Errors: KindMissing: no queue matches, only returned by an entry
 // whose configuration is current; KindUnready: this entry can't know.
 func (n *Node) Route(host, path string) (*gauge.Queue, string, error) {
-	current := n.current()
+	current := n.isConfigCurrent()
 	site := n.Serves()
 	if site == nil {
 		return nil, "", gauge.Fail(gauge.KindUnready, "no configuration yet")
@@ -90,7 +92,7 @@
 		return q, rest, nil
 	}
 	age, _ := n.configurationAge()
-	n.conf.Logs.Info("queue not found", "host", short(host), "path", short(path), "version", site.Version, "age", age, "current", current)
+	n.conf.Logs.Info("queue not found", "host", truncate(host), "path", truncate(path), "version", site.Version, "age", age, "current", current)
 	if !current {
 		// The queue may have been added since. A caller that is told that there is none doesn't
 		// retry, although all other entries would have served it.
@@ -100,6 +102,6 @@
 }
 
 // maxLoggedBytes bounds the texts of a caller that are logged.
-const loggedText = 200
+const maxLoggedBytes = 200
 
-func short(text string) string { return text[:min(len(text), loggedText)] }
+func truncate(text string) string { return text[:min(len(text), maxLoggedBytes)] }
--- a/internal/node/gone.go
+++ b/internal/node/holdercheck.go
@@ -16,14 +16,14 @@
 
 const (
 	// dialTimeout bounds connecting to a holder.
-	dialWait = time.Second
+	dialTimeout = time.Second
 	// holderCheckInterval is the interval between two checks of the holders during a table outage.
-	checkEvery = 500 * time.Millisecond
+	holderCheckInterval = 500 * time.Millisecond
 )
 
 // keepConnected keeps a connection to a holder open, so that the end of its process shows.
-func (n *Node) dial(addr string) {
-	ctx, cancel := context.WithTimeout(context.Background(), dialWait)
+func (n *Node) keepConnected(addr string) {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	if err := n.conf.Mesh.Open(ctx, addr); err != nil {
 		n.conf.Logs.Info("holder not reached", "addr", addr, "error", err.Error())
@@ -36,15 +36,15 @@
 func (n *Node) checkHolders() {
 	n.mu.Lock()
 	now := n.conf.Now()
-	due := n.leases > 0 && now-n.leases > leasesLost && now-n.checked > checkEvery
+	due := n.leasesReadAt > 0 && now-n.leasesReadAt > tableOutageAfter && now-n.holdersCheckedAt > holderCheckInterval
 	if due {
-		n.checked = now
+		n.holdersCheckedAt = now
 	}
 	n.mu.Unlock()
 	if !due {
 		return
 	}
-	for _, addr := range n.peers(fleetPool) {
+	for _, addr := range n.peerAddrs(fleetPool) {
 		n.group.Go(func() { n.CheckHolder(addr) })
 	}
 }
@@ -59,24 +59,24 @@
 }
 
 // probeSuspects probes the holders whose leases aren't renewed.
-func (n *Node) askSuspects() {
+func (n *Node) probeSuspects() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
 	for _, addr := range n.board.Suspects(now) {
-		if n.asked[addr] {
+		if n.probing[addr] {
 			continue
 		}
-		n.asked[addr] = true
-		n.group.Go(func() { n.askSuspect(addr, now) })
+		n.probing[addr] = true
+		n.group.Go(func() { n.probeSuspect(addr, now) })
 	}
 }
 
-func (n *Node) askSuspect(addr string, now time.Duration) {
+func (n *Node) probeSuspect(addr string, now time.Duration) {
 	_, err := n.probe(context.Background(), addr, probeCall{})
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.asked, addr)
+	delete(n.probing, addr)
 	if err != nil {
 		n.board.Unanswered(addr, now)
 		n.conf.Logs.Info("holder silent", "addr", addr, "error", err.Error())
--- a/internal/node/upkeep.go
+++ b/internal/node/maintenance.go
@@ -16,14 +16,14 @@
 
 // waveRow is the stored state of a wave.
 type waveRow struct {
-	Begun []string `msgpack:"b"`
-	Done  bool     `msgpack:"d"`
-	Since int64    `msgpack:"s,omitempty"` // when the wave was first seen, by the table's clock in milliseconds; 0: not known
+	Ordered   []string `msgpack:"b"`
+	Done      bool     `msgpack:"d"`
+	FirstSeen int64    `msgpack:"s,omitempty"` // when the wave was first seen, by the table's clock in milliseconds; 0: not known
 }
 
 // addNewWaves passes new waves to the keeper, with their stored state. It reports whether all could
 // be read.
-func (f *fleet) takeIn(ctx context.Context) bool {
+func (f *fleet) addNewWaves(ctx context.Context) bool {
 	f.node.mu.Lock()
 	var fresh []gauge.UpkeepOrder
 	for _, w := range f.node.waves {
@@ -38,13 +38,13 @@
 			f.node.conf.Logs.Info("wave not read", "wave", w.Wave, "error", err.Error())
 			return false
 		}
-		past := waves.Past{Begun: row.Begun, Done: row.Done}
-		if row.Since > 0 {
-			past.Age = max(0, time.Duration(f.node.clock()-row.Since)*time.Millisecond)
+		past := waves.Past{Begun: row.Ordered, Done: row.Done}
+		if row.FirstSeen > 0 {
+			past.Age = max(0, time.Duration(f.node.tableClock()-row.FirstSeen)*time.Millisecond)
 		}
 		f.keeper.Order(w, past, f.node.conf.Now())
-		f.unsaved[w.Wave] = f.unsaved[w.Wave] || row.Since == 0 && !row.Done
-		f.node.conf.Logs.Info("wave taken in", "wave", w.Wave, "machines", len(w.Machines), "begun", len(row.Begun), "done", row.Done)
+		f.unsaved[w.Wave] = f.unsaved[w.Wave] || row.FirstSeen == 0 && !row.Done
+		f.node.conf.Logs.Info("wave added", "wave", w.Wave, "machines", len(w.Machines), "begun", len(row.Ordered), "done", row.Done)
 	}
 	return true
 }
@@ -64,10 +64,10 @@
 }
 
 // requestDraining asks pool owners to drain workers.
-func (f *fleet) ask(ctx context.Context, asks []waves.Ask) {
+func (f *fleet) requestDraining(ctx context.Context, asks []waves.Ask) {
 	for _, a := range asks {
-		f.async.do("empty "+a.Machine, func() func() {
-			empty, err := f.node.empty(ctx, emptyCall{Pool: a.Pool, Worker: a.Worker, Force: a.Force})
+		f.calls.start("empty "+a.Machine, func() func() {
+			empty, err := f.node.drainWorker(ctx, emptyCall{Pool: a.Pool, Worker: a.Worker, Force: a.Force})
 			if err != nil {
 				f.node.conf.Logs.Info("machine not emptied", "machine", a.Machine, "pool", a.Pool, "error", err.Error())
 			}
@@ -78,24 +78,24 @@
 
 // orderMaintenance orders the maintenance of machines, each only while the lease is certain to
 // last.
-func (f *fleet) begin(ctx context.Context, begins []waves.Begin) {
-	duty := gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.fence}
+func (f *fleet) orderMaintenance(ctx context.Context, begins []waves.Begin) {
+	duty := gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.token}
 	for _, b := range begins {
-		f.async.do("upkeep "+b.Machine, func() func() {
-			var err error = gauge.Fail(gauge.KindOutage, "the lease is over")
-			if f.mayOrder(b.Machine) {
+		f.calls.start("upkeep "+b.Machine, func() func() {
+			var err error = gauge.Fail(gauge.KindOutage, "the lease has ended")
+			if f.allowOrder(b.Machine) {
 				err = f.node.conf.Machines.Upkeep(ctx, duty, b.Machine, b.Wave)
 			}
-			return func() { f.begun(b, err) }
+			return func() { f.recordMaintenance(b, err) }
 		})
 	}
 }
 
 // recordMaintenance applies the outcome of an order.
-func (f *fleet) begun(b waves.Begin, err error) {
+func (f *fleet) recordMaintenance(b waves.Begin, err error) {
 	if gauge.Is(err, gauge.KindFenced) {
 		f.held.lease.Lose()
-		f.node.conf.Logs.Info("lease lost", "pool", "fleet", "fence", f.held.fence, "reason", "a machine has seen a newer fencing token")
+		f.node.conf.Logs.Info("lease lost", "pool", "fleet", "fence", f.held.token, "reason", "a machine has seen a newer fencing token")
 		return
 	}
 	f.keeper.Begun(b, err, f.node.conf.Now())
@@ -104,15 +104,15 @@
 
 // saveWave writes the progress of a wave, for the operator and for the next holder, and reports
 // whether it succeeded.
-func (f *fleet) save(ctx context.Context, number int64, done bool) bool {
-	since := f.node.clock() - f.keeper.Age(number, f.node.conf.Now()).Milliseconds()
-	value, err := msgpack.Marshal(&waveRow{Begun: f.keeper.Lists(number), Done: done, Since: since})
+func (f *fleet) saveWave(ctx context.Context, number int64, done bool) bool {
+	since := f.node.tableClock() - f.keeper.Age(number, f.node.conf.Now()).Milliseconds()
+	value, err := msgpack.Marshal(&waveRow{Ordered: f.keeper.Lists(number), Done: done, FirstSeen: since})
 	if err != nil {
 		f.node.conf.Logs.Error(err, "wave not saved", "wave", number)
 		return false
 	}
 	txn := gauge.PartTxn{Writes: []gauge.RowWrite{{RowKey: waveKey(number), Value: value}}}
-	if done || !f.states[number] {
+	if done || !f.statusWritten[number] {
 		status, err := f.node.conf.Words.WaveStatus(number, done)
 		if err != nil {
 			f.node.conf.Logs.Error(err, "wave not saved", "wave", number)
@@ -121,12 +121,12 @@
 		txn.Writes = append(txn.Writes, status)
 	}
 	ok := f.commit(ctx, txn)
-	f.states[number] = f.states[number] || ok
+	f.statusWritten[number] = f.statusWritten[number] || ok
 	return ok
 }
 
-func (f *fleet) complete(ctx context.Context, number int64) {
-	if f.save(ctx, number, true) {
+func (f *fleet) completeWave(ctx context.Context, number int64) {
+	if f.saveWave(ctx, number, true) {
 		f.keeper.Completed(number)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,28 +24,28 @@
 
 // Config sets up a Node.
 type Config struct {
-	Name     string // name of this entry's host
-	Start    string // identifies this process: differs between two starts on one host
-	Addr     string // ip:port at which other entries reach this one
+	Name     string  // name of this entry's host
+	Start    string  // identifies this process: differs between two starts on one host
+	Addr     string  // ip:port at which other entries reach this one
 	Capacity float64 // of this host, in cores of standard speed; 0: not known
 	Store    gauge.Parted
 	Workers  gauge.Workers
 	Machines gauge.Machines // nil: the platform has no machine service
-	Adviser  gauge.Adviser // nil: the platform has no advice service
+	Adviser  gauge.Adviser  // nil: the platform has no advice service
 	Words    gauge.Words
 	Mesh     *mesh.Node
 	Logs     logr.Logger
 	Now      func() time.Duration // monotonic clock
 	Wall     func() time.Time
 	Count    func(event string, took time.Duration) // records the duration of a call
-	Event    func(event string) // counts an event that an operator should see
-	Backlog  func(pool string, b *gauge.Backlog) // receives the backlog of each pool that is owned here; nil: it is not reported
-	Longest  time.Duration // longest lease that a worker accepts
-	Apply    time.Duration // a configuration change is in force at all entries this long after it was stored; default 2 s
-	TurnGap  time.Duration // minimum time between orders of two entries for the same machine
-	Upkeep   time.Duration // duration of a machine's maintenance
-	Keep     time.Duration // how long callers can query an ended job
-	Without  gauge.Without // mechanisms that are switched off
+	Event    func(event string)                     // counts an event that an operator should see
+	Backlog  func(pool string, b *gauge.Backlog)    // receives the backlog of each pool that is owned here; nil: it is not reported
+	Longest  time.Duration                          // longest lease that a worker accepts
+	Apply    time.Duration                          // a configuration change is in force at all entries this long after it was stored; default 2 s
+	TurnGap  time.Duration                          // minimum time between orders of two entries for the same machine
+	Upkeep   time.Duration                          // duration of a machine's maintenance
+	Keep     time.Duration                          // how long callers can query an ended job
+	Without  gauge.Without                          // mechanisms that are switched off
 }
 
 const (
@@ -55,111 +55,111 @@
 	leaseTerm = 2 * time.Second
 	// holdGrace is how far worker leases may reach beyond the end of the owner's lease, so that
 	// runs survive a table outage. A successor waits this long for workers that don't answer.
-	grantGrace = 6 * time.Second
+	holdGrace = 6 * time.Second
 	// workerLeaseDuration is the worker lease that each heartbeat requests. It outlasts the
 	// replacement of an owner, which takes the lease's term and about 1 s, counted from up to 1 s
 	// after the last heartbeat.
-	holdSpan = 4500 * time.Millisecond
+	workerLeaseDuration = 4500 * time.Millisecond
 	// claimSpread and claimDelayPerLease delay claims, so that entries don't claim one pool at the
 	// same time, and so that pools are spread over the entries.
-	claimSpread = 200 * time.Millisecond
-	claimHeld   = 150 * time.Millisecond
+	claimSpread        = 200 * time.Millisecond
+	claimDelayPerLease = 150 * time.Millisecond
 	// renewalGrace is how long holders may take to renew their leases when the table answers again
 	// after an outage. Their next attempt may have been hanging for up to 0.8 s.
-	regainWait = 800 * time.Millisecond
+	renewalGrace = 800 * time.Millisecond
 	// tableOutageAfter is how long reads of the leases must have failed for the table to count as
 	// unreachable.
-	leasesLost = time.Second
+	tableOutageAfter = time.Second
 	// manageInterval is the interval between two checks of the leases that were seen.
-	manageEvery = 50 * time.Millisecond
+	manageInterval = 50 * time.Millisecond
 	// configPollTimeout bounds how long a feed of the configuration waits for a change. A
 	// connection that no longer carries data is detected after this and the timeout of the call
 	// itself.
-	feedWait = time.Second
+	configPollTimeout = time.Second
 	// configPollsPerApply is the minimum number of configuration polls within the time in which a
 	// change has to be in force: a single answer may be slow.
-	applyLooks = 2
+	configPollsPerApply = 2
 	// defaultApplyDelay is the value that the first deployments require.
-	defaultApply = 2 * time.Second
+	defaultApplyDelay = 2 * time.Second
 	// workerPollTimeout bounds how long a feed of the list of workers waits for a change. Some
 	// workers change every few hundredths of a second, and a machine that has moved can't be used
 	// before it is seen.
-	workerWait = 200 * time.Millisecond
+	workerPollTimeout = 200 * time.Millisecond
 	// leasePollDelay is the pause between two polls of the leases, which change with every write of
 	// an owner.
-	leasePause = 300 * time.Millisecond
+	leasePollDelay = 300 * time.Millisecond
 	// smallHostLeasePollDelay is the pause at a small host without a lease. Larger hosts claim free
 	// pools before it would, and the few callers that use it learn of a new owner soon enough.
 	// Hundreds of such hosts find nothing new most of the time.
-	weakPause = 600 * time.Millisecond
+	smallHostLeasePollDelay = 600 * time.Millisecond
 	// entryPollDelay is the pause between two polls of the entries' rows, and entryPollTimeout how
 	// long a poll waits for a change. A row changes when its entry starts; hundreds of entries that
 	// start together are seen in one or two polls.
-	entryPause = 2 * time.Second
-	entryWait  = 10 * time.Second
+	entryPollDelay   = 2 * time.Second
+	entryPollTimeout = 10 * time.Second
 	// maxClaimViewAge is the maximum age of the lease table view for claims: with an older one
 	// nothing is claimed. Each owner renews its lease several times a second.
-	leasesOld = 1500 * time.Millisecond
+	maxClaimViewAge = 1500 * time.Millisecond
 	// workerPollDelay is the pause between two polls of the list of workers, which changes
 	// continually. It delays the use of a new worker, by half of it on average.
-	workerPause = 150 * time.Millisecond
+	workerPollDelay = 150 * time.Millisecond
 	// workerListLinger is how long an entry goes on following the list of workers after its last
 	// pool: a failed claim is retried within this.
-	listLinger = 2 * time.Second
+	workerListLinger = 2 * time.Second
 	// notificationRetryDelay is the pause between two attempts to notify a pool owner of a job.
-	retryPause = 250 * time.Millisecond
+	notificationRetryDelay = 250 * time.Millisecond
 	// retentionFactor multiplies the time for which an ended job can be queried to give the time
 	// for which its rows are kept, beyond any late repetition of its submission.
-	keepFactor  = 3
-	noticeTries = 4
-	noticeWait  = time.Second
+	retentionFactor      = 3
+	notificationAttempts = 4
+	notificationTimeout  = time.Second
 	// cancelNotificationTimeout bounds the attempt to notify the owner of a cancellation while the
 	// caller waits. A call takes some milliseconds, or some hundred for the first one to an owner
 	// that is short of processor time; callers wait for 4 s.
-	cancelWait = 800 * time.Millisecond
+	cancelNotificationTimeout = 800 * time.Millisecond
 )
 
 // Node is one entry.
 type Node struct {
-	conf    Config
-	holder  string
-	intake  *intake.Intake
-	site    atomic.Pointer[gauge.Site]
-	offset  atomic.Int64 // table's clock minus the local one, in nanoseconds
-	listing *gate.Gate // open while the list of workers is followed
-	going   atomic.Bool // false before the start and once the entry stops: it takes no pools then
-	sighted atomic.Bool // the leases were read at least once
-	ctx     atomic.Pointer[context.Context] // of Run
-	group   conc.WaitGroup
-	known   *knowledge
+	conf           Config
+	holder         string
+	intake         *intake.Intake
+	site           atomic.Pointer[gauge.Site]
+	clockOffset    atomic.Int64                    // table's clock minus the local one, in nanoseconds
+	workerListGate *gate.Gate                      // open while the list of workers is followed
+	running        atomic.Bool                     // false before the start and once the entry stops: it takes no pools then
+	leasesRead     atomic.Bool                     // the leases were read at least once
+	ctx            atomic.Pointer[context.Context] // of Run
+	group          conc.WaitGroup
+	freshness      *tableFreshness
 
 	// offerMu is held from the choice of a successor to its answer, so that leases that this entry
 	// offers one after the other go to different entries.
-	offering sync.Mutex
+	offerMu sync.Mutex
 
-	mu        sync.Mutex
-	board     *terms.Board
-	back      time.Duration // when the table last became reachable again; 0: there was no outage
-	checked   time.Duration // last check of the holders during a table outage
-	leases    time.Duration // when the last successful read of the leases was sent
-	restUntil time.Duration // no pool is claimed before this
-	owners    map[string]*owner.Owner
-	busy      map[string]bool // leases that are being claimed or held
-	taking    map[string]chan struct{} // pools that are being claimed and have no owner here yet; closed when the claim has ended
-	moves     map[string]move // where the owners of pools have moved, as other entries reported it
-	offers    map[string]time.Duration // by pool: last search for a successor
-	placed    time.Duration // end of the reservation for a lease that is about to move here
-	fleet     *fleet // nil: another entry holds the fleet lease
-	asked     map[string]bool // addresses of holders with a liveness probe in flight
-	doubted   map[string]time.Duration // by address: until when an unresponsive owner isn't called
-	workers   map[string]gauge.Worker
-	spreads   chan struct{} // semaphore of the broadcasts of unsettled submissions
-	waves     map[int64]gauge.UpkeepOrder
+	mu                sync.Mutex
+	board             *terms.Board
+	tableBackAt       time.Duration // when the table last became reachable again; 0: there was no outage
+	holdersCheckedAt  time.Duration // last check of the holders during a table outage
+	leasesReadAt      time.Duration // when the last successful read of the leases was sent
+	claimPauseUntil   time.Duration // no pool is claimed before this
+	owners            map[string]*owner.Owner
+	leasesInUse       map[string]bool          // leases that are being claimed or held
+	claiming          map[string]chan struct{} // pools that are being claimed and have no owner here yet; closed when the claim has ended
+	ownerMoves        map[string]ownerMove     // where the owners of pools have moved, as other entries reported it
+	lastOffers        map[string]time.Duration // by pool: last search for a successor
+	reservedUntil     time.Duration            // end of the reservation for a lease that is about to move here
+	fleet             *fleet                   // nil: another entry holds the fleet lease
+	probing           map[string]bool          // addresses of holders with a liveness probe in flight
+	unresponsiveUntil map[string]time.Duration // by address: until when an unresponsive owner isn't called
+	workers           map[string]gauge.Worker
+	broadcasts        chan struct{} // semaphore of the broadcasts of unsettled submissions
+	waves             map[int64]gauge.UpkeepOrder
 }
 
 // ownerMove is where a pool's owner has moved, and the version of the lease row that was known at
 // that time.
-type move struct {
+type ownerMove struct {
 	addr    string
 	version int64
 }
@@ -169,19 +169,19 @@
 	if c.Capacity == 0 {
 		c.Capacity = terms.FullCapacity
 	}
-	fill.Zero(&c.Apply, defaultApply)
+	fill.Zero(&c.Apply, defaultApplyDelay)
 	n := &Node{
-		conf: c, holder: c.Name + "/" + c.Start, listing: gate.New(), known: newKnowledge(),
-		owners: make(map[string]*owner.Owner), busy: make(map[string]bool), taking: make(map[string]chan struct{}),
-		moves: make(map[string]move), offers: make(map[string]time.Duration), doubted: make(map[string]time.Duration), asked: make(map[string]bool), workers: make(map[string]gauge.Worker), spreads: make(chan struct{}, spreadsAtOnce), waves: make(map[int64]gauge.UpkeepOrder),
+		conf: c, holder: c.Name + "/" + c.Start, workerListGate: gate.New(), freshness: newTableFreshness(),
+		owners: make(map[string]*owner.Owner), leasesInUse: make(map[string]bool), claiming: make(map[string]chan struct{}),
+		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.UpkeepOrder),
 	}
-	n.board = terms.New(terms.Config{Self: n.holder, Addr: c.Addr, Capacity: c.Capacity, Term: leaseTerm, Spread: claimSpread, Held: claimHeld, Suspect: suspectAfter(c.Without), Regain: regainWait})
+	n.board = terms.New(terms.Config{Self: n.holder, Addr: c.Addr, Capacity: c.Capacity, Term: leaseTerm, Spread: claimSpread, Held: claimDelayPerLease, Suspect: suspectAfter(c.Without), Regain: renewalGrace})
 	n.intake = intake.New(intake.Config{
-		Store: c.Store, Logs: c.Logs, CountEvent: c.Event, Now: c.Now, TableClock: n.clock, SeenDepth: n.depth, OwnerDepth: n.askDepth, NotifyOwner: n.notify, JobState: n.ask,
-		Relay: relay{n}, ReportUnsettled: n.tellDoubt, OwnsJob: n.knownHere, Without: c.Without,
+		Store: c.Store, Logs: c.Logs, CountEvent: c.Event, Now: c.Now, TableClock: n.tableClock, SeenDepth: n.seenDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
+		Relay: ownerRelay{n}, ReportUnsettled: n.reportUnsettled, OwnsJob: n.ownsJob, Disabled: c.Without,
 	})
 	c.Mesh.Handle(methodNotice, n.handleNotice)
-	c.Mesh.Handle(methodDoubt, n.handleDoubt)
+	c.Mesh.Handle(methodUnsettled, n.handleUnsettled)
 	c.Mesh.Handle(methodEmpty, n.handleEmpty)
 	c.Mesh.Handle(methodLoad, n.handleLoad)
 	c.Mesh.Handle(methodState, n.handleState)
@@ -204,7 +204,7 @@
 // that got no answer, it could notify no owner, and the owner would refuse the caller's retry of a
 // job that runs after all.
 func (n *Node) Serves() *gauge.Site {
-	if !n.sighted.Load() {
+	if !n.leasesRead.Load() {
 		return nil
 	}
 	return n.Site()
@@ -212,28 +212,28 @@
 
 // Ready reports whether callers should be sent here. An entry that can't know whether the
 // configuration has changed isn't ready, since others know better which queues exist.
-func (n *Node) Ready() bool { return n.going.Load() && n.Serves() != nil && n.current() }
+func (n *Node) Ready() bool { return n.running.Load() && n.Serves() != nil && n.isConfigCurrent() }
 
 // Run works until ctx ends and then gives up the pools that it owns. It returns when all its
 // goroutines have ended.
 func (n *Node) Run(ctx context.Context) {
 	n.ctx.Store(&ctx)
-	n.going.Store(true)
+	n.running.Store(true)
 	n.group.Go(func() {
-		n.follow(ctx, watch.Config{
-			Name: n.conf.Words.OperatorTable(), Wait: min(feedWait, n.conf.Apply/applyLooks), Renew: true, Pause: always(0), Tell: n.toldOperator,
+		n.followTable(ctx, watch.Config{
+			Name: n.conf.Words.OperatorTable(), Wait: min(configPollTimeout, n.conf.Apply/configPollsPerApply), Renew: true, Pause: fixedDelay(0), Tell: n.applyOperatorRows,
 		})
 	})
 	n.group.Go(func() {
-		n.follow(ctx, watch.Config{Name: gauge.TableEntries, Wait: entryWait, Pause: always(entryPause), Tell: n.toldEntries})
+		n.followTable(ctx, watch.Config{Name: gauge.TableEntries, Wait: entryPollTimeout, Pause: fixedDelay(entryPollDelay), Tell: n.applyEntryRows})
 	})
 	n.group.Go(func() { n.followWorkers(ctx) })
 	n.group.Go(func() {
-		n.follow(ctx, watch.Config{Name: gauge.TableLeases, Parted: true, Pause: n.leasePause, Stamp: n.sawLeases, Tell: n.toldLeases})
+		n.followTable(ctx, watch.Config{Name: gauge.TableLeases, Parted: true, Pause: n.leasePause, Stamp: n.recordLeaseRead, Tell: n.applyLeaseRows})
 	})
 	n.group.Go(func() { n.manage(ctx) })
 	if !n.conf.Without.Has(gauge.MechanismBalance) {
-		n.group.Go(func() { n.spread(ctx) })
+		n.group.Go(func() { n.rebalance(ctx) })
 	}
 	n.group.Go(func() { n.register(ctx) })
 	n.group.Wait()
@@ -242,7 +242,7 @@
 // Release gives up the pools that this entry owns and takes no more. While the table is slow or
 // unreachable, a pool is better off here: it is kept until that ends, for at most patience.
 func (n *Node) Release(ctx context.Context, patience time.Duration) {
-	n.going.Store(false)
+	n.running.Store(false)
 	until := n.conf.Now() + patience
 	n.mu.Lock()
 	owners := make([]*owner.Owner, 0, len(n.owners))
@@ -254,7 +254,7 @@
 	for _, o := range owners {
 		group.Go(func() {
 			for !n.conf.Without.Has(gauge.MechanismCalm) && !o.Calm() && n.conf.Now() < until && ctx.Err() == nil {
-				pause(ctx, calmLook)
+				sleep(ctx, releaseCheckInterval)
 			}
 			n.handOver(ctx, o, "the entry stops")
 		})
@@ -263,7 +263,7 @@
 }
 
 // releaseCheckInterval is how often a stopping entry checks whether the table is fast again.
-const calmLook = 50 * time.Millisecond
+const releaseCheckInterval = 50 * time.Millisecond
 
 // runContext returns the context of Run.
-func (n *Node) context() context.Context { return *n.ctx.Load() }
+func (n *Node) runContext() context.Context { return *n.ctx.Load() }
--- a/internal/node/notice.go
+++ b/internal/node/notice.go
@@ -20,21 +20,21 @@
 // since an owner that is asked for the job's state right afterwards would otherwise still report it
 // as running.
 func (n *Node) notify(notice intake.Notice) {
-	if n.deliver(notice) {
+	if n.deliverLocally(notice) {
 		return
 	}
-	if notice.Cancelled && n.sendNotice(notice, cancelWait) == nil {
+	if notice.Cancelled && n.sendNotice(notice, cancelNotificationTimeout) == nil {
 		return
 	}
 	n.group.Go(func() {
-		for try := range noticeTries {
+		for try := range notificationAttempts {
 			if try > 0 {
-				pause(n.context(), retryPause)
+				sleep(n.runContext(), notificationRetryDelay)
 			}
-			if n.context().Err() != nil {
+			if n.runContext().Err() != nil {
 				return // the entry stops; the owner finds the job by its own scan
 			}
-			err := n.sendNotice(notice, noticeWait)
+			err := n.sendNotice(notice, notificationTimeout)
 			if err == nil {
 				return
 			}
@@ -44,12 +44,12 @@
 }
 
 func (n *Node) sendNotice(notice intake.Notice, wait time.Duration) error {
-	if n.deliver(notice) {
+	if n.deliverLocally(notice) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(n.context(), wait)
+	ctx, cancel := context.WithTimeout(n.runContext(), wait)
 	defer cancel()
-	row, ok := n.holderOf(ctx, notice)
+	row, ok := n.findOwner(ctx, notice)
 	if !ok || row.Holder == n.holder {
 		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notice.Pool)
 	}
@@ -61,7 +61,7 @@
 // whose pool has just got its first owner, hasn't seen the lease yet. The owner would go on
 // reporting a job as running whose cancellation was acknowledged, so for a cancellation the row is
 // read.
-func (n *Node) holderOf(ctx context.Context, notice intake.Notice) (gauge.LeaseRow, bool) {
+func (n *Node) findOwner(ctx context.Context, notice intake.Notice) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
 	row, ok := n.board.Holder(notice.Pool)
 	n.mu.Unlock()
@@ -73,7 +73,7 @@
 		n.conf.Logs.Info("lease not read", "pool", notice.Pool, "kind", gauge.KindOf(err), "error", err.Error())
 		return row, false
 	}
-	n.toldLeases(rows, false)
+	n.applyLeaseRows(rows, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.board.Holder(notice.Pool)
@@ -81,7 +81,7 @@
 
 // deliverLocally passes a notification to the pool's owner if that is this entry, and reports
 // whether it was accepted.
-func (n *Node) deliver(notice intake.Notice) bool {
+func (n *Node) deliverLocally(notice intake.Notice) bool {
 	n.mu.Lock()
 	o := n.owners[notice.Pool]
 	n.mu.Unlock()
@@ -101,9 +101,9 @@
 		return nil, err
 	}
 	if notice.Row == nil && !notice.Cancelled || notice.Spec == nil && !notice.Cancelled {
-		return nil, gauge.Fail(gauge.KindInvalid, "notice of job %s without its content", notice.ID)
+		return nil, gauge.Fail(gauge.KindInvalid, "notification of job %s without its specification or row", notice.ID)
 	}
-	if !n.deliver(notice) {
+	if !n.deliverLocally(notice) {
 		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notice.Pool)
 	}
 	return noticeAnswer{}, nil
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -23,9 +23,9 @@
 	// answer.
 	stuckAfter = 500 * time.Millisecond
 	// offerTimeout bounds each of the two calls.
-	offerWait = 400 * time.Millisecond
+	offerTimeout = 400 * time.Millisecond
 	// offerRetryDelay is the pause between two rounds of offers.
-	offerAgain = 300 * time.Millisecond
+	offerRetryDelay = 300 * time.Millisecond
 	// probeMargin is by how much an entry's last answer from the table must be later than the
 	// holder's first failure to show that the entry reaches what the holder can't. Each entry polls
 	// the leases every 0.3 s, so in an outage for all, each had its last answer before that failure
@@ -33,26 +33,26 @@
 	probeMargin = 350 * time.Millisecond
 	// maxTakeOverViewAge is the maximum age of the lease table view of an entry that takes over a
 	// lease. Entries poll every 0.3 s, and the poll takes as long in a slow period of the table.
-	leasesNew = 800 * time.Millisecond
+	maxTakeOverViewAge = 800 * time.Millisecond
 	// maxConcurrentProbes entries are probed at first, and as many more after each nextProbesDelay
 	// while none is ready. A call takes some milliseconds, and 100 ms more where a quota of
 	// processor time is used up.
-	probesAtOnce = 4
-	probeAgain   = 100 * time.Millisecond
+	maxConcurrentProbes = 4
+	nextProbesDelay     = 100 * time.Millisecond
 	// readyGatherTimeout is how long answers of other entries are awaited after the first one that
 	// is ready: a call takes some milliseconds.
-	gatherWait = 30 * time.Millisecond
+	readyGatherTimeout = 30 * time.Millisecond
 	// offerClaimAttempts covers one renewal of the holder that lands between an offer and its
 	// claim, and one more that got no answer.
-	offerTries = 3
+	offerClaimAttempts = 3
 )
 
 // probeCall asks whether an entry can take over a lease.
 type probeCall struct {
 	// FailingFor is for how long the table hasn't answered the holder; 0: it does answer.
-	Failing time.Duration `msgpack:"f"`
+	FailingFor time.Duration `msgpack:"f"`
 	// Reserve asks for a reservation for a healthy lease that is about to move there.
-	Place bool `msgpack:"p"`
+	Reserve bool `msgpack:"p"`
 }
 
 // offerCall offers a lease whose row names the caller as its holder.
@@ -70,10 +70,10 @@
 	Capacity float64 `msgpack:"c"` // of its host
 }
 
-func (a *offerAnswer) burden() terms.Burden { return terms.Burden{Held: a.Held, Capacity: a.Capacity} }
+func (a *offerAnswer) load() terms.Burden { return terms.Burden{Held: a.Held, Capacity: a.Capacity} }
 
 // peerAddrs lists the addresses of the other entries, the least loaded hosts first.
-func (n *Node) peers(pool string) []string {
+func (n *Node) peerAddrs(pool string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var addrs []string
@@ -99,13 +99,13 @@
 			return
 		}
 		n.conf.Logs.Info("entry not registered", "kind", gauge.KindOf(err), "error", err.Error())
-		pause(ctx, registerAgain)
+		sleep(ctx, registerRetryDelay)
 	}
 }
 
 // registerRetryDelay is the pause after a failed attempt. Until the other entries know of a large
 // host, small ones claim as if there were none; they poll just as often.
-const registerAgain = 300 * time.Millisecond
+const registerRetryDelay = 300 * time.Millisecond
 
 // findSuccessor returns the address of an entry that can take over a pool's lease, or "" if there
 // is none. Of the entries that answer at about the same time it chooses the one on the least loaded
@@ -113,26 +113,26 @@
 //
 // Hosts without power don't answer, and may count as the least loaded. Waiting for each of them is
 // too slow: a dozen used up the 1 s in which a stopping entry hands over its pools.
-func (n *Node) successor(ctx context.Context, pool string, failing time.Duration) string {
+func (n *Node) findSuccessor(ctx context.Context, pool string, failing time.Duration) string {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	peers := n.peers(pool)
-	replies := make(chan reply, len(peers))
+	peers := n.peerAddrs(pool)
+	replies := make(chan probeReply, len(peers))
 	more := time.NewTimer(0)
 	defer more.Stop()
-	var best reply
+	var best probeReply
 	var late <-chan time.Time
 	for asked, answered := 0, 0; answered < len(peers); {
 		select {
 		case <-more.C:
-			for range min(probesAtOnce, len(peers)-asked) {
-				n.askReady(ctx, peers[asked], failing, replies)
+			for range min(maxConcurrentProbes, len(peers)-asked) {
+				n.probeInBackground(ctx, peers[asked], failing, replies)
 				asked++
 			}
-			more.Reset(probeAgain)
+			more.Reset(nextProbesDelay)
 		case r := <-replies:
 			answered++
-			best = better(best, r)
+			best = betterReply(best, r)
 			if answered == asked && !best.Ready {
 				more.Reset(0)
 			}
@@ -140,54 +140,54 @@
 			return best.addr
 		}
 		if best.Ready && late == nil {
-			late = time.After(gatherWait)
+			late = time.After(readyGatherTimeout)
 		}
 	}
 	return best.addr
 }
 
 // probeReply is an entry's answer to a probe.
-type reply struct {
+type probeReply struct {
 	addr string
 	offerAnswer
 }
 
 // betterReply returns the reply that is ready, and of two that are, the one from the less loaded
 // host.
-func better(best, r reply) reply {
-	if r.Ready && (!best.Ready || r.burden().Next() < best.burden().Next()) {
+func betterReply(best, r probeReply) probeReply {
+	if r.Ready && (!best.Ready || r.load().Next() < best.load().Next()) {
 		return r
 	}
 	return best
 }
 
 // probeInBackground asks an entry whether it can take over a lease.
-func (n *Node) askReady(ctx context.Context, addr string, failing time.Duration, replies chan<- reply) {
+func (n *Node) probeInBackground(ctx context.Context, addr string, failing time.Duration, replies chan<- probeReply) {
 	go func() {
-		a, err := n.probe(ctx, addr, probeCall{Failing: failing})
+		a, err := n.probe(ctx, addr, probeCall{FailingFor: failing})
 		a.Ready = a.Ready && err == nil
-		replies <- reply{addr, a}
+		replies <- probeReply{addr, a}
 	}()
 }
 
 // chooseReady probes some entries at the same time and, once one is ready, waits for the others for
 // readyGatherTimeout. It returns the ready one on the least loaded host.
-func (n *Node) choose(ctx context.Context, addrs []string) reply {
-	replies := make(chan reply, len(addrs))
+func (n *Node) chooseReady(ctx context.Context, addrs []string) probeReply {
+	replies := make(chan probeReply, len(addrs))
 	for _, addr := range addrs {
-		n.askReady(ctx, addr, 0, replies)
+		n.probeInBackground(ctx, addr, 0, replies)
 	}
-	var best reply
+	var best probeReply
 	var late <-chan time.Time
 	for range addrs {
 		select {
 		case r := <-replies:
-			best = better(best, r)
+			best = betterReply(best, r)
 		case <-late:
 			return best
 		}
 		if best.Ready && late == nil {
-			late = time.After(gatherWait)
+			late = time.After(readyGatherTimeout)
 		}
 	}
 	return best
@@ -195,7 +195,7 @@
 
 // probe asks an entry for its identity and whether it can take over a lease.
 func (n *Node) probe(ctx context.Context, addr string, c probeCall) (offerAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, offerWait)
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	var a offerAnswer
 	err := n.conf.Mesh.Call(ctx, addr, methodProbe, &c, &a)
@@ -204,16 +204,16 @@
 
 // offerLease asks an entry to take over a lease and reports whether it does. The holder must have
 // stopped all its orders. If the call is lost, the lease expires.
-func (n *Node) offer(ctx context.Context, addr string, c offerCall) bool {
+func (n *Node) offerLease(ctx context.Context, addr string, c offerCall) bool {
 	c.Holder = n.holder
-	ctx, cancel := context.WithTimeout(ctx, offerWait)
+	ctx, cancel := context.WithTimeout(ctx, offerTimeout)
 	defer cancel()
 	var a offerAnswer
 	err := n.conf.Mesh.Call(ctx, addr, methodOffer, &c, &a)
 	n.conf.Logs.Info("lease offered", "pool", c.Pool, "to", addr, "version", c.Version, "taken", err == nil && a.Ready)
 	taken := err == nil && a.Ready
 	if taken {
-		n.moved(c.Pool, addr)
+		n.recordMove(c.Pool, addr)
 	}
 	return taken
 }
@@ -223,11 +223,11 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	seen := leasesNew
-	if c.Failing > 0 {
-		seen = c.Failing - probeMargin
+	seen := maxTakeOverViewAge
+	if c.FailingFor > 0 {
+		seen = c.FailingFor - probeMargin
 	}
-	return n.answer(n.mayTake(seen) && (!c.Place || n.keepPlace())), nil
+	return n.newAnswer(n.canTakeOver(seen) && (!c.Reserve || n.reserve())), nil
 }
 
 func (n *Node) handleOffer(_ context.Context, body []byte) (any, error) {
@@ -235,29 +235,29 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	ready := n.mayTake(leasesNew)
+	ready := n.canTakeOver(maxTakeOverViewAge)
 	if ready {
 		n.mu.Lock()
-		if ready = !n.busy[c.Pool]; ready {
-			n.begin(c.Pool)
+		if ready = !n.leasesInUse[c.Pool]; ready {
+			n.markClaiming(c.Pool)
 		}
 		n.mu.Unlock()
 	}
 	if ready {
-		n.group.Go(func() { n.claim(n.context(), n.offered(c), c.Holder) })
+		n.group.Go(func() { n.claim(n.runContext(), n.claimOf(c), c.Holder) })
 	}
-	return n.answer(ready), nil
+	return n.newAnswer(ready), nil
 }
 
-func (n *Node) answer(ready bool) offerAnswer {
+func (n *Node) newAnswer(ready bool) offerAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.busy), Capacity: n.conf.Capacity}
+	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.leasesInUse), Capacity: n.conf.Capacity}
 }
 
 // claimOf returns the claim of an offered lease. Its holder has stopped, so the claim doesn't wait
 // for anything.
-func (n *Node) offered(c offerCall) terms.Claim {
+func (n *Node) claimOf(c offerCall) terms.Claim {
 	c.Row.Holder, c.Row.Addr = "", ""
 	return terms.Claim{Pool: c.Pool, Version: c.Version, Row: c.Row}
 }
@@ -265,12 +265,12 @@
 // canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't had to
 // leave a pool just now, and the table has answered within the given time. After an outage it first
 // leaves the holders the time to notice that the table answers again.
-func (n *Node) mayTake(within time.Duration) bool {
-	if !n.going.Load() || n.Site() == nil {
+func (n *Node) canTakeOver(within time.Duration) bool {
+	if !n.running.Load() || n.Site() == nil {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	return now >= n.restUntil && now-n.leases <= min(within, leasesNew) && (n.back == 0 || now-n.back > regainWait)
+	return now >= n.claimPauseUntil && now-n.leasesReadAt <= min(within, maxTakeOverViewAge) && (n.tableBackAt == 0 || now-n.tableBackAt > renewalGrace)
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -18,17 +18,17 @@
 // firstOrderTime returns when this holder may order its first machine. If the previous holder gave
 // up the lease, offered it or announced its orders, the ordered machines are known and only those
 // have to wait. Otherwise it may have ordered any machine for orderWindow after its last renewal.
-func (n *Node) turnFrom(h *held) time.Duration {
+func (n *Node) firstOrderTime(h *takenLease) time.Duration {
 	now := n.conf.Now()
-	if h.before.Holder == "" || h.before.Announced || n.wasMine(&h.before) {
+	if h.previousRow.Holder == "" || h.previousRow.Announced || n.wasOwnLease(&h.previousRow) {
 		return now // given up, or orders known, or held by this entry before a restart
 	}
-	since := time.Duration(n.clock()-h.before.Renewed)*time.Millisecond - renewedMargin
-	return now + max(0, n.conf.TurnGap+grantMargin+orderSpan-since)
+	since := time.Duration(n.tableClock()-h.previousRow.Renewed)*time.Millisecond - clockReadingMargin
+	return now + max(0, n.conf.TurnGap+monotonicClockMargin+orderWindow-since)
 }
 
 // wasOwnLease reports whether a lease was held by this entry, in an earlier process.
-func (n *Node) wasMine(row *gauge.LeaseRow) bool {
+func (n *Node) wasOwnLease(row *gauge.LeaseRow) bool {
 	name, _, _ := strings.Cut(row.Holder, "/")
 	return name == n.conf.Name
 }
@@ -36,61 +36,61 @@
 // carryOverOrders copies the orders of earlier holders into the row of a claim, and marks them as
 // announced if they are complete. If this process ends before its first renewal, its successor has
 // only that row.
-func (n *Node) handOn(row, before *gauge.LeaseRow) {
+func (n *Node) carryOverOrders(row, before *gauge.LeaseRow) {
 	row.Kept = before.Kept
 	row.Announced = before.Announced || before.Holder == ""
-	lists := turns.Lists{Own: before.Ordered, Earlier: before.Earlier}.HandedOn(n.wasMine(before))
+	lists := turns.Lists{Own: before.Ordered, Earlier: before.Earlier}.HandedOn(n.wasOwnLease(before))
 	row.Ordered, row.Earlier = lists.Own, lists.Earlier
 }
 
 // clockReadingMargin covers the difference between two entries' readings of the table's clock: each
 // uses only readings from answers that took less than a tenth of a second.
-const renewedMargin = 300 * time.Millisecond
+const clockReadingMargin = 300 * time.Millisecond
 
 // allowOrder reports whether a machine may be ordered now: the lease was renewed recently, and no
 // previous holder has just ordered that machine. A permitted order is recorded for the successor.
-func (f *fleet) mayOrder(machine string) bool {
-	f.gate.Lock()
-	defer f.gate.Unlock()
+func (f *fleet) allowOrder(machine string) bool {
+	f.orderMu.Lock()
+	defer f.orderMu.Unlock()
 	now := f.node.conf.Now()
-	if f.over || now >= f.held.lease.Until()-leaseTerm+orderSpan {
+	if f.ordersEnded || now >= f.held.lease.Until()-leaseTerm+orderWindow {
 		return false
 	}
-	return f.turns.Order(machine, f.node.clock(), now)
+	return f.turns.Order(machine, f.node.tableClock(), now)
 }
 
 // orderWindow is how long after a renewal the fleet lease holder may order machines: two renewals
 // may fail. The shorter it is, the sooner a successor may order.
-const orderSpan = 1200 * time.Millisecond
+const orderWindow = 1200 * time.Millisecond
 
 // endOrders permits no more orders, so that what a successor learns afterwards is complete.
-func (f *fleet) end() {
-	f.gate.Lock()
-	defer f.gate.Unlock()
-	f.over = true
+func (f *fleet) endOrders() {
+	f.orderMu.Lock()
+	defer f.orderMu.Unlock()
+	f.ordersEnded = true
 }
 
 // leaseRow returns the row that a holder that continues writes. It includes the announced machines,
 // which may be ordered before the next write.
-func (f *fleet) row(announced map[string]bool) gauge.LeaseRow {
-	lists := f.turns.Ahead(announced, orderSpan, f.node.clock())
+func (f *fleet) leaseRow(announced map[string]bool) gauge.LeaseRow {
+	lists := f.turns.Ahead(announced, orderWindow, f.node.tableClock())
 	return gauge.LeaseRow{
 		Ordered: lists.Own, Earlier: lists.Earlier, Announced: true, Kept: f.sizer.Kept(f.node.conf.Now()).Milliseconds(),
 	}
 }
 
 // announceOrders writes into the lease row which machines may be ordered from now on.
-func (f *fleet) announce(ctx context.Context, machines map[string]bool) {
-	if f.turns.Narrow(machines) && f.commitRow(ctx, f.row(machines), gauge.PartTxn{}) {
+func (f *fleet) announceOrders(ctx context.Context, machines map[string]bool) {
+	if f.turns.Narrow(machines) && f.commitRow(ctx, f.leaseRow(machines), gauge.PartTxn{}) {
 		f.turns.Announce(machines)
 	}
 }
 
 // monotonicClockMargin covers the difference between two entries' monotonic clocks.
-const grantMargin = 200 * time.Millisecond
+const monotonicClockMargin = 200 * time.Millisecond
 
 // machinesToOrder returns the machines that are about to be ordered.
-func ordered(steps waves.Steps, moves []sizing.Move) map[string]bool {
+func machinesToOrder(steps waves.Steps, moves []sizing.Move) map[string]bool {
 	machines := make(map[string]bool)
 	for _, b := range steps.Begins {
 		machines[b.Machine] = true
@@ -104,6 +104,6 @@
 }
 
 // orderedByPrevious reports whether a previous holder has just ordered a machine.
-func (f *fleet) orderedBefore(machine string) bool {
-	return f.turns.Before(machine, f.node.clock())
+func (f *fleet) orderedByPrevious(machine string) bool {
+	return f.turns.Before(machine, f.node.tableClock())
 }
--- a/internal/node/calls.go
+++ b/internal/node/ownercalls.go
@@ -15,20 +15,20 @@
 	// methodState asks a pool's owner for the state of a job.
 	methodState = "job.state"
 	// stateTimeout bounds that call: the table can answer it too.
-	stateWait = 150 * time.Millisecond
+	stateTimeout = 150 * time.Millisecond
 	// methodDepth asks a pool's owner how many jobs of a queue have not begun.
 	methodDepth = "queue.depth"
 	// depthTimeout bounds that call: an owner answers within some milliseconds, one on a slow link
 	// within tenths of a second, and the caller waits.
-	depthWait = 400 * time.Millisecond
+	depthTimeout = 400 * time.Millisecond
 	// emptyTimeout bounds one call to have a worker drained.
-	emptyWait = 600 * time.Millisecond
+	emptyTimeout = 600 * time.Millisecond
 	// methodEmpty asks a pool's owner to drain a worker.
 	methodEmpty = "worker.empty"
 )
 
 // loadTimeout bounds one call for the demand of a pool.
-const loadWait = 400 * time.Millisecond
+const loadTimeout = 400 * time.Millisecond
 
 type loadCall struct {
 	Pool string   `msgpack:"p"`
@@ -43,7 +43,7 @@
 		return o, "", nil
 	}
 	row, ok := n.board.Holder(pool)
-	if m, gone := n.moves[pool]; gone && (n.board.Version(pool) <= m.version || row.Holder == n.holder) {
+	if m, gone := n.ownerMoves[pool]; gone && (n.board.Version(pool) <= m.version || row.Holder == n.holder) {
 		return nil, m.addr, nil
 	}
 	if !ok || row.Holder == n.holder {
@@ -53,7 +53,7 @@
 }
 
 // localOwner returns a pool's owner if it runs here, for a call of another entry.
-func (n *Node) local(pool string) (*owner.Owner, error) {
+func (n *Node) localOwner(pool string) (*owner.Owner, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if o := n.owners[pool]; o != nil {
@@ -63,7 +63,7 @@
 }
 
 // poolLoad asks a pool's owner for the demand of the pool.
-func (n *Node) load(ctx context.Context, c loadCall) (gauge.PoolLoad, error) {
+func (n *Node) poolLoad(ctx context.Context, c loadCall) (gauge.PoolLoad, error) {
 	var l gauge.PoolLoad
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if o != nil {
 		return o.Load(c.Soon), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadWait)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	err = n.conf.Mesh.Call(ctx, addr, methodLoad, &c, &l)
 	return l, err
@@ -83,7 +83,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
@@ -103,7 +103,7 @@
 }
 
 // drainWorker asks a pool's owner to drain a worker and reports whether nothing runs there.
-func (n *Node) empty(ctx context.Context, c emptyCall) (bool, error) {
+func (n *Node) drainWorker(ctx context.Context, c emptyCall) (bool, error) {
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
 		return false, err
@@ -111,7 +111,7 @@
 	if o != nil {
 		return o.Empty(c.Worker, c.Force), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, emptyWait)
+	ctx, cancel := context.WithTimeout(ctx, emptyTimeout)
 	defer cancel()
 	var answer emptyAnswer
 	err = n.conf.Mesh.Call(ctx, addr, methodEmpty, &c, &answer)
@@ -123,7 +123,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
@@ -142,7 +142,7 @@
 
 // jobState asks the owner of a queue's pool for the state of a job. It reports false if the owner
 // doesn't know the job or can't be asked.
-func (n *Node) ask(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool) {
+func (n *Node) jobState(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
 		return "", false
@@ -150,7 +150,7 @@
 	if o != nil {
 		return o.State(q.Name, id)
 	}
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var a stateAnswer
 	err = n.conf.Mesh.Call(ctx, addr, methodState, &stateCall{Pool: q.Pool, Queue: q.Name, ID: id}, &a)
@@ -158,8 +158,8 @@
 }
 
 // ownsJob reports whether this entry owns a queue's pool and knows the job.
-func (n *Node) knownHere(q *gauge.Queue, id string) bool {
-	o, err := n.local(q.Pool)
+func (n *Node) ownsJob(q *gauge.Queue, id string) bool {
+	o, err := n.localOwner(q.Pool)
 	if err != nil {
 		return false
 	}
@@ -172,7 +172,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
@@ -181,9 +181,9 @@
 }
 
 type depthCall struct {
-	Pool  string `msgpack:"p"`
-	Queue string `msgpack:"q"`
-	Sure  bool   `msgpack:"s"` // the calling entry is certain that the queue exists
+	Pool       string `msgpack:"p"`
+	Queue      string `msgpack:"q"`
+	QueueKnown bool   `msgpack:"s"` // the calling entry is certain that the queue exists
 }
 
 type depthAnswer struct {
@@ -193,20 +193,20 @@
 
 // ownerDepth asks the owner of a queue's pool how many of its jobs have not begun. If this entry
 // can't be certain that the queue exists, the owner must be.
-func (n *Node) askDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
+func (n *Node) ownerDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
 		return 0, false
 	}
-	sure := n.serves(q.Name)
+	sure := n.isQueueKnown(q.Name)
 	if o != nil {
 		depth, known := o.Depth(q.Name)
 		return depth, known && sure
 	}
-	ctx, cancel := context.WithTimeout(ctx, depthWait)
+	ctx, cancel := context.WithTimeout(ctx, depthTimeout)
 	defer cancel()
 	var a depthAnswer
-	err = n.conf.Mesh.Call(ctx, addr, methodDepth, &depthCall{Pool: q.Pool, Queue: q.Name, Sure: sure}, &a)
+	err = n.conf.Mesh.Call(ctx, addr, methodDepth, &depthCall{Pool: q.Pool, Queue: q.Name, QueueKnown: sure}, &a)
 	return a.Depth, err == nil && a.Known
 }
 
@@ -215,10 +215,10 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
 	depth, known := o.Depth(c.Queue)
-	return depthAnswer{Depth: depth, Known: known && (c.Sure || n.serves(c.Queue))}, nil
+	return depthAnswer{Depth: depth, Known: known && (c.QueueKnown || n.isQueueKnown(c.Queue))}, nil
 }
--- a/internal/node/spread.go
+++ b/internal/node/rebalance.go
@@ -17,35 +17,35 @@
 const (
 	// rebalanceInterval is the interval at which a lease may move away. By then the counts of
 	// leases in the table are correct again.
-	spreadEvery = 2 * time.Second
+	rebalanceInterval = 2 * time.Second
 	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its
 	// workers have to report first, and each move makes it stand still for some tenths of a second.
-	settleAfter = 3 * time.Second
+	minHeldBeforeMove = 3 * time.Second
 	// reservationDuration is how long an entry reserves room for a lease that is to move to it:
 	// longer than the offer and the transaction of the claim take.
-	placeKept = time.Second
+	reservationDuration = time.Second
 	// reasonLessLoaded is the logged reason for moving a healthy lease.
-	lessBurdened = "another host is far less burdened"
+	reasonLessLoaded = "another host is far less loaded"
 )
 
 // rebalance moves one lease at each interval if another host is far less loaded, until ctx ends.
-func (n *Node) spread(ctx context.Context) {
+func (n *Node) rebalance(ctx context.Context) {
 	for {
-		pause(ctx, spreadEvery)
+		sleep(ctx, rebalanceInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		if o, f := n.settled(); o != nil {
-			n.move(ctx, o)
+		if o, f := n.movable(); o != nil {
+			n.movePool(ctx, o)
 		} else if f != nil {
-			f.moveTo(n.lighter(ctx, fleetPool))
+			f.requestMove(n.findLessLoaded(ctx, fleetPool))
 		}
 	}
 }
 
 // movable returns, of the pools that may move, the one that has been owned the longest, and the
 // fleet if it may move. Each is nil if there is none.
-func (n *Node) settled() (*owner.Owner, *fleet) {
+func (n *Node) movable() (*owner.Owner, *fleet) {
 	n.mu.Lock()
 	owners, f := n.ownersLocked(), n.fleet
 	n.mu.Unlock()
@@ -53,11 +53,11 @@
 	var first *owner.Owner
 	var since time.Duration
 	for _, o := range owners {
-		if at, ok := o.Since(); ok && now-at >= settleAfter && (first == nil || at < since) {
+		if at, ok := o.Since(); ok && now-at >= minHeldBeforeMove && (first == nil || at < since) {
 			first, since = o, at
 		}
 	}
-	if f != nil && now-f.taken < settleAfter {
+	if f != nil && now-f.takenAt < minHeldBeforeMove {
 		f = nil
 	}
 	return first, f
@@ -66,30 +66,30 @@
 // movePool has another entry take over a pool if its host is far less loaded. The search doesn't
 // hold offerMu, so that a stopping entry doesn't wait for it: probed entries may be dead, and the
 // chosen one keeps a reservation anyway.
-func (n *Node) move(ctx context.Context, o *owner.Owner) {
-	to := n.lighter(ctx, o.Pool())
+func (n *Node) movePool(ctx context.Context, o *owner.Owner) {
+	to := n.findLessLoaded(ctx, o.Pool())
 	if to == "" {
 		return
 	}
-	n.offering.Lock()
-	defer n.offering.Unlock()
-	if o.Stop(lessBurdened) {
-		n.give(ctx, o, to)
+	n.offerMu.Lock()
+	defer n.offerMu.Unlock()
+	if o.Stop(reasonLessLoaded) {
+		n.offerOrGiveUp(ctx, o, to)
 	}
 }
 
 // findLessLoaded returns the address of a ready entry that is so much less loaded that a lease
 // should move there, and has that entry make a reservation. It returns "" if there is none.
-func (n *Node) lighter(ctx context.Context, pool string) string {
-	here, peers := n.burdens(pool)
-	for some := range slices.Chunk(peers, probesAtOnce) {
-		best := n.choose(ctx, some)
-		if !best.Ready || !here.Moves(best.burden()) {
+func (n *Node) findLessLoaded(ctx context.Context, pool string) string {
+	here, peers := n.moveCandidates(pool)
+	for some := range slices.Chunk(peers, maxConcurrentProbes) {
+		best := n.chooseReady(ctx, some)
+		if !best.Ready || !here.Moves(best.load()) {
 			continue
 		}
 		// Other holders may have chosen the same entry.
-		kept, err := n.probe(ctx, best.addr, probeCall{Place: true})
-		if err != nil || !kept.Ready || !here.Moves(kept.burden()) {
+		kept, err := n.probe(ctx, best.addr, probeCall{Reserve: true})
+		if err != nil || !kept.Ready || !here.Moves(kept.load()) {
 			return ""
 		}
 		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Held, "capacity", here.Capacity,
@@ -102,8 +102,8 @@
 // moveCandidates returns this host's load and, according to the table, the addresses of entries on
 // far less loaded hosts. There are none while the table is out of reach or this entry is about to
 // stop.
-func (n *Node) burdens(pool string) (here terms.Burden, lighter []string) {
-	if !n.mayTake(leasesNew) {
+func (n *Node) moveCandidates(pool string) (here terms.Burden, lighter []string) {
+	if !n.canTakeOver(maxTakeOverViewAge) {
 		return here, nil
 	}
 	n.mu.Lock()
@@ -120,13 +120,13 @@
 // reserve makes a reservation for a lease that is about to move here. It reports false if there is
 // one already. Without reservations, several owners that see this host as free would all move their
 // leases here at once.
-func (n *Node) keepPlace() bool {
+func (n *Node) reserve() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	if now < n.placed {
+	if now < n.reservedUntil {
 		return false
 	}
-	n.placed = now + placeKept
+	n.reservedUntil = now + reservationDuration
 	return true
 }
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -20,20 +20,20 @@
 	methodCancel = "job.cancel"
 	// relayProbeDelay is the delay after which the owner is probed; a call takes some 15 ms. If it
 	// answers the probe, the table is slow, for this entry as well; otherwise the owner is frozen,
-	// unreachable or short of processor time, and this entry stores the job itself.
-	relayLate = 100 * time.Millisecond
+	// unreachable or short of processor time, and this entry continues without it.
+	relayProbeDelay = 100 * time.Millisecond
 	// relayTimeout bounds each of the two calls: in a slow period of the table a transaction takes
 	// 0.4 to 0.9 s, and one may be in progress already.
-	relayMost = 1800 * time.Millisecond
+	relayTimeout = 1800 * time.Millisecond
 	// maxOwnersAsked is how many owners are called one after the other, each named by the previous
 	// one.
-	movesMost = 3
+	maxOwnersAsked = 3
 	// unresponsivePause is how long an owner that didn't answer isn't called again.
-	doubtFor = time.Second
+	unresponsivePause = time.Second
 )
 
 // ownerRelay implements intake.Relay.
-type relay struct{ node *Node }
+type ownerRelay struct{ node *Node }
 
 type submitCall struct {
 	Queue   string         `msgpack:"q"`
@@ -50,51 +50,51 @@
 
 // relayAnswer is the outcome of a call. Errors in it are the owner's own statement; an error of the
 // call itself says nothing about the outcome.
-type doneAnswer struct {
-	Kind   gauge.Kind `msgpack:"k"` // empty: done
-	Reason string     `msgpack:"r"`
-	Moved  string     `msgpack:"m"` // address of the owner if this entry isn't the owner
+type relayAnswer struct {
+	Kind    gauge.Kind `msgpack:"k"` // empty: done
+	Reason  string     `msgpack:"r"`
+	MovedTo string     `msgpack:"m"` // address of the owner if this entry isn't the owner
 }
 
-func (a doneAnswer) err(addr string) error {
+func (a relayAnswer) err(addr string) error {
 	if a.Kind == "" {
 		return nil
 	}
 	return gauge.Fail(a.Kind, "owner at %s: %s", addr, a.Reason)
 }
 
-func answerOf(err error) doneAnswer {
+func answerOf(err error) relayAnswer {
 	if err == nil {
-		return doneAnswer{}
+		return relayAnswer{}
 	}
-	return doneAnswer{Kind: gauge.KindOf(err), Reason: err.Error()}
+	return relayAnswer{Kind: gauge.KindOf(err), Reason: err.Error()}
 }
 
 // PreferOwner reports whether another entry owns the pool and hasn't been unresponsive lately.
-func (r relay) PreferOwner(q *gauge.Queue) bool {
+func (r ownerRelay) PreferOwner(q *gauge.Queue) bool {
 	o, addr, err := r.node.ownerOf(q.Pool)
 	if o != nil || err != nil {
 		return false
 	}
 	r.node.mu.Lock()
 	defer r.node.mu.Unlock()
-	return r.node.conf.Now() >= r.node.doubted[addr]
+	return r.node.conf.Now() >= r.node.unresponsiveUntil[addr]
 }
 
 // Submit asks the owner of a queue's pool to store a job.
-func (r relay) Submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
+func (r ownerRelay) Submit(ctx context.Context, q *gauge.Queue, id string, j *gauge.JobSpec) error {
 	return r.node.askOwner(ctx, q.Pool, methodSubmit, &submitCall{Queue: q.Name, ID: id, Spec: j, Version: r.node.Site().Version})
 }
 
 // Cancel asks the owner of a queue's pool to cancel a job.
-func (r relay) Cancel(ctx context.Context, q *gauge.Queue, id string) error {
+func (r ownerRelay) Cancel(ctx context.Context, q *gauge.Queue, id string) error {
 	return r.node.askOwner(ctx, q.Pool, methodCancel, &cancelCall{Queue: q.Name, ID: id, Version: r.node.Site().Version})
 }
 
 // askOwner calls the owner of a pool at another entry, and follows it if it has moved. KindEmpty:
 // no owner could be asked.
 func (n *Node) askOwner(ctx context.Context, pool, method string, call any) error {
-	for range movesMost {
+	for range maxOwnersAsked {
 		o, addr, err := n.ownerOf(pool)
 		if err != nil {
 			return gauge.Fail(gauge.KindEmpty, "no owner to ask").Because(err)
@@ -108,29 +108,29 @@
 			return err
 		case err != nil:
 			return gauge.Fail(gauge.KindEmpty, "the owner can't be asked").Because(err)
-		case answer.Moved != "" && answer.Moved != addr && answer.Moved != n.conf.Addr:
-			n.moved(pool, answer.Moved)
+		case answer.MovedTo != "" && answer.MovedTo != addr && answer.MovedTo != n.conf.Addr:
+			n.recordMove(pool, answer.MovedTo)
 			continue
 		case gauge.Is(answer.err(addr), gauge.KindFenced):
-			return gauge.Fail(gauge.KindEmpty, "%s owns pool %s no longer", addr, pool)
+			return gauge.Fail(gauge.KindEmpty, "%s no longer owns pool %s", addr, pool)
 		default:
 			return answer.err(addr)
 		}
 	}
-	return gauge.Fail(gauge.KindEmpty, "the owner of pool %s goes from entry to entry", pool)
+	return gauge.Fail(gauge.KindEmpty, "the owner of pool %s moved too often", pool)
 }
 
-func (n *Node) callOwner(ctx context.Context, pool, addr, method string, call any) (doneAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, relayMost)
+func (n *Node) callOwner(ctx context.Context, pool, addr, method string, call any) (relayAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	look := time.AfterFunc(relayLate, func() {
+	look := time.AfterFunc(relayProbeDelay, func() {
 		if _, err := n.probe(ctx, addr, probeCall{}); err != nil && ctx.Err() == nil {
-			n.doubt(pool, addr)
+			n.markUnresponsive(pool, addr)
 			cancel()
 		}
 	})
 	defer look.Stop()
-	var answer doneAnswer
+	var answer relayAnswer
 	err := n.conf.Mesh.Call(ctx, addr, method, call, &answer)
 	return answer, err
 }
@@ -138,22 +138,22 @@
 // recordMove records where a pool's owner is, as reported by the previous owner. It holds until a
 // newer row of the lease is seen: an entry that the table refuses would otherwise go on calling the
 // owner that it saw last.
-func (n *Node) moved(pool, addr string) {
+func (n *Node) recordMove(pool, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.moves[pool] = move{addr: addr, version: n.board.Version(pool)}
+	n.ownerMoves[pool] = ownerMove{addr: addr, version: n.board.Version(pool)}
 	n.conf.Logs.Info("owner moved", "pool", pool, "to", addr, "seen", n.board.Version(pool))
 }
 
 // markUnresponsive excludes an owner that doesn't answer from calls for unresponsivePause.
-func (n *Node) doubt(pool, addr string) {
+func (n *Node) markUnresponsive(pool, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	if now >= n.doubted[addr] {
-		n.conf.Logs.Info("owner doubted", "pool", pool, "addr", addr, "for", doubtFor)
+	if now >= n.unresponsiveUntil[addr] {
+		n.conf.Logs.Info("owner doubted", "pool", pool, "addr", addr, "for", unresponsivePause)
 	}
-	n.doubted[addr] = now + doubtFor
+	n.unresponsiveUntil[addr] = now + unresponsivePause
 }
 
 func (n *Node) handleSubmit(ctx context.Context, body []byte) (any, error) {
@@ -161,17 +161,17 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	q, err := n.queue(c.Queue, c.Version)
+	q, err := n.queueForCall(c.Queue, c.Version)
 	if err != nil {
 		return answerOf(err), nil
 	}
 	if c.Spec == nil {
-		return nil, gauge.Fail(gauge.KindInvalid, "job %s without its content", c.ID)
+		return nil, gauge.Fail(gauge.KindInvalid, "job %s without its specification", c.ID)
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayMost)
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	n.awaitClaim(ctx, q.Pool)
-	if a, elsewhere := n.elsewhere(q.Pool); elsewhere {
+	if a, elsewhere := n.redirect(q.Pool); elsewhere {
 		return a, nil // this entry's own result would be worth no more than the caller's
 	}
 	return answerOf(n.intake.SubmitLocally(ctx, q, c.ID, c.Spec)), nil
@@ -182,18 +182,18 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	q, err := n.queue(c.Queue, c.Version)
+	q, err := n.queueForCall(c.Queue, c.Version)
 	if err != nil {
 		return answerOf(err), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, relayMost)
+	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	return answerOf(n.intake.CancelLocally(ctx, q, c.ID)), nil
 }
 
 // claimWaitTimeout bounds the wait for a claim of this entry: in a slow period of the table it
 // takes a read and a transaction, 0.2 to 0.4 s each.
-const claimMost = time.Second
+const claimWaitTimeout = time.Second
 
 // awaitClaim waits while this entry claims a pool. The holder that offered the lease names this
 // entry as the owner, while the table, which this entry would follow, still names that holder:
@@ -201,12 +201,12 @@
 // no clear answer just when the table was slow.
 func (n *Node) awaitClaim(ctx context.Context, pool string) {
 	n.mu.Lock()
-	over := n.taking[pool]
+	over := n.claiming[pool]
 	n.mu.Unlock()
 	if over == nil {
 		return
 	}
-	timer := time.NewTimer(claimMost)
+	timer := time.NewTimer(claimWaitTimeout)
 	defer timer.Stop()
 	select {
 	case <-over:
@@ -217,14 +217,14 @@
 
 // redirect returns the answer to a call for a pool that this entry doesn't own. It reports false if
 // this entry owns the pool.
-func (n *Node) elsewhere(pool string) (doneAnswer, bool) {
-	_, err := n.local(pool)
+func (n *Node) redirect(pool string) (relayAnswer, bool) {
+	_, err := n.localOwner(pool)
 	if err == nil {
-		return doneAnswer{}, false
+		return relayAnswer{}, false
 	}
 	a := answerOf(err)
 	if _, addr, err := n.ownerOf(pool); err == nil {
-		a.Moved = addr
+		a.MovedTo = addr
 	}
 	return a, true
 }
@@ -233,7 +233,7 @@
 // version of the configuration. With an older version this entry can't say that the queue doesn't
 // exist: the caller, whose entry serves the queue, would be refused for good. KindEmpty lets that
 // entry continue without the owner.
-func (n *Node) queue(name string, version int64) (*gauge.Queue, error) {
+func (n *Node) queueForCall(name string, version int64) (*gauge.Queue, error) {
 	site := n.Site()
 	if site == nil {
 		return nil, gauge.Fail(gauge.KindOutage, "no configuration yet")
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -10,7 +10,7 @@
 
 // requestLoads asks all pool owners for the demand of their pools. A pool without a recent answer
 // keeps its size.
-func (f *fleet) loads(ctx context.Context) {
+func (f *fleet) requestLoads(ctx context.Context) {
 	site := f.node.Site()
 	if site == nil {
 		return
@@ -20,8 +20,8 @@
 			continue
 		}
 		call := loadCall{Pool: p.Name, Soon: f.keeper.Workers(p.Name)}
-		f.async.do("load "+p.Name, func() func() {
-			l, err := f.node.load(ctx, call)
+		f.calls.start("load "+p.Name, func() func() {
+			l, err := f.node.poolLoad(ctx, call)
 			if err != nil {
 				return func() {}
 			}
@@ -32,7 +32,7 @@
 }
 
 // nextMoves returns the machines to drain or to order now.
-func (f *fleet) moves() []sizing.Move {
+func (f *fleet) nextMoves() []sizing.Move {
 	now := f.node.conf.Now()
 	taken := func(machine string) bool { return f.keeper.Takes(machine) || f.turns.Waits(machine, now) }
 	return f.sizer.Next(now, taken, f.keeper.Waits)
@@ -43,14 +43,14 @@
 // up to two seconds, a next holder would have to leave the machine alone if this one is lost: after
 // a power loss of all entries while demand moved from one pool to another, half of a pool's
 // machines came two seconds later for that reason.
-func (f *fleet) resize(ctx context.Context, moves []sizing.Move) {
+func (f *fleet) moveMachines(ctx context.Context, moves []sizing.Move) {
 	for _, m := range moves {
-		began := f.async.do("move "+m.Machine, func() func() {
+		began := f.calls.start("move "+m.Machine, func() func() {
 			if !m.Empty {
-				empty := f.emptied(ctx, m)
+				empty := f.drainMachine(ctx, m)
 				return func() { f.sizer.Emptied(m.Machine, empty) }
 			}
-			err := f.order(ctx, m)
+			err := f.orderMove(ctx, m)
 			return func() {
 				f.sizer.Emptied(m.Machine, true)
 				f.sizer.Ordered(m.Machine, err, f.node.conf.Now())
@@ -62,44 +62,44 @@
 	}
 }
 
-func (f *fleet) emptied(ctx context.Context, m sizing.Move) bool {
-	empty, err := f.node.empty(ctx, emptyCall{Pool: m.From, Worker: m.Worker})
+func (f *fleet) drainMachine(ctx context.Context, m sizing.Move) bool {
+	empty, err := f.node.drainWorker(ctx, emptyCall{Pool: m.From, Worker: m.Worker})
 	if err != nil {
 		f.node.conf.Logs.Info("machine not emptied", "machine", m.Machine, "pool", m.From, "error", err.Error())
 	}
 	if !empty || err != nil {
 		return false
 	}
-	f.hurry()
+	f.wake()
 	return true
 }
 
 // wake starts the next round soon, since a machine can be ordered.
-func (f *fleet) hurry() {
+func (f *fleet) wake() {
 	select {
-	case f.ready <- struct{}{}:
+	case f.drained <- struct{}{}:
 	default:
 	}
 }
 
 // waitForRound waits for the next round.
-func (f *fleet) rest(ctx context.Context) {
-	timer := time.NewTimer(fleetEvery)
+func (f *fleet) waitForRound(ctx context.Context) {
+	timer := time.NewTimer(fleetInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.ready:
-		pause(ctx, readyGap)
+	case <-f.drained:
+		sleep(ctx, drainedBatchDelay)
 	}
 }
 
 // orderMove orders the move of one machine while the lease is certain to last.
-func (f *fleet) order(ctx context.Context, m sizing.Move) error {
-	if !f.mayOrder(m.Machine) {
-		return gauge.Fail(gauge.KindOutage, "the lease is over")
+func (f *fleet) orderMove(ctx context.Context, m sizing.Move) error {
+	if !f.allowOrder(m.Machine) {
+		return gauge.Fail(gauge.KindOutage, "the lease has ended")
 	}
-	err := f.node.conf.Machines.Move(ctx, gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.fence}, m.Machine, m.To)
+	err := f.node.conf.Machines.Move(ctx, gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.token}, m.Machine, m.To)
 	if gauge.Is(err, gauge.KindFenced) {
 		f.held.lease.Lose()
 	}
--- a/internal/node/doubt.go
+++ b/internal/node/unsettled.go
@@ -17,18 +17,18 @@
 // that a job never runs, and it runs.
 
 // methodUnsettled notifies a pool's owner of a submission that may still be stored.
-const methodDoubt = "job.doubt"
+const methodUnsettled = "job.doubt"
 
 // unsettledTimeout bounds the call. The caller of the submission waits for it, and retries 100 ms
 // after its answer.
-const doubtWait = 200 * time.Millisecond
+const unsettledTimeout = 200 * time.Millisecond
 
-type doubtCall struct {
+type unsettledCall struct {
 	ID   string `msgpack:"i"`
 	Pool string `msgpack:"p"`
 }
 
-type doubtAnswer struct {
+type unsettledAnswer struct {
 	Owns bool `msgpack:"o"` // whether the answering entry owns the pool
 }
 
@@ -36,26 +36,26 @@
 	// unsettledRetryDelay is the pause between two attempts to notify the owner, and
 	// maxUnsettledRetries their number: a submission may still be stored for some seconds, and a
 	// pool has an owner again within three.
-	doubtAgain = 100 * time.Millisecond
-	doubtTries = 50
+	unsettledRetryDelay = 100 * time.Millisecond
+	maxUnsettledRetries = 50
 )
 
 // reportUnsettled notifies the owner once before the caller gets its answer, and retries in the
 // background if that fails: the caller's next attempt may reach the owner after the notification.
-func (n *Node) tellDoubt(q *gauge.Queue, id string) {
-	err := n.sendDoubt(q.Pool, id)
+func (n *Node) reportUnsettled(q *gauge.Queue, id string) {
+	err := n.sendUnsettled(q.Pool, id)
 	if err == nil {
 		return
 	}
 	n.conf.Logs.Info("doubt not told", "job", id, "pool", q.Pool, "error", err.Error())
-	n.spreadDoubt(q.Pool, id)
+	n.broadcastUnsettled(q.Pool, id)
 	n.group.Go(func() {
-		for try := range doubtTries {
-			pause(n.context(), doubtAgain)
-			if n.context().Err() != nil {
+		for try := range maxUnsettledRetries {
+			sleep(n.runContext(), unsettledRetryDelay)
+			if n.runContext().Err() != nil {
 				return
 			}
-			if n.sendDoubt(q.Pool, id) == nil {
+			if n.sendUnsettled(q.Pool, id) == nil {
 				n.conf.Logs.Info("doubt told late", "job", id, "pool", q.Pool, "tries", try+2)
 				return
 			}
@@ -67,32 +67,32 @@
 	// maxConcurrentBroadcasts bounds how many submissions are broadcast to all entries at a time,
 	// and maxConcurrentBroadcastCalls the concurrent calls of each broadcast. With hundreds of
 	// entries and an owner that nobody can reach, the broadcasts would use up the link.
-	spreadsAtOnce = 4
-	toldAtOnce    = 16
+	maxConcurrentBroadcasts     = 4
+	maxConcurrentBroadcastCalls = 16
 )
 
 // broadcastUnsettled notifies all other entries when the owner isn't known here or doesn't answer:
 // one of them is the owner or will be. An entry that is cut off from the table may not learn who
 // the owner is before the caller retries there.
-func (n *Node) spreadDoubt(of, id string) {
+func (n *Node) broadcastUnsettled(of, id string) {
 	select {
-	case n.spreads <- struct{}{}:
+	case n.broadcasts <- struct{}{}:
 	default:
 		n.conf.Logs.Info("doubt not spread", "job", id, "reason", "others are being told")
 		return
 	}
-	defer func() { <-n.spreads }()
+	defer func() { <-n.broadcasts }()
 	n.mu.Lock()
 	peers := n.board.Peers(of)
 	n.mu.Unlock()
-	ctx, cancel := context.WithTimeout(n.context(), doubtWait)
+	ctx, cancel := context.WithTimeout(n.runContext(), unsettledTimeout)
 	defer cancel()
 	var told atomic.Int64
-	calls := pool.New().WithMaxGoroutines(toldAtOnce)
+	calls := pool.New().WithMaxGoroutines(maxConcurrentBroadcastCalls)
 	for _, peer := range peers {
 		calls.Go(func() {
-			var a doubtAnswer
-			if n.conf.Mesh.Call(ctx, peer.Addr, methodDoubt, &doubtCall{ID: id, Pool: of}, &a) == nil {
+			var a unsettledAnswer
+			if n.conf.Mesh.Call(ctx, peer.Addr, methodUnsettled, &unsettledCall{ID: id, Pool: of}, &a) == nil {
 				told.Add(1)
 			}
 		})
@@ -103,30 +103,30 @@
 
 // sendUnsettled notifies the pool's owner. It returns nil if the owner knows, also if that is this
 // entry.
-func (n *Node) sendDoubt(pool, id string) error {
+func (n *Node) sendUnsettled(pool, id string) error {
 	o, addr, err := n.ownerOf(pool)
 	if err != nil || o != nil {
 		return err // this entry has recorded it in any case
 	}
-	ctx, cancel := context.WithTimeout(n.context(), doubtWait)
+	ctx, cancel := context.WithTimeout(n.runContext(), unsettledTimeout)
 	defer cancel()
-	var a doubtAnswer
-	if err := n.conf.Mesh.Call(ctx, addr, methodDoubt, &doubtCall{ID: id, Pool: pool}, &a); err != nil {
+	var a unsettledAnswer
+	if err := n.conf.Mesh.Call(ctx, addr, methodUnsettled, &unsettledCall{ID: id, Pool: pool}, &a); err != nil {
 		return err
 	}
 	if !a.Owns {
-		return gauge.Fail(gauge.KindOutage, "%s owns pool %s no longer", addr, pool)
+		return gauge.Fail(gauge.KindOutage, "%s no longer owns pool %s", addr, pool)
 	}
 	return nil
 }
 
-func (n *Node) handleDoubt(_ context.Context, body []byte) (any, error) {
-	var c doubtCall
+func (n *Node) handleUnsettled(_ context.Context, body []byte) (any, error) {
+	var c unsettledCall
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
 	n.intake.MarkUnsettled(c.ID)
-	n.conf.Logs.Info("doubt taken in", "job", c.ID)
-	_, err := n.local(c.Pool)
-	return doubtAnswer{Owns: err == nil}, nil
+	n.conf.Logs.Info("unsettled submission recorded", "job", c.ID)
+	_, err := n.localOwner(c.Pool)
+	return unsettledAnswer{Owns: err == nil}, nil
 }
--- a/internal/node/list.go
+++ b/internal/node/workerlist.go
@@ -16,19 +16,19 @@
 
 // followWorkers follows the list of workers whenever this entry has a pool, until ctx ends.
 func (n *Node) followWorkers(ctx context.Context) {
-	for n.listing.Open(ctx) {
-		n.followList(ctx)
+	for n.workerListGate.Open(ctx) {
+		n.followWorkerList(ctx)
 	}
 }
 
 // followWorkerList follows the list of workers until it has not been needed for workerListLinger.
-func (n *Node) followList(ctx context.Context) {
+func (n *Node) followWorkerList(ctx context.Context) {
 	wanted, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	group.Go(func() {
-		n.follow(wanted, watch.Config{Name: n.conf.Words.WorkerTable(), Wait: workerWait, Pause: always(workerPause), Tell: n.toldWorkers})
+		n.followTable(wanted, watch.Config{Name: n.conf.Words.WorkerTable(), Wait: workerPollTimeout, Pause: fixedDelay(workerPollDelay), Tell: n.applyWorkerRows})
 	})
-	n.listing.Shut(ctx, listLinger)
+	n.workerListGate.Shut(ctx, workerListLinger)
 	cancel()
 	group.Wait()
 	n.mu.Lock()
@@ -36,7 +36,7 @@
 	clear(n.workers) // by the next time the rows will have changed
 }
 
-func (n *Node) toldWorkers(rows []gauge.PartRow, whole bool) {
+func (n *Node) applyWorkerRows(rows []gauge.PartRow, whole bool) {
 	n.mu.Lock()
 	if whole {
 		clear(n.workers)
@@ -50,12 +50,12 @@
 		if err != nil {
 			// An earlier row may have described a worker, which may not be valid any more.
 			delete(n.workers, r.Key)
-			n.conf.Logs.Error(err, "worker's row not read", "worker", r.Key, "version", r.Version)
+			n.conf.Logs.Error(err, "worker row not read", "worker", r.Key, "version", r.Version)
 			continue
 		}
 		n.workers[w.ID] = *w
 	}
-	list := n.listLocked()
+	list := n.workersLocked()
 	owners := n.ownersLocked()
 	n.mu.Unlock()
 	for _, o := range owners {
@@ -63,7 +63,7 @@
 	}
 }
 
-func (n *Node) listLocked() []gauge.Worker {
+func (n *Node) workersLocked() []gauge.Worker {
 	list := make([]gauge.Worker, 0, len(n.workers))
 	for _, w := range n.workers {
 		list = append(list, w)
