--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -53,7 +53,7 @@
 		n.conf.Logs.Info("job ended before its cancellation", "job", id, "state", row.State, "version", version)
 		if row.State == gauge.JobCancelled {
 			// An earlier attempt may have taken effect without an answer.
-			n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: version})
+			n.conf.NotifyOwner(Notification{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: version})
 		}
 		return nil
 	}
@@ -63,7 +63,7 @@
 	}
 	n.conf.CountEvent("job cancelled")
 	n.conf.Logs.Info("job cancelled", "job", id, "queue", q.Name, "pool", row.Pool, "version", stamp.Version)
-	n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: stamp.Version})
+	n.conf.NotifyOwner(Notification{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: stamp.Version})
 	return nil
 }
 
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -25,7 +25,7 @@
 	SeenDepth func(q *gauge.Queue) (int, time.Duration, bool)
 	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
 	OwnerDepth  func(ctx context.Context, q *gauge.Queue) (int, bool)
-	NotifyOwner func(n Notice) // notifies the owner of the pool
+	NotifyOwner func(n Notification) // notifies the owner of the pool
 	// ReportUnsettled notifies the owner of a submission that may still be stored; nil: nobody is
 	// notified.
 	ReportUnsettled func(q *gauge.Queue, id string)
@@ -54,8 +54,8 @@
 	Cancel(ctx context.Context, q *gauge.Queue, id string) error
 }
 
-// Notice notifies the owner of a pool of a new or cancelled job.
-type Notice struct {
+// Notification notifies the owner of a pool of a new or cancelled job.
+type Notification struct {
 	Pool      string
 	Queue     string
 	ID        string
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -158,11 +158,11 @@
 }
 
 type rig struct {
-	intake  *intake.Intake
-	timers  timers
-	mu      sync.Mutex
-	notices []intake.Notice
-	known   map[string]bool // jobs that the owner at this entry knows
+	intake        *intake.Intake
+	timers        timers
+	mu            sync.Mutex
+	notifications []intake.Notification
+	known         map[string]bool // jobs that the owner at this entry knows
 }
 
 func newRig(t *table, c *clock) *rig { return newRelayRig(t, c, nil) }
@@ -176,10 +176,10 @@
 		OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
 		JobState:   func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
 		OwnsJob:    func(_ *gauge.Queue, id string) bool { return g.known[id] },
-		NotifyOwner: func(n intake.Notice) {
+		NotifyOwner: func(n intake.Notification) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
-			g.notices = append(g.notices, n)
+			g.notifications = append(g.notifications, n)
 		},
 	})
 	return g
@@ -206,11 +206,11 @@
 
 func TestSubmissionOutcomes(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		answer  func(n int, execute func()) error
-		kind    gauge.Kind // empty: accepted
-		stored  bool
-		notices int
+		name          string
+		answer        func(n int, execute func()) error
+		kind          gauge.Kind // empty: accepted
+		stored        bool
+		notifications int
 	}{
 		{"answered", nil, "", true, 1},
 		{"refused once", func(n int, _ func()) error {
@@ -253,7 +253,7 @@
 			}
 			_, stored := store.rows[gauge.RowKey{Table: gauge.TableJobs, Part: "sheets", Key: id(1)}]
 			assert.Equal(t, stored, tt.stored)
-			assert.Equal(t, len(g.notices), tt.notices)
+			assert.Equal(t, len(g.notifications), tt.notifications)
 		})
 	}
 }
@@ -307,7 +307,7 @@
 	}
 	g := newRig(store, &clock{step: time.Millisecond})
 	assert.NilError(t, g.submit(1))
-	assert.Equal(t, len(g.notices), 0)
+	assert.Equal(t, len(g.notifications), 0)
 }
 
 func TestCancel(t *testing.T) {
@@ -321,5 +321,5 @@
 	assert.NilError(t, err)
 	assert.Equal(t, state, gauge.JobCancelled)
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)), "again")
-	assert.Equal(t, len(g.notices), 3, "the owner is notified each time: it may have missed the first")
+	assert.Equal(t, len(g.notifications), 3, "the owner is notified each time: it may have missed the first")
 }
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -45,7 +45,7 @@
 	waitFor(t, "the owner is notified of the job that was stored after all", func() bool {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		return len(g.notices) == 1 && g.notices[0].ID == id(0)
+		return len(g.notifications) == 1 && g.notifications[0].ID == id(0)
 	})
 	assert.Equal(t, store.count(), 1, "the refused job is never sent")
 }
@@ -133,7 +133,7 @@
 			g := newRelayRig(store, &clock{step: time.Millisecond}, p)
 			err := g.submit(1)
 			assert.Equal(t, p.submits, 1)
-			assert.Equal(t, len(g.notices), 0, "the owner knows")
+			assert.Equal(t, len(g.notifications), 0, "the owner knows")
 			if tt.want == "" {
 				assert.NilError(t, err)
 				return
@@ -269,8 +269,8 @@
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
 	assert.Equal(t, store.count(), 2, "it does not take effect twice")
-	assert.Equal(t, len(g.notices), 2)
-	assert.Assert(t, g.notices[1].Cancelled, "the owner is notified")
+	assert.Equal(t, len(g.notifications), 2)
+	assert.Assert(t, g.notifications[1].Cancelled, "the owner is notified")
 }
 
 // Guards against callers that use up their attempts within an outage of some seconds, so that their
@@ -306,7 +306,7 @@
 	var notified []string
 	entry := intake.New(intake.Config{
 		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
-		NotifyOwner: func(intake.Notice) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
+		NotifyOwner: func(intake.Notification) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
 		ReportUnsettled: func(_ *gauge.Queue, id string) {
 			notified = append(notified, id)
 			owner.intake.MarkUnsettled(id)
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -167,7 +167,7 @@
 	}
 	n.conf.CountEvent("job accepted")
 	n.conf.Logs.Info("job accepted", "job", p.id, "queue", q.Name, "pool", q.Pool, "version", o.version, "took", took, "left", p.abandoned)
-	n.conf.NotifyOwner(Notice{Pool: q.Pool, Queue: q.Name, ID: p.id, Spec: p.spec, Row: p.row, Version: o.version})
+	n.conf.NotifyOwner(Notification{Pool: q.Pool, Queue: q.Name, ID: p.id, Spec: p.spec, Row: p.row, Version: o.version})
 }
 
 // notifyOfUnsettled notifies the owner of a job that was stored by a transaction without an answer.
@@ -182,6 +182,6 @@
 		return
 	}
 	if row.State == gauge.JobPending {
-		n.conf.NotifyOwner(Notice{Pool: row.Pool, Queue: q.Name, ID: p.id, Spec: j, Row: row, Version: o.version})
+		n.conf.NotifyOwner(Notification{Pool: row.Pool, Queue: q.Name, ID: p.id, Spec: j, Row: row, Version: o.version})
 	}
 }
--- a/internal/node/background.go
+++ b/internal/node/async.go
@@ -20,31 +20,31 @@
 
 // start starts a call. It reports false if a call of that name is in flight or its result hasn't
 // been applied yet.
-func (a *backgroundCalls) start(name string, call func() (then func())) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.running[name] {
+func (b *backgroundCalls) start(name string, call func() (apply func())) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.running[name] {
 		return false
 	}
-	a.running[name] = true
+	b.running[name] = true
 	go func() {
-		then := call()
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		a.finished = append(a.finished, finishedCall{name: name, apply: then})
+		apply := call()
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.finished = append(b.finished, finishedCall{name: name, apply: apply})
 	}()
 	return true
 }
 
 // applyResults applies the results of the calls that have ended.
-func (a *backgroundCalls) applyResults() {
-	a.mu.Lock()
-	done := a.finished
-	a.finished = nil
+func (b *backgroundCalls) applyResults() {
+	b.mu.Lock()
+	done := b.finished
+	b.finished = nil
 	for _, e := range done {
-		delete(a.running, e.name)
+		delete(b.running, e.name)
 	}
-	a.mu.Unlock()
+	b.mu.Unlock()
 	for _, e := range done {
 		e.apply()
 	}
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -72,8 +72,8 @@
 // markClaimEnded records that a claim has ended, whether or not the pool has an owner here now.
 // n.mu is held.
 func (n *Node) markClaimEnded(pool string) {
-	if over, ok := n.claiming[pool]; ok {
-		close(over)
+	if ended, ok := n.claiming[pool]; ok {
+		close(ended)
 		delete(n.claiming, pool)
 	}
 }
@@ -101,8 +101,8 @@
 	return gauge.RowKey{Table: gauge.TableLeases, Part: pool, Key: gauge.KeyOwner}
 }
 
-// readGrants reads which orders the previous holder has granted, for a lease that nobody offers. It
-// reports whether the read succeeded.
+// readGrants reads the orders of the previous holders, for a lease that nobody offers. It reports
+// whether the read succeeded.
 func (n *Node) readGrants(ctx context.Context, c *terms.Claim) bool {
 	if c.Version == 0 {
 		return true // there was no previous holder
@@ -121,19 +121,19 @@
 	if from == "" && !n.readGrants(ctx, &c) {
 		return
 	}
-	var h *takenLease
+	var l *takenLease
 	for range offerClaimAttempts {
-		var again bool
-		if h, again = n.takeLease(ctx, &c, from); !again {
+		var retry bool
+		if l, retry = n.takeLease(ctx, &c, from); !retry {
 			break
 		}
 	}
 	switch {
-	case h == nil:
+	case l == nil:
 	case c.Pool == fleetPool:
-		n.runFleet(ctx, h)
+		n.runFleet(ctx, l)
 	default:
-		n.runPool(ctx, c.Pool, h)
+		n.runPool(ctx, c.Pool, l)
 	}
 }
 
@@ -141,7 +141,7 @@
 type takenLease struct {
 	lease         *tenure.Tenure
 	token         gauge.Fence
-	term          int
+	term          int // number of previous holders
 	previousRow   gauge.LeaseRow
 	remainingTerm time.Duration // how much of the previous term may remain
 }
@@ -152,9 +152,9 @@
 
 // takeLease writes the lease row on condition that it is unchanged since it was read. The version
 // of that transaction is the fencing token: versions only grow, and no two transactions share one.
-// Again reports that the offering holder has renewed the lease meanwhile; c then holds the version
+// Retry reports that the offering holder has renewed the lease meanwhile; c then holds the version
 // of the renewed row.
-func (n *Node) takeLease(ctx context.Context, c *terms.Claim, from string) (h *takenLease, again bool) {
+func (n *Node) takeLease(ctx context.Context, c *terms.Claim, from string) (l *takenLease, retry bool) {
 	term := c.Row.Term
 	if c.Version > 0 {
 		term++
@@ -216,9 +216,9 @@
 }
 
 // runPool runs a pool until its lease is lost or given up.
-func (n *Node) runPool(ctx context.Context, pool string, h *takenLease) {
+func (n *Node) runPool(ctx context.Context, pool string, l *takenLease) {
 	o := owner.New(ctx, owner.Config{
-		Pool: pool, Lease: h.lease, Term: h.term, Fence: h.token, Earlier: h.previousRow.Workers, Before: h.previousRow, Early: h.remainingTerm,
+		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, Earlier: l.previousRow.Workers, Before: l.previousRow, Early: l.remainingTerm,
 		Grace: holdGrace, Keep: retentionFactor * n.conf.Keep, Hold: min(workerLeaseDuration, n.conf.Longest), Longest: n.conf.Longest,
 		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, Wall: n.conf.Wall,
 		Stamp: n.recordTableClock, Clock: n.tableClock, Count: n.conf.Count, Event: n.conf.Event, Backlog: n.conf.Backlog,
@@ -233,14 +233,14 @@
 	}
 	n.owners[pool] = o
 	n.markClaimEnded(pool)
-	list := n.workersLocked()
+	workers := n.workersLocked()
 	n.mu.Unlock()
 	defer func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		delete(n.owners, pool)
 	}()
-	o.Run(n.Site(), list)
+	o.Run(n.Site(), workers)
 }
 
 // claimPauseAfterLeaving is how long an entry claims nothing after it had to leave a pool.
--- a/internal/node/unsettled.go
+++ b/internal/node/doubt.go
@@ -35,7 +35,7 @@
 const (
 	// unsettledRetryDelay is the pause between two attempts to notify the owner, and
 	// maxUnsettledRetries their number: a submission may still be stored for some seconds, and a
-	// pool has an owner again within three.
+	// pool has an owner again within three seconds.
 	unsettledRetryDelay = 100 * time.Millisecond
 	maxUnsettledRetries = 50
 )
@@ -74,31 +74,31 @@
 // broadcastUnsettled notifies all other entries when the owner isn't known here or doesn't answer:
 // one of them is the owner or will be. An entry that is cut off from the table may not learn who
 // the owner is before the caller retries there.
-func (n *Node) broadcastUnsettled(of, id string) {
+func (n *Node) broadcastUnsettled(poolName, id string) {
 	select {
 	case n.broadcasts <- struct{}{}:
 	default:
-		n.conf.Logs.Info("doubt not spread", "job", id, "reason", "others are being told")
+		n.conf.Logs.Info("doubt not spread", "job", id, "reason", "too many broadcasts in progress")
 		return
 	}
 	defer func() { <-n.broadcasts }()
 	n.mu.Lock()
-	peers := n.board.Peers(of)
+	peers := n.board.Peers(poolName)
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(n.runContext(), unsettledTimeout)
 	defer cancel()
-	var told atomic.Int64
+	var notified atomic.Int64
 	calls := pool.New().WithMaxGoroutines(maxConcurrentBroadcastCalls)
 	for _, peer := range peers {
 		calls.Go(func() {
 			var a unsettledAnswer
-			if n.conf.Mesh.Call(ctx, peer.Addr, methodUnsettled, &unsettledCall{ID: id, Pool: of}, &a) == nil {
-				told.Add(1)
+			if n.conf.Mesh.Call(ctx, peer.Addr, methodUnsettled, &unsettledCall{ID: id, Pool: poolName}, &a) == nil {
+				notified.Add(1)
 			}
 		})
 	}
 	calls.Wait()
-	n.conf.Logs.Info("doubt spread", "job", id, "told", told.Load(), "of", len(peers))
+	n.conf.Logs.Info("doubt spread", "job", id, "told", notified.Load(), "of", len(peers))
 }
 
 // sendUnsettled notifies the pool's owner. It returns nil if the owner knows, also if that is this
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -48,32 +48,32 @@
 
 	moveTarget atomic.Pointer[string] // address of the entry that the lease is to move to
 
-	orderMu     sync.Mutex // guards over, so that no order is sent after the lease was given away
+	orderMu     sync.Mutex // guards ordersEnded, so that no order is sent after the lease was given away
 	ordersEnded bool       // no more orders
 }
 
 // runFleet runs the fleet until its lease is lost or given up.
-func (n *Node) runFleet(ctx context.Context, h *takenLease) {
+func (n *Node) runFleet(ctx context.Context, l *takenLease) {
 	f := &fleet{
-		node: n, held: h, statusWritten: make(map[int64]bool),
+		node: n, held: l, statusWritten: make(map[int64]bool),
 		keeper: waves.New(waves.Config{
 			Upkeep: n.conf.Upkeep, Without: n.conf.Without, Logs: n.conf.Logs,
 		}),
 		sizer: sizing.New(sizing.Config{Without: n.conf.Without, Logs: n.conf.Logs}),
-		turns: turns.New(n.conf.TurnGap+monotonicClockMargin, turns.Lists{Own: h.previousRow.Ordered, Earlier: h.previousRow.Earlier},
-			n.wasOwnLease(&h.previousRow), n.tableClock(), n.conf.Now()),
+		turns: turns.New(n.conf.TurnGap+monotonicClockMargin, turns.Lists{Own: l.previousRow.Ordered, Earlier: l.previousRow.Earlier},
+			n.wasOwnLease(&l.previousRow), n.tableClock(), n.conf.Now()),
 		renewedAt: n.conf.Now(), takenAt: n.conf.Now(),
 		calls: newBackgroundCalls(), drained: make(chan struct{}, 1),
 		unsaved: make(map[int64]bool),
 	}
-	f.sizer.Learnt(time.Duration(h.previousRow.Kept)*time.Millisecond, n.conf.Now())
+	f.sizer.Learnt(time.Duration(l.previousRow.Kept)*time.Millisecond, n.conf.Now())
 	f.ordersFrom = n.conf.Now() + initialOrderDelay
-	if h.term > 0 {
-		f.ordersFrom = n.firstOrderTime(h)
+	if l.term > 0 {
+		f.ordersFrom = n.firstOrderTime(l)
 	}
 	n.setFleet(f)
 	defer n.setFleet(nil)
-	for ctx.Err() == nil && n.running.Load() && !h.lease.Lost() {
+	for ctx.Err() == nil && n.running.Load() && !l.lease.Lost() {
 		f.runRound(ctx)
 		if f.handOverIfStuck(ctx) {
 			return
@@ -104,13 +104,13 @@
 // handOver ends the work here and has another entry take over the fleet. An empty address means
 // that none has been chosen yet.
 func (f *fleet) handOver(ctx context.Context, why, to string) {
-	n, h := f.node, f.held
+	n, l := f.node, f.held
 	f.endOrders()
-	if h.lease.Lost() {
-		n.conf.Logs.Info("fleet left", "fence", h.token, "reason", "the lease is lost")
+	if l.lease.Lost() {
+		n.conf.Logs.Info("fleet left", "fence", l.token, "reason", "the lease is lost")
 		return
 	}
-	n.conf.Logs.Info("fleet left", "fence", h.token, "reason", why)
+	n.conf.Logs.Info("fleet left", "fence", l.token, "reason", why)
 	n.offerMu.Lock()
 	defer n.offerMu.Unlock()
 	if to == "" {
@@ -119,7 +119,7 @@
 	if to != "" && n.offerLease(ctx, to, f.leaseOffer()) {
 		return
 	}
-	if err := h.lease.GiveUp(ctx, f.leaseRow(nil)); err != nil {
+	if err := l.lease.GiveUp(ctx, f.leaseRow(nil)); err != nil {
 		n.conf.Logs.Info("lease not given up", "pool", fleetPool, "error", err.Error())
 	}
 }
@@ -231,9 +231,9 @@
 }
 
 // setMachines applies a list of the machines that was requested at the given time.
-func (f *fleet) setMachines(list []gauge.Machine, asked time.Duration) {
-	f.listedAt = asked
-	f.keeper.Machines(list, asked)
+func (f *fleet) setMachines(list []gauge.Machine, requestedAt time.Duration) {
+	f.listedAt = requestedAt
+	f.keeper.Machines(list, requestedAt)
 	var standby []string
 	if site := f.node.Site(); site != nil {
 		for _, p := range site.Pools {
@@ -243,5 +243,5 @@
 		}
 	}
 	f.keeper.Standby(standby)
-	f.sizer.Machines(list, standby, asked)
+	f.sizer.Machines(list, standby, requestedAt)
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -104,11 +104,11 @@
 }
 
 func (n *Node) ownersLocked() []*owner.Owner {
-	os := make([]*owner.Owner, 0, len(n.owners))
+	owners := make([]*owner.Owner, 0, len(n.owners))
 	for _, o := range n.owners {
-		os = append(os, o)
+		owners = append(owners, o)
 	}
-	return os
+	return owners
 }
 
 func (n *Node) applyLeaseRows(rows []gauge.PartRow, whole bool) {
--- a/internal/node/freshness.go
+++ b/internal/node/known.go
@@ -7,37 +7,35 @@
 	gauge "sapphiregauge"
 )
 
-// tableFreshness holds as of when this entry has seen all rows of each table that it follows. An
-// entry that is refused by the table, or whose link or processor is used up, continues with the
-// last rows that it has read; without this nothing would show how old they are.
-type tableFreshness struct {
+// freshness holds as of when this entry has seen all rows of each table that it follows. An entry
+// that is refused by the table, or whose link or processor is used up, continues with the last rows
+// that it has read; without this nothing would show how old they are.
+type freshness struct {
 	mu   sync.Mutex
 	asOf map[string]time.Duration // by table name, on the monotonic clock
 }
 
-func newTableFreshness() *tableFreshness {
-	return &tableFreshness{asOf: make(map[string]time.Duration)}
-}
+func newFreshness() *freshness { return &freshness{asOf: make(map[string]time.Duration)} }
 
-func (k *tableFreshness) update(table string, asOf time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.asOf[table] = max(asOf, k.asOf[table])
+func (f *freshness) update(table string, asOf time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.asOf[table] = max(asOf, f.asOf[table])
 }
 
 // remove drops a table that is no longer followed.
-func (k *tableFreshness) remove(table string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.asOf, table)
+func (f *freshness) remove(table string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.asOf, table)
 }
 
 // age returns how long ago the rows of a table were certain to be complete. It reports false if
 // they never were.
-func (k *tableFreshness) age(table string, now time.Duration) (time.Duration, bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	asOf, ok := k.asOf[table]
+func (f *freshness) age(table string, now time.Duration) (time.Duration, bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	asOf, ok := f.asOf[table]
 	if !ok {
 		return 0, false
 	}
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -25,14 +25,14 @@
 // be read.
 func (f *fleet) addNewWaves(ctx context.Context) bool {
 	f.node.mu.Lock()
-	var fresh []gauge.UpkeepOrder
+	var added []gauge.UpkeepOrder
 	for _, w := range f.node.waves {
 		if !f.keeper.Knows(w.Wave) {
-			fresh = append(fresh, w)
+			added = append(added, w)
 		}
 	}
 	f.node.mu.Unlock()
-	for _, w := range fresh {
+	for _, w := range added {
 		row, err := f.readWave(ctx, w.Wave)
 		if err != nil {
 			f.node.conf.Logs.Info("wave not read", "wave", w.Wave, "error", err.Error())
@@ -67,7 +67,7 @@
 func (f *fleet) requestDraining(ctx context.Context, asks []waves.Ask) {
 	for _, a := range asks {
 		f.calls.start("empty "+a.Machine, func() func() {
-			empty, err := f.node.drainWorker(ctx, emptyCall{Pool: a.Pool, Worker: a.Worker, Force: a.Force})
+			empty, err := f.node.drainWorker(ctx, drainCall{Pool: a.Pool, Worker: a.Worker, Force: a.Force})
 			if err != nil {
 				f.node.conf.Logs.Info("machine not emptied", "machine", a.Machine, "pool", a.Pool, "error", err.Error())
 			}
@@ -105,8 +105,8 @@
 // saveWave writes the progress of a wave, for the operator and for the next holder, and reports
 // whether it succeeded.
 func (f *fleet) saveWave(ctx context.Context, number int64, done bool) bool {
-	since := f.node.tableClock() - f.keeper.Age(number, f.node.conf.Now()).Milliseconds()
-	value, err := msgpack.Marshal(&waveRow{Ordered: f.keeper.Lists(number), Done: done, FirstSeen: since})
+	firstSeen := f.node.tableClock() - f.keeper.Age(number, f.node.conf.Now()).Milliseconds()
+	value, err := msgpack.Marshal(&waveRow{Ordered: f.keeper.Lists(number), Done: done, FirstSeen: firstSeen})
 	if err != nil {
 		f.node.conf.Logs.Error(err, "wave not saved", "wave", number)
 		return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -32,11 +32,11 @@
 	Workers  gauge.Workers
 	Machines gauge.Machines // nil: the platform has no machine service
 	Adviser  gauge.Adviser  // nil: the platform has no advice service
-	Words    gauge.Words
+	Words    gauge.Words    // reads and writes the rows of operator and workers
 	Mesh     *mesh.Node
 	Logs     logr.Logger
-	Now      func() time.Duration // monotonic clock
-	Wall     func() time.Time
+	Now      func() time.Duration                   // monotonic clock
+	Wall     func() time.Time                       // wall clock
 	Count    func(event string, took time.Duration) // records the duration of a call
 	Event    func(event string)                     // counts an event that an operator should see
 	Backlog  func(pool string, b *gauge.Backlog)    // receives the backlog of each pool that is owned here; nil: it is not reported
@@ -122,7 +122,7 @@
 // Node is one entry.
 type Node struct {
 	conf           Config
-	holder         string
+	holder         string // identifies this process as a holder of leases
 	intake         *intake.Intake
 	site           atomic.Pointer[gauge.Site]
 	clockOffset    atomic.Int64                    // table's clock minus the local one, in nanoseconds
@@ -131,14 +131,14 @@
 	leasesRead     atomic.Bool                     // the leases were read at least once
 	ctx            atomic.Pointer[context.Context] // of Run
 	group          conc.WaitGroup
-	freshness      *tableFreshness
+	freshness      *freshness
 
 	// offerMu is held from the choice of a successor to its answer, so that leases that this entry
 	// offers one after the other go to different entries.
 	offerMu sync.Mutex
 
 	mu                sync.Mutex
-	board             *terms.Board
+	board             *terms.Board  // view of the lease table
 	tableBackAt       time.Duration // when the table last became reachable again; 0: there was no outage
 	holdersCheckedAt  time.Duration // last check of the holders during a table outage
 	leasesReadAt      time.Duration // when the last successful read of the leases was sent
@@ -171,7 +171,7 @@
 	}
 	fill.Zero(&c.Apply, defaultApplyDelay)
 	n := &Node{
-		conf: c, holder: c.Name + "/" + c.Start, workerListGate: gate.New(), freshness: newTableFreshness(),
+		conf: c, holder: c.Name + "/" + c.Start, workerListGate: gate.New(), freshness: newFreshness(),
 		owners: make(map[string]*owner.Owner), leasesInUse: make(map[string]bool), claiming: make(map[string]chan struct{}),
 		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.UpkeepOrder),
 	}
@@ -180,9 +180,9 @@
 		Store: c.Store, Logs: c.Logs, CountEvent: c.Event, Now: c.Now, TableClock: n.tableClock, SeenDepth: n.seenDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
 		Relay: ownerRelay{n}, ReportUnsettled: n.reportUnsettled, OwnsJob: n.ownsJob, Disabled: c.Without,
 	})
-	c.Mesh.Handle(methodNotice, n.handleNotice)
+	c.Mesh.Handle(methodNotification, n.handleNotification)
 	c.Mesh.Handle(methodUnsettled, n.handleUnsettled)
-	c.Mesh.Handle(methodEmpty, n.handleEmpty)
+	c.Mesh.Handle(methodDrain, n.handleDrain)
 	c.Mesh.Handle(methodLoad, n.handleLoad)
 	c.Mesh.Handle(methodState, n.handleState)
 	c.Mesh.Handle(methodDepth, n.handleDepth)
--- a/internal/node/notice.go
+++ b/internal/node/notice.go
@@ -10,20 +10,20 @@
 )
 
 // methodNotice notifies a pool's owner of a new or cancelled job.
-const methodNotice = "job.notice"
+const methodNotification = "job.notice"
 
 // noticeAnswer is empty: the owner has accepted the notification.
-type noticeAnswer struct{}
+type notificationAnswer struct{}
 
 // notify notifies the owner of a job's pool in the background. If all attempts fail, the owner
 // finds the job by its own scan. A cancellation is sent once before its caller gets the answer,
 // since an owner that is asked for the job's state right afterwards would otherwise still report it
 // as running.
-func (n *Node) notify(notice intake.Notice) {
-	if n.deliverLocally(notice) {
+func (n *Node) notify(notification intake.Notification) {
+	if n.deliverLocally(notification) {
 		return
 	}
-	if notice.Cancelled && n.sendNotice(notice, cancelNotificationTimeout) == nil {
+	if notification.Cancelled && n.sendNotification(notification, cancelNotificationTimeout) == nil {
 		return
 	}
 	n.group.Go(func() {
@@ -34,77 +34,77 @@
 			if n.runContext().Err() != nil {
 				return // the entry stops; the owner finds the job by its own scan
 			}
-			err := n.sendNotice(notice, notificationTimeout)
+			err := n.sendNotification(notification, notificationTimeout)
 			if err == nil {
 				return
 			}
-			n.conf.Logs.Info("notice not delivered", "job", notice.ID, "pool", notice.Pool, "try", try+1, "error", err.Error())
+			n.conf.Logs.Info("notice not delivered", "job", notification.ID, "pool", notification.Pool, "try", try+1, "error", err.Error())
 		}
 	})
 }
 
-func (n *Node) sendNotice(notice intake.Notice, wait time.Duration) error {
-	if n.deliverLocally(notice) {
+func (n *Node) sendNotification(notification intake.Notification, wait time.Duration) error {
+	if n.deliverLocally(notification) {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(n.runContext(), wait)
 	defer cancel()
-	row, ok := n.findOwner(ctx, notice)
+	row, ok := n.findOwner(ctx, notification)
 	if !ok || row.Holder == n.holder {
-		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notice.Pool)
+		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notification.Pool)
 	}
-	var answer noticeAnswer
-	return n.conf.Mesh.Call(ctx, row.Addr, methodNotice, &notice, &answer)
+	var answer notificationAnswer
+	return n.conf.Mesh.Call(ctx, row.Addr, methodNotification, &notification, &answer)
 }
 
 // findOwner returns the lease row of a notification's pool. An entry that has just started, or
 // whose pool has just got its first owner, hasn't seen the lease yet. The owner would go on
 // reporting a job as running whose cancellation was acknowledged, so for a cancellation the row is
 // read.
-func (n *Node) findOwner(ctx context.Context, notice intake.Notice) (gauge.LeaseRow, bool) {
+func (n *Node) findOwner(ctx context.Context, notification intake.Notification) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
-	row, ok := n.board.Holder(notice.Pool)
+	row, ok := n.board.Holder(notification.Pool)
 	n.mu.Unlock()
-	if ok || !notice.Cancelled {
+	if ok || !notification.Cancelled {
 		return row, ok
 	}
-	rows, _, err := n.conf.Store.Range(ctx, gauge.TableLeases, notice.Pool, gauge.KeyOwner, gauge.KeyOwner+"\x00")
+	rows, _, err := n.conf.Store.Range(ctx, gauge.TableLeases, notification.Pool, gauge.KeyOwner, gauge.KeyOwner+"\x00")
 	if err != nil {
-		n.conf.Logs.Info("lease not read", "pool", notice.Pool, "kind", gauge.KindOf(err), "error", err.Error())
+		n.conf.Logs.Info("lease not read", "pool", notification.Pool, "kind", gauge.KindOf(err), "error", err.Error())
 		return row, false
 	}
 	n.applyLeaseRows(rows, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.board.Holder(notice.Pool)
+	return n.board.Holder(notification.Pool)
 }
 
 // deliverLocally passes a notification to the pool's owner if that is this entry, and reports
 // whether it was accepted.
-func (n *Node) deliverLocally(notice intake.Notice) bool {
+func (n *Node) deliverLocally(notification intake.Notification) bool {
 	n.mu.Lock()
-	o := n.owners[notice.Pool]
+	o := n.owners[notification.Pool]
 	n.mu.Unlock()
 	if o == nil {
 		return false
 	}
-	if notice.Cancelled {
-		o.Cancel(notice.ID, notice.Version)
+	if notification.Cancelled {
+		o.Cancel(notification.ID, notification.Version)
 		return true
 	}
-	return o.Adopt(notice.ID, notice.Queue, notice.Spec, notice.Row, notice.Version)
+	return o.Adopt(notification.ID, notification.Queue, notification.Spec, notification.Row, notification.Version)
 }
 
-func (n *Node) handleNotice(_ context.Context, body []byte) (any, error) {
-	var notice intake.Notice
-	if err := frame.Decode(body, &notice); err != nil {
+func (n *Node) handleNotification(_ context.Context, body []byte) (any, error) {
+	var notification intake.Notification
+	if err := frame.Decode(body, &notification); err != nil {
 		return nil, err
 	}
-	if notice.Row == nil && !notice.Cancelled || notice.Spec == nil && !notice.Cancelled {
-		return nil, gauge.Fail(gauge.KindInvalid, "notification of job %s without its specification or row", notice.ID)
+	if notification.Row == nil && !notification.Cancelled || notification.Spec == nil && !notification.Cancelled {
+		return nil, gauge.Fail(gauge.KindInvalid, "notification of job %s without its specification or row", notification.ID)
 	}
-	if !n.deliverLocally(notice) {
-		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notice.Pool)
+	if !n.deliverLocally(notification) {
+		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notification.Pool)
 	}
-	return noticeAnswer{}, nil
+	return notificationAnswer{}, nil
 }
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -86,8 +86,8 @@
 // register writes this entry's row, by which other entries find it. An outdated row does little
 // harm, since an entry is probed before a lease is offered to it.
 func (n *Node) register(ctx context.Context) {
-	self := gauge.EntryRow{Addr: n.conf.Addr, Capacity: n.conf.Capacity}
-	value, err := self.Encode()
+	entry := gauge.EntryRow{Addr: n.conf.Addr, Capacity: n.conf.Capacity}
+	value, err := entry.Encode()
 	if err != nil {
 		n.conf.Logs.Error(err, "entry not registered")
 		return
@@ -118,29 +118,29 @@
 	defer cancel()
 	peers := n.peerAddrs(pool)
 	replies := make(chan probeReply, len(peers))
-	more := time.NewTimer(0)
-	defer more.Stop()
+	nextProbes := time.NewTimer(0)
+	defer nextProbes.Stop()
 	var best probeReply
-	var late <-chan time.Time
+	var gatherEnd <-chan time.Time
 	for asked, answered := 0, 0; answered < len(peers); {
 		select {
-		case <-more.C:
+		case <-nextProbes.C:
 			for range min(maxConcurrentProbes, len(peers)-asked) {
 				n.probeInBackground(ctx, peers[asked], failing, replies)
 				asked++
 			}
-			more.Reset(nextProbesDelay)
+			nextProbes.Reset(nextProbesDelay)
 		case r := <-replies:
 			answered++
 			best = betterReply(best, r)
 			if answered == asked && !best.Ready {
-				more.Reset(0)
+				nextProbes.Reset(0)
 			}
-		case <-late:
+		case <-gatherEnd:
 			return best.addr
 		}
-		if best.Ready && late == nil {
-			late = time.After(readyGatherTimeout)
+		if best.Ready && gatherEnd == nil {
+			gatherEnd = time.After(readyGatherTimeout)
 		}
 	}
 	return best.addr
@@ -178,16 +178,16 @@
 		n.probeInBackground(ctx, addr, 0, replies)
 	}
 	var best probeReply
-	var late <-chan time.Time
+	var gatherEnd <-chan time.Time
 	for range addrs {
 		select {
 		case r := <-replies:
 			best = betterReply(best, r)
-		case <-late:
+		case <-gatherEnd:
 			return best
 		}
-		if best.Ready && late == nil {
-			late = time.After(readyGatherTimeout)
+		if best.Ready && gatherEnd == nil {
+			gatherEnd = time.After(readyGatherTimeout)
 		}
 	}
 	return best
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -18,12 +18,12 @@
 // firstOrderTime returns when this holder may order its first machine. If the previous holder gave
 // up the lease, offered it or announced its orders, the ordered machines are known and only those
 // have to wait. Otherwise it may have ordered any machine for orderWindow after its last renewal.
-func (n *Node) firstOrderTime(h *takenLease) time.Duration {
+func (n *Node) firstOrderTime(l *takenLease) time.Duration {
 	now := n.conf.Now()
-	if h.previousRow.Holder == "" || h.previousRow.Announced || n.wasOwnLease(&h.previousRow) {
+	if l.previousRow.Holder == "" || l.previousRow.Announced || n.wasOwnLease(&l.previousRow) {
 		return now // given up, or orders known, or held by this entry before a restart
 	}
-	since := time.Duration(n.tableClock()-h.previousRow.Renewed)*time.Millisecond - clockReadingMargin
+	since := time.Duration(n.tableClock()-l.previousRow.Renewed)*time.Millisecond - clockReadingMargin
 	return now + max(0, n.conf.TurnGap+monotonicClockMargin+orderWindow-since)
 }
 
--- a/internal/node/ownercalls.go
+++ b/internal/node/ownercalls.go
@@ -22,9 +22,9 @@
 	// within tenths of a second, and the caller waits.
 	depthTimeout = 400 * time.Millisecond
 	// emptyTimeout bounds one call to have a worker drained.
-	emptyTimeout = 600 * time.Millisecond
+	drainTimeout = 600 * time.Millisecond
 	// methodEmpty asks a pool's owner to drain a worker.
-	methodEmpty = "worker.empty"
+	methodDrain = "worker.empty"
 )
 
 // loadTimeout bounds one call for the demand of a pool.
@@ -92,18 +92,18 @@
 }
 
 // emptyCall asks to drain a worker; the request holds for some seconds.
-type emptyCall struct {
+type drainCall struct {
 	Pool   string `msgpack:"p"`
 	Worker string `msgpack:"w"`
 	Force  bool   `msgpack:"f"`
 }
 
-type emptyAnswer struct {
+type drainAnswer struct {
 	Empty bool `msgpack:"e"`
 }
 
 // drainWorker asks a pool's owner to drain a worker and reports whether nothing runs there.
-func (n *Node) drainWorker(ctx context.Context, c emptyCall) (bool, error) {
+func (n *Node) drainWorker(ctx context.Context, c drainCall) (bool, error) {
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
 		return false, err
@@ -111,15 +111,15 @@
 	if o != nil {
 		return o.Empty(c.Worker, c.Force), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, emptyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	var answer emptyAnswer
-	err = n.conf.Mesh.Call(ctx, addr, methodEmpty, &c, &answer)
+	var answer drainAnswer
+	err = n.conf.Mesh.Call(ctx, addr, methodDrain, &c, &answer)
 	return answer.Empty, err
 }
 
-func (n *Node) handleEmpty(_ context.Context, body []byte) (any, error) {
-	var c emptyCall
+func (n *Node) handleDrain(_ context.Context, body []byte) (any, error) {
+	var c drainCall
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return emptyAnswer{Empty: o.Empty(c.Worker, c.Force)}, nil
+	return drainAnswer{Empty: o.Empty(c.Worker, c.Force)}, nil
 }
 
 type stateCall struct {
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -123,13 +123,13 @@
 func (n *Node) callOwner(ctx context.Context, pool, addr, method string, call any) (relayAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	look := time.AfterFunc(relayProbeDelay, func() {
+	probeTimer := time.AfterFunc(relayProbeDelay, func() {
 		if _, err := n.probe(ctx, addr, probeCall{}); err != nil && ctx.Err() == nil {
 			n.markUnresponsive(pool, addr)
 			cancel()
 		}
 	})
-	defer look.Stop()
+	defer probeTimer.Stop()
 	var answer relayAnswer
 	err := n.conf.Mesh.Call(ctx, addr, method, call, &answer)
 	return answer, err
@@ -201,15 +201,15 @@
 // no clear answer just when the table was slow.
 func (n *Node) awaitClaim(ctx context.Context, pool string) {
 	n.mu.Lock()
-	over := n.claiming[pool]
+	ended := n.claiming[pool]
 	n.mu.Unlock()
-	if over == nil {
+	if ended == nil {
 		return
 	}
 	timer := time.NewTimer(claimWaitTimeout)
 	defer timer.Stop()
 	select {
-	case <-over:
+	case <-ended:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -63,7 +63,7 @@
 }
 
 func (f *fleet) drainMachine(ctx context.Context, m sizing.Move) bool {
-	empty, err := f.node.drainWorker(ctx, emptyCall{Pool: m.From, Worker: m.Worker})
+	empty, err := f.node.drainWorker(ctx, drainCall{Pool: m.From, Worker: m.Worker})
 	if err != nil {
 		f.node.conf.Logs.Info("machine not emptied", "machine", m.Machine, "pool", m.From, "error", err.Error())
 	}
--- a/internal/node/rebalance.go
+++ b/internal/node/spread.go
@@ -82,18 +82,18 @@
 // should move there, and has that entry make a reservation. It returns "" if there is none.
 func (n *Node) findLessLoaded(ctx context.Context, pool string) string {
 	here, peers := n.moveCandidates(pool)
-	for some := range slices.Chunk(peers, maxConcurrentProbes) {
-		best := n.chooseReady(ctx, some)
+	for group := range slices.Chunk(peers, maxConcurrentProbes) {
+		best := n.chooseReady(ctx, group)
 		if !best.Ready || !here.Moves(best.load()) {
 			continue
 		}
 		// Other holders may have chosen the same entry.
-		kept, err := n.probe(ctx, best.addr, probeCall{Reserve: true})
-		if err != nil || !kept.Ready || !here.Moves(kept.load()) {
+		reserved, err := n.probe(ctx, best.addr, probeCall{Reserve: true})
+		if err != nil || !reserved.Ready || !here.Moves(reserved.load()) {
 			return ""
 		}
 		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Held, "capacity", here.Capacity,
-			"heldThere", kept.Held, "capacityThere", kept.Capacity)
+			"heldThere", reserved.Held, "capacityThere", reserved.Capacity)
 		return best.addr
 	}
 	return ""
@@ -102,7 +102,7 @@
 // moveCandidates returns this host's load and, according to the table, the addresses of entries on
 // far less loaded hosts. There are none while the table is out of reach or this entry is about to
 // stop.
-func (n *Node) moveCandidates(pool string) (here terms.Burden, lighter []string) {
+func (n *Node) moveCandidates(pool string) (here terms.Burden, candidates []string) {
 	if !n.canTakeOver(maxTakeOverViewAge) {
 		return here, nil
 	}
@@ -111,10 +111,10 @@
 	here = terms.Burden{Held: n.board.Held(), Capacity: n.conf.Capacity}
 	for _, p := range n.board.Peers(pool) {
 		if here.Moves(p.Burden) {
-			lighter = append(lighter, p.Addr)
+			candidates = append(candidates, p.Addr)
 		}
 	}
-	return here, lighter
+	return here, candidates
 }
 
 // reserve makes a reservation for a lease that is about to move here. It reports false if there is
--- a/internal/node/workerlist.go
+++ b/internal/node/workerlist.go
@@ -23,10 +23,10 @@
 
 // followWorkerList follows the list of workers until it has not been needed for workerListLinger.
 func (n *Node) followWorkerList(ctx context.Context) {
-	wanted, cancel := context.WithCancel(ctx)
+	listCtx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	group.Go(func() {
-		n.followTable(wanted, watch.Config{Name: n.conf.Words.WorkerTable(), Wait: workerPollTimeout, Pause: fixedDelay(workerPollDelay), Tell: n.applyWorkerRows})
+		n.followTable(listCtx, watch.Config{Name: n.conf.Words.WorkerTable(), Wait: workerPollTimeout, Pause: fixedDelay(workerPollDelay), Tell: n.applyWorkerRows})
 	})
 	n.workerListGate.Shut(ctx, workerListLinger)
 	cancel()
@@ -55,18 +55,18 @@
 		}
 		n.workers[w.ID] = *w
 	}
-	list := n.workersLocked()
+	workers := n.workersLocked()
 	owners := n.ownersLocked()
 	n.mu.Unlock()
 	for _, o := range owners {
-		o.List(list)
+		o.List(workers)
 	}
 }
 
 func (n *Node) workersLocked() []gauge.Worker {
-	list := make([]gauge.Worker, 0, len(n.workers))
+	workers := make([]gauge.Worker, 0, len(n.workers))
 	for _, w := range n.workers {
-		list = append(list, w)
+		workers = append(workers, w)
 	}
-	return list
+	return workers
 }
