--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -24,9 +24,9 @@
 	})
 }
 
-// Guards against callers that get no answer in time while the table doesn't answer. A transaction
-// hangs, and another job is queued for the next one; both callers' waits must end, although the
-// outcome of a job was only checked between transactions.
+// Guards against callers that get no answer in time while the table doesn't answer, because the
+// outcome of a job is only checked between transactions. A transaction hangs, and another job is
+// queued for the next one; then the waits of both callers end.
 func TestCallersDoNotWaitForAHangingTransaction(t *testing.T) {
 	store, received, release := newHangingTable()
 	g := newRig(store, &clock{step: time.Millisecond})
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -219,7 +219,7 @@
 func (n *Node) runPool(ctx context.Context, pool string, l *takenLease) {
 	o := owner.New(ctx, owner.Config{
 		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, Earlier: l.previousRow.Workers, Before: l.previousRow, Early: l.remainingTerm,
-		Grace: holdGrace, Keep: retentionFactor * n.conf.Keep, Hold: min(workerLeaseDuration, n.conf.Longest), Longest: n.conf.Longest,
+		Grace: workerLeaseGrace, Keep: retentionFactor * n.conf.Keep, Hold: min(workerLeaseDuration, n.conf.Longest), Longest: n.conf.Longest,
 		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, Wall: n.conf.Wall,
 		Stamp: n.recordTableClock, Clock: n.tableClock, Count: n.conf.Count, Event: n.conf.Event, Backlog: n.conf.Backlog,
 		Without: n.conf.Without,
--- a/internal/node/holdercheck.go
+++ b/internal/node/holdercheck.go
@@ -51,8 +51,8 @@
 
 // suspectAfter returns how long a lease may go without a renewal before its holder is probed: two
 // renewals and one poll of the leases are overdue by then. 0: holders aren't probed.
-func suspectAfter(without gauge.Without) time.Duration {
-	if without.Has(gauge.MechanismSuspect) {
+func suspectAfter(disabled gauge.Without) time.Duration {
+	if disabled.Has(gauge.MechanismSuspect) {
 		return 0
 	}
 	return time.Second
--- a/internal/node/notice.go
+++ b/internal/node/notice.go
@@ -9,10 +9,10 @@
 	"sapphiregauge/internal/intake"
 )
 
-// methodNotice notifies a pool's owner of a new or cancelled job.
+// methodNotification notifies a pool's owner of a new or cancelled job.
 const methodNotification = "job.notice"
 
-// noticeAnswer is empty: the owner has accepted the notification.
+// notificationAnswer is empty: the owner has accepted the notification.
 type notificationAnswer struct{}
 
 // notify notifies the owner of a job's pool in the background. If all attempts fail, the owner
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -223,11 +223,11 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	seen := maxTakeOverViewAge
+	maxAge := maxTakeOverViewAge
 	if c.FailingFor > 0 {
-		seen = c.FailingFor - probeMargin
+		maxAge = c.FailingFor - probeMargin
 	}
-	return n.newAnswer(n.canTakeOver(seen) && (!c.Reserve || n.reserve())), nil
+	return n.newAnswer(n.canTakeOver(maxAge) && (!c.Reserve || n.reserve())), nil
 }
 
 func (n *Node) handleOffer(_ context.Context, body []byte) (any, error) {
@@ -263,14 +263,14 @@
 }
 
 // canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't had to
-// leave a pool just now, and the table has answered within the given time. After an outage it first
+// leave a pool just now, and its view of the lease table is no older than maxViewAge. After an outage it first
 // leaves the holders the time to notice that the table answers again.
-func (n *Node) canTakeOver(within time.Duration) bool {
+func (n *Node) canTakeOver(maxViewAge time.Duration) bool {
 	if !n.running.Load() || n.Site() == nil {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	return now >= n.claimPauseUntil && now-n.leasesReadAt <= min(within, maxTakeOverViewAge) && (n.tableBackAt == 0 || now-n.tableBackAt > renewalGrace)
+	return now >= n.claimPauseUntil && now-n.leasesReadAt <= min(maxViewAge, maxTakeOverViewAge) && (n.tableBackAt == 0 || now-n.tableBackAt > renewalGrace)
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -11,9 +11,9 @@
 	"sapphiregauge/internal/waves"
 )
 
-// These methods decide which machines the fleet lease holder may order, and what its successor
-// learns about earlier orders: two holders must not order the same machine within the minimum order
-// interval.
+// An order asks the machine service to move a machine or to start its maintenance. These methods
+// decide which machines the fleet lease holder may order, and what its successor learns about
+// earlier orders: two holders must not order the same machine within the minimum order interval.
 
 // firstOrderTime returns when this holder may order its first machine. If the previous holder gave
 // up the lease, offered it or announced its orders, the ordered machines are known and only those
@@ -33,9 +33,9 @@
 	return name == n.conf.Name
 }
 
-// carryOverOrders copies the orders of earlier holders into the row of a claim, and marks them as
-// announced if they are complete. If this process ends before its first renewal, its successor has
-// only that row.
+// carryOverOrders copies the orders of earlier holders into the row of a claim. If this process ends
+// before its first renewal, its successor has only that row. Announced stays set, or is set if the
+// lease was given up: this holder announces its own orders before it sends them.
 func (n *Node) carryOverOrders(row, before *gauge.LeaseRow) {
 	row.Kept = before.Kept
 	row.Announced = before.Announced || before.Holder == ""
--- a/internal/node/ownercalls.go
+++ b/internal/node/ownercalls.go
@@ -21,9 +21,9 @@
 	// depthTimeout bounds that call: an owner answers within some milliseconds, one on a slow link
 	// within tenths of a second, and the caller waits.
 	depthTimeout = 400 * time.Millisecond
-	// emptyTimeout bounds one call to have a worker drained.
+	// drainTimeout bounds one call to have a worker drained.
 	drainTimeout = 600 * time.Millisecond
-	// methodEmpty asks a pool's owner to drain a worker.
+	// methodDrain asks a pool's owner to drain a worker.
 	methodDrain = "worker.empty"
 )
 
@@ -91,7 +91,7 @@
 	return &l, nil
 }
 
-// emptyCall asks to drain a worker; the request holds for some seconds.
+// drainCall asks to drain a worker; the request holds for some seconds.
 type drainCall struct {
 	Pool   string `msgpack:"p"`
 	Worker string `msgpack:"w"`
