--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,8 +53,8 @@
 	// table that is 60 times slower than usual, a renewal is confirmed 1.6 s after the previous one
 	// was sent.
 	leaseTerm = 2 * time.Second
-	// workerLeaseGrace is how far worker leases may reach beyond the end of the owner's lease, so that
-	// runs survive a table outage. A successor waits this long for workers that don't answer.
+	// workerLeaseGrace is how far worker leases may reach beyond the end of the owner's lease, so
+	// that runs survive a table outage. A successor waits this long for workers that don't answer.
 	workerLeaseGrace = 6 * time.Second
 	// workerLeaseDuration is the worker lease that each heartbeat requests. It outlasts the
 	// replacement of an owner, which takes the lease's term and about 1 s, counted from up to 1 s
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -263,8 +263,8 @@
 }
 
 // canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't had to
-// leave a pool just now, and its view of the lease table is no older than maxViewAge. After an outage it first
-// leaves the holders the time to notice that the table answers again.
+// leave a pool just now, and its view of the lease table is no older than maxViewAge. After an
+// outage it first leaves the holders the time to notice that the table answers again.
 func (n *Node) canTakeOver(maxViewAge time.Duration) bool {
 	if !n.running.Load() || n.Site() == nil {
 		return false
