--- a/internal/sizing/bench_test.go
+++ b/internal/sizing/bench_test.go
@@ -7,7 +7,7 @@
 	gauge "sapphiregauge"
 )
 
-// BenchmarkNext is one round of the fleet's holder: µs by machines and pools.
+// BenchmarkNext measures one round of the fleet lease holder by the number of machines and pools.
 func BenchmarkNext(b *testing.B) {
 	for _, size := range []struct{ machines, pools int }{{49, 4}, {590, 12}, {5900, 117}} {
 		b.Run(fmt.Sprintf("machines=%d/pools=%d", size.machines, size.pools), func(b *testing.B) {
@@ -15,7 +15,7 @@
 			for i := range size.pools {
 				counts[fmt.Sprintf("p%03d", i)] = (size.machines - counts["spare"]) / size.pools
 			}
-			g := newRig(counts)
+			g := newHarness(counts)
 			for i := range size.pools {
 				g.load(gauge.PoolLoad{Pool: fmt.Sprintf("p%03d", i), Timely: gauge.Demand{Busy: 50}}, 0)
 			}
--- a/internal/sizing/keep.go
+++ b/internal/sizing/keep.go
@@ -3,53 +3,53 @@
 import "time"
 
 const (
-	// shortestKeep is how long a pool must have too many machines before it gives some
-	// to standby, as long as nothing else was learnt: demand dips within a queue's turn.
-	shortestKeep = 4 * time.Second
-	// longestKeep bounds what is learnt: so long after the last work all machines but
-	// those for lasting tasks are on standby.
-	longestKeep = 30 * time.Second
-	// learnGap is the least time between two steps: one rise in demand takes machines
-	// back for about a second.
-	learnGap = time.Second
-	// forgetAfter: with no machine taken back for so long the keep is halved.
-	forgetAfter = 2 * time.Minute
+	// minRetention is how long a pool must have too many machines before it gives some to standby,
+	// as long as nothing else was learnt: demand dips briefly within a queue's peak.
+	minRetention = 4 * time.Second
+	// maxRetention bounds the learnt retention: this long after the last work, all machines but
+	// those for long-running tasks are on standby.
+	maxRetention = 30 * time.Second
+	// minAdjustInterval is the minimum time between two adjustments: one rise in demand takes
+	// machines back for about a second, and counts once.
+	minAdjustInterval = time.Second
+	// decayAfter is how long no machine must have been taken back for the retention to be halved.
+	decayAfter = 2 * time.Minute
 )
 
-// keep learns how long surplus machines are worth keeping.
+// retention learns how long surplus machines are worth keeping in their pool.
 //
-// The pattern it answers: demand goes from pool to pool, and machines that went to
-// standby at the end of one queue's turn are wanted back for the next one some seconds
-// later. Each such trip takes two moves, and two seconds in which the next queue's
-// jobs wait. Where machines are wanted back soon they are kept longer, twice as long with
-// each time; where they aren't, a surplus goes to standby after four seconds.
-// With surplus given away after 4 s throughout, on days of such turns the two worst
-// windows earned 0.60 of what they owed instead of 0.65, with 254 moves instead of 186
-// and 3 % fewer machine-seconds (24 simulated days, with all their faults).
-type keep struct {
-	span  time.Duration
-	gave  time.Duration // when a machine last went to standby; 0: none has
-	moved time.Duration // when the span last changed
+// Demand moves from pool to pool, so machines that went to standby at the end of one queue's peak
+// can be needed seconds later for the peak of the next. Each such round trip takes two moves, and
+// two seconds in which the next queue's jobs wait. The retention therefore doubles each time that
+// machines are needed again soon; where they aren't, a surplus goes to standby after four seconds.
+//
+// With a fixed retention of 4 s, on days with such peaks the two worst windows earned 0.60 of the
+// value due instead of 0.65, with 254 moves instead of 186 and 3 % fewer machine-seconds (24
+// simulated days with all their faults).
+type retention struct {
+	period      time.Duration
+	lastGiven   time.Duration // when a machine last went to standby; 0: never
+	lastChanged time.Duration // when the period last changed
 }
 
-// now is the span in force.
-func (k *keep) now(now time.Duration) time.Duration {
-	if k.span == 0 {
-		k.span = shortestKeep
+// current returns the retention period in force.
+func (r *retention) current(now time.Duration) time.Duration {
+	if r.period == 0 {
+		r.period = minRetention
 	}
-	if now-max(k.moved, k.gave) > forgetAfter && k.span > shortestKeep {
-		k.span, k.moved = max(shortestKeep, k.span/2), now
+	if now-max(r.lastChanged, r.lastGiven) > decayAfter && r.period > minRetention {
+		r.period, r.lastChanged = max(minRetention, r.period/2), now
 	}
-	return k.span
+	return r.period
 }
 
-// given takes in that a machine goes to standby.
-func (k *keep) given(now time.Duration) { k.gave = now }
+// recordGiven records that a machine goes to standby.
+func (r *retention) recordGiven(now time.Duration) { r.lastGiven = now }
 
-// taken takes in that one is wanted back.
-func (k *keep) taken(now time.Duration) {
-	if k.gave == 0 || now-k.gave > longestKeep || k.moved > 0 && now-k.moved < learnGap {
+// recordTaken records that a machine is taken back from standby.
+func (r *retention) recordTaken(now time.Duration) {
+	if r.lastGiven == 0 || now-r.lastGiven > maxRetention || r.lastChanged > 0 && now-r.lastChanged < minAdjustInterval {
 		return
 	}
-	k.span, k.moved = min(2*k.now(now), longestKeep), now
+	r.period, r.lastChanged = min(2*r.current(now), maxRetention), now
 }
--- a/internal/sizing/move.go
+++ b/internal/sizing/move.go
@@ -8,66 +8,66 @@
 	gauge "sapphiregauge"
 )
 
-// choose picks machines for pools that want more, from standby and then from
-// pools with too many, and sends what nobody wants to standby.
-func (s *Sizer) choose(pools []string, now time.Duration, taken func(string) bool) {
-	short := slices.Clone(pools)
-	slices.SortFunc(short, func(a, b string) int {
-		return cmp.Or(cmp.Compare(s.missing(b), s.missing(a)), cmp.Compare(a, b))
+// chooseMoves picks machines for pools that are short, from standby first and then from pools with
+// a surplus, and sends the machines that no pool needs to standby.
+func (s *Sizer) chooseMoves(pools []string, now time.Duration, taken func(string) bool) {
+	byShortfall := slices.Clone(pools)
+	slices.SortFunc(byShortfall, func(a, b string) int {
+		return cmp.Or(cmp.Compare(s.shortfall(b), s.shortfall(a)), cmp.Compare(a, b))
 	})
-	for _, pool := range short {
-		for s.missing(pool) > 0 {
+	for _, pool := range byShortfall {
+		for s.shortfall(pool) > 0 {
 			if s.redirect(pool) {
 				continue
 			}
-			m, ok := s.spare(pools, pool, now, taken)
+			m, ok := s.findSpare(pools, pool, now, taken)
 			if !ok {
 				break
 			}
 			s.move(m, pool, now)
 		}
 	}
-	if len(s.standby) == 0 || s.conf.Without.Has(gauge.MechanismStandby) {
+	if len(s.standbyPools) == 0 || s.conf.Without.Has(gauge.MechanismStandby) {
 		return
 	}
 	for _, pool := range pools {
 		w := s.wanted[pool]
-		for w.below > 0 && now-w.below > s.keep.now(now) && s.missing(pool) < 0 {
-			m, ok := s.idle(pool, taken, s.later)
+		for w.surplusSince > 0 && now-w.surplusSince > s.retention.current(now) && s.shortfall(pool) < 0 {
+			m, ok := s.findIdle(pool, taken, s.waveLater)
 			if !ok {
 				break
 			}
-			s.move(m, s.home(m), now)
+			s.move(m, s.standbyPool(m), now)
 		}
 	}
 }
 
-// missing is how many machines a pool wants more than it has.
-func (s *Sizer) missing(pool string) int { return s.wanted[pool].count - s.has(pool) }
+// shortfall returns how many machines a pool lacks; negative: it has a surplus.
+func (s *Sizer) shortfall(pool string) int { return s.wanted[pool].count - s.assigned(pool) }
 
 func (s *Sizer) move(m gauge.Machine, to string, now time.Duration) {
-	standby := slices.Contains(s.standby, m.Pool)
+	standby := slices.Contains(s.standbyPools, m.Pool)
 	switch {
 	case standby:
-		s.keep.taken(now)
-	case slices.Contains(s.standby, to):
-		s.keep.given(now)
+		s.retention.recordTaken(now)
+	case slices.Contains(s.standbyPools, to):
+		s.retention.recordGiven(now)
 	}
-	s.index.has[m.Pool]--
-	s.index.has[to]++
-	s.moves[m.ID] = &Move{Machine: m.ID, From: m.Pool, To: to, Worker: m.Worker, Empty: standby, chosen: now}
+	s.index.assigned[m.Pool]--
+	s.index.assigned[to]++
+	s.moves[m.ID] = &Move{Machine: m.ID, From: m.Pool, To: to, Worker: m.Worker, Empty: standby, chosenAt: now}
 	s.conf.Logs.Info("move chosen", "machine", m.ID, "from", m.Pool, "to", to)
 }
 
-// redirect sends a machine that is to go to standby, and isn't ordered yet, to a
-// pool that wants it: there and back would take two moves.
+// redirect sends a machine that is bound for standby, and not yet ordered to move, to a pool that
+// needs it: by way of standby it would move twice.
 func (s *Sizer) redirect(pool string) bool {
 	if s.conf.Without.Has(gauge.MechanismRedirect) {
 		return false
 	}
 	var best *Move
 	for _, v := range s.moves {
-		if v.ordered > 0 || v.busy || v.From == pool || !slices.Contains(s.standby, v.To) {
+		if v.orderedAt > 0 || v.inFlight || v.From == pool || !slices.Contains(s.standbyPools, v.To) {
 			continue
 		}
 		if best == nil || v.Machine < best.Machine {
@@ -77,38 +77,38 @@
 	if best == nil {
 		return false
 	}
-	s.index.has[best.To]--
-	s.index.has[pool]++
+	s.index.assigned[best.To]--
+	s.index.assigned[pool]++
 	best.To = pool
 	s.conf.Logs.Info("move redirected", "machine", best.Machine, "from", best.From, "to", pool)
 	return true
 }
 
-// home is the standby pool that a machine goes to.
-func (s *Sizer) home(gauge.Machine) string { return s.standby[0] }
+// standbyPool returns the standby pool that a machine goes to.
+func (s *Sizer) standbyPool(gauge.Machine) string { return s.standbyPools[0] }
 
-// spare finds a machine for a pool: on standby, else in a pool with too many.
-func (s *Sizer) spare(pools []string, to string, now time.Duration, taken func(string) bool) (gauge.Machine, bool) {
-	for _, pool := range s.standby {
-		if m, ok := s.idle(pool, taken, s.later); ok {
+// findSpare finds a machine for a pool: on standby, or else in a pool with a surplus.
+func (s *Sizer) findSpare(pools []string, to string, now time.Duration, taken func(string) bool) (gauge.Machine, bool) {
+	for _, pool := range s.standbyPools {
+		if m, ok := s.findIdle(pool, taken, s.waveLater); ok {
 			return m, true
 		}
 	}
 	for _, pool := range pools {
-		if pool == to || s.missing(pool) >= 0 || now-s.loads[pool].at > staleAfter {
+		if pool == to || s.shortfall(pool) >= 0 || now-s.loads[pool].receivedAt > maxLoadAge {
 			continue
 		}
-		if m, ok := s.idle(pool, taken, s.later); ok {
+		if m, ok := s.findIdle(pool, taken, s.waveLater); ok {
 			return m, true
 		}
 	}
 	return gauge.Machine{}, false
 }
 
-// idle finds the machine of a pool that is the least work to empty. None with
-// lasting tasks: these would have to move, and their users would notice.
-func (s *Sizer) idle(pool string, taken, later func(string) bool) (gauge.Machine, bool) {
-	runs := s.loads[pool].runs
+// findIdle finds the machine of a pool that is the least work to drain. Machines with long-running
+// tasks don't qualify: these tasks would have to move, and their users would notice.
+func (s *Sizer) findIdle(pool string, taken, later func(string) bool) (gauge.Machine, bool) {
+	runs := s.loads[pool].workers
 	var best gauge.Machine
 	found := false
 	for _, m := range s.index.machines[pool] {
@@ -119,16 +119,16 @@
 		if w.Lasting > 0 {
 			continue
 		}
-		if !found || better(m, w, best, runs[best.Worker], later) {
+		if !found || lessDisruptive(m, w, best, runs[best.Worker], later) {
 			best, found = m, true
 		}
 	}
 	return best, found
 }
 
-// better tells whether one machine is a better choice than another: one that no
-// wave waits for, then the one with less to end, then the lower id.
-func better(a gauge.Machine, onA gauge.WorkerLoad, b gauge.Machine, onB gauge.WorkerLoad, later func(string) bool) bool {
+// lessDisruptive reports whether machine a is a better choice than b: one that no wave will take
+// comes first, then the one with less work left, then the one with fewer runs, then the lower ID.
+func lessDisruptive(a gauge.Machine, onA gauge.WorkerLoad, b gauge.Machine, onB gauge.WorkerLoad, later func(string) bool) bool {
 	if later(a.ID) != later(b.ID) {
 		return later(b.ID)
 	}
--- a/internal/sizing/rate.go
+++ b/internal/sizing/rate.go
@@ -6,129 +6,127 @@
 )
 
 const (
-	// shortestWindow is the least time over which arrivals are counted: each tenth
-	// of a second that more machines come sooner is one in which jobs of a busy
-	// queue meet their objective.
-	shortestWindow = 500 * time.Millisecond
-	// longestWindow is the time over which they are counted if they are few.
-	longestWindow = 3 * time.Second
-	// enough arrivals make a rate. With fewer, large jobs that come now and then
-	// would have the wanted machines swing between none and all.
-	enough = 5
-	// riseWindow and riseJobs are the time and the jobs from which a rise is told. A
-	// large pool's turn brings some ten jobs in a quarter of a second: waited for until
-	// there were arrivals at five looks, its machines came most of a second later, which
-	// is the slack of its shortest jobs.
-	riseWindow = 250 * time.Millisecond
-	riseJobs   = 8
-	// riseFactor over the rate of longestWindow is a rise: less is within what eight jobs
-	// of different sizes vary by.
+	// minRateWindow is the shortest time over which arrivals are counted: each tenth of a second
+	// that machines come sooner is one in which jobs of a busy queue meet their objective.
+	minRateWindow = 500 * time.Millisecond
+	// maxRateWindow is the time over which arrivals are counted if they are few.
+	maxRateWindow = 3 * time.Second
+	// minSamples is how many samples with arrivals make a rate. With fewer, occasional large jobs
+	// would make the wanted number of machines swing between none and all.
+	minSamples = 5
+	// riseWindow and minRiseJobs are the time and the number of jobs that are enough to detect a
+	// rise. The peak of a large pool brings some ten jobs in a quarter of a second; when arrivals
+	// in five samples were required, its machines came most of a second later, which is the slack
+	// of its shortest jobs.
+	riseWindow  = 250 * time.Millisecond
+	minRiseJobs = 8
+	// riseFactor is how many times the rate over maxRateWindow counts as a rise: less is within the
+	// variation of eight jobs of different sizes.
 	riseFactor = 2
 )
 
-// arrival is work that came between two looks at a pool.
+// arrival is the work that came between two samples of a pool's load.
 type arrival struct {
-	since time.Duration // the look before
-	at    time.Duration
-	work  float64 // core-seconds
-	jobs  int
+	previous    time.Duration // time of the sample before
+	at          time.Duration
+	coreSeconds float64
+	jobs        int
 }
 
-// arrivals are the last ones of one pool, the oldest first.
+// arrivals are the recent arrivals of one pool, the oldest first.
 type arrivals []arrival
 
-// add notes work, and forgets what is too old.
+// add appends an arrival and drops those older than maxRateWindow.
 func (a arrivals) add(n arrival) arrivals {
-	for len(a) > 0 && n.at-a[0].at > longestWindow {
+	for len(a) > 0 && n.at-a[0].at > maxRateWindow {
 		a = a[1:]
 	}
-	if n.work == 0 {
+	if n.coreSeconds == 0 {
 		return a
 	}
 	return append(a, n)
 }
 
-// rise is the cores that the arrivals of the last moment ask for, if they are many and
-// far more than came before; else 0. The moment is made of whole looks.
-func (a arrivals) rise(now time.Duration) float64 {
-	lately, jobs, from := 0.0, 0, now
+// riseRate returns the cores that the most recent arrivals need, if they are many and far more than
+// those before; else 0. It counts whole samples only.
+func (a arrivals) riseRate(now time.Duration) float64 {
+	recent, jobs, from := 0.0, 0, now
 	i := len(a) - 1
-	for ; i >= 0 && (jobs < riseJobs || now-a[i].at < riseWindow); i-- {
-		lately += a[i].work
+	for ; i >= 0 && (jobs < minRiseJobs || now-a[i].at < riseWindow); i-- {
+		recent += a[i].coreSeconds
 		jobs += a[i].jobs
-		from = a[i].since
+		from = a[i].previous
 	}
 	span := max(riseWindow, now-from)
-	if jobs < riseJobs || span > shortestWindow {
+	if jobs < minRiseJobs || span > minRateWindow {
 		return 0
 	}
 	before := 0.0
 	for _, n := range a[:i+1] {
-		if now-n.at <= longestWindow {
-			before += n.work
+		if now-n.at <= maxRateWindow {
+			before += n.coreSeconds
 		}
 	}
-	rate := lately / span.Seconds()
-	if rate < riseFactor*(before+lately)/longestWindow.Seconds() {
+	rate := recent / span.Seconds()
+	if rate < riseFactor*(before+recent)/maxRateWindow.Seconds() {
 		return 0
 	}
 	return rate
 }
 
 const (
-	// trendWindow is the time over which jobs are counted to tell how their rate changes:
-	// this one against the one before.
+	// trendWindow is the length of the two consecutive windows whose job counts are compared to
+	// find the trend of the rate.
 	trendWindow = time.Second
-	// trendLead is how far the rate is looked ahead, from the middle of the window: a
-	// machine that is asked for now works in 1.7 s.
+	// trendLead is how far ahead the rate is forecast, from the middle of the window: a machine
+	// that is requested now runs tasks 1.7 s later.
 	trendLead = 2 * time.Second
-	// trendMost bounds what is looked ahead, as a part of the rate.
-	trendMost = 1.0
-	// trendDoubt deviations of the counts are left out of a trend. Of a few jobs nothing
-	// is left: on sites with ten jobs a second a look ahead followed noise, and gained
-	// nothing for the machines it took.
-	trendDoubt = 2.5
+	// maxTrend bounds the forecast increase, as a multiple of the rate.
+	maxTrend = 1.0
+	// trendDeviations is how many standard deviations of the counts are subtracted from a trend, so
+	// that a few jobs show none: on sites with ten jobs a second the forecast followed noise, and
+	// the machines it took gained nothing.
+	trendDeviations = 2.5
 )
 
-// ahead is how many cores more the arrivals will ask for when a machine that is asked for
-// now has come, as far as the rise of their number surely tells. A queue's demand rises
-// over some seconds: sized by what came so far, its pool is always a move's time behind.
-func (a arrivals) ahead(now time.Duration) float64 {
+// forecast returns how many more cores the arrivals will need by the time a machine that is
+// requested now has come, as far as the increase in their number is significant. A queue's demand
+// rises over some seconds: a pool sized by past arrivals is always one move's duration behind.
+func (a arrivals) forecast(now time.Duration) float64 {
 	jobs, before, work := 0.0, 0.0, 0.0
 	for _, n := range a {
 		switch age := now - n.at; {
 		case age < trendWindow:
 			jobs += float64(n.jobs)
-			work += n.work
+			work += n.coreSeconds
 		case age < 2*trendWindow:
 			before += float64(n.jobs)
 		}
 	}
-	more := jobs - before - trendDoubt*math.Sqrt(jobs+before)
-	if jobs < riseJobs || more <= 0 {
+	more := jobs - before - trendDeviations*math.Sqrt(jobs+before)
+	if jobs < minRiseJobs || more <= 0 {
 		return 0
 	}
 	rate := work / trendWindow.Seconds()
-	return min(rate*more/jobs*trendLead.Seconds()/trendWindow.Seconds(), rate*trendMost)
+	return min(rate*more/jobs*trendLead.Seconds()/trendWindow.Seconds(), rate*maxTrend)
 }
 
-// rate is the cores that the arrivals ask for, over the shortest time with enough
-// of them.
+// rate returns the cores that the arrivals need, over the shortest time with enough samples.
 func (a arrivals) rate(now time.Duration) float64 {
 	sum, n := 0.0, 0
 	for i := len(a) - 1; i >= 0; i-- {
 		age := now - a[i].at
-		if age > longestWindow {
+		if age > maxRateWindow {
 			break
 		}
-		if n >= enough && age > shortestWindow {
-			return sum / max(age, shortestWindow).Seconds()
+		if n >= minSamples && age > minRateWindow {
+			return sum / max(age, minRateWindow).Seconds()
 		}
-		sum += a[i].work
+		sum += a[i].coreSeconds
 		n++
 	}
-	if n >= enough {
-		return sum / max(now-a[len(a)-n].at, shortestWindow).Seconds()
+	if n >= minSamples {
+		return sum / max(now-a[len(a)-n].at, minRateWindow).Seconds()
 	}
-	return sum / longestWindow.Seconds()
+	return sum / maxRateWindow.Seconds()
 }
--- a/internal/sizing/share.go
+++ b/internal/sizing/share.go
@@ -2,16 +2,15 @@
 
 import "sort"
 
-// need is what a pool would use, in machines.
+// need is the number of machines that a pool could use.
 type need struct {
-	base   int // for lasting tasks and what comes meanwhile
-	timely int // more, for jobs that can meet their objective
-	late   int // more, for those that can't
+	base   int // for long-running tasks and work that comes meanwhile
+	timely int // in addition, for jobs that can meet their objective
+	late   int // in addition, for jobs that can't
 }
 
-// share divides the machines there are: each pool gets its base, then what is
-// left goes to timely work and the rest of that to late work, in proportion
-// where it isn't enough for all.
+// share divides the available machines: each pool gets its base, then timely work is served and
+// then late work, in proportion to the needs where there aren't enough machines for all.
 func share(needs map[string]need, pools []string, supply int) map[string]int {
 	got := make(map[string]int, len(pools))
 	for _, part := range []func(need) int{
@@ -31,8 +30,8 @@
 	return got
 }
 
-// divide gives each what it asks for, or a proportional part if that is more
-// than there is; the largest remainders are rounded up.
+// divide gives each pool what it asks for, or a proportional share if the sum exceeds the supply;
+// the largest remainders are rounded up.
 func divide(asked []int, supply int) []int {
 	sum := 0
 	for _, a := range asked {
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -14,7 +14,7 @@
 	"sapphiregauge/internal/sizing"
 )
 
-type rig struct {
+type harness struct {
 	sizer    *sizing.Sizer
 	machines []gauge.Machine
 	now      time.Duration
@@ -22,8 +22,8 @@
 
 func never(string) bool { return false }
 
-func newRig(counts map[string]int) *rig {
-	g := &rig{sizer: sizing.New(sizing.Config{Logs: logr.Discard()}), now: time.Second}
+func newHarness(counts map[string]int) *harness {
+	g := &harness{sizer: sizing.New(sizing.Config{Logs: logr.Discard()}), now: time.Second}
 	for pool, n := range counts {
 		for i := range n {
 			id := fmt.Sprintf("%s-%02d", pool, i)
@@ -36,17 +36,17 @@
 	return g
 }
 
-func (g *rig) list() { g.sizer.Machines(g.machines, []string{"spare"}, g.now) }
+func (g *harness) list() { g.sizer.Machines(g.machines, []string{"spare"}, g.now) }
 
-// load tells of a pool whose machines all run something, the first so many of
-// them lasting tasks.
-func (g *rig) load(l gauge.PoolLoad, lasting int) {
+// load reports a load of a pool whose machines all run something, the given number of them
+// long-running tasks.
+func (g *harness) load(l gauge.PoolLoad, longRunning int) {
 	for i, m := range g.machines {
 		if m.Pool == l.Pool {
 			w := gauge.WorkerLoad{ID: m.Worker, Runs: 1 + i%3}
-			if lasting > 0 {
+			if longRunning > 0 {
 				w.Lasting = 1
-				lasting--
+				longRunning--
 			}
 			l.Workers = append(l.Workers, w)
 		}
@@ -54,9 +54,9 @@
 	g.sizer.Load(l, g.now)
 }
 
-func (g *rig) next() []sizing.Move { return g.sizer.Next(g.now, never, never) }
+func (g *harness) next() []sizing.Move { return g.sizer.Next(g.now, never, never) }
 
-func to(moves []sizing.Move, pool string) int {
+func countTo(moves []sizing.Move, pool string) int {
 	n := 0
 	for _, m := range moves {
 		if m.To == pool {
@@ -66,48 +66,47 @@
 	return n
 }
 
-// The pattern: one queue asks for five times its mean for some seconds while the
-// others are nearly idle. A fixed split leaves it short of half its demand.
-func TestMachinesGoToThePoolInItsTurn(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "b": 9, "spare": 8})
+// At its peak one queue needs five times its mean for some seconds while the others are nearly
+// idle; a fixed split would leave it short of half its demand.
+func TestMachinesGoToThePoolAtItsPeak(t *testing.T) {
+	g := newHarness(map[string]int{"a": 9, "b": 9, "spare": 8})
 	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 140, Waiting: 210}}, 0)
 	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Busy: 5}}, 0)
 	moves := g.next()
-	assert.Equal(t, to(moves, "a"), 8+6, "all from standby, and what b has above its base")
+	assert.Equal(t, countTo(moves, "a"), 8+6, "all from standby, and what b has above its base")
 	for _, m := range moves {
 		assert.Equal(t, m.Empty, m.From == "spare", "a machine in use is emptied first")
 	}
 }
 
-func TestMachinesWithLastingTasksStay(t *testing.T) {
-	g := newRig(map[string]int{"a": 4, "b": 9})
+func TestMachinesWithLongRunningTasksStay(t *testing.T) {
+	g := newHarness(map[string]int{"a": 4, "b": 9})
 	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 300}}, 0)
 	g.load(gauge.PoolLoad{Pool: "b", Lasting: 10}, 9)
-	assert.Equal(t, to(g.next(), "a"), 0)
+	assert.Equal(t, countTo(g.next(), "a"), 0)
 }
 
-// Two pools that ask for more than there is share it, rather than the first one
-// taking all.
-func TestPoolsThatAreBothShortShare(t *testing.T) {
-	g := newRig(map[string]int{"a": 3, "b": 3, "spare": 20})
+// Two pools that need more machines than there are share them; the first one doesn't take all.
+func TestPoolsThatAreBothShortShareTheMachines(t *testing.T) {
+	g := newHarness(map[string]int{"a": 3, "b": 3, "spare": 20})
 	for _, pool := range []string{"a", "b"} {
 		g.load(gauge.PoolLoad{Pool: pool, Timely: gauge.Demand{Waiting: 400}}, 0)
 	}
 	moves := g.next()
-	assert.Equal(t, to(moves, "a"), 10)
-	assert.Equal(t, to(moves, "b"), 10)
+	assert.Equal(t, countTo(moves, "a"), 10)
+	assert.Equal(t, countTo(moves, "b"), 10)
 }
 
 func TestLateWorkComesAfterTimelyWork(t *testing.T) {
-	g := newRig(map[string]int{"a": 3, "b": 3, "spare": 10})
+	g := newHarness(map[string]int{"a": 3, "b": 3, "spare": 10})
 	g.load(gauge.PoolLoad{Pool: "a", Late: gauge.Demand{Waiting: 400}}, 0)
 	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 96}}, 0)
-	assert.Equal(t, to(g.next(), "b"), 5, "96 cores with headroom are eight machines, three are there")
+	assert.Equal(t, countTo(g.next(), "b"), 5, "96 cores with headroom are eight machines, three are there")
 }
 
-// Surplus goes to standby only after a while, so that a short lull moves nothing.
+// A surplus goes to standby only after a while, so that a short dip in demand moves nothing.
 func TestSurplusIsKeptForAWhile(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "spare": 1})
+	g := newHarness(map[string]int{"a": 9, "spare": 1})
 	for range 35 {
 		g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 5}}, 0)
 		assert.Equal(t, len(g.next()), 0)
@@ -115,12 +114,12 @@
 	}
 	g.now += time.Second
 	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 5}}, 0)
-	assert.Equal(t, to(g.next(), "spare"), 6)
+	assert.Equal(t, countTo(g.next(), "spare"), 6)
 }
 
-// trip lets pool a want machines for a second, and then none until it gives some away;
-// it returns how long that took.
-func (g *rig) trip(t *testing.T) time.Duration {
+// roundTrip lets pool a need machines for a second, and then none until it gives some away; it
+// returns how long that took.
+func (g *harness) roundTrip(t *testing.T) time.Duration {
 	t.Helper()
 	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 100}}, 0)
 	moves := g.next()
@@ -129,15 +128,15 @@
 	g.now += time.Second
 	for began := g.now; ; g.now += 100 * time.Millisecond {
 		g.load(gauge.PoolLoad{Pool: "a"}, 0)
-		if moves := g.next(); to(moves, "spare") > 0 {
+		if moves := g.next(); countTo(moves, "spare") > 0 {
 			g.carryOut(moves)
 			return g.now - began
 		}
 	}
 }
 
-// carryOut has machines arrive where they are sent.
-func (g *rig) carryOut(moves []sizing.Move) {
+// carryOut completes the moves: the machines arrive in their new pools.
+func (g *harness) carryOut(moves []sizing.Move) {
 	for _, v := range moves {
 		g.sizer.Emptied(v.Machine, true)
 		g.sizer.Ordered(v.Machine, nil, g.now)
@@ -151,57 +150,55 @@
 	g.list()
 }
 
-// The pattern: machines that go to standby at the end of one queue's turn are wanted
-// back seconds later for the next one's. Grounds: a trip takes two moves of 1.5 s.
-func TestSurplusIsKeptLongerWhereItIsWantedBack(t *testing.T) {
-	g := newRig(map[string]int{"a": 3, "spare": 9})
-	var spans []time.Duration
+// Machines that go to standby at the end of one queue's peak are needed again seconds later for the
+// next. Each round trip takes two moves of 1.5 s.
+func TestSurplusIsKeptLongerWhereItIsNeededAgainSoon(t *testing.T) {
+	g := newHarness(map[string]int{"a": 3, "spare": 9})
+	var periods []time.Duration
 	for range 6 {
 		g.now += 5 * time.Second
-		spans = append(spans, g.trip(t))
+		periods = append(periods, g.roundTrip(t))
 	}
-	assert.Assert(t, spans[0] < 5*time.Second, spans)
-	assert.Assert(t, spans[1] > 7*time.Second && spans[2] > 15*time.Second, spans)
-	assert.Assert(t, spans[5] > 29*time.Second && spans[5] < 31*time.Second, "%s: not for ever", spans)
+	assert.Assert(t, periods[0] < 5*time.Second, periods)
+	assert.Assert(t, periods[1] > 7*time.Second && periods[2] > 15*time.Second, periods)
+	assert.Assert(t, periods[5] > 29*time.Second && periods[5] < 31*time.Second, "%s: not for ever", periods)
 }
 
-func TestSurplusIsGivenAwaySoonWhereItIsNotWantedBack(t *testing.T) {
-	g := newRig(map[string]int{"a": 3, "spare": 9})
+func TestSurplusIsGivenAwaySoonWhereItIsNotNeededAgain(t *testing.T) {
+	g := newHarness(map[string]int{"a": 3, "spare": 9})
 	for range 4 {
 		g.now += 3 * time.Minute
-		assert.Assert(t, g.trip(t) < 5*time.Second)
+		assert.Assert(t, g.roundTrip(t) < 5*time.Second)
 	}
 }
 
-func TestNextHolderKeepsSurplusAsLongAsTheOneBefore(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "spare": 1})
+func TestNextHolderTakesOverTheRetention(t *testing.T) {
+	g := newHarness(map[string]int{"a": 9, "spare": 1})
 	g.sizer.Learnt(16*time.Second, g.now)
 	assert.Equal(t, g.sizer.Kept(g.now), 16*time.Second)
-	assert.Equal(t, g.sizer.Kept(g.now+forget), 8*time.Second, "nothing was taken back for long")
+	assert.Equal(t, g.sizer.Kept(g.now+longAfter), 8*time.Second, "nothing was taken back for long")
 	g.sizer.Learnt(time.Hour, g.now)
 	assert.Equal(t, g.sizer.Kept(g.now), 30*time.Second)
 	g.sizer.Learnt(0, g.now)
 	assert.Equal(t, g.sizer.Kept(g.now), 4*time.Second)
 }
 
-// forget is longer than what was learnt is kept.
-const forget = 3 * time.Minute
+// longAfter is longer than the learnt retention lasts without a machine being taken back.
+const longAfter = 3 * time.Minute
 
-// A pool whose owner doesn't tell is left as it is.
-func TestPoolWithoutAFreshLoadIsLeftAlone(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "b": 9})
+// A pool whose owner reports no load keeps its machines.
+func TestPoolWithoutARecentLoadIsNotResized(t *testing.T) {
+	g := newHarness(map[string]int{"a": 9, "b": 9})
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
 	g.now += 10 * time.Second
 	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 400}}, 0)
 	assert.Equal(t, len(g.next()), 0)
 }
 
-// Symptom: a machine is ordered to one pool and, since the answer was lost, to
-// another.
-// Sequence: a move gets no answer; the list still shows the machine where it was.
-// Cause: the move is forgotten before it is known what came of it.
-func TestUnansweredMoveIsAskedAgainAsItWas(t *testing.T) {
-	g := newRig(map[string]int{"a": 3, "spare": 1})
+// Guards against a machine that is ordered to two pools. A move gets no answer and the list still
+// shows the machine in its old pool; the move was forgotten before its result was known.
+func TestUnansweredMoveIsOrderedAgainUnchanged(t *testing.T) {
+	g := newHarness(map[string]int{"a": 3, "spare": 1})
 	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 100}}, 0)
 	first := g.next()
 	assert.Equal(t, len(first), 1)
@@ -214,8 +211,8 @@
 	assert.Equal(t, again[0].To, "a")
 }
 
-// surplus lets two pools be idle until they give machines away.
-func (g *rig) surplus() []sizing.Move {
+// idleUntilSurplus lets two pools be idle until they give machines away.
+func (g *harness) idleUntilSurplus() []sizing.Move {
 	idle := func() []sizing.Move {
 		g.load(gauge.PoolLoad{Pool: "a"}, 0)
 		g.load(gauge.PoolLoad{Pool: "b"}, 0)
@@ -226,46 +223,42 @@
 	return idle()
 }
 
-// While a pool moves from its turn to the next one's, its machines go straight
-// there: by way of standby they would move twice.
+// When the peak moves from one pool to another, surplus machines go there directly: by way of
+// standby they would move twice.
 func TestSurplusOnItsWayToStandbyIsRedirected(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "b": 3, "spare": 0})
-	assert.Equal(t, to(g.surplus(), "spare"), 6)
+	g := newHarness(map[string]int{"a": 9, "b": 3, "spare": 0})
+	assert.Equal(t, countTo(g.idleUntilSurplus(), "spare"), 6)
 	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 200}}, 0)
 	moves := g.next()
-	assert.Equal(t, to(moves, "b"), 6)
-	assert.Equal(t, to(moves, "spare"), 0)
+	assert.Equal(t, countTo(moves, "b"), 6)
+	assert.Equal(t, countTo(moves, "spare"), 0)
 }
 
-// Symptom: a machine goes to the wrong pool, or is ordered twice.
-// Sequence: a machine is on its way to standby, its order under way; another pool
-// wants machines.
-// Cause: a move was changed while its order was under way.
-func TestMoveUnderWayIsNotRedirected(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "b": 3, "spare": 0})
-	moves := g.surplus()
-	assert.Equal(t, to(moves, "spare"), 6)
+// Guards against a machine that goes to the wrong pool or is ordered twice. Its order to move to
+// standby is in flight when another pool needs machines; the move was changed in spite of that.
+func TestMoveInFlightIsNotRedirected(t *testing.T) {
+	g := newHarness(map[string]int{"a": 9, "b": 3, "spare": 0})
+	moves := g.idleUntilSurplus()
+	assert.Equal(t, countTo(moves, "spare"), 6)
 	for _, m := range moves {
 		g.sizer.Begun(m.Machine)
 	}
 	g.now += 5 * time.Second
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
 	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 200}}, 0)
-	assert.Equal(t, to(g.next(), "spare"), 6, "neither redirected nor given up")
+	assert.Equal(t, countTo(g.next(), "spare"), 6, "neither redirected nor given up")
 	for _, m := range moves {
 		g.sizer.Emptied(m.Machine, false)
 	}
-	assert.Equal(t, to(g.next(), "spare"), 0)
+	assert.Equal(t, countTo(g.next(), "spare"), 0)
 }
 
-// Symptom: a pool gives machines away that its work needs still.
-// Sequence: demand falls, from 600 cores to 220 within two seconds.
-// Cause: a fall was expected to go on, as a rise is.
-// Grounds: the last five of twenty rounds, a tenth of a second apart, bring 130
-// core-seconds within half a second, which is 260 cores; with a quarter more, 20.3
-// machines of 16.
+// Guards against a pool that gives away machines it still needs. Demand falls from 600 cores to 220
+// within two seconds, and the fall was extrapolated as a rise is. The last five of twenty rounds, a
+// tenth of a second apart, bring 130 core-seconds within half a second, which is 260 cores; with a
+// quarter more that is 20.3 machines of 16 cores.
 func TestFallingDemandIsNotExtrapolated(t *testing.T) {
-	g := newRig(map[string]int{"a": 40, "spare": 1})
+	g := newHarness(map[string]int{"a": 40, "spare": 1})
 	wanted := 0
 	g.sizer = sizing.New(sizing.Config{Logs: funcr.New(func(_, line string) {
 		if _, rest, found := strings.Cut(line, `"machines"=`); found {
@@ -284,13 +277,11 @@
 	assert.Assert(t, wanted > 20, "%d machines", wanted)
 }
 
-// Symptom: a pool in its turn waits three to four seconds for machines of a pool whose own
-// turn is over.
-// Sequence: the machines are emptied by the end of what runs there, of which the longest
-// takes as long as the longest task; those with the fewest runs go first.
-// Cause: what is left of the runs didn't count.
-func TestMachinesThatGetEmptyFirstMove(t *testing.T) {
-	g := newRig(map[string]int{"a": 9, "b": 3})
+// Guards against a pool that waits at its peak for three to four seconds for machines of a pool
+// whose own peak is over. A machine is drained once its longest run ends; machines with the fewest
+// runs went first, whatever time those runs had left.
+func TestMachinesThatDrainSoonestMove(t *testing.T) {
+	g := newHarness(map[string]int{"a": 9, "b": 3})
 	l := gauge.PoolLoad{Pool: "a"}
 	for i := range 9 {
 		l.Workers = append(l.Workers, gauge.WorkerLoad{
--- a/internal/waves/bench_test.go
+++ b/internal/waves/bench_test.go
@@ -8,7 +8,7 @@
 	"sapphiregauge/internal/waves"
 )
 
-// BenchmarkNext is a round of the fleet's holder with a wave of half the machines.
+// BenchmarkNext measures one round of the fleet lease holder with a wave of half the machines.
 func BenchmarkNext(b *testing.B) {
 	for _, count := range []int{49, 540, 5900} {
 		b.Run(fmt.Sprintf("machines=%d", count), func(b *testing.B) {
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -7,144 +7,148 @@
 	gauge "sapphiregauge"
 )
 
-// A machine with lasting tasks is emptied by a chain: a few tasks of a step may be away at
-// a time, and the next leave when these serve elsewhere. A wave lasts as long as the
-// longest chain, whatever else it has to do: with such machines among the others, in the
-// order of their names, 140 of 250 machines began within eight seconds and the last forty
-// one by one until after the wave's end. So chains begin at once and go on all the time,
-// and other machines fill the places that are left.
+// A machine with long-running tasks drains slowly: only a few tasks of a step may be unplaced at a
+// time, and the next ones leave only when these run elsewhere. A wave takes at least as long as its
+// slowest drain. When such machines were taken among the others, in the order of their names, 140
+// of 250 machines started maintenance within eight seconds and the last forty one by one until
+// after the end of the wave. So slow drains start first and run all the time, and other machines
+// use the remaining capacity.
 
 const (
-	// poolShare of a pool's machines at most are emptied or down at once while a
-	// wave is in time: the rest carries the pool's work.
-	poolShare = 0.34
-	// ahead: so many machines more than may be down are emptied beforehand, since
-	// emptying takes about as long as an upkeep.
-	ahead = 1.5
-	// chainShare of the machines that a pool may have away go to those with lasting tasks
-	// while there are others: what waits in a chain does no work meanwhile.
-	chainShare = 0.5
-	// pressedShare of a pool's machines may be away for a chain though it has too few: a
-	// turn of a pool lasts a third of a wave, in which the chain would stand still.
-	pressedShare = 0.05
+	// maxUnavailableShare is the largest share of a pool's machines that are being drained or down
+	// at once while a wave is on time; the others carry the pool's work.
+	maxUnavailableShare = 0.34
+	// drainAheadFactor is how many machines are drained at once, as a multiple of those that may be
+	// down: draining takes about as long as maintenance.
+	drainAheadFactor = 1.5
+	// slowDrainShare is the share of a pool's unavailable machines that go to slow drains while
+	// there are other machines to take: a machine that waits for its tasks to move does no other
+	// work.
+	slowDrainShare = 0.5
+	// shortPoolShare is the share of machines that may be unavailable for slow drains in a pool
+	// that is short of machines: a pool's demand peak lasts a third of a wave, during which the
+	// drains would otherwise stop.
+	shortPoolShare = 0.05
 )
 
-// places are what a pool can give a wave now.
-type places struct {
-	size, away, chained int
-	chains, others      []gauge.Machine
-	standby, pressed    bool
+// poolState is what a pool can give up to a wave now.
+type poolState struct {
+	size, unavailable, slowSelected int
+	slow, fast                      []gauge.Machine
+	standby, short                  bool
 }
 
-// choose picks machines to be emptied, from the pools with the smallest share away first.
-func (k *Keeper) choose(w *wave, left []gauge.Machine, force bool) {
-	most := max(1, w.order.AtOnce) - len(w.asked)
+// selectMachines picks the machines to drain, from the pools with the smallest unavailable share
+// first.
+func (k *Keeper) selectMachines(w *wave, left []gauge.Machine, force bool) {
+	budget := max(1, w.order.AtOnce) - len(w.selected)
 	if !k.conf.Without.Has(gauge.MechanismEarly) {
-		most = int(float64(max(1, w.order.AtOnce))*ahead) - len(w.asked)
+		budget = int(float64(max(1, w.order.AtOnce))*drainAheadFactor) - len(w.selected)
 	}
-	if most <= 0 {
+	if budget <= 0 {
 		return
 	}
-	spared := !force && !k.conf.Without.Has(gauge.MechanismSpared)
-	pools := k.places(w, left)
-	for ; most > 0; most-- {
-		p := next(pools, spared)
+	sparing := !force && !k.conf.Without.Has(gauge.MechanismSpared)
+	pools := k.poolStates(w, left)
+	for ; budget > 0; budget-- {
+		p := nextPool(pools, sparing)
 		if p == nil {
 			return
 		}
-		w.asked[p.take().ID] = true
+		w.selected[p.takeNext().ID] = true
 	}
 }
 
-// places sorts the machines that may be chosen by pool, those with the most lasting tasks
-// first.
-func (k *Keeper) places(w *wave, left []gauge.Machine) []*places {
-	byName := make(map[string]*places)
-	of := func(pool string) *places {
+// poolStates groups the machines that may be selected by pool, those with the most long-running
+// tasks first.
+func (k *Keeper) poolStates(w *wave, left []gauge.Machine) []*poolState {
+	byName := make(map[string]*poolState)
+	stateOf := func(pool string) *poolState {
 		p := byName[pool]
 		if p == nil {
-			p = &places{standby: k.standby[pool], pressed: k.sight.Pressed(pool)}
+			p = &poolState{standby: k.standbyPools[pool], short: k.view.Pressed(pool)}
 			byName[pool] = p
 		}
 		return p
 	}
 	for _, m := range k.machines {
-		p := of(m.Pool)
+		p := stateOf(m.Pool)
 		p.size++
-		if m.State != gauge.MachineUp || w.asked[m.ID] {
-			p.away++
+		if m.State != gauge.MachineUp || w.selected[m.ID] {
+			p.unavailable++
 		}
-		if w.asked[m.ID] && k.lasting(m) > 0 {
-			p.chained++
+		if w.selected[m.ID] && k.longRunningTasks(m) > 0 {
+			p.slowSelected++
 		}
 	}
 	for _, m := range left {
-		if w.asked[m.ID] || m.State != gauge.MachineUp || k.sight.Moving(m.ID) || k.sight.Ordered(m.ID) {
+		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.Moving(m.ID) || k.view.Ordered(m.ID) {
 			continue
 		}
-		p := of(m.Pool)
-		if k.lasting(m) > 0 && !k.conf.Without.Has(gauge.MechanismChains) {
-			p.chains = append(p.chains, m)
+		p := stateOf(m.Pool)
+		if k.longRunningTasks(m) > 0 && !k.conf.Without.Has(gauge.MechanismChains) {
+			p.slow = append(p.slow, m)
 		} else {
-			p.others = append(p.others, m)
+			p.fast = append(p.fast, m)
 		}
 	}
 	names := make([]string, 0, len(byName))
 	for name, p := range byName {
-		slices.SortStableFunc(p.chains, func(a, b gauge.Machine) int { return cmp.Compare(k.lasting(b), k.lasting(a)) })
+		slices.SortStableFunc(p.slow, func(a, b gauge.Machine) int { return cmp.Compare(k.longRunningTasks(b), k.longRunningTasks(a)) })
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	list := make([]*places, len(names))
+	list := make([]*poolState, len(names))
 	for i, name := range names {
 		list[i] = byName[name]
 	}
 	return list
 }
 
-func (k *Keeper) lasting(m gauge.Machine) int {
-	if k.sight.Lasting == nil || m.Worker == "" {
+func (k *Keeper) longRunningTasks(m gauge.Machine) int {
+	if k.view.Lasting == nil || m.Worker == "" {
 		return 0
 	}
-	return k.sight.Lasting(m.Worker)
+	return k.view.Lasting(m.Worker)
 }
 
-// next is the pool with the smallest share away of those that may give a machine; nil:
-// none may.
-func next(pools []*places, spared bool) *places {
-	var best *places
+// nextPool returns the pool with the smallest unavailable share among those that can give up a
+// machine, or nil if none can.
+func nextPool(pools []*poolState, sparing bool) *poolState {
+	var best *poolState
 	for _, p := range pools {
-		if p.may(spared) && (best == nil || p.share() < best.share()) {
+		if p.canGive(sparing) && (best == nil || p.nextShare() < best.nextShare()) {
 			best = p
 		}
 	}
 	return best
 }
 
-// share of the pool's machines that are away with one more.
-func (p *places) share() float64 { return float64(p.away+1) / float64(max(1, p.size)) }
+// nextShare returns the share of the pool's machines that are unavailable once one more is
+// taken.
+func (p *poolState) nextShare() float64 { return float64(p.unavailable+1) / float64(max(1, p.size)) }
 
-func (p *places) may(spared bool) bool {
+func (p *poolState) canGive(sparing bool) bool {
 	switch {
-	case len(p.chains)+len(p.others) == 0:
+	case len(p.slow)+len(p.fast) == 0:
 		return false
-	case p.standby || !spared:
+	case p.standby || !sparing:
 		return true
-	case p.pressed:
-		return len(p.chains) > 0 && p.share() <= pressedShare
+	case p.short:
+		return len(p.slow) > 0 && p.nextShare() <= shortPoolShare
 	default:
-		return p.away == 0 || p.share() <= poolShare
+		return p.unavailable == 0 || p.nextShare() <= maxUnavailableShare
 	}
 }
 
-// take takes the pool's next machine.
-func (p *places) take() gauge.Machine {
-	from := &p.others
-	if len(p.chains) > 0 && (len(p.others) == 0 || p.pressed || float64(p.chained) <= chainShare*float64(p.away)) {
-		from = &p.chains
-		p.chained++
+// takeNext removes and returns the machine that the pool gives up next.
+func (p *poolState) takeNext() gauge.Machine {
+	from := &p.fast
+	if len(p.slow) > 0 && (len(p.fast) == 0 || p.short || float64(p.slowSelected) <= slowDrainShare*float64(p.unavailable)) {
+		from = &p.slow
+		p.slowSelected++
 	}
-	p.away++
+	p.unavailable++
 	m := (*from)[0]
 	*from = (*from)[1:]
 	return m
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -12,17 +12,17 @@
 	"sapphiregauge/internal/waves"
 )
 
-// fleet is a pool of machines, all of a wave; the last ones have lasting tasks.
+// fleet is a pool of machines that are all in one wave; the last ones have long-running tasks.
 type fleet struct {
-	keeper  *waves.Keeper
-	lasting map[string]int // by worker
-	machine map[string]string
+	keeper      *waves.Keeper
+	longRunning map[string]int // by worker
+	machine     map[string]string
 }
 
 func newFleet(without gauge.Without, count, lasting, atOnce int) *fleet {
 	f := &fleet{
-		keeper:  waves.New(waves.Config{Upkeep: upkeep, Logs: logr.Discard(), Without: without}),
-		lasting: make(map[string]int), machine: make(map[string]string),
+		keeper:      waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard(), Without: without}),
+		longRunning: make(map[string]int), machine: make(map[string]string),
 	}
 	order := gauge.UpkeepOrder{Wave: 1, Within: time.Minute, AtOnce: atOnce}
 	var list []gauge.Machine
@@ -30,7 +30,7 @@
 		id := fmt.Sprintf("m-%03d", i)
 		m := gauge.Machine{ID: id, Pool: "p", State: gauge.MachineUp, Worker: "i-" + id}
 		if i >= count-lasting {
-			f.lasting[m.Worker] = 1 + i%3
+			f.longRunning[m.Worker] = 1 + i%3
 		}
 		f.machine[m.Worker] = id
 		order.Machines = append(order.Machines, id)
@@ -41,51 +41,49 @@
 	return f
 }
 
-// asked counts the machines that are to be emptied, and those with lasting tasks.
-func (f *fleet) asked(pressed bool) (all, chained int) {
+// selected counts the machines that are to be drained, and those of them with long-running tasks.
+func (f *fleet) selected(pressed bool) (all, slow int) {
 	s := f.keeper.Next(time.Millisecond, waves.Sight{
 		Moving: never, Ordered: never, Pressed: func(string) bool { return pressed },
-		Lasting: func(worker string) int { return f.lasting[worker] },
+		Lasting: func(worker string) int { return f.longRunning[worker] },
 	})
 	for _, a := range s.Asks {
-		if f.lasting[a.Worker] > 0 {
-			chained++
+		if f.longRunning[a.Worker] > 0 {
+			slow++
 		}
 	}
-	return len(s.Asks), chained
+	return len(s.Asks), slow
 }
 
-// Symptom: 140 of 250 machines of a wave begin within eight seconds, the last forty one
-// by one until after its end.
-// Sequence: the machines that begin last have lasting tasks, of which a few may be away
-// at a time.
-// Cause: machines were taken in the order of their names, whatever runs there.
-func TestMachinesWithLastingTasksBeginWithTheOthers(t *testing.T) {
-	all, chained := newFleet(nil, 100, 30, 40).asked(false)
+// Guards against a wave in which 140 of 250 machines start within eight seconds and the last forty
+// one by one until after its end. The last ones have long-running tasks, of which only a few may be
+// unplaced at a time; this came from taking machines in the order of their names, whatever ran
+// there.
+func TestSlowDrainsStartWithTheOthers(t *testing.T) {
+	all, chained := newFleet(nil, 100, 30, 40).selected(false)
 	assert.Equal(t, all, 34, "a third of the pool")
 	assert.Equal(t, chained, 17, "half of these")
-	_, chained = newFleet(gauge.Without{gauge.MechanismChains}, 100, 30, 40).asked(false)
+	_, chained = newFleet(gauge.Without{gauge.MechanismChains}, 100, 30, 40).selected(false)
 	assert.Equal(t, chained, 0)
 }
 
-func TestAllPlacesAreUsedWhereFewMachinesHaveLastingTasks(t *testing.T) {
-	all, chained := newFleet(nil, 100, 3, 40).asked(false)
+func TestFastDrainsFillUpWhereFewMachinesHaveLongRunningTasks(t *testing.T) {
+	all, chained := newFleet(nil, 100, 3, 40).selected(false)
 	assert.Equal(t, all, 34)
 	assert.Equal(t, chained, 3)
 }
 
-// Symptom: a wave's chain of lasting tasks stands still for a third of the wave.
-// Sequence: the pool is in its turn.
-// Cause: a pool with too few machines gave none to a wave.
-func TestAChainGoesOnInAPoolInItsTurn(t *testing.T) {
-	all, chained := newFleet(nil, 100, 30, 40).asked(true)
+// Guards against slow drains that stop for a third of a wave. A pool at its demand peak is short of
+// machines, and a pool that is short gave up none to a wave.
+func TestSlowDrainsContinueInAPoolAtItsPeak(t *testing.T) {
+	all, chained := newFleet(nil, 100, 30, 40).selected(true)
 	assert.Equal(t, all, 5)
 	assert.Equal(t, chained, 5)
-	all, _ = newFleet(nil, 10, 5, 5).asked(true)
+	all, _ = newFleet(nil, 10, 5, 5).selected(true)
 	assert.Equal(t, all, 0, "one machine of ten is too many")
 }
 
-func TestWorkersThatAWaveIsToEmpty(t *testing.T) {
+func TestPendingWorkersOfAWave(t *testing.T) {
 	f := newFleet(nil, 4, 0, 2)
 	assert.Equal(t, len(f.keeper.Workers("p")), 4)
 	assert.Equal(t, len(f.keeper.Workers("other")), 0)
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -1,9 +1,8 @@
-// Package waves decides which machine is emptied and which begins its upkeep. It
-// is a state machine without input or output. Its promises: no more machines of
-// a wave are down at once than the operator allows, unanswered orders counted;
-// a machine begins its upkeep only when its pool's owner has said that nothing
-// runs there; a wave is completed only when each of its machines that stays has
-// begun.
+// Package waves decides which machines are drained and which start maintenance. It is a state
+// machine without input or output. It guarantees that no more machines of a wave are down at once
+// than the operator allows, counting unanswered orders; that a machine starts maintenance only
+// after its pool's owner has reported that nothing runs there; and that a wave is completed only
+// when each of its machines that is still in the fleet has started.
 package waves
 
 import (
@@ -18,306 +17,307 @@
 
 // Config sets up a Keeper.
 type Config struct {
-	Upkeep  time.Duration // length of a machine's upkeep
-	Without gauge.Without // what is switched off
+	Upkeep  time.Duration // duration of a machine's maintenance
+	Without gauge.Without // mechanisms that are switched off
 	Logs    logr.Logger
 }
 
 // Keeper carries out waves. It is not safe for concurrent use.
 type Keeper struct {
-	conf     Config
-	waves    map[int64]*wave
-	machines map[string]gauge.Machine
-	listed   time.Duration // when the list was asked for
-	standby  map[string]bool
-	sight    Sight
+	conf         Config
+	waves        map[int64]*wave
+	machines     map[string]gauge.Machine
+	listedAt     time.Duration // when the list of machines was requested
+	standbyPools map[string]bool
+	view         Sight
 }
 
 type wave struct {
-	order gauge.UpkeepOrder
-	seen  time.Duration            // by this holder
-	since time.Duration            // by the first holder
-	begun map[string]bool          // in the table
-	down  map[string]time.Duration // since when a machine may be down: the order went out
-	tries map[string]time.Duration // when an order was last sent that may not have been carried out
-	empty map[string]bool          // nothing runs there, as its owner said just now
-	asked map[string]bool          // chosen to be emptied
-	done  bool
+	order       gauge.UpkeepOrder
+	seenAt      time.Duration            // by this lease holder
+	firstSeenAt time.Duration            // by the first lease holder
+	started     map[string]bool          // as recorded in the table
+	downSince   map[string]time.Duration // when a machine that may be down was sent its order
+	retriedAt   map[string]time.Duration // when an order that may not have been carried out was last sent
+	drained     map[string]bool          // whether nothing runs there, as the pool's owner last reported
+	selected    map[string]bool          // selected to be drained
+	completed   bool
 }
 
-// Ask is a machine to be emptied by its pool's owner.
+// Ask is a request to a pool's owner to drain a machine.
 type Ask struct {
 	Machine string
 	Pool    string
 	Worker  string
-	Force   bool // end what doesn't end by itself
+	Force   bool // stop what doesn't end by itself
 }
 
-// Begin is an upkeep to order.
+// Begin is an order to start maintenance of a machine.
 type Begin struct {
 	Wave    int64
 	Machine string
 }
 
-// Steps are what to do next.
+// Steps are the actions to take next.
 type Steps struct {
 	Asks     []Ask
 	Begins   []Begin
 	Complete []int64
 }
 
-// New makes a Keeper without waves.
+// New returns a Keeper without waves.
 func New(c Config) *Keeper {
-	return &Keeper{conf: c, waves: make(map[int64]*wave), machines: make(map[string]gauge.Machine), standby: make(map[string]bool)}
+	return &Keeper{conf: c, waves: make(map[int64]*wave), machines: make(map[string]gauge.Machine), standbyPools: make(map[string]bool)}
 }
 
-// Past is what the table knows of a wave.
+// Past is what the table has recorded of a wave.
 type Past struct {
-	Begun []string      // machines that have had their order
-	Done  bool          // it is completed
-	Age   time.Duration // since it was first seen
+	Begun []string      // machines whose order was carried out
+	Done  bool          // the wave is completed
+	Age   time.Duration // time since a lease holder first saw the wave
 }
 
-// Order takes in a wave.
+// Order adds a wave; a wave that is known already stays as it is. Past is the progress recorded in
+// the table.
 func (k *Keeper) Order(o gauge.UpkeepOrder, past Past, now time.Duration) {
 	if k.waves[o.Wave] != nil {
 		return
 	}
 	w := &wave{
-		order: o, seen: now, since: now - past.Age, begun: make(map[string]bool), down: make(map[string]time.Duration),
-		tries: make(map[string]time.Duration), empty: make(map[string]bool), asked: make(map[string]bool), done: past.Done,
+		order: o, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
+		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: past.Done,
 	}
 	for _, m := range past.Begun {
-		w.begun[m] = true
-		// It may be down still: the order was an earlier holder's.
-		w.down[m] = now
+		w.started[m] = true
+		// The machine may still be down: an earlier holder sent the order.
+		w.downSince[m] = now
 	}
 	k.waves[o.Wave] = w
 }
 
-// Age is for how long a wave has been known, to this holder or one before.
+// Age returns how long the wave has been known, to this lease holder or an earlier one.
 func (k *Keeper) Age(number int64, now time.Duration) time.Duration {
-	return now - k.waves[number].since
+	return now - k.waves[number].firstSeenAt
 }
 
-// Knows tells whether a wave has been taken in.
+// Knows reports whether the wave has been added.
 func (k *Keeper) Knows(number int64) bool { return k.waves[number] != nil }
 
-// Standby names the pools whose machines run nothing.
+// Standby sets the pools whose machines run nothing.
 func (k *Keeper) Standby(pools []string) {
-	clear(k.standby)
+	clear(k.standbyPools)
 	for _, p := range pools {
-		k.standby[p] = true
+		k.standbyPools[p] = true
 	}
 }
 
-// Busy tells whether a wave is not completed.
+// Busy reports whether any wave is not completed.
 func (k *Keeper) Busy() bool {
 	for _, w := range k.waves {
-		if !w.done {
+		if !w.completed {
 			return true
 		}
 	}
 	return false
 }
 
-// Machines takes in the list, as asked for at a time.
+// Machines replaces the list of machines. Asked is when the list was requested.
 func (k *Keeper) Machines(list []gauge.Machine, asked time.Duration) {
-	k.listed = asked
-	k.forgetEmptied(list)
+	k.listedAt = asked
+	k.dropStaleAnswers(list)
 	clear(k.machines)
 	for _, m := range list {
 		k.machines[m.ID] = m
 	}
 	for _, w := range k.waves {
-		for id, since := range w.down {
-			m, there := k.machines[id]
-			if asked > since+k.conf.Upkeep && (!there || m.State == gauge.MachineUp) {
-				delete(w.down, id)
+		for id, since := range w.downSince {
+			m, listed := k.machines[id]
+			if asked > since+k.conf.Upkeep && (!listed || m.State == gauge.MachineUp) {
+				delete(w.downSince, id)
 			}
 		}
 	}
 }
 
-// forgetEmptied drops the answers about workers that machines don't have any more.
-func (k *Keeper) forgetEmptied(list []gauge.Machine) {
+// dropStaleAnswers drops the answers about machines that have another pool or worker by now.
+func (k *Keeper) dropStaleAnswers(list []gauge.Machine) {
 	for _, m := range list {
-		if before, there := k.machines[m.ID]; there && before.Pool == m.Pool && before.Worker == m.Worker {
+		if before, listed := k.machines[m.ID]; listed && before.Pool == m.Pool && before.Worker == m.Worker {
 			continue
 		}
 		for _, w := range k.waves {
-			delete(w.empty, m.ID)
+			delete(w.drained, m.ID)
 		}
 	}
 }
 
-// Takes tells whether a wave has chosen a machine, or it is down for one.
+// Takes reports whether a wave has selected the machine, or the machine is down for one.
 func (k *Keeper) Takes(machine string) bool {
 	for _, w := range k.waves {
-		if _, down := w.down[machine]; down || w.asked[machine] && !w.done {
+		if _, down := w.downSince[machine]; down || w.selected[machine] && !w.completed {
 			return true
 		}
 	}
 	return false
 }
 
-// Waits tells whether a machine has its upkeep still to come.
+// Waits reports whether the machine has yet to start the maintenance of a wave.
 func (k *Keeper) Waits(machine string) bool {
 	for _, w := range k.waves {
-		if !w.done && !w.begun[machine] && slices.Contains(w.order.Machines, machine) {
+		if !w.completed && !w.started[machine] && slices.Contains(w.order.Machines, machine) {
 			return true
 		}
 	}
 	return false
 }
 
-// Answered takes in an owner's answer to an ask. It tells nothing of a worker that the machine has
-// got since.
+// Answered records an owner's answer to a request. The answer doesn't count for a worker that has
+// started on the machine since.
 func (k *Keeper) Answered(a Ask, empty bool) {
 	m := k.machines[a.Machine]
-	k.Emptied(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
+	k.SetDrained(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
 }
 
-// Emptied takes in an owner's answer about a machine.
-func (k *Keeper) Emptied(machine string, empty bool) {
+// SetDrained records whether nothing runs on a machine, as its pool's owner reported.
+func (k *Keeper) SetDrained(machine string, empty bool) {
 	for _, w := range k.waves {
-		if w.asked[machine] {
-			w.empty[machine] = empty
+		if w.selected[machine] {
+			w.drained[machine] = empty
 		}
 	}
 }
 
-// Begun takes in the outcome of an order.
+// Begun records the result of an order.
 func (k *Keeper) Begun(b Begin, err error, now time.Duration) {
 	w := k.waves[b.Wave]
 	if w == nil {
 		return
 	}
-	delete(w.empty, b.Machine)
+	delete(w.drained, b.Machine)
 	switch {
 	case err == nil:
-		w.begun[b.Machine] = true
-		w.down[b.Machine] = now
-		delete(w.asked, b.Machine)
+		w.started[b.Machine] = true
+		w.downSince[b.Machine] = now
+		delete(w.selected, b.Machine)
 	case gauge.Is(err, gauge.KindUnknown):
-		// It may be carried out yet, and counts as down. The same order once
-		// more is answered with "done" if it was.
-		w.down[b.Machine] = now
+		// The order may still be carried out, so the machine counts as down. Sending it again is
+		// safe: the platform answers "done" if it was carried out.
+		w.downSince[b.Machine] = now
 	default:
-		delete(w.down, b.Machine)
+		delete(w.downSince, b.Machine)
 	}
-	k.conf.Logs.Info("upkeep ordered", "wave", b.Wave, "machine", b.Machine, "kind", kindOf(err), "begun", len(w.begun), "of", len(w.order.Machines))
+	k.conf.Logs.Info("upkeep ordered", "wave", b.Wave, "machine", b.Machine, "kind", resultLabel(err), "begun", len(w.started), "of", len(w.order.Machines))
 }
 
-func kindOf(err error) gauge.Kind {
+func resultLabel(err error) gauge.Kind {
 	if err == nil {
 		return "ok"
 	}
 	return gauge.KindOf(err)
 }
 
-// Lists returns the machines that had their order, for the table.
+// Lists returns the sorted machines whose order was carried out, to be recorded in the table.
 func (k *Keeper) Lists(number int64) []string {
 	w := k.waves[number]
-	var ids []string
-	for m := range w.begun {
-		ids = append(ids, m)
+	var started []string
+	for m := range w.started {
+		started = append(started, m)
 	}
-	slices.Sort(ids)
-	return ids
+	slices.Sort(started)
+	return started
 }
 
-// Completed takes in that the table says a wave is completed.
+// Completed records that the table has the wave as completed.
 func (k *Keeper) Completed(number int64) {
-	k.waves[number].done = true
-	k.conf.Logs.Info("wave completed", "wave", number, "begun", len(k.waves[number].begun))
+	k.waves[number].completed = true
+	k.conf.Logs.Info("wave completed", "wave", number, "begun", len(k.waves[number].started))
 }
 
-// Sight is what the keeper doesn't know itself.
+// Sight is the state outside of the Keeper on which its decisions depend.
 type Sight struct {
-	Moving  func(machine string) bool // it is on its way to another pool
-	Ordered func(machine string) bool // the holder before has ordered it just now
-	Pressed func(pool string) bool    // it has too few machines as it is
-	Lasting func(worker string) int   // lasting tasks that run there; nil: not known
+	Moving  func(machine string) bool // reports whether the machine is moving to another pool
+	Ordered func(machine string) bool // reports whether the previous holder may have ordered it just now
+	Pressed func(pool string) bool    // reports whether the pool is short of machines
+	Lasting func(worker string) int   // number of long-running tasks on the worker; nil: unknown
 }
 
-// Next says what to do now.
+// Next returns what to do now.
 func (k *Keeper) Next(now time.Duration, sight Sight) Steps {
-	k.sight = sight
+	k.view = sight
 	var s Steps
 	numbers := make([]int64, 0, len(k.waves))
 	for n, w := range k.waves {
-		if !w.done {
+		if !w.completed {
 			numbers = append(numbers, n)
 		}
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		k.next(k.waves[n], now, &s)
+		k.appendSteps(k.waves[n], now, &s)
 	}
 	return s
 }
 
-func (k *Keeper) next(w *wave, now time.Duration, s *Steps) {
-	left := k.left(w)
+func (k *Keeper) appendSteps(w *wave, now time.Duration, s *Steps) {
+	left := k.remaining(w)
 	if len(left) == 0 {
-		if k.listed > w.seen {
+		if k.listedAt > w.seenAt {
 			s.Complete = append(s.Complete, w.order.Wave)
 		}
 		return
 	}
-	force := k.behind(w, len(left), now)
+	force := k.isLate(w, len(left), now)
 	for _, m := range left {
-		if w.asked[m.ID] && m.State != gauge.MachineUp {
-			delete(w.asked, m.ID)
-			delete(w.empty, m.ID)
+		if w.selected[m.ID] && m.State != gauge.MachineUp {
+			delete(w.selected, m.ID)
+			delete(w.drained, m.ID)
 		}
 	}
-	k.choose(w, left, force)
-	room := max(1, w.order.AtOnce) - len(w.down) - k.unnoted(w)
+	k.selectMachines(w, left, force)
+	room := max(1, w.order.AtOnce) - len(w.downSince) - k.unrecorded(w)
 	for _, m := range left {
-		if !w.asked[m.ID] {
+		if !w.selected[m.ID] {
 			continue
 		}
-		_, tried := w.down[m.ID]
-		if k.sight.Moving(m.ID) {
-			continue // it may be in another pool by now, and at work
+		_, ordered := w.downSince[m.ID]
+		if k.view.Moving(m.ID) {
+			continue // it may be in another pool by now, and running tasks
 		}
-		if (w.empty[m.ID] || k.standby[m.Pool]) && (room > 0 || tried) {
-			if !tried {
+		if (w.drained[m.ID] || k.standbyPools[m.Pool]) && (room > 0 || ordered) {
+			if !ordered {
 				room--
-				w.down[m.ID] = now
+				w.downSince[m.ID] = now
 			}
 			s.Begins = append(s.Begins, Begin{Wave: w.order.Wave, Machine: m.ID})
 			continue
 		}
-		if !k.standby[m.Pool] {
+		if !k.standbyPools[m.Pool] {
 			s.Asks = append(s.Asks, Ask{Machine: m.ID, Pool: m.Pool, Worker: m.Worker, Force: force})
 		}
 	}
 }
 
-// unnoted counts the machines of a wave that may be down by an order that isn't
-// in the table: a holder before has sent it and could not write any more.
-func (k *Keeper) unnoted(w *wave) int {
+// unrecorded counts the machines of a wave that may be down by an order that isn't in the table: a
+// previous holder sent it and could no longer write it down.
+func (k *Keeper) unrecorded(w *wave) int {
 	n := 0
 	for _, id := range w.order.Machines {
-		if _, known := w.down[id]; known {
+		if _, known := w.downSince[id]; known {
 			continue
 		}
-		if m, there := k.machines[id]; there && (m.State == gauge.MachineUpkeep || k.sight.Ordered(id)) {
+		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineUpkeep || k.view.Ordered(id)) {
 			n++
 		}
 	}
 	return n
 }
 
-// left lists the machines that stay and have not begun, in a steady order.
-func (k *Keeper) left(w *wave) []gauge.Machine {
+// remaining lists the machines that are still in the fleet and have not started, sorted by ID.
+func (k *Keeper) remaining(w *wave) []gauge.Machine {
 	var left []gauge.Machine
 	for _, id := range w.order.Machines {
-		m, there := k.machines[id]
-		if there && !w.begun[id] {
+		m, listed := k.machines[id]
+		if listed && !w.started[id] {
 			left = append(left, m)
 		}
 	}
@@ -326,41 +326,41 @@
 }
 
 const (
-	// forceAfter: from this share of a wave's time on, work that doesn't end by
-	// itself is ended where the wave would be late without.
-	forceAfter = 0.4
-	// hurry is how long before its end a wave is late if machines are left, however few:
-	// a machine with lasting tasks is emptied in three to four seconds, one task after the
-	// other, and its upkeep takes as long as it takes beside.
-	hurry = 6 * time.Second
+	// forceShare is the share of a wave's time after which tasks that don't end by themselves are
+	// stopped if the wave would be late otherwise.
+	forceShare = 0.4
+	// lateMargin is how long before the end of a wave it counts as late if any machines remain,
+	// however few: a machine with long-running tasks takes three to four seconds to drain, one task
+	// after the other, and its maintenance time comes on top.
+	lateMargin = 6 * time.Second
 )
 
-// behind tells whether a wave gets late at the present pace.
-func (k *Keeper) behind(w *wave, left int, now time.Duration) bool {
+// isLate reports whether the wave will be late at its present rate.
+func (k *Keeper) isLate(w *wave, left int, now time.Duration) bool {
 	if w.order.Within <= 0 {
 		return false
 	}
-	if now-w.since > w.order.Within-min(hurry, w.order.Within/3) {
+	if now-w.firstSeenAt > w.order.Within-min(lateMargin, w.order.Within/3) {
 		return true
 	}
-	passed := float64(now-w.since) / float64(w.order.Within)
+	passed := float64(now-w.firstSeenAt) / float64(w.order.Within)
 	done := 1 - float64(left)/float64(len(w.order.Machines))
-	return passed > forceAfter && done < passed+(1-passed)*forceAfter
+	return passed > forceShare && done < passed+(1-passed)*forceShare
 }
 
-// Workers lists those of a pool's machines that a wave has yet to begin with, once they
-// are empty.
+// Workers lists the workers on those machines of a pool that have yet to start the maintenance of a
+// wave.
 func (k *Keeper) Workers(pool string) []string {
-	var ids []string
+	var workers []string
 	for _, w := range k.waves {
-		if w.done {
+		if w.completed {
 			continue
 		}
 		for _, id := range w.order.Machines {
-			if m, there := k.machines[id]; there && m.Pool == pool && m.Worker != "" && !w.begun[id] {
-				ids = append(ids, m.Worker)
+			if m, listed := k.machines[id]; listed && m.Pool == pool && m.Worker != "" && !w.started[id] {
+				workers = append(workers, m.Worker)
 			}
 		}
 	}
-	return ids
+	return workers
 }
--- a/internal/waves/waves_test.go
+++ b/internal/waves/waves_test.go
@@ -12,9 +12,9 @@
 	"sapphiregauge/internal/waves"
 )
 
-const upkeep = 2 * time.Second
+const maintenanceTime = 2 * time.Second
 
-type rig struct {
+type harness struct {
 	keeper   *waves.Keeper
 	machines map[string]*gauge.Machine
 	now      time.Duration
@@ -22,8 +22,8 @@
 
 func never(string) bool { return false }
 
-func newRig(pool string, count, atOnce int) *rig {
-	g := &rig{keeper: waves.New(waves.Config{Upkeep: upkeep, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
+func newHarness(pool string, count, atOnce int) *harness {
+	g := &harness{keeper: waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
 	order := gauge.UpkeepOrder{Wave: 1, Within: 30 * time.Second, AtOnce: atOnce}
 	for i := range count {
 		id := fmt.Sprintf("m-%d", i)
@@ -31,12 +31,12 @@
 		order.Machines = append(order.Machines, id)
 	}
 	g.keeper.Order(order, waves.Past{}, g.now)
-	g.pass(time.Millisecond)
+	g.advance(time.Millisecond)
 	return g
 }
 
-// pass lists the machines anew.
-func (g *rig) pass(d time.Duration) {
+// advance advances the time and refreshes the list of machines.
+func (g *harness) advance(d time.Duration) {
 	g.now += d
 	var list []gauge.Machine
 	for _, m := range g.machines {
@@ -45,116 +45,113 @@
 	g.keeper.Machines(list, g.now)
 }
 
-func (g *rig) next() waves.Steps {
+func (g *harness) next() waves.Steps {
 	return g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: never})
 }
 
-func (g *rig) begin(b waves.Begin, err error) { g.keeper.Begun(b, err, g.now) }
+func (g *harness) recordStart(b waves.Begin, err error) { g.keeper.Begun(b, err, g.now) }
 
-func TestUpkeepBeginsOnlyWhenTheOwnerSaysEmpty(t *testing.T) {
-	g := newRig("p", 6, 2)
+func TestMaintenanceStartsOnlyWhenTheOwnerReportsDrained(t *testing.T) {
+	g := newHarness("p", 6, 2)
 	s := g.next()
 	assert.Equal(t, len(s.Begins), 0)
 	assert.Assert(t, len(s.Asks) > 0)
-	g.keeper.Emptied(s.Asks[0].Machine, true)
+	g.keeper.SetDrained(s.Asks[0].Machine, true)
 	s = g.next()
 	assert.Equal(t, len(s.Begins), 1)
 }
 
-// Symptom: more machines are down than the operator allows.
-// Sequence: an order gets no answer; it is not counted, and the next one goes out.
-// Cause: what may be carried out yet counts as not done.
+// Guards against more machines being down than the operator allows. An order that gets no answer
+// may still be carried out; when it didn't count as down, the next order went out.
 func TestUnansweredOrdersCountAsDown(t *testing.T) {
-	g := newRig("spare", 5, 2)
+	g := newHarness("spare", 5, 2)
 	g.keeper.Standby([]string{"spare"})
 	s := g.next()
 	assert.Equal(t, len(s.Begins), 2)
 	for _, b := range s.Begins {
-		g.begin(b, gauge.Fail(gauge.KindUnknown, "no answer"))
+		g.recordStart(b, gauge.Fail(gauge.KindUnknown, "no answer"))
 	}
 	s2 := g.next()
 	assert.Equal(t, len(s2.Begins), 2, "the same ones are asked again")
 	assert.DeepEqual(t, s2.Begins, s.Begins)
 }
 
-func TestMachinesCountAsDownUntilTheyAreListedUpAgain(t *testing.T) {
-	g := newRig("spare", 3, 1)
+func TestMachinesCountAsDownUntilListedAsUp(t *testing.T) {
+	g := newHarness("spare", 3, 1)
 	g.keeper.Standby([]string{"spare"})
 	b := g.next().Begins[0]
-	g.begin(b, nil)
+	g.recordStart(b, nil)
 	g.machines[b.Machine].State = gauge.MachineUpkeep
-	g.pass(upkeep + time.Second)
+	g.advance(maintenanceTime + time.Second)
 	assert.Equal(t, len(g.next().Begins), 0)
 	g.machines[b.Machine].State = gauge.MachineUp
-	g.pass(100 * time.Millisecond)
+	g.advance(100 * time.Millisecond)
 	assert.Equal(t, len(g.next().Begins), 1)
 }
 
-// A list that was asked for before the machine went down proves nothing.
-func TestOldListDoesNotEndAnUpkeep(t *testing.T) {
-	g := newRig("spare", 2, 1)
+// A list requested before the machine went down doesn't show that it is up again.
+func TestOldListDoesNotEndMaintenance(t *testing.T) {
+	g := newHarness("spare", 2, 1)
 	g.keeper.Standby([]string{"spare"})
-	g.begin(g.next().Begins[0], nil)
-	g.pass(time.Millisecond)
+	g.recordStart(g.next().Begins[0], nil)
+	g.advance(time.Millisecond)
 	assert.Equal(t, len(g.next().Begins), 0)
 }
 
-func TestWaveIsCompleteOnlyWhenAllThatStayHaveBegun(t *testing.T) {
-	g := newRig("spare", 3, 3)
+func TestWaveIsCompleteOnlyWhenAllRemainingMachinesHaveStarted(t *testing.T) {
+	g := newHarness("spare", 3, 3)
 	g.keeper.Standby([]string{"spare"})
 	s := g.next()
 	assert.Equal(t, len(s.Begins), 3)
-	g.begin(s.Begins[0], nil)
-	g.begin(s.Begins[1], gauge.Fail(gauge.KindBusy, "it leaves"))
-	g.begin(s.Begins[2], nil)
+	g.recordStart(s.Begins[0], nil)
+	g.recordStart(s.Begins[1], gauge.Fail(gauge.KindBusy, "it leaves"))
+	g.recordStart(s.Begins[2], nil)
 	assert.Equal(t, len(g.next().Complete), 0)
 	delete(g.machines, s.Begins[1].Machine)
-	g.pass(time.Second)
+	g.advance(time.Second)
 	assert.Equal(t, len(g.next().Complete), 1)
 }
 
-// A new holder knows from the table which machines have begun.
-func TestWaveGoesOnUnderANewHolder(t *testing.T) {
-	g := newRig("spare", 3, 1)
-	keeper := waves.New(waves.Config{Upkeep: upkeep, Logs: logr.Discard()})
+// A new holder learns from the table which machines have started.
+func TestWaveContinuesUnderANewHolder(t *testing.T) {
+	g := newHarness("spare", 3, 1)
+	keeper := waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()})
 	keeper.Order(gauge.UpkeepOrder{Wave: 1, Machines: []string{"m-0", "m-1", "m-2"}, Within: time.Minute, AtOnce: 1}, waves.Past{Begun: []string{"m-0"}}, g.now)
 	g.keeper = keeper
 	g.keeper.Standby([]string{"spare"})
-	g.pass(time.Millisecond)
+	g.advance(time.Millisecond)
 	assert.Equal(t, len(g.next().Begins), 0, "m-0 may be down still")
-	g.pass(upkeep + time.Second)
+	g.advance(maintenanceTime + time.Second)
 	assert.Equal(t, g.next().Begins[0].Machine, "m-1")
 }
 
-func TestPressedPoolsAreLeftAloneUntilTheWaveIsLate(t *testing.T) {
-	g := newRig("p", 4, 2)
+func TestPoolsShortOfMachinesGiveNoneUntilTheWaveIsLate(t *testing.T) {
+	g := newHarness("p", 4, 2)
 	pressed := func(string) bool { return true }
 	assert.Equal(t, len(g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: pressed}).Asks), 0)
-	g.pass(20 * time.Second)
+	g.advance(20 * time.Second)
 	asks := g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: pressed}).Asks
 	assert.Assert(t, len(asks) > 0)
 	assert.Assert(t, asks[0].Force)
 }
 
-// Symptom: one machine more is down than the operator allows, after a handover.
-// Sequence: the fleet's holder orders upkeeps and can't write them down, as the
-// table turns it away; its successor knows nothing of them and orders others.
-// Cause: only what the table has counts as down.
-func TestUpkeepsOfAHolderThatCouldNotNoteThemCountAsDown(t *testing.T) {
-	g := newRig("spare", 6, 3)
+// Guards against one machine too many being down after a handover. The fleet lease holder orders
+// maintenance but the table refuses its write; the next holder doesn't know of these orders and,
+// counting only what is recorded in the table, orders others.
+func TestUnrecordedOrdersOfThePreviousHolderCountAsDown(t *testing.T) {
+	g := newHarness("spare", 6, 3)
 	g.keeper.Standby([]string{"spare"})
-	g.machines["m-0"].State = gauge.MachineUpkeep // as listed
-	g.pass(time.Millisecond)
-	justOrdered := func(id string) bool { return id == "m-1" } // not listed yet
+	g.machines["m-0"].State = gauge.MachineUpkeep // as the list shows
+	g.advance(time.Millisecond)
+	justOrdered := func(id string) bool { return id == "m-1" } // the list doesn't show it yet
 	assert.Equal(t, len(g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: justOrdered, Pressed: never}).Begins), 1)
 }
 
-// Symptom: the last machines of a wave have their upkeep seconds after its end.
-// Sequence: the fleet's holder changes in the middle of the wave; two machines of many are
-// left in pools that are busy.
-// Cause: the new holder counts the wave's time from when it saw it, and a wave with so
-// few machines left doesn't count as late.
-func TestWaveIsHurriedBeforeItsEndHoweverFewMachinesAreLeft(t *testing.T) {
+// Guards against the last machines of a wave starting maintenance seconds after its end. The fleet
+// lease changes hands in the middle of the wave while two of many machines remain in busy pools:
+// the new holder counted the wave's time from when it first saw it, and a wave with so few machines
+// left didn't count as late.
+func TestWaveIsForcedBeforeItsEndHoweverFewMachinesRemain(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		age   time.Duration
@@ -164,7 +161,7 @@
 		{"shortly before its end", 25 * time.Second, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k := waves.New(waves.Config{Upkeep: upkeep, Logs: logr.Discard()})
+			k := waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()})
 			order := gauge.UpkeepOrder{Wave: 1, Within: 30 * time.Second, AtOnce: 2}
 			var past waves.Past
 			var list []gauge.Machine
@@ -179,9 +176,9 @@
 			past.Age = tt.age
 			const now = time.Minute
 			k.Order(order, past, now)
-			k.Machines(list, now+upkeep+time.Millisecond)
+			k.Machines(list, now+maintenanceTime+time.Millisecond)
 			pressed := func(string) bool { return true }
-			s := k.Next(now+upkeep+time.Millisecond, waves.Sight{Moving: never, Ordered: never, Pressed: pressed})
+			s := k.Next(now+maintenanceTime+time.Millisecond, waves.Sight{Moving: never, Ordered: never, Pressed: pressed})
 			assert.Equal(t, len(s.Asks) > 0 && s.Asks[0].Force, tt.force)
 			assert.Equal(t, k.Age(1, now), tt.age)
 		})
