--- a/life.go
+++ b/life.go
@@ -17,7 +17,7 @@
 // An incarnation without a start time comes before those with one.
 func (l Life) Before(o Life) bool { return l.Worker == o.Worker && l.Born < o.Born }
 
-// lifeMark separates a worker's ID from the start time of its incarnation.
+// incarnationSeparator separates a worker's ID from the start time of its incarnation.
 const incarnationSeparator = "@"
 
 // String returns the name of the incarnation in rows of the table.
