--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -19,7 +19,7 @@
 	machine     map[string]string
 }
 
-func newFleet(without gauge.Without, count, lasting, atOnce int) *fleet {
+func newFleet(without gauge.Without, count, longRunning, atOnce int) *fleet {
 	f := &fleet{
 		keeper:      waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard(), Without: without}),
 		longRunning: make(map[string]int), machine: make(map[string]string),
@@ -29,7 +29,7 @@
 	for i := range count {
 		id := fmt.Sprintf("m-%03d", i)
 		m := gauge.Machine{ID: id, Pool: "p", State: gauge.MachineUp, Worker: "i-" + id}
-		if i >= count-lasting {
+		if i >= count-longRunning {
 			f.longRunning[m.Worker] = 1 + i%3
 		}
 		f.machine[m.Worker] = id
@@ -42,9 +42,9 @@
 }
 
 // selected counts the machines that are to be drained, and those of them with long-running tasks.
-func (f *fleet) selected(pressed bool) (all, slow int) {
+func (f *fleet) selected(short bool) (all, slow int) {
 	s := f.keeper.Next(time.Millisecond, waves.Sight{
-		Moving: never, Ordered: never, Pressed: func(string) bool { return pressed },
+		Moving: never, Ordered: never, Pressed: func(string) bool { return short },
 		Lasting: func(worker string) int { return f.longRunning[worker] },
 	})
 	for _, a := range s.Asks {
--- a/jobspec.go
+++ b/jobspec.go
@@ -40,9 +40,9 @@
 	Label       string        `msgpack:"l"` // label that the worker must have
 	DataRack    string        `msgpack:"d"` // slower on any other rack
 	PerWorker   int           `msgpack:"w"` // most tasks of an occurrence on one worker; 0: unlimited
-	Copies      bool          `msgpack:"x"` // a task may have two speculative copies; the first end counts
+	Copies      bool          `msgpack:"x"` // a task may run as two speculative copies at once; the first end counts
 	Lasts       bool          `msgpack:"t"` // runs until the job is cancelled
-	Image       string        `msgpack:"i"` // container image; tasks of one image behave alike
+	Image       string        `msgpack:"i"` // image of the tasks; tasks of one image behave alike
 	TailTarget  time.Duration `msgpack:"v"` // bound on the tail latency of a long-running task; 0: none
 	Fills       bool          `msgpack:"f"` // best effort: uses processor time that others leave, and reserves none
 	MaxAway     int           `msgpack:"u"` // for a long-running step: most tasks that may be unplaced at a time by this software's own decisions
--- a/machine.go
+++ b/machine.go
@@ -16,7 +16,7 @@
 	MachineDown   MachineState = "down"
 )
 
-// Machine is a host as the platform lists it. A worker is one incarnation that runs on it.
+// Machine is a host as the platform lists it. A worker is one incarnation of the machine.
 type Machine struct {
 	ID       string
 	Pool     string
