--- a/claim.go
+++ b/claim.go
@@ -87,8 +87,8 @@
 	return ClaimKey{Team: team, ID: u.String(), Day: at.Format(dayLayout)}, fs.Err()
 }
 
-// ClaimDays lists the given number of days whose claims can be deleted, beginning with the latest; keys of these
-// days are no longer accepted.
+// ClaimDays lists the given number of days whose claims can be deleted, beginning with the latest;
+// keys of these days are no longer accepted.
 func ClaimDays(now time.Time, days int) []string {
 	out := make([]string, days)
 	for i := range out {
