--- a/internal/intake/lane.go
+++ b/internal/intake/lane.go
@@ -11,240 +11,238 @@
 )
 
 const (
-	// groupMost jobs go into one transaction of at most 100 entries: a check and
-	// three writes each.
-	groupMost = 24
-	// handInWait is how long a caller waits at this entry for its job to be
-	// stored. A transaction takes some 10 ms, in a slow spell 0.4 to 0.9 s, and one
-	// may be under way already; after that another entry may do better.
-	handInWait = 2 * time.Second
-	// commitWait bounds one transaction, beside the table's own bound.
-	commitWait = 2 * time.Second
-	// probeWait bounds a read that shows whether a part of the table answers. A
-	// read takes 4 ms, in a slow spell 60 to 90 times as long.
-	probeWait = 500 * time.Millisecond
-	// probeAgain is the pause between two such reads: callers may come back so
-	// much later than the table does.
-	probeAgain = 150 * time.Millisecond
-	// probeFor: without a job handed in for so long the reads end, and the next
-	// job finds out by itself.
-	probeFor = 5 * time.Second
+	// maxBatch is the maximum number of jobs in a transaction, which has at most 100 entries: each
+	// job has a check and three writes.
+	maxBatch = 24
+	// submitTimeout is how long a caller waits at this entry for its job to be stored. A
+	// transaction takes some 10 ms, in a slow period 0.4 to 0.9 s, and one may be in progress
+	// already; after that another entry may do better.
+	submitTimeout = 2 * time.Second
+	// commitTimeout bounds one transaction, in addition to the table's own timeout.
+	commitTimeout = 2 * time.Second
+	// probeTimeout bounds a read that shows whether a partition of the table answers. A read takes
+	// 4 ms, in a slow period 60 to 90 times as long.
+	probeTimeout = 500 * time.Millisecond
+	// probeRetryDelay is the pause between two such reads. It delays the end of the refusals after
+	// the outage.
+	probeRetryDelay = 150 * time.Millisecond
+	// probeIdleTimeout is how long the reads go on without a submission. After that the circuit
+	// breaker is closed, and the next job shows whether the table answers.
+	probeIdleTimeout = 5 * time.Second
 )
 
-// lane stores the jobs of one queue, one transaction at a time. Jobs that come
-// while one is under way go together in the next. A part of the table carries
-// out transactions one after the other: when it is slow, one for each job would
-// be turned away.
+// batcher stores the jobs of one queue, one transaction at a time. Jobs that are submitted during a
+// transaction share the next one. A partition of the table executes transactions one after the
+// other: in a slow period it would refuse most of them if there was one for each job.
 //
-// When a transaction and then a read of the part both fail, the lane shuts, as a
-// circuit breaker opens: jobs are refused at once until a read is answered. Otherwise
-// each would be held for as long as its caller waits, only to be refused then; and
-// since a transaction without an answer may be carried out later, jobs that are not
-// sent at all are the only ones that can be told surely that they don't run.
-type lane struct {
+// When a transaction and then a read of the partition both fail, the batcher's circuit breaker
+// opens: jobs are refused at once until a read is answered. Otherwise each job would be kept for as
+// long as its caller waits, only to be refused then. And since a transaction without an answer may
+// take effect later, only for jobs that are never sent can callers be certain that they don't run.
+type batcher struct {
 	intake *Intake
 	queue  string
 
-	mu   sync.Mutex
-	jobs []*pending // that wait for a transaction
-	busy bool
-	shut bool
-	away time.Duration // since when it is shut
-	came time.Duration // when a job last came
+	mu            sync.Mutex
+	queued        []*pendingJob // queued for a transaction
+	running       bool
+	breakerOpen   bool
+	openSince     time.Duration // since when the circuit breaker is open
+	lastSubmitted time.Duration // last submission
 }
 
-// store has a job stored and waits for the outcome, no longer than handInWait or
-// until ctx ends: then the caller leaves, or this entry stops.
-func (l *lane) store(ctx context.Context, p *pending) outcome {
-	if !l.enter(p) {
-		return outcome{err: l.refusal()}
+// store queues a job and waits for its outcome, at most for submitTimeout or until ctx ends, which
+// means that the caller has gone or this entry stops.
+func (b *batcher) store(ctx context.Context, p *pendingJob) outcome {
+	if !b.enqueue(p) {
+		return outcome{err: b.refusalError()}
 	}
 	select {
-	case o := <-p.settled:
+	case o := <-p.result:
 		return o
-	case <-l.intake.conf.After(handInWait):
+	case <-b.intake.conf.After(submitTimeout):
 	case <-ctx.Done():
 	}
-	return l.leave(p)
+	return b.abandon(p)
 }
 
-// enter queues a job; false: the lane is shut.
-func (l *lane) enter(p *pending) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.came = p.began
-	if l.shut {
+// enqueue queues a job. It reports false if the circuit breaker is open.
+func (b *batcher) enqueue(p *pendingJob) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.lastSubmitted = p.startedAt
+	if b.breakerOpen {
 		return false
 	}
-	l.jobs = append(l.jobs, p)
-	if !l.busy {
-		l.busy = true
-		go l.run()
+	b.queued = append(b.queued, p)
+	if !b.running {
+		b.running = true
+		go b.run()
 	}
 	return true
 }
 
-// leave gives up waiting for a job. What is in a transaction may yet be stored.
-func (l *lane) leave(p *pending) outcome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// abandon stops waiting for a job. A job that is in a transaction may still be stored.
+func (b *batcher) abandon(p *pendingJob) outcome {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	select {
-	case o := <-p.settled:
+	case o := <-p.result:
 		return o
 	default:
 	}
-	p.left = true
-	p.unsure = p.unsure || p.flying
-	return p.givenUp()
+	p.abandoned = true
+	p.unsettled = p.unsettled || p.inFlight
+	return p.abandonedOutcome()
 }
 
-// settle tells the outcome of a job to its caller, or, if that has left, has the
-// owner told of a job that was stored after all.
-func (l *lane) settle(p *pending, o outcome) {
-	l.mu.Lock()
-	left := p.left
-	if !left {
-		p.settled <- o
+// settle sends the outcome of a job to its caller. If the caller no longer waits, the owner is
+// notified of a job that was stored after all.
+func (b *batcher) settle(p *pendingJob, o outcome) {
+	b.mu.Lock()
+	abandoned := p.abandoned
+	if !abandoned {
+		p.result <- o
 	}
-	l.mu.Unlock()
-	if left && o.err == nil {
-		l.intake.stored(p, o)
+	b.mu.Unlock()
+	if abandoned && o.err == nil {
+		b.intake.reportStored(p, o)
 	}
 }
 
-// run sends transactions until no job waits.
-func (l *lane) run() {
-	pause := firstPause
+// run sends transactions until no job is queued or the circuit breaker opens.
+func (b *batcher) run() {
+	delay := minRetryDelay
 	for {
-		group := l.take()
-		if group == nil {
+		batch := b.nextBatch()
+		if batch == nil {
 			return
 		}
-		again, failed := l.commit(group)
+		retry, failed := b.commit(batch)
 		if !failed {
-			pause = firstPause
-			l.back(again)
+			delay = minRetryDelay
+			b.requeue(retry)
 			continue
 		}
-		if !l.answers(again[0].id) {
-			l.close(again)
+		if !b.isTableAnswering(retry[0].id) {
+			b.trip(retry)
 			return
 		}
-		time.Sleep(rand.N(pause) + pause/2)
-		pause = min(2*pause, lastPause)
-		l.back(again)
+		time.Sleep(rand.N(delay) + delay/2)
+		delay = min(2*delay, maxRetryDelay)
+		b.requeue(retry)
 	}
 }
 
-// take returns the next group, nil when no job waits.
-func (l *lane) take() []*pending {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := min(groupMost, len(l.jobs))
-	group := slices.Clone(l.jobs[:n])
-	l.jobs = slices.Delete(l.jobs, 0, n)
-	l.busy = n > 0
+// nextBatch removes the next batch from the queue. It returns nil if no job is queued.
+func (b *batcher) nextBatch() []*pendingJob {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := min(maxBatch, len(b.queued))
+	batch := slices.Clone(b.queued[:n])
+	b.queued = slices.Delete(b.queued, 0, n)
+	b.running = n > 0
 	if n == 0 {
 		return nil
 	}
-	return group
+	return batch
 }
 
-// back puts jobs in front of those that came meanwhile.
-func (l *lane) back(jobs []*pending) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.jobs = append(jobs, l.jobs...)
+// requeue puts jobs back in front of those that were queued meanwhile.
+func (b *batcher) requeue(jobs []*pendingJob) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.queued = append(jobs, b.queued...)
 }
 
-// send marks the jobs that go into a transaction now. Those whose callers have
-// left stay out: some were told that they are not stored.
-func (l *lane) send(group []*pending) []*pending {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	group = slices.DeleteFunc(group, func(p *pending) bool { return p.left })
-	for _, p := range group {
-		p.flying = true
+// markInFlight marks the jobs of the transaction that is sent now. Jobs whose callers no longer
+// wait are left out: some callers were told that their jobs are not stored.
+func (b *batcher) markInFlight(batch []*pendingJob) []*pendingJob {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	batch = slices.DeleteFunc(batch, func(p *pendingJob) bool { return p.abandoned })
+	for _, p := range batch {
+		p.inFlight = true
 	}
-	return group
+	return batch
 }
 
-// commit sends one transaction and settles the jobs whose outcome it shows. It
-// returns the others; failed: the transaction wasn't carried out, or got no answer.
-func (l *lane) commit(group []*pending) (again []*pending, failed bool) {
-	group = l.send(group)
-	if len(group) == 0 {
+// commit sends one transaction and settles the jobs whose outcome it shows. It returns the other
+// jobs, and whether the transaction wasn't executed or got no answer.
+func (b *batcher) commit(batch []*pendingJob) (retry []*pendingJob, failed bool) {
+	batch = b.markInFlight(batch)
+	if len(batch) == 0 {
 		return nil, false
 	}
 	var txn gauge.PartTxn
-	for _, p := range group {
+	for _, p := range batch {
 		txn.Checks = append(txn.Checks, p.txn.Checks...)
 		txn.Writes = append(txn.Writes, p.txn.Writes...)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), commitWait)
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	stamp, rows, err := l.intake.conf.Store.Commit(ctx, txn)
-	l.noteTry(group, err)
+	stamp, rows, err := b.intake.conf.Store.Commit(ctx, txn)
+	b.recordAttempt(batch, err)
 	switch {
 	case err == nil:
-		for _, p := range group {
-			l.settle(p, outcome{version: stamp.Version})
+		for _, p := range batch {
+			b.settle(p, outcome{version: stamp.Version})
 		}
 		return nil, false
 	case gauge.Is(err, gauge.KindConflict):
-		return l.settleKnown(group, rows), false
+		return b.settleExisting(batch, rows), false
 	case gauge.Is(err, gauge.KindUnknown), gauge.Is(err, gauge.KindOutage):
-		return group, true
-	case len(group) > 1:
-		return l.singly(group) // one of them is at fault
+		return batch, true
+	case len(batch) > 1:
+		return b.commitEach(batch) // one of the jobs is the cause
 	default:
-		l.settle(group[0], outcome{err: err})
+		b.settle(batch[0], outcome{err: err})
 		return nil, false
 	}
 }
 
-func (l *lane) noteTry(group []*pending, err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, p := range group {
-		p.last, p.flying = err, false
-		p.unsure = p.unsure || gauge.Is(err, gauge.KindUnknown)
+func (b *batcher) recordAttempt(batch []*pendingJob, err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for _, p := range batch {
+		p.lastErr, p.inFlight = err, false
+		p.unsettled = p.unsettled || gauge.Is(err, gauge.KindUnknown)
 	}
 }
 
-func (l *lane) singly(group []*pending) (again []*pending, failed bool) {
-	for _, p := range group {
-		some, bad := l.commit([]*pending{p})
-		again = append(again, some...)
+func (b *batcher) commitEach(batch []*pendingJob) (retry []*pendingJob, failed bool) {
+	for _, p := range batch {
+		undone, bad := b.commit([]*pendingJob{p})
+		retry = append(retry, undone...)
 		failed = failed || bad
 	}
-	return again, failed
+	return retry, failed
 }
 
-// settleKnown answers the jobs whose ids are taken: they were handed in before,
-// or a transaction that got no answer was carried out.
-func (l *lane) settleKnown(group []*pending, rows []gauge.PartRow) []*pending {
-	taken := make(map[string]gauge.PartRow, len(rows))
+// settleExisting settles the jobs whose ids exist already: they were submitted before, or a
+// transaction that got no answer took effect. It returns the other jobs.
+func (b *batcher) settleExisting(batch []*pendingJob, rows []gauge.PartRow) []*pendingJob {
+	existing := make(map[string]gauge.PartRow, len(rows))
 	for _, r := range rows {
 		if r.Version > 0 {
-			taken[r.Key] = r
+			existing[r.Key] = r
 		}
 	}
-	var again []*pending
-	for _, p := range group {
-		if r, ok := taken[p.id]; ok {
-			l.settle(p, outcome{version: r.Version, known: true, row: r.Value})
+	var retry []*pendingJob
+	for _, p := range batch {
+		if r, ok := existing[p.id]; ok {
+			b.settle(p, outcome{version: r.Version, duplicate: true, row: r.Value})
 			continue
 		}
-		again = append(again, p)
+		retry = append(retry, p)
 	}
-	return again
+	return retry
 }
 
-// Waiting counts the jobs of a queue that wait for a transaction.
-func (n *Intake) Waiting(queue string) int {
-	l := n.lane(queue)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.jobs)
+// QueuedJobs returns how many jobs of a queue are queued for a transaction.
+func (n *Intake) QueuedJobs(queue string) int {
+	b := n.batcher(queue)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return len(b.queued)
 }
--- a/internal/node/async.go
+++ b/internal/node/async.go
@@ -2,49 +2,50 @@
 
 import "sync"
 
-// async does calls beside the rounds of the fleet's holder. What follows from a call
-// is done in a round, so that the holder's state is touched by one thread only.
-type async struct {
-	mu      sync.Mutex
-	running map[string]bool
-	done    []ended
+// backgroundCalls runs calls beside the rounds of the fleet lease holder. The result of a call is
+// applied in a round, so that only one goroutine changes the holder's state.
+type backgroundCalls struct {
+	mu       sync.Mutex
+	running  map[string]bool
+	finished []finishedCall
 }
 
-// ended is a call that has ended, and what follows from it.
-type ended struct {
-	name string
-	then func()
+// finishedCall is a call that has ended, and the function that applies its result.
+type finishedCall struct {
+	name  string
+	apply func()
 }
 
-func newAsync() *async { return &async{running: make(map[string]bool)} }
+func newBackgroundCalls() *backgroundCalls { return &backgroundCalls{running: make(map[string]bool)} }
 
-// do begins a call; false: one of that name is under way or not settled yet.
-func (a *async) do(name string, call func() (then func())) bool {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.running[name] {
+// start starts a call. It reports false if a call of that name is in flight or its result hasn't
+// been applied yet.
+func (b *backgroundCalls) start(name string, call func() (apply func())) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.running[name] {
 		return false
 	}
-	a.running[name] = true
+	b.running[name] = true
 	go func() {
-		then := call()
-		a.mu.Lock()
-		defer a.mu.Unlock()
-		a.done = append(a.done, ended{name: name, then: then})
+		apply := call()
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.finished = append(b.finished, finishedCall{name: name, apply: apply})
 	}()
 	return true
 }
 
-// settle does what follows from the calls that have ended.
-func (a *async) settle() {
-	a.mu.Lock()
-	done := a.done
-	a.done = nil
+// applyResults applies the results of the calls that have ended.
+func (b *backgroundCalls) applyResults() {
+	b.mu.Lock()
+	done := b.finished
+	b.finished = nil
 	for _, e := range done {
-		delete(a.running, e.name)
+		delete(b.running, e.name)
 	}
-	a.mu.Unlock()
+	b.mu.Unlock()
 	for _, e := range done {
-		e.then()
+		e.apply()
 	}
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -9,62 +9,63 @@
 	"sapphiregauge/internal/watch"
 )
 
-// follow follows a table, of which the caller says what differs between tables.
-func (n *Node) follow(ctx context.Context, c watch.Config) {
+// followTable follows a table until ctx ends. The caller sets the parts of the configuration that
+// differ between tables.
+func (n *Node) followTable(ctx context.Context, c watch.Config) {
 	c.Store, c.Logs, c.Now = n.conf.Store, n.conf.Logs, n.conf.Now
 	if c.Stamp == nil {
-		c.Stamp = n.stamp
+		c.Stamp = n.recordTableClock
 	}
-	c.Seen = func(asOf time.Duration) { n.known.told(c.Name, asOf) }
-	defer n.known.forget(c.Name)
+	c.Seen = func(asOf time.Duration) { n.freshness.update(c.Name, asOf) }
+	defer n.freshness.remove(c.Name)
 	watch.New(c).Run(ctx)
 }
 
-func always(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+func fixedDelay(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// leasePause is the pause between two looks at the leases.
+// leasePause returns the pause between two polls of the leases.
 func (n *Node) leasePause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.busy) == 0 && n.board.Weak() {
-		return weakPause
+	if len(n.leasesInUse) == 0 && n.board.Weak() {
+		return smallHostLeasePollDelay
 	}
-	return leasePause
+	return leasePollDelay
 }
 
-// stamp takes in a reading of the table's clock, from a call that was sent at a
-// time. One that took long says little, and the clocks don't drift within a day
-// by as much.
-func (n *Node) stamp(s gauge.Stamp, sent time.Duration) {
+// recordTableClock records a reading of the table's clock from a call that was sent at the given
+// time. A reading from a slow call is imprecise, by more than the clocks drift apart within a day.
+func (n *Node) recordTableClock(s gauge.Stamp, sent time.Duration) {
 	now := n.conf.Now()
-	if s.Now > 0 && (now-sent < stampWithin || n.offset.Load() == 0) {
-		n.offset.Store(int64(s.Now - now))
+	if s.Now > 0 && (now-sent < maxClockReadingTime || n.clockOffset.Load() == 0) {
+		n.clockOffset.Store(int64(s.Now - now))
 	}
 }
 
-// sawLeases notes that the leases were read, changed or not.
-func (n *Node) sawLeases(s gauge.Stamp, sent time.Duration) {
-	n.stamp(s, sent)
+// recordLeaseRead records that the leases were read, whether or not they have changed.
+func (n *Node) recordLeaseRead(s gauge.Stamp, sent time.Duration) {
+	n.recordTableClock(s, sent)
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.leases > 0 && now-n.leases > leasesLost {
+	if n.leasesReadAt > 0 && now-n.leasesReadAt > tableOutageAfter {
 		n.board.Regained(now)
-		n.back = now
+		n.tableBackAt = now
 	}
-	n.leases = sent
-	n.sighted.Store(true)
+	n.leasesReadAt = sent
+	n.leasesRead.Store(true)
 }
 
-// stampWithin: a reading from an answer that took longer is not used.
-const stampWithin = 100 * time.Millisecond
+// maxClockReadingTime is the longest duration of a call whose reading of the table's clock is used.
+const maxClockReadingTime = 100 * time.Millisecond
 
-// clock is the table's clock now, in milliseconds, late by an answer's way.
-func (n *Node) clock() int64 {
-	return (n.conf.Now() + time.Duration(n.offset.Load())).Milliseconds()
+// tableClock returns the current time of the table's clock in milliseconds, late by the transit
+// time of an answer.
+func (n *Node) tableClock() int64 {
+	return (n.conf.Now() + time.Duration(n.clockOffset.Load())).Milliseconds()
 }
 
-func (n *Node) toldOperator(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyOperatorRows(rows []gauge.PartRow, _ bool) {
 	for _, r := range rows {
 		if r.Dropped {
 			continue
@@ -72,9 +73,9 @@
 		site, wave, err := n.conf.Words.Operator(r)
 		switch {
 		case err != nil:
-			n.conf.Logs.Error(err, "operator's row not read", "key", r.Key, "version", r.Version)
+			n.conf.Logs.Error(err, "operator row not read", "key", r.Key, "version", r.Version)
 		case site != nil:
-			n.configure(site)
+			n.applyConfiguration(site)
 		case wave != nil:
 			n.mu.Lock()
 			n.waves[wave.Wave] = *wave
@@ -84,8 +85,8 @@
 	}
 }
 
-// configure puts a configuration in force, never an older one.
-func (n *Node) configure(site *gauge.Site) {
+// applyConfiguration puts a configuration in force unless it is older than the current one.
+func (n *Node) applyConfiguration(site *gauge.Site) {
 	old := n.site.Load()
 	if old != nil && old.Version >= site.Version {
 		return
@@ -103,26 +104,26 @@
 }
 
 func (n *Node) ownersLocked() []*owner.Owner {
-	os := make([]*owner.Owner, 0, len(n.owners))
+	owners := make([]*owner.Owner, 0, len(n.owners))
 	for _, o := range n.owners {
-		os = append(os, o)
+		owners = append(owners, o)
 	}
-	return os
+	return owners
 }
 
-func (n *Node) toldLeases(rows []gauge.PartRow, whole bool) {
+func (n *Node) applyLeaseRows(rows []gauge.PartRow, whole bool) {
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range rows {
-		n.toldLease(r, now)
+		n.applyLeaseRow(r, now)
 	}
 	if whole {
 		n.board.Read()
 	}
 }
 
-func (n *Node) toldLease(r gauge.PartRow, now time.Duration) {
+func (n *Node) applyLeaseRow(r gauge.PartRow, now time.Duration) {
 	if r.Dropped || r.Key != gauge.KeyOwner {
 		return
 	}
@@ -132,22 +133,22 @@
 		return
 	}
 	if old, ok := n.board.Holder(r.Part); lease.Holder != "" && (!ok || old.Addr != lease.Addr) && lease.Addr != n.conf.Addr {
-		n.group.Go(func() { n.dial(lease.Addr) })
+		n.group.Go(func() { n.keepConnected(lease.Addr) })
 	}
-	n.board.Tell(r.Part, *lease, r.Version, now, n.clockIfKnown())
+	n.board.Tell(r.Part, *lease, r.Version, now, n.tableClockIfKnown())
 }
 
-func (n *Node) toldEntries(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyEntryRows(rows []gauge.PartRow, _ bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range rows {
 		if !r.Dropped {
-			n.toldEntry(r)
+			n.applyEntryRow(r)
 		}
 	}
 }
 
-func (n *Node) toldEntry(r gauge.PartRow) {
+func (n *Node) applyEntryRow(r gauge.PartRow) {
 	row, err := gauge.DecodeEntryRow(r.Value)
 	if err != nil {
 		n.conf.Logs.Error(err, "entry row not read", "peer", r.Key, "version", r.Version)
@@ -158,25 +159,25 @@
 	}
 }
 
-// clockIfKnown is the table's clock, 0 before it was read once.
-func (n *Node) clockIfKnown() int64 {
-	if n.offset.Load() == 0 {
+// tableClockIfKnown returns the table's clock, or 0 before the first reading.
+func (n *Node) tableClockIfKnown() int64 {
+	if n.clockOffset.Load() == 0 {
 		return 0
 	}
-	return n.clock()
+	return n.tableClock()
 }
 
-// depth is how many jobs of a queue have not begun, as its pool's owner told, and how
-// old that count is by the table's clock: a feed that brings nothing, an owner that
-// can't write and one that hasn't read the queue all make it old. Rows of leases go on
-// having a queue that was dropped, of which this entry hasn't heard; it is told of by an
-// entry that can know.
-func (n *Node) depth(q *gauge.Queue) (int, time.Duration, bool) {
-	clock := n.clockIfKnown()
+// seenDepth returns how many jobs of a queue have not begun, as its pool's owner last wrote, and
+// how old that count is by the table's clock. The count ages if the feed brings no changes, if the
+// owner can't write, and if the owner hasn't read the queue. Lease rows still hold the count of a
+// queue that was deleted, which this entry may not know of yet; so it reports false unless this
+// entry's configuration is current.
+func (n *Node) seenDepth(q *gauge.Queue) (int, time.Duration, bool) {
+	clock := n.tableClockIfKnown()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	row, ok := n.board.Holder(q.Pool)
-	if !ok || clock == 0 || !n.serves(q.Name) {
+	if !ok || clock == 0 || !n.isQueueKnown(q.Name) {
 		return 0, 0, false
 	}
 	depth, known := row.Depth(q.Name)
--- a/internal/node/notice.go
+++ b/internal/node/notice.go
@@ -9,101 +9,102 @@
 	"sapphiregauge/internal/intake"
 )
 
-// methodNotice tells a pool's owner of a new or cancelled job.
-const methodNotice = "job.notice"
+// methodNotification notifies a pool's owner of a new or cancelled job.
+const methodNotification = "job.notice"
 
-// noticeAnswer is empty: the owner has taken the notice in.
-type noticeAnswer struct{}
+// notificationAnswer is empty: the owner has accepted the notification.
+type notificationAnswer struct{}
 
-// notify tells the owner of a job's pool, in the background. If all tries fail
-// the owner finds the job by its own scan. A cancel is told once before its caller
-// gets the answer: the owner, asked for the job's state right after, would still
-// say that it runs.
-func (n *Node) notify(notice intake.Notice) {
-	if n.deliver(notice) {
+// notify notifies the owner of a job's pool in the background. If all attempts fail, the owner
+// finds the job by its own scan. A cancellation is sent once before its caller gets the answer,
+// since an owner that is asked for the job's state right afterwards would otherwise still report it
+// as running.
+func (n *Node) notify(notification intake.Notification) {
+	if n.deliverLocally(notification) {
 		return
 	}
-	if notice.Cancelled && n.sendNotice(notice, cancelWait) == nil {
+	if notification.Cancelled && n.sendNotification(notification, cancelNotificationTimeout) == nil {
 		return
 	}
 	n.group.Go(func() {
-		for try := range noticeTries {
+		for try := range notificationAttempts {
 			if try > 0 {
-				pause(n.context(), retryPause)
+				sleep(n.runContext(), notificationRetryDelay)
 			}
-			if n.context().Err() != nil {
+			if n.runContext().Err() != nil {
 				return // the entry stops; the owner finds the job by its own scan
 			}
-			err := n.sendNotice(notice, noticeWait)
+			err := n.sendNotification(notification, notificationTimeout)
 			if err == nil {
 				return
 			}
-			n.conf.Logs.Info("notice not delivered", "job", notice.ID, "pool", notice.Pool, "try", try+1, "error", err.Error())
+			n.conf.Logs.Info("notice not delivered", "job", notification.ID, "pool", notification.Pool, "try", try+1, "error", err.Error())
 		}
 	})
 }
 
-func (n *Node) sendNotice(notice intake.Notice, wait time.Duration) error {
-	if n.deliver(notice) {
+func (n *Node) sendNotification(notification intake.Notification, wait time.Duration) error {
+	if n.deliverLocally(notification) {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(n.context(), wait)
+	ctx, cancel := context.WithTimeout(n.runContext(), wait)
 	defer cancel()
-	row, ok := n.holderOf(ctx, notice)
+	row, ok := n.findOwner(ctx, notification)
 	if !ok || row.Holder == n.holder {
-		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notice.Pool)
+		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notification.Pool)
 	}
-	var answer noticeAnswer
-	return n.conf.Mesh.Call(ctx, row.Addr, methodNotice, &notice, &answer)
+	var answer notificationAnswer
+	return n.conf.Mesh.Call(ctx, row.Addr, methodNotification, &notification, &answer)
 }
 
-// holderOf finds the owner of a notice's pool. An entry that has just started, or whose
-// pool has just got its first owner, hasn't seen the lease yet; the owner would go on
-// telling that a job runs whose cancel was acknowledged, so that for a cancel the row is
+// findOwner returns the lease row of a notification's pool. An entry that has just started, or
+// whose pool has just got its first owner, hasn't seen the lease yet. The owner would go on
+// reporting a job as running whose cancellation was acknowledged, so for a cancellation the row is
 // read.
-func (n *Node) holderOf(ctx context.Context, notice intake.Notice) (gauge.LeaseRow, bool) {
+func (n *Node) findOwner(ctx context.Context, notification intake.Notification) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
-	row, ok := n.board.Holder(notice.Pool)
+	row, ok := n.board.Holder(notification.Pool)
 	n.mu.Unlock()
-	if ok || !notice.Cancelled {
+	if ok || !notification.Cancelled {
 		return row, ok
 	}
-	rows, _, err := n.conf.Store.Range(ctx, gauge.TableLeases, notice.Pool, gauge.KeyOwner, gauge.KeyOwner+"\x00")
+	rows, _, err := n.conf.Store.Range(ctx, gauge.TableLeases, notification.Pool, gauge.KeyOwner, gauge.KeyOwner+"\x00")
 	if err != nil {
-		n.conf.Logs.Info("lease not read", "pool", notice.Pool, "kind", gauge.KindOf(err), "error", err.Error())
+		n.conf.Logs.Info("lease not read", "pool", notification.Pool, "kind", gauge.KindOf(err), "error", err.Error())
 		return row, false
 	}
-	n.toldLeases(rows, false)
+	n.applyLeaseRows(rows, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.board.Holder(notice.Pool)
+	return n.board.Holder(notification.Pool)
 }
 
-// deliver hands a notice to the owner if that is here.
-func (n *Node) deliver(notice intake.Notice) bool {
+// deliverLocally passes a notification to the pool's owner if that is this entry, and reports
+// whether it was accepted.
+func (n *Node) deliverLocally(notification intake.Notification) bool {
 	n.mu.Lock()
-	o := n.owners[notice.Pool]
+	o := n.owners[notification.Pool]
 	n.mu.Unlock()
 	if o == nil {
 		return false
 	}
-	if notice.Cancelled {
-		o.Cancel(notice.ID, notice.Version)
+	if notification.Cancelled {
+		o.Cancel(notification.ID, notification.Version)
 		return true
 	}
-	return o.Adopt(notice.ID, notice.Queue, notice.Spec, notice.Row, notice.Version)
+	return o.Adopt(notification.ID, notification.Queue, notification.Spec, notification.Row, notification.Version)
 }
 
-func (n *Node) handleNotice(_ context.Context, body []byte) (any, error) {
-	var notice intake.Notice
-	if err := frame.Decode(body, &notice); err != nil {
+func (n *Node) handleNotification(_ context.Context, body []byte) (any, error) {
+	var notification intake.Notification
+	if err := frame.Decode(body, &notification); err != nil {
 		return nil, err
 	}
-	if notice.Row == nil && !notice.Cancelled || notice.Spec == nil && !notice.Cancelled {
-		return nil, gauge.Fail(gauge.KindInvalid, "notice of job %s without its content", notice.ID)
+	if notification.Row == nil && !notification.Cancelled || notification.Spec == nil && !notification.Cancelled {
+		return nil, gauge.Fail(gauge.KindInvalid, "notification of job %s without its specification or row", notification.ID)
 	}
-	if !n.deliver(notice) {
-		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notice.Pool)
+	if !n.deliverLocally(notification) {
+		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notification.Pool)
 	}
-	return noticeAnswer{}, nil
+	return notificationAnswer{}, nil
 }
--- a/internal/node/calls.go
+++ b/internal/node/ownercalls.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// methodLoad asks a pool's owner what the pool has to do.
+	// methodLoad asks a pool's owner for the demand of the pool.
 	methodLoad = "pool.load"
-	// methodState asks a pool's owner how far a job is.
+	// methodState asks a pool's owner for the state of a job.
 	methodState = "job.state"
-	// stateWait bounds that question: the table answers it too.
-	stateWait = 150 * time.Millisecond
+	// stateTimeout bounds that call: the table can answer it too.
+	stateTimeout = 150 * time.Millisecond
 	// methodDepth asks a pool's owner how many jobs of a queue have not begun.
 	methodDepth = "queue.depth"
-	// depthWait bounds that question: an owner answers within some milliseconds, one on
-	// a slow link within tenths of a second, and the caller waits.
-	depthWait = 400 * time.Millisecond
-	// emptyWait bounds one question to a pool's owner.
-	emptyWait = 600 * time.Millisecond
-	// methodEmpty asks a pool's owner to empty a worker.
-	methodEmpty = "worker.empty"
+	// depthTimeout bounds that call: an owner answers within some milliseconds, one on a slow link
+	// within tenths of a second, and the caller waits.
+	depthTimeout = 400 * time.Millisecond
+	// drainTimeout bounds one call to have a worker drained.
+	drainTimeout = 600 * time.Millisecond
+	// methodDrain asks a pool's owner to drain a worker.
+	methodDrain = "worker.empty"
 )
 
-// loadWait bounds that question.
-const loadWait = 400 * time.Millisecond
+// loadTimeout bounds one call for the demand of a pool.
+const loadTimeout = 400 * time.Millisecond
 
 type loadCall struct {
 	Pool string   `msgpack:"p"`
-	Soon []string `msgpack:"s,omitempty"` // workers that a wave is to empty before long
+	Soon []string `msgpack:"s,omitempty"` // workers that a maintenance wave is about to drain
 }
 
-// ownerOf returns a pool's owner if it is here, else its address.
+// ownerOf returns a pool's owner if it runs here, otherwise its address.
 func (n *Node) ownerOf(pool string) (*owner.Owner, string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -43,7 +43,7 @@
 		return o, "", nil
 	}
 	row, ok := n.board.Holder(pool)
-	if m, gone := n.moves[pool]; gone && (n.board.Version(pool) <= m.version || row.Holder == n.holder) {
+	if m, gone := n.ownerMoves[pool]; gone && (n.board.Version(pool) <= m.version || row.Holder == n.holder) {
 		return nil, m.addr, nil
 	}
 	if !ok || row.Holder == n.holder {
@@ -52,8 +52,8 @@
 	return nil, row.Addr, nil
 }
 
-// local returns a pool's owner here, for a call of another entry.
-func (n *Node) local(pool string) (*owner.Owner, error) {
+// localOwner returns a pool's owner if it runs here, for a call of another entry.
+func (n *Node) localOwner(pool string) (*owner.Owner, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if o := n.owners[pool]; o != nil {
@@ -62,8 +62,8 @@
 	return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", pool)
 }
 
-// load asks what a pool has to do.
-func (n *Node) load(ctx context.Context, c loadCall) (gauge.PoolLoad, error) {
+// poolLoad asks a pool's owner for the demand of the pool.
+func (n *Node) poolLoad(ctx context.Context, c loadCall) (gauge.PoolLoad, error) {
 	var l gauge.PoolLoad
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
@@ -72,7 +72,7 @@
 	if o != nil {
 		return o.Load(c.Soon), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, loadWait)
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	err = n.conf.Mesh.Call(ctx, addr, methodLoad, &c, &l)
 	return l, err
@@ -83,7 +83,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
@@ -91,19 +91,19 @@
 	return &l, nil
 }
 
-// emptyCall asks to empty a worker; it holds for some seconds.
-type emptyCall struct {
+// drainCall asks to drain a worker; the request holds for some seconds.
+type drainCall struct {
 	Pool   string `msgpack:"p"`
 	Worker string `msgpack:"w"`
 	Force  bool   `msgpack:"f"`
 }
 
-type emptyAnswer struct {
+type drainAnswer struct {
 	Empty bool `msgpack:"e"`
 }
 
-// empty asks a pool's owner to empty a worker; true: nothing runs there.
-func (n *Node) empty(ctx context.Context, c emptyCall) (bool, error) {
+// drainWorker asks a pool's owner to drain a worker and reports whether nothing runs there.
+func (n *Node) drainWorker(ctx context.Context, c drainCall) (bool, error) {
 	o, addr, err := n.ownerOf(c.Pool)
 	if err != nil {
 		return false, err
@@ -111,23 +111,23 @@
 	if o != nil {
 		return o.Empty(c.Worker, c.Force), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, emptyWait)
+	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
-	var answer emptyAnswer
-	err = n.conf.Mesh.Call(ctx, addr, methodEmpty, &c, &answer)
+	var answer drainAnswer
+	err = n.conf.Mesh.Call(ctx, addr, methodDrain, &c, &answer)
 	return answer.Empty, err
 }
 
-func (n *Node) handleEmpty(_ context.Context, body []byte) (any, error) {
-	var c emptyCall
+func (n *Node) handleDrain(_ context.Context, body []byte) (any, error) {
+	var c drainCall
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
-	return emptyAnswer{Empty: o.Empty(c.Worker, c.Force)}, nil
+	return drainAnswer{Empty: o.Empty(c.Worker, c.Force)}, nil
 }
 
 type stateCall struct {
@@ -137,11 +137,12 @@
 }
 
 type stateAnswer struct {
-	State gauge.JobState `msgpack:"s"` // empty: not known here
+	State gauge.JobState `msgpack:"s"` // empty: the job isn't known here
 }
 
-// ask asks the owner of a queue's pool how far a job is.
-func (n *Node) ask(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool) {
+// jobState asks the owner of a queue's pool for the state of a job. It reports false if the owner
+// doesn't know the job or can't be asked.
+func (n *Node) jobState(ctx context.Context, q *gauge.Queue, id string) (gauge.JobState, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
 		return "", false
@@ -149,16 +150,16 @@
 	if o != nil {
 		return o.State(q.Name, id)
 	}
-	ctx, cancel := context.WithTimeout(ctx, stateWait)
+	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
 	var a stateAnswer
 	err = n.conf.Mesh.Call(ctx, addr, methodState, &stateCall{Pool: q.Pool, Queue: q.Name, ID: id}, &a)
 	return a.State, err == nil && a.State != ""
 }
 
-// knownHere tells whether this entry owns a queue's pool and has the job.
-func (n *Node) knownHere(q *gauge.Queue, id string) bool {
-	o, err := n.local(q.Pool)
+// ownsJob reports whether this entry owns a queue's pool and knows the job.
+func (n *Node) ownsJob(q *gauge.Queue, id string) bool {
+	o, err := n.localOwner(q.Pool)
 	if err != nil {
 		return false
 	}
@@ -171,7 +172,7 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
@@ -180,9 +181,9 @@
 }
 
 type depthCall struct {
-	Pool  string `msgpack:"p"`
-	Queue string `msgpack:"q"`
-	Sure  bool   `msgpack:"s"` // the caller's entry knows that there is this queue
+	Pool       string `msgpack:"p"`
+	Queue      string `msgpack:"q"`
+	QueueKnown bool   `msgpack:"s"` // the calling entry is certain that the queue exists
 }
 
 type depthAnswer struct {
@@ -190,22 +191,22 @@
 	Known bool `msgpack:"k"`
 }
 
-// askDepth asks the owner of a queue's pool how many jobs of it have not begun. An entry
-// that can't know whether there is the queue still needs an owner that can.
-func (n *Node) askDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
+// ownerDepth asks the owner of a queue's pool how many of its jobs have not begun. If this entry
+// can't be certain that the queue exists, the owner must be.
+func (n *Node) ownerDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
 		return 0, false
 	}
-	sure := n.serves(q.Name)
+	sure := n.isQueueKnown(q.Name)
 	if o != nil {
 		depth, known := o.Depth(q.Name)
 		return depth, known && sure
 	}
-	ctx, cancel := context.WithTimeout(ctx, depthWait)
+	ctx, cancel := context.WithTimeout(ctx, depthTimeout)
 	defer cancel()
 	var a depthAnswer
-	err = n.conf.Mesh.Call(ctx, addr, methodDepth, &depthCall{Pool: q.Pool, Queue: q.Name, Sure: sure}, &a)
+	err = n.conf.Mesh.Call(ctx, addr, methodDepth, &depthCall{Pool: q.Pool, Queue: q.Name, QueueKnown: sure}, &a)
 	return a.Depth, err == nil && a.Known
 }
 
@@ -214,10 +215,10 @@
 	if err := frame.Decode(body, &c); err != nil {
 		return nil, err
 	}
-	o, err := n.local(c.Pool)
+	o, err := n.localOwner(c.Pool)
 	if err != nil {
 		return nil, err
 	}
 	depth, known := o.Depth(c.Queue)
-	return depthAnswer{Depth: depth, Known: known && (c.Sure || n.serves(c.Queue))}, nil
+	return depthAnswer{Depth: depth, Known: known && (c.QueueKnown || n.isQueueKnown(c.Queue))}, nil
 }
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -8,9 +8,9 @@
 	"sapphiregauge/internal/sizing"
 )
 
-// loads asks all owners what their pools have to do. Without a fresh load a pool
-// stays as it is.
-func (f *fleet) loads(ctx context.Context) {
+// requestLoads asks all pool owners for the demand of their pools. A pool without a recent answer
+// keeps its size.
+func (f *fleet) requestLoads(ctx context.Context) {
 	site := f.node.Site()
 	if site == nil {
 		return
@@ -20,8 +20,8 @@
 			continue
 		}
 		call := loadCall{Pool: p.Name, Soon: f.keeper.Workers(p.Name)}
-		f.async.do("load "+p.Name, func() func() {
-			l, err := f.node.load(ctx, call)
+		f.calls.start("load "+p.Name, func() func() {
+			l, err := f.node.poolLoad(ctx, call)
 			if err != nil {
 				return func() {}
 			}
@@ -31,26 +31,26 @@
 	}
 }
 
-// moves are those that are to be emptied or ordered.
-func (f *fleet) moves() []sizing.Move {
+// nextMoves returns the machines to drain or to order now.
+func (f *fleet) nextMoves() []sizing.Move {
 	now := f.node.conf.Now()
 	taken := func(machine string) bool { return f.keeper.Takes(machine) || f.turns.Waits(machine, now) }
 	return f.sizer.Next(now, taken, f.keeper.Waits)
 }
 
-// resize moves machines between pools. One that is in use is emptied first and ordered in
-// a later round, once the lease's row names it: named while it is emptied, which takes up
-// to two seconds, it would have to be left alone by the next holder if this one is gone.
-// After all entries had lost power in a change of turns half of a pool's machines came two
-// seconds later for that.
-func (f *fleet) resize(ctx context.Context, moves []sizing.Move) {
+// moveMachines moves machines between pools. A machine that is in use is drained first and ordered
+// in a later round, once the lease row names it. If the row named it during draining, which takes
+// up to two seconds, a next holder would have to leave the machine alone if this one is lost: after
+// a power loss of all entries while demand moved from one pool to another, half of a pool's
+// machines came two seconds later for that reason.
+func (f *fleet) moveMachines(ctx context.Context, moves []sizing.Move) {
 	for _, m := range moves {
-		began := f.async.do("move "+m.Machine, func() func() {
+		began := f.calls.start("move "+m.Machine, func() func() {
 			if !m.Empty {
-				empty := f.emptied(ctx, m)
+				empty := f.drainMachine(ctx, m)
 				return func() { f.sizer.Emptied(m.Machine, empty) }
 			}
-			err := f.order(ctx, m)
+			err := f.orderMove(ctx, m)
 			return func() {
 				f.sizer.Emptied(m.Machine, true)
 				f.sizer.Ordered(m.Machine, err, f.node.conf.Now())
@@ -62,44 +62,44 @@
 	}
 }
 
-func (f *fleet) emptied(ctx context.Context, m sizing.Move) bool {
-	empty, err := f.node.empty(ctx, emptyCall{Pool: m.From, Worker: m.Worker})
+func (f *fleet) drainMachine(ctx context.Context, m sizing.Move) bool {
+	empty, err := f.node.drainWorker(ctx, drainCall{Pool: m.From, Worker: m.Worker})
 	if err != nil {
 		f.node.conf.Logs.Info("machine not emptied", "machine", m.Machine, "pool", m.From, "error", err.Error())
 	}
 	if !empty || err != nil {
 		return false
 	}
-	f.hurry()
+	f.wake()
 	return true
 }
 
-// hurry has the next round begin soon, as a machine can be ordered.
-func (f *fleet) hurry() {
+// wake starts the next round soon, since a machine can be ordered.
+func (f *fleet) wake() {
 	select {
-	case f.ready <- struct{}{}:
+	case f.drained <- struct{}{}:
 	default:
 	}
 }
 
-// rest waits for the next round.
-func (f *fleet) rest(ctx context.Context) {
-	timer := time.NewTimer(fleetEvery)
+// waitForRound waits for the next round.
+func (f *fleet) waitForRound(ctx context.Context) {
+	timer := time.NewTimer(fleetInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-f.ready:
-		pause(ctx, readyGap)
+	case <-f.drained:
+		sleep(ctx, drainedBatchDelay)
 	}
 }
 
-// order moves one machine, while the lease surely lasts.
-func (f *fleet) order(ctx context.Context, m sizing.Move) error {
-	if !f.mayOrder(m.Machine) {
-		return gauge.Fail(gauge.KindOutage, "the lease is over")
+// orderMove orders the move of one machine while the lease is certain to last.
+func (f *fleet) orderMove(ctx context.Context, m sizing.Move) error {
+	if !f.allowOrder(m.Machine) {
+		return gauge.Fail(gauge.KindOutage, "the lease has ended")
 	}
-	err := f.node.conf.Machines.Move(ctx, gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.fence}, m.Machine, m.To)
+	err := f.node.conf.Machines.Move(ctx, gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.token}, m.Machine, m.To)
 	if gauge.Is(err, gauge.KindFenced) {
 		f.held.lease.Lose()
 	}
--- a/internal/node/spread.go
+++ b/internal/node/spread.go
@@ -9,43 +9,43 @@
 	"sapphiregauge/internal/terms"
 )
 
-// Leases are taken by those that see them free, and stay for as long as their holders
-// are well. A weak host would keep its pool while a strong one that came later, or was
-// down for a while, has nothing to do. So a holder that is far more burdened than
-// another moves its leases there, one at a time, the way they go at SIGTERM.
+// Leases are claimed by entries that see them free, and stay while their holders are healthy. So a
+// small host would keep its pool while a larger one that started later, or was down for a while,
+// has nothing to do. Therefore a holder that is far more loaded than another moves its leases
+// there, one at a time, with the same hand-over as at SIGTERM.
 
 const (
-	// spreadEvery is how often a lease may move away. The counts of leases, as the
-	// table tells them, are right again by then.
-	spreadEvery = 2 * time.Second
-	// settleAfter: a pool that was taken later stays. Its workers are heard first, and
-	// each move has it stand still for some tenths of a second.
-	settleAfter = 3 * time.Second
-	// placeKept is how long an entry keeps a place for a lease that is to move to it:
-	// longer than the offer and the claim's transaction take.
-	placeKept = time.Second
-	// lessBurdened is why a lease that is well moves.
-	lessBurdened = "another host is far less burdened"
+	// rebalanceInterval is the interval at which a lease may move away. By then the counts of
+	// leases in the table are correct again.
+	rebalanceInterval = 2 * time.Second
+	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its
+	// workers have to report first, and each move makes it stand still for some tenths of a second.
+	minHeldBeforeMove = 3 * time.Second
+	// reservationDuration is how long an entry reserves room for a lease that is to move to it:
+	// longer than the offer and the transaction of the claim take.
+	reservationDuration = time.Second
+	// reasonLessLoaded is the logged reason for moving a healthy lease.
+	reasonLessLoaded = "another host is far less loaded"
 )
 
-// spread moves a lease from time to time, if another host is far less burdened.
-func (n *Node) spread(ctx context.Context) {
+// rebalance moves one lease at each interval if another host is far less loaded, until ctx ends.
+func (n *Node) rebalance(ctx context.Context) {
 	for {
-		pause(ctx, spreadEvery)
+		sleep(ctx, rebalanceInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		if o, f := n.settled(); o != nil {
-			n.move(ctx, o)
+		if o, f := n.movable(); o != nil {
+			n.movePool(ctx, o)
 		} else if f != nil {
-			f.moveTo(n.lighter(ctx, fleetPool))
+			f.requestMove(n.findLessLoaded(ctx, fleetPool))
 		}
 	}
 }
 
-// settled returns the pool that was taken first, of those that may move, and the fleet
-// if it may.
-func (n *Node) settled() (*owner.Owner, *fleet) {
+// movable returns, of the pools that may move, the one that has been owned the longest, and the
+// fleet if it may move. Each is nil if there is none.
+func (n *Node) movable() (*owner.Owner, *fleet) {
 	n.mu.Lock()
 	owners, f := n.ownersLocked(), n.fleet
 	n.mu.Unlock()
@@ -53,57 +53,57 @@
 	var first *owner.Owner
 	var since time.Duration
 	for _, o := range owners {
-		if at, ok := o.Since(); ok && now-at >= settleAfter && (first == nil || at < since) {
+		if at, ok := o.Since(); ok && now-at >= minHeldBeforeMove && (first == nil || at < since) {
 			first, since = o, at
 		}
 	}
-	if f != nil && now-f.taken < settleAfter {
+	if f != nil && now-f.takenAt < minHeldBeforeMove {
 		f = nil
 	}
 	return first, f
 }
 
-// move has another entry take a pool, if one is far less burdened. An entry that stops
-// doesn't wait for the choice: those that are asked may be dead, and what is chosen
-// keeps a place.
-func (n *Node) move(ctx context.Context, o *owner.Owner) {
-	to := n.lighter(ctx, o.Pool())
+// movePool has another entry take over a pool if its host is far less loaded. The search doesn't
+// hold offerMu, so that a stopping entry doesn't wait for it: probed entries may be dead, and the
+// chosen one keeps a reservation anyway.
+func (n *Node) movePool(ctx context.Context, o *owner.Owner) {
+	to := n.findLessLoaded(ctx, o.Pool())
 	if to == "" {
 		return
 	}
-	n.offering.Lock()
-	defer n.offering.Unlock()
-	if o.Stop(lessBurdened) {
-		n.give(ctx, o, to)
+	n.offerMu.Lock()
+	defer n.offerMu.Unlock()
+	if o.Stop(reasonLessLoaded) {
+		n.offerOrGiveUp(ctx, o, to)
 	}
 }
 
-// lighter finds an entry that is ready and so much less burdened that a lease should
-// move there, and has a place kept for it. Empty: none.
-func (n *Node) lighter(ctx context.Context, pool string) string {
-	here, peers := n.burdens(pool)
-	for some := range slices.Chunk(peers, probesAtOnce) {
-		best := n.choose(ctx, some)
-		if !best.Ready || !here.Moves(best.burden()) {
+// findLessLoaded returns the address of a ready entry that is so much less loaded that a lease
+// should move there, and has that entry make a reservation. It returns "" if there is none.
+func (n *Node) findLessLoaded(ctx context.Context, pool string) string {
+	here, peers := n.moveCandidates(pool)
+	for group := range slices.Chunk(peers, maxConcurrentProbes) {
+		best := n.chooseReady(ctx, group)
+		if !best.Ready || !here.Moves(best.load()) {
 			continue
 		}
-		// Others may have chosen it as well.
-		kept, err := n.probe(ctx, best.addr, probeCall{Place: true})
-		if err != nil || !kept.Ready || !here.Moves(kept.burden()) {
+		// Other holders may have chosen the same entry.
+		reserved, err := n.probe(ctx, best.addr, probeCall{Reserve: true})
+		if err != nil || !reserved.Ready || !here.Moves(reserved.load()) {
 			return ""
 		}
 		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Held, "capacity", here.Capacity,
-			"heldThere", kept.Held, "capacityThere", kept.Capacity)
+			"heldThere", reserved.Held, "capacityThere", reserved.Capacity)
 		return best.addr
 	}
 	return ""
 }
 
-// burdens returns this host's burden and the addresses of those that are less
-// burdened by far, as the table tells. While it doesn't, or this entry is to leave,
-// nothing moves.
-func (n *Node) burdens(pool string) (here terms.Burden, lighter []string) {
-	if !n.mayTake(leasesNew) {
+// moveCandidates returns this host's load and, according to the table, the addresses of entries on
+// far less loaded hosts. There are none while the table is out of reach or this entry is about to
+// stop.
+func (n *Node) moveCandidates(pool string) (here terms.Burden, candidates []string) {
+	if !n.canTakeOver(maxTakeOverViewAge) {
 		return here, nil
 	}
 	n.mu.Lock()
@@ -111,22 +111,22 @@
 	here = terms.Burden{Held: n.board.Held(), Capacity: n.conf.Capacity}
 	for _, p := range n.board.Peers(pool) {
 		if here.Moves(p.Burden) {
-			lighter = append(lighter, p.Addr)
+			candidates = append(candidates, p.Addr)
 		}
 	}
-	return here, lighter
+	return here, candidates
 }
 
-// keepPlace keeps a place for a lease that is to move here; false: one is kept for
-// another already. Several owners that see this host free would otherwise all move
-// their leases here at once.
-func (n *Node) keepPlace() bool {
+// reserve makes a reservation for a lease that is about to move here. It reports false if there is
+// one already. Without reservations, several owners that see this host as free would all move their
+// leases here at once.
+func (n *Node) reserve() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	if now < n.placed {
+	if now < n.reservedUntil {
 		return false
 	}
-	n.placed = now + placeKept
+	n.reservedUntil = now + reservationDuration
 	return true
 }
