--- a/internal/owner/act.go
+++ b/internal/owner/act.go
@@ -10,14 +10,14 @@
 	"sapphiregauge/internal/sched"
 )
 
-// act does something to the state, and has what follows from it done.
+// act changes the state and dispatches the orders that follow from it.
 func (o *Owner) act(do func(now time.Duration)) {
 	if o.change(do) {
 		o.plan()
 	}
 }
 
-// change does something to the state; true: a plan is due now.
+// change changes the state and reports whether a plan is due now; if it isn't, one is scheduled.
 func (o *Owner) change(do func(now time.Duration)) bool {
 	now := o.conf.Now()
 	o.mu.Lock()
@@ -36,7 +36,7 @@
 	return false
 }
 
-// plan sends the orders that follow from the state and has changes written.
+// plan sends the orders that follow from the state and wakes the writer for urgent changes.
 func (o *Owner) plan() {
 	orders, urgent := o.decide()
 	for _, order := range orders {
@@ -71,9 +71,8 @@
 	return orders, o.core.Urgent()
 }
 
-// run does work of this owner beside what else it does. Once the owner has ended
-// nothing is begun: its run group may be waited for, and a notice that comes then
-// would join a group that is just over, which panics.
+// run starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may be
+// waiting for the run group, and joining a group that has just finished panics.
 func (o *Owner) run(work func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,10 +81,10 @@
 	}
 }
 
-// guard ends the owner when work of it panics: its state may be half changed.
-// Without this the panic would be kept until all work has ended, which it never
-// does, and the pool would stand still under a lease that is renewed. Another
-// entry takes the pool from the table.
+// guard ends the owner when its work panics, because its state may be half changed. Otherwise the
+// group would keep the panic until all work has ended, which never happens, and the pool would
+// stand still under a lease that is still renewed. Once the owner has ended, another entry claims
+// the pool.
 func (o *Owner) guard(work func()) func() {
 	return func() {
 		defer func() {
@@ -98,10 +97,10 @@
 	}
 }
 
-// lane bounds the orders under way to one worker: each takes a connection, and
-// new ones are paid for. Stops have a place of their own beside those that they share:
-// where orders take long, they would wait behind starts, and what was cancelled would
-// run on. Other orders have none.
+// lane returns the semaphores that bound the concurrent orders to one worker: each order takes a
+// connection, and new connections are billed. Stops have extra slots beside the shared ones;
+// otherwise, when orders take long, they would wait behind starts and a cancelled task would run
+// on. For other orders own is nil.
 func (o *Owner) lane(order *sched.Order) (shared, own chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -121,9 +120,9 @@
 	return l
 }
 
-// void tells whether an order that has waited for its turn is of no use any more. A
-// start carries its payload: on a full link those that come too late keep the others
-// from coming in time.
+// void reports whether an order that has waited for its slot is of no use any more. A start carries
+// its payload: on a saturated link, sending starts that are too late delays the others beyond their
+// deadlines as well.
 func (o *Owner) void(order sched.Order, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -137,8 +136,8 @@
 	}
 }
 
-// send carries out one order. Right before it goes out the lease is looked at
-// again: a process that was paused may wake up here.
+// send carries out one order. The lease is checked again right before the call, because the process
+// may have been suspended since the order was planned.
 func (o *Owner) send(order sched.Order) {
 	began := o.conf.Now()
 	if order.Kind == sched.OrderAdvise {
@@ -161,9 +160,9 @@
 	o.act(func(now time.Duration) { o.core.Answered(order, clock, err, now) })
 }
 
-// watchLag has the pool handed over when most orders take far too long: jobs would
-// wait here that another entry could start. Orders to workers that are silent tell
-// nothing of this host: a rack that is cut off would send the pool from owner to owner.
+// watchLag requests a handover of the pool when most orders take far too long, because jobs would
+// wait here that another entry could start. Orders to silent workers are not counted: they say
+// nothing about this host, and an unreachable rack would move the pool from owner to owner.
 func (o *Owner) watchLag(of gauge.Life, took, now time.Duration) {
 	o.mu.Lock()
 	lags := !o.conf.Without.Has(gauge.MechanismLag) && !o.core.Silent(of) && o.lag.Note(of.Worker, took, now) && !o.leaving && !o.ended && o.stuck != nil
@@ -204,7 +203,7 @@
 	}
 }
 
-// advise asks the advice service.
+// advise queries the advice service.
 func (o *Owner) advise(order sched.Order, asked time.Duration) {
 	var tickets []gauge.Ticket
 	var valid time.Duration
@@ -218,7 +217,7 @@
 	o.act(func(time.Duration) { o.core.Advised(order, tickets, valid, err, asked) })
 }
 
-// look asks a worker what runs there, without waiting for an end.
+// look asks a worker for its report without waiting for a run to end.
 func (o *Owner) look(order sched.Order) error {
 	rep, err := o.conf.Workers.Hold(o.ctx, &order.Worker, order.Look)
 	if err != nil {
--- a/internal/owner/calm_test.go
+++ b/internal/owner/calm_test.go
@@ -10,11 +10,9 @@
 	gauge "sapphiregauge"
 )
 
-// Symptom: a busy pool stands still for three seconds.
-// Sequence: the table gets 65 times slower; the owner's entry is told to stop and
-// hands the pool over at once; the successor takes the lease and reads the pool with
-// calls that take a third of a second each.
-// Cause: a stop doesn't look at the table, though it has seconds until its end.
+// Guards against a busy pool standing still for three seconds: the table gets 65 times slower, the
+// owner's entry is told to stop and hands the pool over at once, though it has seconds left, and
+// the successor claims the lease and reads the pool with calls that take a third of a second each.
 func TestOwnerTellsWhetherASuccessorCouldBeginQuickly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := full(t, 10)
@@ -28,7 +26,7 @@
 		assert.Assert(t, g.owner.Calm())
 
 		set(700*time.Millisecond, nil)
-		g.pass(600 * time.Millisecond) // the next renewal is under way
+		g.pass(600 * time.Millisecond) // the next renewal is in progress
 		assert.Assert(t, !g.owner.Calm(), "a write hangs")
 		g.pass(time.Second)
 		assert.Assert(t, !g.owner.Calm(), "the last one took long")
@@ -43,10 +41,10 @@
 	})
 }
 
-// Symptom: a pool stands still for a second and a half, twice in a slow spell of the table.
-// Sequence: writes take 0.4 s; one gets no answer, and the next try takes as long as the
-// others; the pool is left to an entry for which the table is as slow.
-// Cause: writes counted as failing after half a second, however long they take.
+// Guards against a pool standing still for 1.5 s, twice while the table is slow: writes take 0.4 s,
+// one gets no answer, and the retry takes as long as the others. If writes count as failing after
+// half a second however long they usually take, the pool goes to an entry for which the table is as
+// slow.
 func TestPoolIsLeftLaterWhileTheTableIsSlow(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
--- a/internal/owner/config_test.go
+++ b/internal/owner/config_test.go
@@ -13,12 +13,10 @@
 	gauge "sapphiregauge"
 )
 
-// Symptom: jobs of a queue that was just added are found seconds late, though their owner
-// had the configuration.
-// Sequence: an entry takes a pool while the configuration changes; the owner is told of the
-// new one before it runs, and is begun with the one before.
-// Cause: whichever configuration came last was in force, and looks for jobs go by it. The code
-// before doesn't find the job in each run.
+// Guards against jobs of a queue that was just added being found seconds late: an entry claims a
+// pool while the configuration changes, so the owner receives the new configuration before Run,
+// which then passes the older one. If the one that arrives last replaced the newer one, scans would
+// not find the job.
 func TestOlderConfigurationDoesNotReplaceANewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newRows()
@@ -28,7 +26,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		store.mu.Lock()
-		store.job(t, "charts", jobID(1), "p") // its notice is lost
+		store.job(t, "charts", jobID(1), "p") // its notification is lost
 		store.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
@@ -36,11 +34,9 @@
 	})
 }
 
-// Symptom: an owner begins with a worker that has left, and calls it in vain.
-// Sequence: an entry takes a pool while the list of workers changes; the owner is told of the
-// new list before it runs, and is begun with the one before.
-// Cause: the list that an owner is begun with took the place of whatever it had been told.
-// The code before calls the worker in each run.
+// Guards against an owner calling a worker that has left: an entry claims a pool while the list of
+// workers changes, so the owner receives the new list before Run, which then passes the older one.
+// The list passed to Run must not replace a newer one.
 func TestOlderListOfWorkersDoesNotReplaceANewerOne(t *testing.T) {
 	var calls sync.Map
 	o, begin := built(t, newRows(), noted{calls: &calls}, logr.Discard(), nil)
@@ -55,7 +51,7 @@
 	assert.Assert(t, !called)
 }
 
-// noted keeps which workers were called.
+// noted records which workers were called.
 type noted struct {
 	gauge.Workers
 	calls *sync.Map
--- a/internal/owner/cost_bench_test.go
+++ b/internal/owner/cost_bench_test.go
@@ -21,16 +21,16 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// instant are workers on which each task ends, done, as soon as it has started.
+// instant are workers on which each task ends successfully as soon as it has started.
 type instant struct {
 	gauge.Workers
 	mu    sync.Mutex
 	began time.Time
 	by    map[string]*ends
-	stops atomic.Int64 // there should be none
+	stops atomic.Int64 // expected to stay 0
 }
 
-// ends are those of one worker that are not acknowledged.
+// ends are the unacknowledged ended runs of one worker.
 type ends struct {
 	number int64
 	list   []gauge.EndReport
@@ -64,7 +64,7 @@
 	return w.clock(), nil
 }
 
-// Hold waits for an end that isn't acknowledged.
+// Hold waits until a run has ended that isn't acknowledged.
 func (w *instant) Hold(ctx context.Context, to *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
 	timer := time.NewTimer(c.Wait)
 	defer timer.Stop()
@@ -83,7 +83,7 @@
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-timer.C:
-			// As of now: a reading from before the wait would have starts run out.
+			// Read now: with a clock reading from before the wait, starts would expire.
 			rep.Clock = w.clock()
 			return rep, nil
 		case <-e.news:
@@ -91,7 +91,7 @@
 	}
 }
 
-// counted takes every transaction, each with a version of its own.
+// counted accepts every transaction and gives each a version of its own.
 type counted struct {
 	store
 	version atomic.Int64
@@ -104,12 +104,12 @@
 const (
 	costWorkers = 140
 	costPlaces  = 4
-	costTasks   = 8    // of each job
-	costWaiting = 1000 // jobs that are handed in before the first has ended
+	costTasks   = 8    // per job
+	costWaiting = 1000 // jobs that are submitted before the first has ended
 )
 
-// BenchmarkOwner is a task from its job's acceptance to its end in the table, with
-// a thousand jobs waiting: what an owner spends on it, calls aside.
+// BenchmarkOwner measures a task from its job's acceptance to its end in the table, with 1,000 jobs
+// waiting: the cost in the owner, without the cost of calls.
 func BenchmarkOwner(b *testing.B) {
 	for name, log := range map[string]logr.Logger{"logs=none": logr.Discard(), "logs=json": logs.New(io.Discard, false)} {
 		b.Run(name, func(b *testing.B) { ownTasks(b, log) })
@@ -173,7 +173,7 @@
 	assert.Equal(b, on.stops.Load(), int64(0), "a task had two runs")
 }
 
-// spent is the processor time that this process has had so far.
+// spent returns the CPU time that this process has used so far.
 func spent(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/internal/owner/count_test.go
+++ b/internal/owner/count_test.go
@@ -13,9 +13,8 @@
 	"sapphiregauge/internal/owner"
 )
 
-// Symptom: 0 jobs are said to wait where 1,354 do.
-// Sequence: an owner takes a pool over; of its two queues one can't be read yet.
-// Cause: the count of a queue that was not read is written as 0.
+// Guards against reporting 0 waiting jobs where 1,354 wait: an owner takes over a pool and can't
+// read one of its two queues yet, whose count must not be written as 0.
 func TestCountOfAQueueThatIsNotReadIsNotTold(t *testing.T) {
 	store := newRows()
 	store.job(t, "parts", jobID(1), "p")
@@ -44,10 +43,9 @@
 	assert.Equal(t, waiting, 1)
 }
 
-// Symptom: 0 jobs are said to wait where hundreds do.
-// Sequence: an owner takes a pool over; it renews the lease before it has read what
-// waits there.
-// Cause: the count of an owner that hasn't counted takes the place of the one before.
+// Guards against reporting 0 waiting jobs where hundreds wait: an owner takes over a pool and
+// renews the lease before it has read the jobs. The counts of the previous owner must stay until
+// then.
 func TestCountOfTheOwnerBeforeGoesOnUntilThePoolIsRead(t *testing.T) {
 	store := newRows()
 	store.job(t, "sheets", jobID(1), "p")
@@ -70,10 +68,9 @@
 	assert.Assert(t, !known, "this owner hasn't counted")
 }
 
-// Symptom: 0 jobs are said to wait where 12 have waited for five seconds.
-// Sequence: an entry that can't ask the owner stores jobs itself, and its notices are
-// lost; the table turns away the owner's looks for such jobs.
-// Cause: a count was told however long ago the owner had last looked.
+// Guards against reporting 0 waiting jobs where 12 have waited for five seconds: an entry that
+// can't reach the owner stores jobs itself, its notifications are lost, and the table refuses the
+// owner's scans for such jobs. A count must not be reported long after the last successful scan.
 func TestCountIsNotToldLongAfterTheLastLookThatWasAnswered(t *testing.T) {
 	store := newRows()
 	store.job(t, "sheets", jobID(1), "p")
--- a/internal/owner/doubt_test.go
+++ b/internal/owner/doubt_test.go
@@ -28,12 +28,12 @@
 	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
 }
 
-// Symptom: lasting tasks stand still for sixteen seconds while there is room for them.
-// Sequence: a rack goes dark; entries are stopped in turn, so that the pool is handed over
-// every three seconds; each owner waits for the dark workers until what may have been
-// granted to them has surely run out, six seconds from when it took the pool.
-// Cause: how far that reaches isn't handed over with the pool. Nobody has granted anything
-// to those workers since the first of these owners took it.
+// Guards against long-running tasks standing still for sixteen seconds while there is room for
+// them: a rack fails and entries are stopped in turn, so that the pool is handed over every three
+// seconds. Each owner waits until whatever may have been granted to the silent workers has expired,
+// six seconds after it claimed the pool. The time at which that ends has to be handed over with the
+// pool, because nobody has granted anything to those workers since the first of these owners
+// claimed it.
 func TestSilentWorkersAreWaitedForOnceNotWithEachOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
@@ -52,7 +52,7 @@
 				})
 			}, free("sound"), free("dark"))
 		}
-		before := gauge.LeaseRow{Workers: []string{"dark"}} // of the owner before these
+		before := gauge.LeaseRow{Workers: []string{"dark"}} // of the previous owner
 		for term := range 3 {
 			o := take(term+1, before)
 			time.Sleep(3 * time.Second)
--- a/internal/owner/handed_test.go
+++ b/internal/owner/handed_test.go
@@ -13,7 +13,8 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// successor is an owner that has taken a pool with a worker, as the row before tells.
+// successor returns an owner that has claimed a pool with one worker, with the given lease row of
+// the previous owner.
 func successor(t *testing.T, store *rows, w *site, term int, before gauge.LeaseRow) *owner.Owner {
 	t.Helper()
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
@@ -35,8 +36,8 @@
 	return &site{began: time.Now(), lives: make(map[string]*life), news: make(chan struct{})}
 }
 
-// Work that goes with its machine, as the next owner of a pool doesn't know that the one before has said a
-// worker to be empty.
+// Guards against tasks that are lost with their machine, because the next owner of a pool doesn't
+// know that the previous one has reported the worker as drained.
 func TestNextOwnerKeepsAWorkerEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store, w := newRows(), newSite()
@@ -58,7 +59,8 @@
 	})
 }
 
-// Crashes that two owners in a row could not write, of which the third hears of one.
+// Guards against missed crashes: two owners in a row couldn't record all crashes, and the third
+// hears of one of them only.
 func TestOwnerHandsOnThatCrashesWereNotWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := successor(t, newRows(), newSite(), 1, gauge.LeaseRow{Unnoted: 1})
@@ -71,12 +73,13 @@
 	})
 }
 
-// An owner that finds another life of a worker, is killed before anything crashes under it, and hands on nothing.
+// Guards against missed crashes: an owner finds another incarnation of a worker, and is killed
+// before anything crashes under it and before it hands the pool over.
 func TestOwnerWritesThatItMayNotKnowOfCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newRows()
 		successor(t, store, newSite(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
-		time.Sleep(8 * time.Second) // till nothing can run there any more
+		time.Sleep(8 * time.Second) // until nothing can run there any more
 		synctest.Wait()
 		assert.Equal(t, store.granted().Unnoted, 1)
 	})
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -11,14 +11,14 @@
 	gauge "sapphiregauge"
 )
 
-// stop hands the pool over while time goes by, and tells how long it took.
+// stop hands the pool over while time passes, and returns how long it took.
 func (g *rig) stop() time.Duration {
 	began := g.now()
 	g.owner.Stop("the entry stops")
 	return g.now() - began
 }
 
-// left is the line that tells of the handover.
+// left returns the log line of the handover.
 func (g *rig) left() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,15 +30,14 @@
 	return ""
 }
 
-// mostHandover is what a handover leaves of the second that an entry has for all
-// of its pools when it is told to stop, to find a successor and offer it the lease.
+// mostHandover is the most that a handover may take of the second that an entry has to stop, in
+// which it hands over all of its pools, finds a successor for each and offers it the lease.
 const mostHandover = 500 * time.Millisecond
 
-// Symptom: tasks start again after a handover although runs of them have ended done.
-// Sequence: an owner with a backlog takes in hundreds of ends; its entry is told to
-// stop, and hands the pool over before they are written; the workers are gone when
-// its successor has read the jobs.
-// Cause: what was not written yet was dropped at a handover.
+// Guards against tasks starting again after a handover although their runs have completed: an owner
+// with a backlog receives the ends of hundreds of runs, and its entry is told to stop before they
+// are written. If they are dropped, and the workers are gone when the successor has read the jobs,
+// nobody knows of them.
 func TestWhatWasTakenInIsInTheTableBeforeThePoolIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 300
@@ -55,9 +54,9 @@
 	})
 }
 
-// The room that an end leaves while the pool is being handed over stays free: what
-// started now would start under an owner that is about to end. Nor does any job count
-// as begun, or any worker get another hold.
+// Capacity that becomes free during a handover stays free, because a run that starts now would
+// start under an owner that is about to end. No job counts as begun either, and no worker gets
+// another heartbeat.
 func TestNothingStartsWhileAPoolIsHandedOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const room = workerCount * workerRoom
@@ -88,8 +87,7 @@
 	})
 }
 
-// Starts that wait for others to the same worker aren't sent once the pool is being
-// handed over.
+// Starts that wait for a slot at their worker aren't sent once the handover has begun.
 func TestStartsThatWaitTheirTurnAreNotSentDuringAHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newRig(t)
@@ -111,7 +109,7 @@
 	})
 }
 
-// A handover doesn't wait for a table that can't be reached.
+// A handover doesn't wait for a table that is known to be unreachable.
 func TestHandoverDoesNotWaitForATableThatCannotBeReached(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 30
@@ -127,7 +125,7 @@
 	})
 }
 
-// Nor for long for one that doesn't answer, though nobody knows that yet.
+// A handover doesn't wait long for a table that has stopped answering, before any call has failed.
 func TestHandoverDoesNotWaitForLongForATableThatDoesNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 30
@@ -144,19 +142,17 @@
 	})
 }
 
-// Symptom: an owner with a backlog falls further behind, and its workers list old ends
-// again and again, which fills its link.
-// Sequence: hundreds of tasks end at about the same time.
-// Cause: the pause between two writes was kept also with a backlog, and no end was
-// acknowledged before all was written.
+// Guards against an owner falling further behind when hundreds of tasks end at about the same time:
+// with a pause between any two writes, and no ended run acknowledged before all are written,
+// workers report old ends again and again, which saturates the owner's link.
 func TestABacklogIsWrittenWithoutPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 400
 		g := full(t, tasks)
 		defer g.end()
 		g.site.finish(tasks)
-		// Four entries each, of 98 that a transaction has for them: 17 of 10 ms, after
-		// a pause, and one renewal that may be under way.
+		// Four entries for each job, of 98 per transaction, make 17 transactions of 10 ms, after
+		// one pause and a renewal that may be in progress.
 		g.pass(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
 		assert.Equal(t, g.table.completed(), tasks)
 		g.pass(time.Second)
@@ -165,7 +161,7 @@
 	})
 }
 
-// Without a backlog changes go together: each transaction is paid for.
+// Without a backlog, changes are gathered into few transactions, because each one is billed.
 func TestWritesAreRareWithoutABacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newRig(t)
@@ -181,10 +177,10 @@
 	})
 }
 
-// Symptom: a machine is moved with tasks at work there.
-// Sequence: a worker is empty; its pool is handed over, and the new owner starts tasks
-// there; the fleet's holder, which doesn't know yet, asks the old one.
-// Cause: an owner that has ended, or whose lease is over, answers from its memory.
+// Guards against moving a machine while tasks run there: a worker is drained, its pool is handed
+// over, and the new owner starts tasks there; the fleet lease holder, which doesn't know that yet,
+// asks the previous owner. An owner that has ended, or whose lease is over, must not answer from
+// memory.
 func TestOwnerThatHasEndedCallsNoWorkerEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newRig(t)
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -7,7 +7,7 @@
 	gauge "sapphiregauge"
 )
 
-// holdFresh begins to hold the lives of workers that were just heard of.
+// holdFresh starts a heartbeat loop for each incarnation of a worker that doesn't have one yet.
 func (o *Owner) holdFresh() {
 	var fresh []gauge.Worker
 	o.locked(func() { fresh = o.core.Unheld() })
@@ -19,7 +19,7 @@
 	}
 }
 
-// holdLoop keeps one hold after the other at a life of a worker, until it is over.
+// holdLoop sends one heartbeat after the other to an incarnation of a worker until that is over.
 func (o *Owner) holdLoop(l gauge.Life) {
 	defer func() {
 		o.mu.Lock()
@@ -58,22 +58,24 @@
 	}
 }
 
-// report takes in the answer to a hold; false: it is of a life that counts no more.
+// report applies the answer to a heartbeat. It reports false if the answer is from an incarnation
+// that is over.
 func (o *Owner) report(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (taken bool) {
 	o.act(func(now time.Duration) { taken = o.core.Report(l, call, rep, now) })
 	o.holdFresh()
 	return taken
 }
 
-// outdated tells whether a call was refused for a fencing token that this owner itself has
-// replaced, or at a life that is over.
+// outdated reports whether a call was refused because of a fencing token that this owner itself has
+// replaced, or because its incarnation of the worker is over.
 func (o *Owner) outdated(l gauge.Life, sent gauge.Fence) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.core.Outdated(l, sent)
 }
 
-// nextHold is the next hold for a life of a worker; false: there is none any more.
+// nextHold returns the next heartbeat for an incarnation of a worker. It reports false if there is
+// none any more.
 func (o *Owner) nextHold(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -83,8 +85,9 @@
 	return o.core.Holding(l, now)
 }
 
-// restBehind waits until the table has the ends that a worker has listed: a hold that
-// doesn't acknowledge them would be answered at once, and list them again.
+// restBehind waits, for at most ackWait, until the ended runs that a worker has reported are
+// written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
+// report them again.
 func (o *Owner) restBehind(l gauge.Life) {
 	ctx, cancel := context.WithTimeout(o.ctx, ackWait)
 	defer cancel()
@@ -103,7 +106,7 @@
 	}
 }
 
-// rest waits for a while, or until something is closed.
+// rest waits for the given time, or until the channel is closed or the owner ends.
 func (o *Owner) rest(until <-chan struct{}, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
--- a/internal/owner/known.go
+++ b/internal/owner/known.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Jobs come to an owner by its own transactions, by notices of other entries, or, where a
-// notice was lost, by its looks at the table. While the table turns such looks away, jobs
-// may wait of which this owner knows nothing: its count of a queue is worth no more than
-// the last look that was answered.
+// An owner learns of jobs by its own transactions, by notifications from other entries and, where a
+// notification was lost, by scanning the table. While the table refuses such scans, jobs may wait
+// that this owner doesn't know. So its count of a queue is only as recent as the last successful
+// scan.
 
-// knownFor is how long after a look a queue's count is told. By the users' contract a
-// count has what was accepted five seconds before, and may itself be two seconds old.
+// knownFor is how long after a scan a queue's count is reported. As agreed with the users, a count
+// includes the jobs accepted five seconds before, and may itself be two seconds old.
 const knownFor = 3 * time.Second
 
-// sights are as of when the jobs of queues are known.
+// sights holds the times at which the queues' open jobs were last read.
 type sights struct {
 	all    time.Duration            // of all queues ...
-	behind map[string]time.Duration // ... but for those of which the last look failed
+	behind map[string]time.Duration // ... except those whose last read failed
 }
 
 func (s *sights) of(queue string) time.Duration {
@@ -28,10 +28,10 @@
 	return s.all
 }
 
-// old tells whether too little is known of a queue to tell how many jobs wait there.
+// old reports whether a queue was read too long ago to report its count.
 func (s *sights) old(queue string, now time.Duration) bool { return now-s.of(queue) > knownFor }
 
-// looked takes in a look that was begun at a time, and at which queues it failed.
+// looked records a scan that began at the given time, and the queues for which it failed.
 func (s *sights) looked(began time.Duration, failed []string) {
 	behind := make(map[string]time.Duration, len(failed))
 	for _, queue := range failed {
@@ -40,7 +40,8 @@
 	s.all, s.behind = began, behind
 }
 
-// unsighted lists the pool's queues of which the count isn't known. The lock is held.
+// unsighted returns the names of the pool's queues whose count isn't known, in order. The lock is
+// held.
 func (o *Owner) unsighted() []string {
 	now := o.conf.Now()
 	unknown := slices.Collect(maps.Keys(o.missing))
--- a/internal/owner/lanes_test.go
+++ b/internal/owner/lanes_test.go
@@ -12,11 +12,11 @@
 	"sapphiregauge/internal/owner"
 )
 
-// stuck are workers that answer starts only when they are let, once they are shut.
+// stuck are workers that, once they are shut, delay the answers to starts until they are released.
 type stuck struct {
 	slow
 	gate  sync.Mutex
-	let   chan struct{} // nil: all are answered at once
+	let   chan struct{} // nil: all starts are answered at once
 	calls []gauge.StartCall
 	stops []gauge.StopCall
 }
@@ -50,7 +50,7 @@
 	return s.let
 }
 
-// sent lists the starts that came with a run number.
+// sent counts the starts with the given run number.
 func (s *stuck) sent(run int) int {
 	s.gate.Lock()
 	defer s.gate.Unlock()
@@ -69,7 +69,7 @@
 	return len(s.stops)
 }
 
-// newStuck makes an owner of such workers.
+// newStuck returns a scene whose owner has such workers.
 func newStuck(t *testing.T) (*scene, *stuck) {
 	s := &stuck{}
 	g := newScene(t, func(c *owner.Config) { c.Workers = s })
@@ -78,8 +78,8 @@
 	return g, s
 }
 
-// backed has an owner with one worker at which a job runs, while three starts of
-// another one get no answer and three more have to wait.
+// backed returns an owner with one worker on which one job runs, while three starts of a second job
+// get no answer and three more have to wait.
 func backed(t *testing.T) (*scene, *stuck, chan struct{}) {
 	g, s := newStuck(t)
 	g.run("w1")
@@ -91,10 +91,8 @@
 	return g, s, let
 }
 
-// Symptom: a task of a cancelled job runs on for seconds.
-// Sequence: orders to a worker take long, so that starts wait for their turn; a job
-// that runs there is cancelled.
-// Cause: its stop waits behind the starts.
+// Guards against a task of a cancelled job running on for seconds: orders to a worker take long, so
+// starts wait for a slot, and the stop must not wait behind them.
 func TestStopDoesNotWaitBehindStarts(t *testing.T) {
 	g, s, let := backed(t)
 	defer close(let)
@@ -102,10 +100,9 @@
 	g.wait("the run is told to stop", func() bool { return s.stopped() == 1 })
 }
 
-// Symptom: an owner's link is full, and hardly a task starts.
-// Sequence: starts wait for their turn at a worker longer than they hold; each is sent
-// with its payload, and refused as too late.
-// Cause: starts were ordered that had to wait, with deadlines of before.
+// Guards against an owner that hardly starts a task on a saturated link: starts wait for a slot
+// longer than they are valid, and each is then sent with its payload and refused as too late. A
+// start must be ordered, and its deadline set, only when a slot is free.
 func TestStartsAreOrderedWhenTheirTurnAtAWorkerHasCome(t *testing.T) {
 	g, s, let := backed(t)
 	g.clock.pass(5 * time.Second)
@@ -115,9 +112,7 @@
 	assert.Equal(t, s.sent(2), 0, "and none twice")
 }
 
-// Symptom: a cancelled job's tasks start.
-// Sequence: a start waits for its turn; the job is cancelled.
-// Cause: as above.
+// Guards against starting tasks of a job that was cancelled while its starts waited for a slot.
 func TestStartOfACancelledJobThatWaitsIsNotSent(t *testing.T) {
 	g, s, let := backed(t)
 	g.owner.Cancel("00000000000000a2", 9)
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -11,11 +11,10 @@
 	gauge "sapphiregauge"
 )
 
-// load reads the pool's open jobs, once the lease is held: whatever an earlier
-// owner has written is in the table by now, and it can write no more. Queues in
-// parts of the table that don't answer, and what of a large queue doesn't come in
-// loadFor, are read later: the pool's workers wait for an owner. False: the lease was
-// lost meanwhile.
+// load reads the pool's open jobs once the lease is held: by then the table has all that previous
+// owners have written, and they can't write any more. Queues in partitions of the table that don't
+// answer, and what a large queue has beyond loadFor, are read later, because the pool's workers
+// wait for an owner. It reports false if the lease was lost or given up meanwhile.
 func (o *Owner) load() bool {
 	began := o.conf.Now()
 	for {
@@ -41,7 +40,7 @@
 	}
 }
 
-// loadFirst reads what it can of the queues within loadFor; false: nothing at all.
+// loadFirst reads as many jobs as it can within loadFor. It reports false if no read was answered.
 func (o *Owner) loadFirst(queues []string, began time.Duration) bool {
 	o.survey(queues)
 	ctx, cancel := context.WithTimeout(o.ctx, loadFor)
@@ -57,16 +56,16 @@
 }
 
 const (
-	// loadFor bounds the first reading of a pool's jobs: the workers' leases last 4.5 s
-	// beyond the last hold, and nothing is held before. What a host with a slow link
-	// can't read in this time is read beside the work.
+	// loadFor bounds the first read of a pool's jobs: no heartbeats are sent before it is over, and
+	// the workers' leases last only 4.5 s beyond the last heartbeat. What a host with a slow link
+	// can't read in this time is read later, while the pool is running.
 	loadFor = time.Second
-	// loadMost: a pool of which nothing can be read for so long is left to another
-	// entry. The lease is renewed meanwhile, and would be for ever.
+	// loadMost is how long nothing can be read before the pool is left to another entry. The lease
+	// is renewed meanwhile; without this bound it would be renewed for ever.
 	loadMost = 2 * time.Second
 )
 
-// leaveUnread gives up a pool that can't be read here.
+// leaveUnread gives up a pool whose jobs can't be read from this entry.
 func (o *Owner) leaveUnread() {
 	if !o.Stop("the jobs can't be read here") {
 		return
@@ -76,7 +75,7 @@
 	o.GiveUp(ctx)
 }
 
-// survey takes in which queues have jobs: none of them is read yet.
+// survey records which queues have jobs; none of them has been read yet.
 func (o *Owner) survey(queues []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +86,7 @@
 	o.core.Partial(len(queues) > 0)
 }
 
-// readWhole takes in that all of a queue was read.
+// readWhole records that all open jobs of a queue have been read.
 func (o *Owner) readWhole(queue string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -95,15 +94,15 @@
 	o.core.Partial(len(o.missing) > 0)
 }
 
-// unread lists the queues that were not read whole yet.
+// unread returns the names of the queues that haven't been read completely, in order.
 func (o *Owner) unread() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return slices.Sorted(maps.Keys(o.missing))
 }
 
-// scanLoop reads what load could not, as long as some comes, and looks for jobs and
-// cancels of which the message was lost.
+// scanLoop reads the queues that load couldn't, without a pause for as long as jobs arrive, and
+// searches the table for jobs and cancellations whose notification was lost.
 func (o *Owner) scanLoop() {
 	comes := true
 	for o.ctx.Err() == nil {
@@ -146,7 +145,7 @@
 	o.locked(func() { o.sights.looked(o.scanned, failed) })
 }
 
-// scanOne looks for jobs of one queue.
+// scanOne scans one queue and logs the result.
 func (o *Owner) scanOne(queue string) error {
 	n, err := o.scan(queue)
 	if err != nil {
@@ -158,7 +157,7 @@
 	return err
 }
 
-// scan reads the marks of a queue's open jobs and adopts those that are unknown.
+// scan reads the marks of a queue's open jobs and adopts the jobs that are unknown.
 func (o *Owner) scan(queue string) (int, error) {
 	marks, _, err := o.conf.Store.Range(o.ctx, gauge.TableOpen, queue, "", "")
 	if err != nil {
@@ -175,9 +174,10 @@
 	return total, nil
 }
 
-// queues lists those with open jobs that may be of this pool. Most queues have none,
-// and each look at one is a call that is paid for. Each some time all are looked
-// through, as a queue may have been routed here and away again.
+// queues returns the names of the queues to scan. Most queues have no open jobs, and each read of a
+// queue is a billed call, so usually only this pool's queues with open jobs are scanned. Every
+// scansOfAll scans all queues with open jobs are, because a queue may have been routed to this pool
+// and away again.
 func (o *Owner) queues() ([]string, error) {
 	open, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
 	o.scans++
@@ -193,14 +193,14 @@
 }
 
 const (
-	// sweepEvery is how often rows of jobs that ended long ago are dropped.
+	// sweepEvery is how often the rows of jobs that ended long ago are deleted.
 	sweepEvery = time.Minute
-	// sweepRows go at most into one transaction.
+	// sweepRows is the maximum number of rows deleted in one transaction.
 	sweepRows = 50
 )
 
-// sweepLoop drops the rows of jobs that ended so long ago that nobody may ask for
-// them any more. Without it the table would fill.
+// sweepLoop deletes the rows of jobs that ended longer than Config.Keep ago, so that the table
+// doesn't fill up.
 func (o *Owner) sweepLoop() {
 	for {
 		o.rest(nil, sweepEvery)
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -17,10 +17,9 @@
 	"sapphiregauge/internal/owner"
 )
 
-// Symptom: a pool passes from entry to entry, and nobody runs it.
-// Sequence: an owner takes a pool with many jobs over; reading them takes longer
-// than the lease's term; another entry takes the lease, and reads them anew.
-// Cause: the lease isn't renewed before all is read.
+// Guards against a pool that passes from entry to entry without anyone running it: reading the jobs
+// of a large pool takes longer than the lease's term, so that another entry claims the lease and
+// reads them again. The lease must be renewed while the pool loads.
 func TestLeaseIsRenewedWhileThePoolLoads(t *testing.T) {
 	store := newRows()
 	store.job(t, "sheets", jobID(1), "p")
@@ -39,10 +38,9 @@
 	until(t, "pool loaded", func() bool { return knows(o, "sheets", jobID(1)) })
 }
 
-// Symptom: a pool with a thousand jobs is never read at an entry with a slow link.
-// Sequence: an owner takes it over; no answer of more than some hundred kilobytes
-// arrives within the bound of a call.
-// Cause: all jobs are read at once, or none is.
+// Guards against a pool with 1,000 jobs never being read at an entry with a slow link, where no
+// answer of more than a few hundred kilobytes arrives before the call times out. The jobs must not
+// be read all at once.
 func TestLargeQueueIsReadPieceByPiece(t *testing.T) {
 	const jobs = 1000
 	const arrives = 256 << 10
@@ -66,10 +64,9 @@
 	until(t, "all jobs read", func() bool { return knows(o, "sheets", ids...) })
 }
 
-// Symptom: a large queue is read again and again, and never whole.
-// Sequence: a read of more than a hundred specs takes too long on a slow link, and
-// every third gets no answer.
-// Cause: what was read before a read that fails is thrown away.
+// Guards against a large queue being read again and again without ever being complete: on a slow
+// link a read of more than a hundred specs times out, and every third read gets no answer. What was
+// read before a failure must be kept.
 func TestWhatWasReadBeforeAFailureIsKept(t *testing.T) {
 	const jobs = 400
 	store := newRows()
@@ -94,9 +91,8 @@
 	assert.Equal(t, specs.Load(), int64(jobs), "each spec was read once")
 }
 
-// Symptom: an entry with a slow link is busy with rows that it needs not.
-// Sequence: a queue has two jobs of the pool, and five hundred of another between.
-// Cause: all between the first and the last job is read.
+// Guards against an entry with a slow link reading rows it doesn't need: a queue has two jobs of
+// this pool with five hundred of another pool in between.
 func TestSpecsOfOtherPoolsAreNotRead(t *testing.T) {
 	store := newRows()
 	for n := range 502 {
@@ -118,13 +114,12 @@
 	assert.Equal(t, specs.Load(), int64(2))
 }
 
-// running answers the holds of workers, each when a test says so; one of them lists
-// a run.
+// running are workers whose heartbeats are answered when the test says so, with the given runs.
 type running struct {
 	gauge.Workers
 	runs   map[string][]gauge.RunReport
-	report map[string]chan struct{} // each lets one hold of a worker be answered
-	taken  map[string]chan struct{} // a hold came after one was answered: its report was taken in
+	report map[string]chan struct{} // a receive lets one heartbeat of the worker be answered
+	taken  map[string]chan struct{} // sent when the next heartbeat arrives, after the report has been applied
 
 	mu    sync.Mutex
 	heard map[string]bool
@@ -161,7 +156,7 @@
 	return time.Hour, nil
 }
 
-// hear has a worker's hold answered, and waits until its report was taken in.
+// hear lets a worker's heartbeat be answered, and waits until its report has been applied.
 func (r *running) hear(ctx context.Context, id string) {
 	select {
 	case r.report[id] <- struct{}{}:
@@ -174,11 +169,10 @@
 	}
 }
 
-// Symptom: a task has two runs at once.
-// Sequence: an owner takes a pool over and can't read one queue; while that is read
-// at last a worker tells of a run of a job in it, which isn't known yet; then the job
-// is taken in.
-// Cause: workers that were heard while the queue was being read count as heard.
+// Guards against two concurrent runs of one task: an owner takes over a pool and can't read one
+// queue at first. While it is being read, a worker reports a run of a job in that queue, which
+// isn't known yet; then the job is adopted. Workers that reported during the read must not count as
+// having reported that run.
 func TestTaskOfAJobThatIsReadLateIsNotStartedAgain(t *testing.T) {
 	store := newRows()
 	store.job(t, "parts", jobID(1), "q")
@@ -215,10 +209,8 @@
 	return gauge.Worker{ID: id, Pool: "p", Capacity: gauge.Resources{MilliCPU: 1000, MemoryMB: 1000}}
 }
 
-// Symptom: a pool stands still under a lease that is renewed.
-// Sequence: an entry takes the pool and can write, but none of its jobs can be read
-// there.
-// Cause: the lease is renewed while the pool loads, however long that takes.
+// Guards against a pool standing still under a lease that is renewed: an entry claims the pool and
+// can write, but can't read any of its jobs.
 func TestPoolThatCannotBeReadIsLeftToOthers(t *testing.T) {
 	store := newRows()
 	store.job(t, "sheets", jobID(1), "p")
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,7 +1,7 @@
-// Package owner runs one pool at the entry that holds its lease: it keeps a hold
-// at every worker, sends the orders that sched decides on, and writes what has
-// come of them to the table, each write on condition that the lease is still
-// this entry's.
+// Package owner runs one pool at the entry that holds the pool's lease. It keeps a heartbeat (a
+// long-polling call that extends the worker's lease and returns its report) open at every worker,
+// sends the orders that package sched decides on, and writes the results to the table. Each write
+// is conditional on this entry still holding the lease.
 package owner
 
 import (
@@ -19,19 +19,19 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// Config sets up an Owner.
+// Config holds the settings and dependencies of an Owner.
 type Config struct {
 	Pool    string
 	Lease   *tenure.Tenure
-	Term    int // owners before this one
+	Term    int // number of owners before this one
 	Fence   gauge.Fence
-	Earlier []string       // lives of workers of the owner before
-	Before  gauge.LeaseRow // as it was taken: its counts are told until this owner has its own
+	Earlier []string       // incarnations of workers that the previous owner named
+	Before  gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
 
-	Early time.Duration // how much of the lease before may not be over: its holder may go on for so long
-	Grace time.Duration // how long orders and holds may reach beyond the lease's end
-	Keep  time.Duration // how long an ended job's state is told
-	Hold  time.Duration // how far a hold extends a worker's lease
+	Early time.Duration // time left on the previous lease when this one was claimed: the previous holder may act until then
+	Grace time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
+	Keep  time.Duration // how long the row of an ended job is kept
+	Hold  time.Duration // how far a heartbeat extends a worker's lease
 	// Longest is the longest lease that a worker grants.
 	Longest time.Duration
 
@@ -41,14 +41,14 @@
 	Logs    logr.Logger
 	Now     func() time.Duration
 	Wall    func() time.Time
-	Stamp   func(s gauge.Stamp, sent time.Duration) // told of every reading of the table's clock
-	Clock   func() int64                            // the table's clock in milliseconds, about
+	Stamp   func(s gauge.Stamp, sent time.Duration) // receives each reading of the table's clock, with the local time at which the call was sent
+	Clock   func() int64                            // the table's clock in milliseconds, approximately
 	Count   func(event string, took time.Duration)
-	Event   func(event string) // counts what an operator should see
-	// Backlog is told what waits here, several times a second, and nil when this owner
-	// has ended; nil: nobody is told.
+	Event   func(event string) // counts an event that operators should see
+	// Backlog receives the owner's backlog several times a second, and nil when this owner has
+	// ended. A nil function disables the reports.
 	Backlog func(pool string, b *gauge.Backlog)
-	Without gauge.Without // what is switched off
+	Without gauge.Without // mechanisms that are switched off
 }
 
 // Owner runs one pool.
@@ -57,95 +57,95 @@
 	group      conc.WaitGroup
 	cancel     context.CancelFunc
 	ctx        context.Context
-	wake       chan struct{} // a change waits to be written
+	wake       chan struct{} // signals writeLoop that a change is due to be written
 	stuck      func(failing time.Duration)
 	stuckAfter time.Duration
 	began      time.Duration
-	queued     atomic.Int64  // orders that wait for their turn at a worker
-	belief     *lag.Belief   // whether this owner is behind; of tickLoop alone
-	sighted    time.Duration // when what waits was last looked at; of tickLoop alone
+	queued     atomic.Int64  // orders that wait for a slot at their worker
+	belief     *lag.Belief   // whether this owner is behind; used by tickLoop only
+	sighted    time.Duration // when the backlog was last reported; used by tickLoop only
 
 	mu        sync.Mutex
 	core      *sched.Pool
-	written   chan struct{} // closed at each write, then made anew
-	away      bool          // the table didn't answer the last write
-	writing   time.Duration // when the write under way was sent; 0: none is
-	took      time.Duration // what the last write took
+	written   chan struct{} // closed after each write and replaced by a new channel
+	away      bool          // the last write got no complete answer
+	writing   time.Duration // when the write in progress was sent; 0: there is none
+	took      time.Duration // duration of the last write
 	ended     bool          // the lease was lost or given up
-	stopping  bool          // it is being handed over: nothing new begins
+	stopping  bool          // the pool is being handed over: nothing new is started
 	planned   time.Duration // when the last plan was made
-	planning  bool          // one is due at the end of the gap
+	planning  bool          // a plan is scheduled for the end of the minimum interval
 	lanes     map[gauge.Life]chan struct{}
 	stopLanes map[gauge.Life]chan struct{}
-	lag       *lag.Meter // of orders
-	leaving   bool       // a successor is looked for
+	lag       *lag.Meter // durations of orders
+	leaving   bool       // a successor is being looked for
 	loaded    bool
 	site      *gauge.Site
-	listed    []gauge.Worker           // newest list
-	scans     int                      // of scanLoop alone
-	scanned   time.Duration            // when the last scan was begun; of scanLoop alone
-	avoids    map[string]time.Duration // queues whose changes wait, until when; of writeLoop alone
-	missing   map[string]bool          // queues that were not read whole yet
-	sights    sights                   // as of when the queues' jobs are known
+	listed    []gauge.Worker           // newest list of workers from the platform
+	scans     int                      // used by scanLoop only
+	scanned   time.Duration            // when the last scan began; used by scanLoop only
+	avoids    map[string]time.Duration // queues whose changes are held back, and until when; used by writeLoop only
+	missing   map[string]bool          // queues of which not all open jobs have been read
+	sights    sights                   // when each queue's open jobs were last read
 }
 
 const (
-	// startSpan is how late a start may arrive and still be carried out. The
-	// shorter, the sooner an unanswered start is settled; a worker answers within
-	// some milliseconds.
+	// startSpan is how late a start may arrive and still be carried out. A shorter span settles an
+	// unanswered start sooner; a worker usually answers within a few milliseconds.
 	startSpan = time.Second
-	// holdWait is how long a worker may keep a hold without news. Each extends
-	// the lease, so it is well below the hold's span.
+	// holdWait is how long a worker may keep a heartbeat open when it has nothing to report. It is
+	// well below Config.Hold, because each call extends the worker's lease by that time only.
 	holdWait = time.Second
-	// tickEvery is how often time alone is looked at.
+	// tickEvery is how often deadlines are checked when nothing else happens.
 	tickEvery = 100 * time.Millisecond
-	// lagWindow, lagCalls and lagPeers: when more than half of ten orders or more
-	// within a second, to three workers or more, take longer than lagSlow, this
-	// process lacks processor time or its way to the workers is bad. Orders take
-	// some milliseconds; a quota that is used up delays one by a tenth of a second.
+	// The owner lags when, within lagWindow, there were at least lagCalls orders to at least
+	// lagPeers workers and more than half of them took longer than lagSlow: this process then lacks
+	// processor time, or its network path to the workers is bad. Orders usually take a few
+	// milliseconds; an exhausted CPU quota delays one by a tenth of a second.
 	lagWindow = time.Second
 	lagSlow   = 150 * time.Millisecond
 	lagCalls  = 10
 	lagPeers  = 3
-	// planGap is the least time between two plans. Under load several ends go
-	// into one plan: each plan looks at every job that waits.
+	// planGap is the minimum time between two plans. Each plan visits every waiting job, so under
+	// load several ended runs share one plan.
 	planGap = 4 * time.Millisecond
-	// startWindow bounds the starts without an answer. An answer takes some 5 ms, so
-	// that it allows 10,000 starts a second; at 10 Mbit/s and 2.6 KB a start those of
-	// the window take a tenth of a second, a third of what an answer is waited for.
+	// startWindow bounds the starts without an answer. An answer takes about 5 ms, which allows
+	// 10,000 starts a second. At 10 Mbit/s and 2.6 KB a start, a full window takes a tenth of a
+	// second to send, a third of the time allowed for an answer.
 	startWindow = 48
-	// ordersAtOnce to one worker; an order takes some milliseconds.
+	// ordersAtOnce bounds the concurrent orders to one worker. An order takes a few milliseconds.
 	ordersAtOnce = 3
-	// stopsAtOnce to one worker, beside these. Together they fill the connections that
-	// rest for a worker.
+	// stopsAtOnce bounds the concurrent stops to one worker that don't share the slots above.
+	// Together they use up the idle connections that are kept for a worker.
 	stopsAtOnce = 1
-	// renewEvery is how often the lease is renewed without other writes: four
-	// tries within its term.
+	// renewEvery is how often the lease is renewed when there is nothing else to write: four
+	// attempts within its term.
 	renewEvery = 400 * time.Millisecond
-	// writeGap is the shortest time between two writes; ends that come in
-	// between go together. A write takes some 10 ms, and each is paid for.
+	// writeGap is the minimum time between two writes, so that runs that end in between share a
+	// transaction. A write takes about 10 ms, and each one is billed.
 	writeGap = 30 * time.Millisecond
-	// writeAgain is the pause after a write that failed.
+	// writeAgain is the pause after a failed write.
 	writeAgain = 150 * time.Millisecond
-	// scanEvery is how often jobs are looked for of which no message came.
+	// scanEvery is how often the table is searched for jobs whose notification was lost.
 	scanEvery = 1500 * time.Millisecond
-	// scansOfAll: so many scans make one of all queues.
+	// scansOfAll is how many scans there are for each scan of all queues.
 	scansOfAll = 4
-	// doubtMargin covers the difference between two entries' steady clocks.
+	// doubtMargin covers the difference between the steady clocks of two entries.
 	doubtMargin = 200 * time.Millisecond
-	// holdAgain is the pause after a hold that failed.
+	// holdAgain is the pause after a failed heartbeat.
 	holdAgain = 200 * time.Millisecond
-	// adviseAgain is the pause after a question to the advice service that failed.
+	// adviseAgain is the pause after a failed call to the advice service.
 	adviseAgain = 200 * time.Millisecond
-	// ackWait bounds how long a hold waits for the ends before to be written.
+	// ackWait bounds how long the next heartbeat is delayed until the ended runs of the last report
+	// are written.
 	ackWait = 400 * time.Millisecond
-	// batchEntries of a transaction are for changes of jobs: it holds 100 at most, by
-	// the users' figure, and the lease takes three, its check and its two writes.
+	// batchEntries is the number of transaction entries for changes of jobs. A transaction has at
+	// most 100 entries, and the lease needs three: its check and its two writes.
 	batchEntries = 100 - 3
 )
 
-// New makes an Owner of a pool whose lease was just taken. With ctx all its work
-// ends, and the lease is left to run out.
+// New returns an Owner of a pool whose lease was just claimed. When ctx ends, all its work stops
+// and the lease is left to expire.
 func New(ctx context.Context, c Config) *Owner {
 	now := c.Now()
 	o := &Owner{
@@ -164,9 +164,9 @@
 	return o
 }
 
-// over is when nothing runs any more on workers that didn't answer the owner before, as
-// it told when it gave the lease away. A row that it wrote while it went on says nothing
-// of what it granted since.
+// over returns, for each worker that didn't answer the previous owner, when nothing can run there
+// any more. The previous owner writes this when it gives up the lease; a row written while it still
+// held the lease doesn't cover what it granted later.
 func over(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
 	if before.Holder != "" {
 		return nil
@@ -178,8 +178,8 @@
 	return until
 }
 
-// emptied is until when workers get no starts that the owner before said to be empty, as it told
-// when it gave the lease away.
+// emptied returns until when a worker must not get starts because the previous owner reported it as
+// drained. The previous owner writes this when it gives up the lease.
 func emptied(before *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
 	if before.Holder != "" {
 		return nil
@@ -191,20 +191,21 @@
 	return until
 }
 
-// Run works until the lease is lost or Close is called.
+// Run loads the pool's jobs and runs the pool until the lease is lost, Stop is called or the
+// context given to New ends.
 func (o *Owner) Run(site *gauge.Site, workers []gauge.Worker) {
 	o.Configure(site)
 	o.locked(func() {
-		if o.listed == nil { // else it was told of a newer list since these workers were listed
+		if o.listed == nil { // otherwise a newer list arrived after this one was fetched
 			o.listed = workers
 		}
 	})
 	o.run(func() {
-		// The group isn't over before the owner has ended for whatever reason.
+		// Keeps the group open until the owner has ended, for whatever reason.
 		<-o.ctx.Done()
 		o.end()
 	})
-	// The lease is renewed from now on: reading the jobs may take longer than its term.
+	// The lease is renewed from here on, because reading the jobs may take longer than its term.
 	o.run(o.writeLoop)
 	if !o.load() {
 		o.end()
@@ -222,7 +223,7 @@
 	o.blind()
 }
 
-// Offer is the lease's row for a successor, and its version as last known.
+// Offer returns the lease row to hand to a successor, and the row's last known version.
 func (o *Owner) Offer() (gauge.LeaseRow, int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -242,7 +243,8 @@
 	return row, o.conf.Lease.Version()
 }
 
-// GiveUp lets any entry take the pool at once. It follows Stop.
+// GiveUp writes the lease row without a holder, so that any entry can claim the pool at once. It is
+// called after Stop.
 func (o *Owner) GiveUp(ctx context.Context) {
 	row, _ := o.Offer()
 	if err := o.conf.Lease.GiveUp(ctx, row); err != nil {
@@ -252,17 +254,17 @@
 	o.conf.Logs.Info("lease given up", "pool", o.conf.Pool, "fence", o.conf.Fence)
 }
 
-// OnStuck has something done, again and again, while writes have failed for some
-// time, which it is told, or while orders lag: then that time is 0. It is set
+// OnStuck sets the function that is called repeatedly while writes have failed for longer than
+// after, with the time since the first failure, and while orders lag, with 0. It must be called
 // before Run.
 func (o *Owner) OnStuck(after time.Duration, do func(failing time.Duration)) {
 	o.stuckAfter, o.stuck = after, do
 }
 
-// Pool is the pool's name.
+// Pool returns the pool's name.
 func (o *Owner) Pool() string { return o.conf.Pool }
 
-// lose takes in that another entry owns the pool now.
+// lose ends this owner because another entry may own the pool now.
 func (o *Owner) lose(why string) {
 	if !o.end() {
 		return
@@ -272,7 +274,7 @@
 	o.conf.Logs.Info("lease lost", "pool", o.conf.Pool, "fence", o.conf.Fence, "reason", why)
 }
 
-// end stops all work; false: it had ended already.
+// end stops all work. It reports false if the owner had ended already.
 func (o *Owner) end() bool {
 	o.mu.Lock()
 	already := o.ended
@@ -282,16 +284,16 @@
 	return !already
 }
 
-// locked does something under the owner's lock, which a panic doesn't keep.
+// locked calls a function with the owner's lock held, and releases the lock if the function panics.
 func (o *Owner) locked(do func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	do()
 }
 
-// Configure takes in a configuration, never an older one: an owner is begun with the one
-// that was in force when its entry took the pool, and may have been told of a newer one
-// since.
+// Configure applies a configuration unless it is older than the current one: an owner is started
+// with the configuration that was in force when its entry claimed the pool, and may have received a
+// newer one since.
 func (o *Owner) Configure(s *gauge.Site) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -302,11 +304,11 @@
 	o.core.Configure(s)
 }
 
-// List takes in the platform's list of workers.
+// List applies the platform's list of workers.
 func (o *Owner) List(workers []gauge.Worker) {
 	o.locked(func() {
 		o.listed = workers
-		if o.loaded && !o.ended { // else a report would be of jobs that aren't known yet
+		if o.loaded && !o.ended { // before that, reports would refer to jobs that aren't known yet
 			o.core.Workers(workers)
 		}
 	})
@@ -314,11 +316,12 @@
 	o.act(nil)
 }
 
-// mayAdopt tells whether a job that was accepted now surely isn't another
-// owner's: the lease lasts.
+// mayAdopt reports whether the pool is loaded and the lease surely still held, so that no other
+// owner can know better. The lock is held.
 func (o *Owner) mayAdopt() bool { return !o.ended && o.loaded && o.conf.Now() < o.conf.Lease.Until() }
 
-// Adopt takes in a job that another entry, or this one, has just accepted.
+// Adopt adds a job that this or another entry has just accepted. It reports false if this owner
+// isn't serving the pool.
 func (o *Owner) Adopt(id, queue string, spec *gauge.JobSpec, row *gauge.JobRow, version int64) bool {
 	now := o.conf.Now()
 	ok := false
@@ -335,36 +338,36 @@
 	return ok
 }
 
-// arrival turns the time of acceptance on the table's clock into ours.
+// arrival converts the time of acceptance, on the table's clock, to this process's steady clock.
 func (o *Owner) arrival(row *gauge.JobRow, now time.Duration) time.Duration {
 	age := time.Duration(o.conf.Clock()-row.Accepted) * time.Millisecond
 	return now - max(0, age)
 }
 
-// Cancel takes in that a job was cancelled.
+// Cancel records that a job was cancelled in the given version of its row.
 func (o *Owner) Cancel(id string, version int64) {
 	o.locked(func() { o.core.Cancel(id, version) })
 	o.act(nil)
 }
 
-// Empty has a worker emptied, for some seconds from now on, and tells whether
-// nothing runs there. Force: what doesn't end by itself is ended. Without a lease that
-// lasts nobody can tell: the next owner may have started tasks there.
+// Empty requests that a worker is drained: for some seconds from now on it gets no starts. It
+// reports whether nothing runs there. With force, tasks that don't end by themselves are stopped.
+// It returns false without a valid lease, because the next owner may have started tasks there.
 func (o *Owner) Empty(worker string, force bool) bool {
 	empty := false
 	o.act(func(now time.Duration) { empty = o.core.Empty(worker, force, now) && o.mayAdopt() && !o.stopping })
 	return empty
 }
 
-// Since is when this owner took the pool; false: it hasn't read the jobs yet, or may
-// not have the lease any more.
+// Since returns when this owner claimed the pool. It reports false if the jobs haven't been read
+// yet or the lease may be over.
 func (o *Owner) Since() (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.began, o.mayAdopt()
 }
 
-// State tells how far a job of a queue is; false: it isn't known here, or another
+// State returns the state of a job. It reports false if the job isn't known here, or if another
 // owner may know better.
 func (o *Owner) State(queue, id string) (gauge.JobState, bool) {
 	o.mu.Lock()
@@ -375,8 +378,8 @@
 	return o.core.State(queue, id)
 }
 
-// Depth is how many jobs of a queue have no task started; false: this owner doesn't
-// know, as it has not read the queue lately, or another owner may know better.
+// Depth returns how many jobs of a queue have no task started. It reports false if this owner
+// hasn't read the queue lately, or if another owner may know better.
 func (o *Owner) Depth(queue string) (int, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -386,8 +389,7 @@
 	return o.core.Depths()[queue], true
 }
 
-// Load tells what the pool has to do, and takes in which of its workers are to be
-// emptied before long.
+// Load returns the pool's load. It also records which of the workers are to be drained soon.
 func (o *Owner) Load(soon []string) gauge.PoolLoad {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -18,7 +18,7 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// store takes every transaction and has no rows.
+// store accepts every transaction and has no rows.
 type store struct{ gauge.Parted }
 
 func (store) Parts(context.Context, string) ([]string, error) { return nil, nil }
@@ -27,17 +27,16 @@
 	return gauge.Stamp{Version: 2}, nil, nil
 }
 
-// workers answers nothing.
+// workers answers no heartbeat.
 type workers struct{ gauge.Workers }
 
 func (workers) Hold(context.Context, *gauge.Worker, gauge.HoldCall) (*gauge.WorkerReport, error) {
 	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
 }
 
-// Symptom: an entry panics, or keeps a pool that nobody runs.
-// Sequence: the owner ends; its run group is being waited for; the list of workers
-// changes, which begins work in that group.
-// Cause: work is begun without a look at whether the owner has ended.
+// Guards against an entry that panics, or that keeps a pool nobody runs: the owner ends and its run
+// group is being waited for when the list of workers changes, which must not start work in that
+// group.
 func TestWhatComesAsTheOwnerEndsBeginsNothing(t *testing.T) {
 	for range 300 {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -60,13 +59,13 @@
 	}
 }
 
-// counting answers holds, once, and counts starts.
+// counting answers the first heartbeat only, and counts starts.
 type counting struct {
 	gauge.Workers
 	mu     sync.Mutex
 	holds  int
 	starts int
-	sent   chan struct{} // a start came
+	sent   chan struct{} // signals that a start has arrived
 }
 
 func (c *counting) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
@@ -89,10 +88,9 @@
 	return time.Hour, nil
 }
 
-// Symptom: two owners order one worker.
-// Sequence: an owner decides on a start; its machine is suspended before the order
-// goes out; the lease runs out and another entry takes the pool; the machine wakes up.
-// Cause: the lease was looked at when the start was decided on, not when it went out.
+// Guards against two owners giving orders to one worker: an owner decides on a start, and its
+// machine is suspended before the order is sent; the lease expires, another entry claims the pool,
+// and the machine resumes. The lease must be checked when the order is sent.
 func TestOrderThatWaitsOverASuspensionIsNotSent(t *testing.T) {
 	var mu sync.Mutex
 	clock := time.Second
--- a/internal/owner/piece.go
+++ b/internal/owner/piece.go
@@ -13,35 +13,34 @@
 	"sapphiregauge/internal/sched"
 )
 
-// A large queue is read in pieces, and each is taken in as it comes: a read that fails,
-// or takes too long on a slow link, costs the piece and no more.
+// A large queue is read in chunks, and each chunk is adopted as soon as it arrives, so that a read
+// that fails or takes too long on a slow link loses only that chunk.
 
 const (
-	// pieceJobs is how many marks a piece spans at most: 40 specs of 2.4 KB are some
-	// 130 KB, a tenth of a second at 10 Mbit/s.
+	// pieceJobs is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about 130
+	// KB, a tenth of a second at 10 Mbit/s.
 	pieceJobs = 40
-	// readsAtOnce: a read takes 4 ms, in a slow spell 60 to 90 times as long; more at
-	// once would make each late on a slow link.
+	// readsAtOnce bounds the concurrent reads. A read takes 4 ms, or 60 to 90 times as long while
+	// the table is slow. On a slow link, more concurrent reads would make each of them late.
 	readsAtOnce = 3
 )
 
-// backlog is what a queue has that this owner doesn't know.
+// backlog tracks the open jobs of one queue that this owner hasn't read yet.
 type backlog struct {
 	queue  string
-	pieces [][]string   // keys, in their order
-	left   atomic.Int64 // pieces that are not taken in yet
-	failed atomic.Bool  // a read of it has failed: the rest is left for the next try
+	pieces [][]string   // job keys in ascending order
+	left   atomic.Int64 // chunks that haven't been adopted yet
+	failed atomic.Bool  // a read has failed: the remaining chunks are left for the next attempt
 }
 
-// piece is one of them.
+// piece is one chunk of a queue's unread jobs.
 type piece struct {
 	of   *backlog
 	keys []string
 }
 
-// loadQueues reads the jobs of queues that were there before this owner, the smallest
-// queues first, until ctx ends. It returns how many jobs it took in, and whether any
-// read was answered.
+// loadQueues reads the jobs that the queues had before this owner, starting with the smallest
+// queues, until ctx ends. It returns how many jobs it adopted, and whether any read was answered.
 func (o *Owner) loadQueues(ctx context.Context, queues []string) (jobs int64, heard bool) {
 	reads := iter.Iterator[*backlog]{MaxGoroutines: readsAtOnce}
 	backlogs := make([]*backlog, len(queues))
@@ -63,7 +62,7 @@
 	return n.Load(), len(backlogs) > 0
 }
 
-// backlogOf reads the marks of a queue; nil: they can't be read.
+// backlogOf reads the marks of a queue's open jobs. It returns nil if they can't be read.
 func (o *Owner) backlogOf(ctx context.Context, queue string) *backlog {
 	marks, _, err := o.conf.Store.Range(ctx, gauge.TableOpen, queue, "", "")
 	if err != nil {
@@ -75,7 +74,7 @@
 	return b
 }
 
-// loadPiece takes in one piece and returns how many jobs it brought.
+// loadPiece reads and adopts one chunk and returns how many new jobs it had.
 func (o *Owner) loadPiece(ctx context.Context, p *piece) int64 {
 	if ctx.Err() != nil || p.of.failed.Load() {
 		return 0
@@ -93,12 +92,12 @@
 	return int64(n)
 }
 
-// unknown takes in the cancels that marks of a queue tell, and returns the keys of this
-// pool's jobs that aren't known, in pieces that span few marks: what lies between is of
-// other pools, or known, and needn't be read.
+// unknown applies the cancellations in a queue's marks, and returns the keys of this pool's jobs
+// that aren't known yet. Each chunk of keys spans few marks, so that little is read of the jobs in
+// between, which belong to other pools or are known already.
 func (o *Owner) unknown(marks []gauge.PartRow) [][]string {
 	var pieces [][]string
-	first := 0 // the mark with which the last piece begins
+	first := 0 // index of the first mark of the last chunk
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, m := range marks {
@@ -117,7 +116,7 @@
 	return pieces
 }
 
-// adoptKeys reads jobs by their keys, which are in order, and takes them in.
+// adoptKeys reads the jobs with the given keys, which are in ascending order, and adopts them.
 func (o *Owner) adoptKeys(ctx context.Context, queue string, keys []string, inherited bool) (int, error) {
 	from, to := keys[0], keys[len(keys)-1]+"\x00"
 	rows, _, err := o.conf.Store.Range(ctx, gauge.TableJobs, queue, from, to)
@@ -131,8 +130,8 @@
 	return o.adoptAll(o.decode(queue, rows, specs, inherited)), nil
 }
 
-// decode makes what sched takes in of the rows of jobs of this pool that are still
-// open: they have a spec.
+// decode converts rows to jobs, as sched accepts them, for those that belong to this pool and are
+// still open, which means that they have a spec.
 func (o *Owner) decode(queue string, rows, specs []gauge.PartRow, inherited bool) []sched.Accepted {
 	bySpec := make(map[string][]byte, len(specs))
 	for _, s := range specs {
@@ -170,12 +169,12 @@
 	return sched.Accepted{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrival(row, now)}, true
 }
 
-// adoptAll takes in jobs that were read, and returns how many were not known.
+// adoptAll adopts jobs that were read from the table, and returns how many of them were new.
 //
-// Workers may have told of runs of theirs before, which was left aside. So jobs that
-// were there before this owner wait until all workers are heard anew, from the moment
-// on at which they are taken in: a worker that is heard while they are being read would
-// count as one that has told all.
+// Workers may have reported runs of these jobs earlier, when the reports were ignored because the
+// jobs weren't known. So inherited jobs wait until every worker has reported again. That wait
+// begins when they are adopted: a worker that reports while they are being read would otherwise
+// count as one that has reported everything.
 func (o *Owner) adoptAll(jobs []sched.Accepted) int {
 	now := o.conf.Now()
 	o.mu.Lock()
--- a/internal/owner/rig_test.go
+++ b/internal/owner/rig_test.go
@@ -15,17 +15,17 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// table keeps rows of jobs, and answers each transaction after a while.
+// table stores rows of jobs, and answers each transaction after a delay.
 type table struct {
 	gauge.Parted
 	mu      sync.Mutex
-	takes   time.Duration // for each transaction
-	err     error         // given to each transaction instead of carrying it out
+	takes   time.Duration // delay of each transaction
+	err     error         // returned for each transaction instead of carrying it out
 	version int64
 	jobs    map[string]*gauge.JobRow
 	most    int // entries of the largest transaction
 	txns    int
-	cut     int // transactions that were broken off
+	cut     int // transactions whose context ended before the answer
 }
 
 func (b *table) Parts(context.Context, string) ([]string, error) { return nil, nil }
@@ -69,7 +69,7 @@
 	return gauge.Stamp{Version: b.version}, nil, nil
 }
 
-// completed counts the jobs that the table shows as completed.
+// completed returns how many jobs are completed according to the table.
 func (b *table) completed() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,12 +89,12 @@
 
 	mu     sync.Mutex
 	lives  map[string]*life
-	takes  time.Duration // for each start
+	takes  time.Duration // delay of each start
 	starts int
 	holds  int
-	listed int           // ends in answers to holds, each time they are listed
-	news   chan struct{} // closed when something ends
-	cut    int           // so many workers answer nothing
+	listed int           // ended runs in answers to heartbeats, counted each time they are reported
+	news   chan struct{} // closed when a run ends
+	cut    int           // the first so many workers answer nothing
 }
 
 type life struct {
@@ -112,7 +112,7 @@
 	return s.lives[id]
 }
 
-// isCut tells whether a worker answers nothing.
+// isCut reports whether a worker answers nothing.
 func (s *site) isCut(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +121,7 @@
 	return err == nil && n < s.cut
 }
 
-// broken is a call that gets no answer in a time.
+// broken fails after the given time without an answer.
 func broken(after time.Duration) error {
 	time.Sleep(after)
 	return gauge.Fail(gauge.KindUnknown, "no answer")
@@ -181,7 +181,7 @@
 	return s.clock(), nil
 }
 
-// finish ends all that runs, at the most so many.
+// finish ends at most so many of the running tasks.
 func (s *site) finish(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,14 +198,14 @@
 	s.news = make(chan struct{})
 }
 
-// counts are the starts and the holds that were sent.
+// counts returns how many starts and heartbeats were sent.
 func (s *site) counts() (starts, holds int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.starts, s.holds
 }
 
-// rig is an owner at work, with time that passes only when all wait.
+// rig is a running owner in a synctest bubble.
 type rig struct {
 	owner *owner.Owner
 	table *table
@@ -213,14 +213,14 @@
 	began time.Time
 	mu    sync.Mutex
 	logs  []string
-	lags  int             // times that a successor was asked for, as orders lag
-	stuck []time.Duration // the same as writes failed, and for how long they had
+	lags  int             // times a successor was asked for because orders lag
+	stuck []time.Duration // for each time a successor was asked for because writes fail, how long they had failed
 	end   func()
 }
 
 const (
 	workerCount = 10
-	workerRoom  = 40 // tasks
+	workerRoom  = 40 // tasks that fit on one worker
 	queueName   = "sheets"
 	firstJob    = 0x100 // above the owner's fencing token
 )
@@ -271,16 +271,16 @@
 	return g
 }
 
-// now is a steady clock that doesn't begin at 0, which stands for never.
+// now is a steady clock that doesn't start at 0, because 0 stands for never.
 func (g *rig) now() time.Duration { return time.Minute + time.Since(g.began) }
 
-// pass lets time go by, with all that happens in it.
+// pass lets time pass and waits until all goroutines of the bubble are blocked.
 func (g *rig) pass(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// adopt hands in jobs of one task each.
+// adopt adds jobs of one task each.
 func (g *rig) adopt(t *testing.T, from, count int) {
 	t.Helper()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 1, Needs: gauge.Resources{MilliCPU: 1, MemoryMB: 1}, Estimate: time.Second}}}
@@ -293,7 +293,7 @@
 	}
 }
 
-// full makes an owner with so many tasks at work, all starts of which are written.
+// full returns an owner with the given number of running tasks, whose starts are all written.
 func full(t *testing.T, tasks int) *rig {
 	t.Helper()
 	g := newRig(t)
--- a/internal/owner/rows_test.go
+++ b/internal/owner/rows_test.go
@@ -19,20 +19,20 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// rows is a table whose reads are answered as a test says.
+// rows is a table whose reads a test can intercept.
 type rows struct {
 	gauge.Parted
-	// onRange is asked before each read of a range is answered, with the rows that
-	// it would return; nil: all are answered.
+	// onRange is called before each range read is answered, with the rows that it would return; an
+	// error fails the read. If nil, all reads are answered.
 	onRange func(ctx context.Context, table, part string, found []gauge.PartRow) error
 
-	wrote chan struct{} // closed when a lease was written
+	wrote chan struct{} // closed after the first write of a lease row
 
 	mu     sync.Mutex
 	kept   map[gauge.RowKey]gauge.PartRow
 	leases []gauge.LeaseRow // written by the owner
-	grants gauge.GrantRow   // as it was written last
-	lists  int              // of the parts of a table
+	grants gauge.GrantRow   // last one written
+	lists  int              // calls of Parts
 }
 
 func newRows() *rows {
@@ -44,7 +44,7 @@
 	r.kept[k] = gauge.PartRow{RowKey: k, Value: value, Version: version}
 }
 
-// job puts a job that was accepted before the owner came.
+// job adds a job that was accepted before the owner started.
 func (r *rows) job(t *testing.T, queue, id, pool string) {
 	t.Helper()
 	row, err := (&gauge.JobRow{State: gauge.JobPending, Pool: pool, Accepted: 1}).Encode()
@@ -59,7 +59,7 @@
 	r.put(gauge.TableOpen, queue, id, gauge.Mark{Pool: pool}.Encode(), 1)
 }
 
-// payloadBytes is the size of a usual job's payload at the users' site.
+// payloadBytes is the size of a typical job's payload.
 const payloadBytes = 2400
 
 func (r *rows) Parts(_ context.Context, table string) ([]string, error) {
@@ -141,10 +141,10 @@
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// still is a clock that stands still: no lease runs out, whatever a test waits for.
+// still is a clock that doesn't advance, so that no lease expires however long a test waits.
 func still() time.Duration { return time.Second }
 
-// run starts an owner of pool "p", until the test ends.
+// run starts an owner of pool "p" that runs until the test ends.
 func run(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
 	t.Helper()
 	o, begin := built(t, store, w, log, change)
@@ -152,7 +152,7 @@
 	return o
 }
 
-// built makes an owner of pool "p", and a function that has it run until the test ends.
+// built returns an owner of pool "p", and a function that runs it until the test ends.
 func built(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config)) (*owner.Owner, func(*gauge.Site, ...gauge.Worker)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -175,7 +175,7 @@
 	return o, func(site *gauge.Site, list ...gauge.Worker) { group.Go(func() { o.Run(site, list) }) }
 }
 
-// until waits for something; nothing is decided by how long it takes.
+// until polls until a condition holds. Its timeout decides nothing but when a broken test fails.
 func until(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -186,7 +186,7 @@
 	}, poll.WithTimeout(patience), poll.WithDelay(5*time.Millisecond))
 }
 
-// knows tells whether the owner can tell how far all of some jobs are.
+// knows reports whether the owner knows the states of all the given jobs.
 func knows(o *owner.Owner, queue string, jobs ...string) bool {
 	for _, id := range jobs {
 		if _, ok := o.State(queue, id); !ok {
@@ -196,5 +196,5 @@
 	return true
 }
 
-// patience bounds each wait of a test; nothing is decided by it.
+// patience bounds each wait of a test.
 const patience = 10 * time.Second
--- a/internal/owner/sight.go
+++ b/internal/owner/sight.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// sightEvery is how often what waits here is looked at. A look walks the pool's
-	// jobs and runs: some 0.05 ms at 140 workers and 1,300 waiting jobs.
+	// sightEvery is how often the backlog is reported. Computing it walks the pool's jobs and runs,
+	// which takes about 0.05 ms with 140 workers and 1,300 waiting jobs.
 	sightEvery = 250 * time.Millisecond
-	// behindAfter: an owner whose oldest change, end or start has waited so long is
-	// behind. A write comes every 30 ms and takes 0.9 s where the table is slowest, a
-	// start is settled within 0.3 s once it is sent, and void after one.
+	// behindAfter is the age of the oldest change, ended run or start at which the owner counts as
+	// behind. Writes are 30 ms apart and take 0.9 s when the table is at its slowest; a start is
+	// settled within 0.3 s once it is sent, and expires after 1 s.
 	behindAfter = time.Second
-	// behindAgain bounds the lines of an owner that stays behind.
+	// behindAgain is the minimum time between two log lines of an owner that stays behind.
 	behindAgain = time.Second
 )
 
-// lookAtBacklog tells of what waits here: the metrics each time, the log when the owner gets
-// behind, while it is, and when it has caught up. It is of tickLoop alone.
+// lookAtBacklog updates the backlog metrics, and logs when the owner falls behind, while it is
+// behind, and when it has caught up. It is called by tickLoop only.
 func (o *Owner) lookAtBacklog() {
 	now := o.conf.Now()
 	if now-o.sighted < sightEvery {
@@ -50,7 +50,7 @@
 	return b
 }
 
-// blind tells that nothing is known of the pool here any more.
+// blind reports that this entry doesn't know the pool's backlog any more.
 func (o *Owner) blind() {
 	if o.conf.Backlog != nil {
 		o.conf.Backlog(o.conf.Pool, nil)
--- a/internal/owner/sight_test.go
+++ b/internal/owner/sight_test.go
@@ -17,7 +17,7 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// clock is a steady clock that only moves when it is told to.
+// clock is a steady clock that only advances when it is told to.
 type clock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -35,7 +35,7 @@
 	c.now += d
 }
 
-// lines keeps what is logged.
+// lines collects the logged lines.
 type lines struct {
 	mu  sync.Mutex
 	all []string
@@ -49,7 +49,7 @@
 	}, funcr.Options{})
 }
 
-// with returns the lines with a message.
+// with returns the lines with the given message.
 func (l *lines) with(msg string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,12 +62,12 @@
 	return some
 }
 
-// ledger takes transactions, or answers none.
+// ledger accepts transactions or, while it is away, fails them.
 type ledger struct {
 	store
 	mu   sync.Mutex
 	away bool
-	jobs int // rows of jobs taken
+	jobs int // job rows written
 }
 
 func (s *ledger) taken() int {
@@ -100,7 +100,7 @@
 	return nil, gauge.Stamp{}, nil
 }
 
-// slow are workers whose holds wait for good after the first.
+// slow are workers that answer their first heartbeat and block the later ones.
 type slow struct {
 	gauge.Workers
 	clock  *clock
@@ -128,7 +128,7 @@
 	return s.shows(), nil
 }
 
-// shows is what the workers' clocks show.
+// shows returns the reading of the workers' clocks.
 func (s *slow) shows() time.Duration { return time.Hour + s.clock.read() }
 
 func (s *slow) known() int {
@@ -143,7 +143,7 @@
 	return s.starts
 }
 
-// scene runs one owner against them.
+// scene runs one owner against these fakes.
 type scene struct {
 	t       *testing.T
 	clock   *clock
@@ -182,7 +182,7 @@
 	})
 }
 
-// submit has the owner take a job of one task, and waits for its start.
+// submit adds a job of one task and waits for its start.
 func (g *scene) submit(id string) {
 	before := g.workers.started()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 1, Needs: gauge.Resources{MilliCPU: 100}}}}
@@ -191,7 +191,7 @@
 	g.wait("it has started", func() bool { return g.workers.started() > before })
 }
 
-// wait polls until something holds.
+// wait polls until a condition holds.
 func (g *scene) wait(what string, holds func() bool) {
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		if holds() {
@@ -201,7 +201,7 @@
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(time.Minute))
 }
 
-// await lets time pass until there are so many lines with a message.
+// await advances the clock until there are so many lines with the given message.
 func (g *scene) await(msg string, count int) []string {
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		if len(g.lines.with(msg)) >= count {
@@ -213,10 +213,9 @@
 	return g.lines.with(msg)
 }
 
-// Symptom: promises of a pool break for a minute, and nothing tells that its owner
-// was behind.
-// Sequence: the owner's writes don't get through; starts go out all the same.
-// Cause: each write that fails has its line, what waits meanwhile has none.
+// Guards against a pool that misses its targets for a minute while no log line shows that its owner
+// is behind: the owner's writes fail while starts are still sent. Each failed write is logged, but
+// the backlog has to be as well.
 func TestOwnerThatIsBehindTellsWhatWaits(t *testing.T) {
 	g := newScene(t, nil)
 	g.run("w1")
@@ -233,11 +232,9 @@
 	assert.Assert(t, strings.Contains(caught[0], `"changes"=0`), caught[0])
 }
 
-// Symptom: a pool goes from host to host, and the lines don't tell whether the hosts
-// or a few workers are slow.
-// Sequence: orders to most workers take a third of a second; the owner has the pool
-// taken over.
-// Cause: the line has the last call's time alone.
+// Guards against log lines that don't show whether a host or a few workers are slow: orders to most
+// workers take a third of a second and the owner asks for a successor. The line must tell more than
+// the duration of the last call.
 func TestOwnerThatLagsTellsHowManyCallsWereSlow(t *testing.T) {
 	g, s := newStuck(t)
 	g.owner.OnStuck(time.Hour, func(time.Duration) {})
@@ -258,9 +255,9 @@
 	}
 }
 
-// Symptom: after a handover it isn't known whether the new owner could know all.
-// Sequence: an owner is to leave its pool while the table doesn't take its writes.
-// Cause: the line doesn't tell what was not written.
+// Guards against not knowing, after a handover, whether the new owner could know everything: an
+// owner leaves its pool while the table doesn't accept its writes, and has to log how much wasn't
+// written.
 func TestOwnerThatLeavesTellsWhatWasNotWritten(t *testing.T) {
 	g := newScene(t, nil)
 	g.run("w1")
--- a/internal/owner/silent_test.go
+++ b/internal/owner/silent_test.go
@@ -9,19 +9,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a pool goes from owner to owner, each on a host that is well.
-// Sequence: four workers of ten are cut off with runs of jobs that are cancelled; stops go
-// out to them again and again, and get no answer.
-// Cause: orders to workers that don't answer were taken for a sign of this host's lag.
+// Guards against a pool moving from owner to owner although each one's host is healthy: four of ten
+// workers are cut off with runs of cancelled jobs, and stops are sent to them again and again
+// without an answer. Orders to silent workers must not count as a sign that this host lags.
 func TestOrdersToSilentWorkersAreNoSignOfLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const tasks = 400 // all that the workers have room for
+		const tasks = 400 // fills all workers
 		g := full(t, tasks)
 		defer g.end()
 		g.site.mu.Lock()
 		g.site.cut = 4
 		g.site.mu.Unlock()
-		g.pass(4 * time.Second) // none of the four has answered a hold since
+		g.pass(4 * time.Second) // none of the four has answered a heartbeat since
 		for i := range tasks {
 			g.owner.Cancel(fmt.Sprintf("%016x", firstJob+i), int64(5000+i))
 		}
--- a/internal/owner/stop.go
+++ b/internal/owner/stop.go
@@ -5,19 +5,18 @@
 	"time"
 )
 
-// drainWait bounds writing out what was taken in before a pool is handed over: some
-// 30 transactions, or a thousand ended jobs. An entry that stops has a second for
-// all of its pools, and has to find successors and have them answer in the rest.
+// drainWait bounds how long a handover waits for unwritten changes: about 30 transactions, or 1,000
+// ended jobs. An entry that stops has one second for all of its pools, and needs the rest to find
+// successors and get their answers.
 const drainWait = 400 * time.Millisecond
 
-// calmTook is what a write takes at most while the table isn't slow: some 10 ms, and a
-// tenth of a second more where a quota of processor time is used up.
+// calmTook is the longest write while the table isn't slow: a write takes about 10 ms, and a tenth
+// of a second more when the CPU quota is used up.
 const calmTook = 150 * time.Millisecond
 
-// Calm tells whether a successor could take the pool over quickly: the table answers,
-// and isn't slow. Taking a lease and reading a pool takes some five calls one after the
-// other; with a table that is 65 times slower a busy pool stood still for two to three
-// seconds.
+// Calm reports whether a successor could take over quickly because the table answers and isn't
+// slow. Claiming a lease and reading a pool takes about five calls in sequence; with a table 65
+// times slower than usual, a busy pool stood still for two to three seconds.
 func (o *Owner) Calm() bool {
 	now := o.conf.Now()
 	o.mu.Lock()
@@ -25,10 +24,10 @@
 	return o.ended || !o.away && o.took < calmTook && (o.writing == 0 || now-o.writing < calmTook)
 }
 
-// Stop ends all work; whoever is offered the pool then needn't wait for anything. It
-// first writes out what was taken in: an end that isn't in the table is lost if its
-// worker goes before the successor has asked it. Meanwhile the lease is held, and
-// renewed by each write. False: it had ended already.
+// Stop ends all work, so that a successor who is offered the pool needn't wait. It first writes the
+// pending changes: the end of a run that isn't in the table is lost if its worker leaves before the
+// successor has called it. Meanwhile the lease is held, and each write renews it. It reports false
+// if the owner had ended already.
 func (o *Owner) Stop(why string) bool {
 	began := o.conf.Now()
 	o.drain()
@@ -41,8 +40,8 @@
 	return true
 }
 
-// drain begins nothing new and waits until all changes are in the table. It doesn't
-// wait for a table that can't be reached.
+// drain starts nothing new and waits until all changes are in the table, or for drainWait. It
+// doesn't wait if the table is unreachable.
 func (o *Owner) drain() {
 	ctx, cancel := context.WithTimeout(o.ctx, drainWait)
 	defer cancel()
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -8,10 +8,10 @@
 	"sapphiregauge/internal/sched"
 )
 
-// writeLoop writes what has changed, and renews the lease with every write.
+// writeLoop writes pending changes, and renews the lease with every write.
 func (o *Owner) writeLoop() {
-	var failing time.Duration // since when no write has gone through
-	var usual time.Duration   // what the last one took that did
+	var failing time.Duration // when the first of the current failures began; 0: the last write succeeded
+	var usual time.Duration   // duration of the last successful write
 	for o.ctx.Err() == nil {
 		began := o.conf.Now()
 		more, err := o.write()
@@ -20,7 +20,7 @@
 				failing = began
 			}
 			if now := o.conf.Now(); o.stuck != nil && now-failing > o.stuckAfter+min(slowWrites*usual, slowMost) {
-				o.settle(true) // whoever stops this owner from here can't wait for a write
+				o.settle(true) // the callback may stop this owner, which must not wait for a write
 				o.stuck(now - failing)
 			}
 			o.rest(nil, writeAgain)
@@ -28,7 +28,7 @@
 		}
 		failing, usual = 0, o.conf.Now()-began
 		if more {
-			continue // the pause is for gathering changes, of which there are enough
+			continue // there are enough changes already, so don't pause to gather more
 		}
 		o.rest(nil, writeGap)
 		timer := time.NewTimer(renewEvery)
@@ -42,17 +42,18 @@
 }
 
 const (
-	// slowWrites: while the table is slow a write that failed is tried again so many times
-	// before the pool is left. One answer that was lost, and the next try, took longer there
-	// than any answer of a quick table, and the pool went to an entry for which the table
-	// was as slow: it stood still for a second and a half, and did so again after three.
+	// slowWrites is how many times the duration of the last successful write is added to the time
+	// before a pool whose writes fail is left, so that a failed write can be retried as often.
+	// While the table was slow, one lost answer and the retry took longer than that time, and the
+	// pool went to an entry for which the table was just as slow: the pool stood still for 1.5 s,
+	// and again 3 s later.
 	slowWrites = 2
-	// slowMost bounds that, as the pool is to be offered before its lease is over.
+	// slowMost bounds that addition, because the pool has to be offered before its lease is over.
 	slowMost = 700 * time.Millisecond
 )
 
-// settle takes in whether the table can't be reached, after a write, and wakes those
-// that wait for one.
+// settle records, after a write, whether the table is unreachable, and wakes those that wait for a
+// write.
 func (o *Owner) settle(away bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -61,15 +62,15 @@
 	o.written = make(chan struct{})
 }
 
-// isAway tells whether the last write got no answer, or not a whole one.
+// isAway reports whether the last write got no complete answer.
 func (o *Owner) isAway() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.away
 }
 
-// reaches tells whether the table answers a read, after a write that failed: a write
-// that is begun before the table is back hangs on longer after that.
+// reaches reports whether the table answers a read. It is called after a failed write, because a
+// write that is sent before the table is back hangs for longer than a read does.
 func (o *Owner) reaches() bool {
 	ctx, cancel := context.WithTimeout(o.ctx, reachWait)
 	defer cancel()
@@ -77,19 +78,19 @@
 	return err == nil
 }
 
-// reachWait bounds that read. It takes 4 ms, in a slow spell 60 to 90 times as long.
+// reachWait bounds that read. It takes 4 ms, or 60 to 90 times as long while the table is slow.
 const reachWait = 450 * time.Millisecond
 
-// pending is one write: the lease row and the changes of jobs.
+// pending is one transaction: the lease row and the changes of jobs.
 type pending struct {
 	batch sched.Batch
 	txn   gauge.PartTxn
 	lease gauge.LeaseRow
-	names []gauge.Life // of workers, in the lease's row
+	names []gauge.Life // incarnations of workers that the lease row names
 }
 
-// write sends one transaction, and takes in that the table has it. More: the next is
-// due at once.
+// write sends one transaction and applies its result. It reports whether the next one is due at
+// once.
 func (o *Owner) write() (more bool, err error) {
 	if o.isAway() && !o.reaches() {
 		return false, gauge.Fail(gauge.KindOutage, "the table doesn't answer a read")
@@ -125,9 +126,9 @@
 	return o.wrote(p, stamp), nil
 }
 
-// avoid leaves a queue's changes out for a while after a write with them failed.
-// The part of the table that has the queue may be the only one that fails: then
-// the next write, without them, renews the lease.
+// avoid holds back a queue's changes for a while after a write with them has failed. Only the
+// partition of the table that holds this queue may be failing; the next write, without these
+// changes, then renews the lease.
 func (o *Owner) avoid(queue string) {
 	if queue != "" {
 		o.avoids[queue] = o.conf.Now() + avoidFor
@@ -136,7 +137,7 @@
 
 func (o *Owner) avoided(queue string) bool { return o.conf.Now() < o.avoids[queue] }
 
-// avoidFor is the pause between two tries to write a queue's changes.
+// avoidFor is the pause between two attempts to write a queue's changes.
 const avoidFor = 400 * time.Millisecond
 
 func (o *Owner) prepare() (pending, error) {
@@ -161,10 +162,10 @@
 	return p, nil
 }
 
-// leaseRow has the counts that this owner made, or, before the pool is loaded, those of
-// the owner before, which may be told while they aren't too old. A queue that isn't read
-// then, or was not for long, is named: to tell it as empty would be wrong by as many jobs
-// as wait there.
+// leaseRow returns the lease row with this owner's counts or, before the pool is loaded, with those
+// of the previous owner, which are reported while they are recent enough. Queues that haven't been
+// read, or not for long, are listed as unread, because reporting them as empty would hide the jobs
+// that wait there.
 func (o *Owner) leaseRow(names []gauge.Life) gauge.LeaseRow {
 	row := gauge.LeaseRow{Workers: lifeNames(names), Unnoted: o.unnotedBefore()}
 	if !o.loaded {
@@ -175,11 +176,11 @@
 	return row
 }
 
-// unnotedFor is how long an owner hands on that those before it could not write all crashes: what was there
-// then has run for long enough since, or has crashed under this one.
+// unnotedFor is how long an owner hands on that previous owners may not have recorded all crashes.
+// After that, the tasks from before have run for long enough, or have crashed under this owner.
 const unnotedFor = 30 * time.Second
 
-// unnotedBefore is how many owners before this one may not have written all crashes, to be handed on.
+// unnotedBefore returns how many of the previous owners may not have recorded all crashes.
 func (o *Owner) unnotedBefore() int {
 	switch {
 	case o.conf.Now()-o.began >= unnotedFor:
@@ -207,7 +208,7 @@
 	return lives
 }
 
-// wrote takes in that a write is in the table; true: the next is due at once.
+// wrote applies a write that is in the table. It reports whether the next one is due at once.
 func (o *Owner) wrote(p pending, stamp gauge.Stamp) bool {
 	urgent, more := false, false
 	o.locked(func() {
@@ -224,7 +225,7 @@
 	return more
 }
 
-// conflicted takes in rows of jobs as the table has them.
+// conflicted applies the job rows that the table returned with a refused write.
 func (o *Owner) conflicted(rows []gauge.PartRow) {
 	for _, r := range rows {
 		row, err := gauge.DecodeJobRow(r.Value)
