--- a/internal/owner/act.go
+++ b/internal/owner/act.go
@@ -10,108 +10,108 @@
 	"sapphiregauge/internal/sched"
 )
 
-// act changes the state and dispatches the orders that follow from it.
-func (o *Owner) act(do func(now time.Duration)) {
-	if o.change(do) {
-		o.plan()
+// update changes the state and dispatches the orders that follow from it.
+func (o *Owner) update(do func(now time.Duration)) {
+	if o.updateState(do) {
+		o.dispatchOrders()
 	}
 }
 
-// change changes the state and reports whether a plan is due now; if it isn't, one is scheduled.
-func (o *Owner) change(do func(now time.Duration)) bool {
+// updateState changes the state and reports whether a plan is due now; if it isn't, one is scheduled.
+func (o *Owner) updateState(do func(now time.Duration)) bool {
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if do != nil {
 		do(now)
 	}
-	wait := o.planned + planGap - now
+	wait := o.lastPlan + minPlanInterval - now
 	if wait <= 0 {
 		return true
 	}
-	if !o.planning {
-		o.planning = true
-		time.AfterFunc(wait, o.guard(o.plan))
+	if !o.planScheduled {
+		o.planScheduled = true
+		time.AfterFunc(wait, o.endOnPanic(o.dispatchOrders))
 	}
 	return false
 }
 
-// plan sends the orders that follow from the state and wakes the writer for urgent changes.
-func (o *Owner) plan() {
-	orders, urgent := o.decide()
+// dispatchOrders sends the orders that follow from the state and wakes the writer for urgent changes.
+func (o *Owner) dispatchOrders() {
+	orders, urgent := o.planOrders()
 	for _, order := range orders {
-		shared, own := o.lane(&order)
-		o.queued.Add(1)
-		o.run(func() {
+		shared, own := o.slotsFor(&order)
+		o.waitingOrders.Add(1)
+		o.spawn(func() {
 			place := shared
 			select {
 			case shared <- struct{}{}:
 			case own <- struct{}{}:
 				place = own
 			}
-			o.queued.Add(-1)
+			o.waitingOrders.Add(-1)
 			defer func() { <-place }()
-			o.send(order)
+			o.sendOrder(order)
 		})
 	}
 	if urgent {
-		o.poke()
+		o.wakeWriter()
 	}
 }
 
-func (o *Owner) decide() (orders []sched.Order, urgent bool) {
+func (o *Owner) planOrders() (orders []sched.Order, urgent bool) {
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.planned, o.planning = now, false
+	o.lastPlan, o.planScheduled = now, false
 	if o.loaded && !o.ended && !o.stopping {
-		o.core.Limit(o.conf.Lease.Until() + o.conf.Grace)
-		orders = o.core.Plan(now)
+		o.pool.Limit(o.conf.Lease.Until() + o.conf.Grace)
+		orders = o.pool.Plan(now)
 	}
-	return orders, o.core.Urgent()
+	return orders, o.pool.Urgent()
 }
 
-// run starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may be
-// waiting for the run group, and joining a group that has just finished panics.
-func (o *Owner) run(work func()) {
+// spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may be
+// waiting for the spawn group, and joining a group that has just finished panics.
+func (o *Owner) spawn(work func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.ended {
-		o.group.Go(o.guard(work))
+		o.group.Go(o.endOnPanic(work))
 	}
 }
 
-// guard ends the owner when its work panics, because its state may be half changed. Otherwise the
+// endOnPanic ends the owner when its work panics, because its state may be half changed. Otherwise the
 // group would keep the panic until all work has ended, which never happens, and the pool would
 // stand still under a lease that is still renewed. Once the owner has ended, another entry claims
 // the pool.
-func (o *Owner) guard(work func()) func() {
+func (o *Owner) endOnPanic(work func()) func() {
 	return func() {
 		defer func() {
 			if cause := recover(); cause != nil {
 				o.conf.Logs.Error(eris.Errorf("%v", cause), "panic", "pool", o.conf.Pool, "stack", string(debug.Stack()))
-				o.lose("a panic")
+				o.loseLease("a panic")
 			}
 		}()
 		work()
 	}
 }
 
-// lane returns the semaphores that bound the concurrent orders to one worker: each order takes a
+// slotsFor returns the semaphores that bound the concurrent orders to one worker: each order takes a
 // connection, and new connections are billed. Stops have extra slots beside the shared ones;
 // otherwise, when orders take long, they would wait behind starts and a cancelled task would run
 // on. For other orders own is nil.
-func (o *Owner) lane(order *sched.Order) (shared, own chan struct{}) {
+func (o *Owner) slotsFor(order *sched.Order) (shared, own chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	shared = laneIn(o.lanes, order.Worker.Life(), ordersAtOnce)
+	shared = semaphoreOf(o.orderSlots, order.Worker.Life(), maxConcurrentOrders)
 	if order.Kind == sched.OrderStop {
-		own = laneIn(o.stopLanes, order.Worker.Life(), stopsAtOnce)
+		own = semaphoreOf(o.stopSlots, order.Worker.Life(), extraConcurrentStops)
 	}
 	return shared, own
 }
 
-func laneIn(lanes map[gauge.Life]chan struct{}, of gauge.Life, places int) chan struct{} {
+func semaphoreOf(lanes map[gauge.Life]chan struct{}, of gauge.Life, places int) chan struct{} {
 	l := lanes[of]
 	if l == nil {
 		l = make(chan struct{}, places)
@@ -120,66 +120,66 @@
 	return l
 }
 
-// void reports whether an order that has waited for its slot is of no use any more. A start carries
+// isObsolete reports whether an order that has waited for its slot is of no use any more. A start carries
 // its payload: on a saturated link, sending starts that are too late delays the others beyond their
 // deadlines as well.
-func (o *Owner) void(order sched.Order, now time.Duration) bool {
+func (o *Owner) isObsolete(order sched.Order, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.core.Void(order, now)
+	return o.pool.Void(order, now)
 }
 
-func (o *Owner) poke() {
+func (o *Owner) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
 	default:
 	}
 }
 
-// send carries out one order. The lease is checked again right before the call, because the process
+// sendOrder carries out one order. The lease is checked again right before the call, because the process
 // may have been suspended since the order was planned.
-func (o *Owner) send(order sched.Order) {
+func (o *Owner) sendOrder(order sched.Order) {
 	began := o.conf.Now()
 	if order.Kind == sched.OrderAdvise {
-		o.advise(order, began)
+		o.askAdvice(order, began)
 		return
 	}
-	if o.void(order, began) {
+	if o.isObsolete(order, began) {
 		err := gauge.Fail(gauge.KindLate, "it waited here for too long, or is not wanted any more")
-		o.act(func(now time.Duration) { o.core.Answered(order, 0, err, now) })
+		o.update(func(now time.Duration) { o.pool.Answered(order, 0, err, now) })
 		return
 	}
-	clock, err := o.order(order, began)
+	clock, err := o.callWorker(order, began)
 	now := o.conf.Now()
 	o.conf.Count(string(order.Kind), now-began)
-	o.watchLag(order.Worker.Life(), now-began, now)
-	if gauge.Is(err, gauge.KindFenced) && !o.outdated(order.Worker.Life(), order.Fence()) {
-		o.lose("a worker has seen a newer fencing token")
+	o.checkLag(order.Worker.Life(), now-began, now)
+	if gauge.Is(err, gauge.KindFenced) && !o.isOutdated(order.Worker.Life(), order.Fence()) {
+		o.loseLease("a worker has seen a newer fencing token")
 		return
 	}
-	o.act(func(now time.Duration) { o.core.Answered(order, clock, err, now) })
+	o.update(func(now time.Duration) { o.pool.Answered(order, clock, err, now) })
 }
 
-// watchLag requests a handover of the pool when most orders take far too long, because jobs would
+// checkLag requests a handover of the pool when most orders take far too long, because jobs would
 // wait here that another entry could start. Orders to silent workers are not counted: they say
 // nothing about this host, and an unreachable rack would move the pool from owner to owner.
-func (o *Owner) watchLag(of gauge.Life, took, now time.Duration) {
+func (o *Owner) checkLag(of gauge.Life, took, now time.Duration) {
 	o.mu.Lock()
-	lags := !o.conf.Without.Has(gauge.MechanismLag) && !o.core.Silent(of) && o.lag.Note(of.Worker, took, now) && !o.leaving && !o.ended && o.stuck != nil
-	o.leaving = o.leaving || lags
-	seen := o.lag.Seen(now)
+	lags := !o.conf.Without.Has(gauge.MechanismLag) && !o.pool.Silent(of) && o.orderLag.Note(of.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
+	o.seekingSuccessor = o.seekingSuccessor || lags
+	seen := o.orderLag.Seen(now)
 	o.mu.Unlock()
 	if !lags {
 		return
 	}
 	o.conf.Logs.Info("owner lags", "pool", o.conf.Pool, "took", took, "calls", seen.Calls, "slow", seen.Slow, "targets", seen.Peers)
-	o.stuck(0)
+	o.onStuck(0)
 	o.mu.Lock()
-	o.leaving = false
+	o.seekingSuccessor = false
 	o.mu.Unlock()
 }
 
-func (o *Owner) order(order sched.Order, now time.Duration) (time.Duration, error) {
+func (o *Owner) callWorker(order sched.Order, now time.Duration) (time.Duration, error) {
 	o.mu.Lock()
 	stale := o.ended || now >= o.conf.Lease.Until()+o.conf.Grace
 	stopping := o.stopping
@@ -193,7 +193,7 @@
 	w := &order.Worker
 	switch order.Kind {
 	case sched.OrderLook:
-		return 0, o.look(order)
+		return 0, o.probeWorker(order)
 	case sched.OrderStart:
 		return o.conf.Workers.Start(o.ctx, w, order.Start)
 	case sched.OrderStop:
@@ -203,8 +203,8 @@
 	}
 }
 
-// advise queries the advice service.
-func (o *Owner) advise(order sched.Order, asked time.Duration) {
+// askAdvice queries the advice service.
+func (o *Owner) askAdvice(order sched.Order, asked time.Duration) {
 	var tickets []gauge.Ticket
 	var valid time.Duration
 	var err error = gauge.Fail(gauge.KindOutage, "there is no advice service")
@@ -212,17 +212,17 @@
 		tickets, valid, err = o.conf.Adviser.Advise(o.ctx, order.Step, order.About)
 	}
 	if err != nil {
-		o.rest(nil, adviseAgain)
+		o.pause(nil, adviseRetryDelay)
 	}
-	o.act(func(time.Duration) { o.core.Advised(order, tickets, valid, err, asked) })
+	o.update(func(time.Duration) { o.pool.Advised(order, tickets, valid, err, asked) })
 }
 
-// look asks a worker for its report without waiting for a run to end.
-func (o *Owner) look(order sched.Order) error {
+// probeWorker asks a worker for its report without waiting for a run to end.
+func (o *Owner) probeWorker(order sched.Order) error {
 	rep, err := o.conf.Workers.Hold(o.ctx, &order.Worker, order.Look)
 	if err != nil {
 		return err
 	}
-	o.report(order.Worker.Life(), order.Look, rep)
+	o.applyReport(order.Worker.Life(), order.Look, rep)
 	return nil
 }
--- a/internal/owner/hold.go
+++ b/internal/owner/hold.go
@@ -7,29 +7,29 @@
 	gauge "sapphiregauge"
 )
 
-// holdFresh starts a heartbeat loop for each incarnation of a worker that doesn't have one yet.
-func (o *Owner) holdFresh() {
+// startHeartbeats starts a heartbeat loop for each incarnation of a worker that doesn't have one yet.
+func (o *Owner) startHeartbeats() {
 	var fresh []gauge.Worker
-	o.locked(func() { fresh = o.core.Unheld() })
+	o.withLock(func() { fresh = o.pool.Unheld() })
 	for _, w := range fresh {
-		o.run(func() { o.holdLoop(w.Life()) })
+		o.spawn(func() { o.heartbeatLoop(w.Life()) })
 	}
 	if len(fresh) > 0 {
-		o.poke() // the lease row has to name them before they are used
+		o.wakeWriter() // the lease row has to name them before they are used
 	}
 }
 
-// holdLoop sends one heartbeat after the other to an incarnation of a worker until that is over.
-func (o *Owner) holdLoop(l gauge.Life) {
+// heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is over.
+func (o *Owner) heartbeatLoop(l gauge.Life) {
 	defer func() {
 		o.mu.Lock()
-		delete(o.lanes, l)
-		delete(o.stopLanes, l)
+		delete(o.orderSlots, l)
+		delete(o.stopSlots, l)
 		o.mu.Unlock()
 	}()
 	for o.ctx.Err() == nil {
 		now := o.conf.Now()
-		w, call, ok := o.nextHold(l, now)
+		w, call, ok := o.nextHeartbeat(l, now)
 		if !ok {
 			return
 		}
@@ -39,61 +39,61 @@
 			return
 		}
 		if gauge.Is(err, gauge.KindFenced) {
-			if !o.outdated(l, call.Fence) {
-				o.lose("a worker has seen a newer fencing token")
+			if !o.isOutdated(l, call.Fence) {
+				o.loseLease("a worker has seen a newer fencing token")
 				return
 			}
 		}
-		if err == nil && !o.report(l, call, rep) {
+		if err == nil && !o.applyReport(l, call, rep) {
 			err = gauge.Fail(gauge.KindUnknown, "the answer is of an earlier life")
 		}
 		if err != nil {
-			o.act(func(now time.Duration) { o.core.HoldFailed(l, err, now) })
-			o.rest(nil, holdAgain)
+			o.update(func(now time.Duration) { o.pool.HoldFailed(l, err, now) })
+			o.pause(nil, heartbeatRetryDelay)
 			continue
 		}
 		if len(rep.Ended) > 0 {
-			o.restBehind(l)
+			o.waitForWrittenEnds(l)
 		}
 	}
 }
 
-// report applies the answer to a heartbeat. It reports false if the answer is from an incarnation
+// applyReport applies the answer to a heartbeat. It reports false if the answer is from an incarnation
 // that is over.
-func (o *Owner) report(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (taken bool) {
-	o.act(func(now time.Duration) { taken = o.core.Report(l, call, rep, now) })
-	o.holdFresh()
+func (o *Owner) applyReport(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (taken bool) {
+	o.update(func(now time.Duration) { taken = o.pool.Report(l, call, rep, now) })
+	o.startHeartbeats()
 	return taken
 }
 
-// outdated reports whether a call was refused because of a fencing token that this owner itself has
+// isOutdated reports whether a call was refused because of a fencing token that this owner itself has
 // replaced, or because its incarnation of the worker is over.
-func (o *Owner) outdated(l gauge.Life, sent gauge.Fence) bool {
+func (o *Owner) isOutdated(l gauge.Life, sent gauge.Fence) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.core.Outdated(l, sent)
+	return o.pool.Outdated(l, sent)
 }
 
-// nextHold returns the next heartbeat for an incarnation of a worker. It reports false if there is
+// nextHeartbeat returns the next heartbeat for an incarnation of a worker. It reports false if there is
 // none any more.
-func (o *Owner) nextHold(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
+func (o *Owner) nextHeartbeat(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopping {
 		return gauge.Worker{}, gauge.HoldCall{}, false
 	}
-	return o.core.Holding(l, now)
+	return o.pool.Holding(l, now)
 }
 
-// restBehind waits, for at most ackWait, until the ended runs that a worker has reported are
+// waitForWrittenEnds waits, for at most ackWait, until the ended runs that a worker has reported are
 // written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
 // report them again.
-func (o *Owner) restBehind(l gauge.Life) {
-	ctx, cancel := context.WithTimeout(o.ctx, ackWait)
+func (o *Owner) waitForWrittenEnds(l gauge.Life) {
+	ctx, cancel := context.WithTimeout(o.ctx, ackTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
-		behind, written := o.core.Behind(l), o.written
+		behind, written := o.pool.Behind(l), o.writeDone
 		o.mu.Unlock()
 		if !behind {
 			return
@@ -106,8 +106,8 @@
 	}
 }
 
-// rest waits for the given time, or until the channel is closed or the owner ends.
-func (o *Owner) rest(until <-chan struct{}, most time.Duration) {
+// pause waits for the given time, or until the channel is closed or the owner ends.
+func (o *Owner) pause(until <-chan struct{}, most time.Duration) {
 	timer := time.NewTimer(most)
 	defer timer.Stop()
 	select {
@@ -119,8 +119,8 @@
 
 func (o *Owner) tickLoop() {
 	for o.ctx.Err() == nil {
-		o.act(func(now time.Duration) { o.core.Tick(now, o.conf.Wall()) })
-		o.lookAtBacklog()
-		o.rest(nil, tickEvery)
+		o.update(func(now time.Duration) { o.pool.Tick(now, o.conf.Wall()) })
+		o.reportBacklog()
+		o.pause(nil, tickInterval)
 	}
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -11,94 +11,94 @@
 	gauge "sapphiregauge"
 )
 
-// load reads the pool's open jobs once the lease is held: by then the table has all that previous
+// loadJobs reads the pool's open jobs once the lease is held: by then the table has all that previous
 // owners have written, and they can't write any more. Queues in partitions of the table that don't
 // answer, and what a large queue has beyond loadFor, are read later, because the pool's workers
 // wait for an owner. It reports false if the lease was lost or given up meanwhile.
-func (o *Owner) load() bool {
+func (o *Owner) loadJobs() bool {
 	began := o.conf.Now()
 	for {
 		looked := o.conf.Now()
 		queues, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
-		if err == nil && o.loadFirst(queues, began) {
-			o.locked(func() { o.sights.looked(looked, nil) })
+		if err == nil && o.loadAtStart(queues, began) {
+			o.withLock(func() { o.readTimes.recordScan(looked, nil) })
 			return true
 		}
 		if o.ctx.Err() != nil {
 			return false
 		}
 		if o.conf.Now() >= o.conf.Lease.Until() {
-			o.lose("the jobs could not be read in time")
+			o.loseLease("the jobs could not be read in time")
 			return false
 		}
-		if o.conf.Now()-began >= loadMost {
-			o.leaveUnread()
+		if o.conf.Now()-began >= maxUnreadableTime {
+			o.giveUpUnreadable()
 			return false
 		}
-		o.conf.Logs.Info("pool not loaded", "pool", o.conf.Pool, "missing", len(o.unread()))
-		o.rest(nil, writeAgain)
+		o.conf.Logs.Info("pool not loaded", "pool", o.conf.Pool, "missing", len(o.unreadQueues()))
+		o.pause(nil, writeRetryDelay)
 	}
 }
 
-// loadFirst reads as many jobs as it can within loadFor. It reports false if no read was answered.
-func (o *Owner) loadFirst(queues []string, began time.Duration) bool {
-	o.survey(queues)
-	ctx, cancel := context.WithTimeout(o.ctx, loadFor)
+// loadAtStart reads as many jobs as it can within loadFor. It reports false if no read was answered.
+func (o *Owner) loadAtStart(queuesToScan []string, began time.Duration) bool {
+	o.resetUnread(queuesToScan)
+	ctx, cancel := context.WithTimeout(o.ctx, initialLoadTimeout)
 	defer cancel()
-	n, heard := o.loadQueues(ctx, queues)
-	if len(queues) > 0 && !heard || o.ctx.Err() != nil {
+	n, heard := o.loadQueues(ctx, queuesToScan)
+	if len(queuesToScan) > 0 && !heard || o.ctx.Err() != nil {
 		return false
 	}
-	o.locked(func() { o.loaded = true })
+	o.withLock(func() { o.loaded = true })
 	o.conf.Logs.Info("pool loaded", "pool", o.conf.Pool, "fence", o.conf.Fence, "jobs", n,
-		"missing", len(o.unread()), "took", o.conf.Now()-began)
+		"missing", len(o.unreadQueues()), "took", o.conf.Now()-began)
 	return true
 }
 
 const (
-	// loadFor bounds the first read of a pool's jobs: no heartbeats are sent before it is over, and
+	// initialLoadTimeout bounds the first read of a pool's jobs: no heartbeats are sent before it is over, and
 	// the workers' leases last only 4.5 s beyond the last heartbeat. What a host with a slow link
 	// can't read in this time is read later, while the pool is running.
-	loadFor = time.Second
-	// loadMost is how long nothing can be read before the pool is left to another entry. The lease
+	initialLoadTimeout = time.Second
+	// maxUnreadableTime is how long nothing can be read before the pool is left to another entry. The lease
 	// is renewed meanwhile; without this bound it would be renewed for ever.
-	loadMost = 2 * time.Second
+	maxUnreadableTime = 2 * time.Second
 )
 
-// leaveUnread gives up a pool whose jobs can't be read from this entry.
-func (o *Owner) leaveUnread() {
+// giveUpUnreadable gives up a pool whose jobs can't be read from this entry.
+func (o *Owner) giveUpUnreadable() {
 	if !o.Stop("the jobs can't be read here") {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(o.ctx), reachWait)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(o.ctx), tableProbeTimeout)
 	defer cancel()
 	o.GiveUp(ctx)
 }
 
-// survey records which queues have jobs; none of them has been read yet.
-func (o *Owner) survey(queues []string) {
+// resetUnread records which queues have jobs; none of them has been read yet.
+func (o *Owner) resetUnread(queues []string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.missing = make(map[string]bool, len(queues))
+	o.unread = make(map[string]bool, len(queues))
 	for _, queue := range queues {
-		o.missing[queue] = true
+		o.unread[queue] = true
 	}
-	o.core.Partial(len(queues) > 0)
+	o.pool.Partial(len(queues) > 0)
 }
 
-// readWhole records that all open jobs of a queue have been read.
-func (o *Owner) readWhole(queue string) {
+// markRead records that all open jobs of a queue have been read.
+func (o *Owner) markRead(queue string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.missing, queue)
-	o.core.Partial(len(o.missing) > 0)
+	delete(o.unread, queue)
+	o.pool.Partial(len(o.unread) > 0)
 }
 
-// unread returns the names of the queues that haven't been read completely, in order.
-func (o *Owner) unread() []string {
+// unreadQueues returns the names of the queues that haven't been read completely, in order.
+func (o *Owner) unreadQueues() []string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return slices.Sorted(maps.Keys(o.missing))
+	return slices.Sorted(maps.Keys(o.unread))
 }
 
 // scanLoop reads the queues that load couldn't, without a pause for as long as jobs arrive, and
@@ -106,9 +106,9 @@
 func (o *Owner) scanLoop() {
 	comes := true
 	for o.ctx.Err() == nil {
-		missing := o.unread()
+		missing := o.unreadQueues()
 		if len(missing) == 0 || !comes {
-			o.rest(nil, scanEvery)
+			o.pause(nil, scanInterval)
 			if o.ctx.Err() != nil {
 				return
 			}
@@ -117,37 +117,37 @@
 		if len(missing) > 0 {
 			n, _ := o.loadQueues(o.ctx, missing)
 			comes = n > 0
-			o.conf.Logs.Info("missing queues read", "pool", o.conf.Pool, "jobs", n, "missing", len(o.unread()))
+			o.conf.Logs.Info("missing queues read", "pool", o.conf.Pool, "jobs", n, "missing", len(o.unreadQueues()))
 		}
-		if !comes || o.conf.Now()-o.scanned >= scanEvery {
-			o.scanAll()
+		if !comes || o.conf.Now()-o.lastScan >= scanInterval {
+			o.scanQueues()
 		}
-		o.act(nil)
+		o.update(nil)
 	}
 }
 
-func (o *Owner) scanAll() {
-	o.scanned = o.conf.Now()
+func (o *Owner) scanQueues() {
+	o.lastScan = o.conf.Now()
 	queues, err := o.queues()
 	if err != nil {
 		o.conf.Logs.Info("scan failed", "pool", o.conf.Pool, "error", err.Error())
 		return
 	}
-	missing := o.unread()
+	missing := o.unreadQueues()
 	queues = slices.DeleteFunc(queues, func(q string) bool { return slices.Contains(missing, q) })
-	looks := iter.Mapper[string, error]{MaxGoroutines: readsAtOnce}
+	looks := iter.Mapper[string, error]{MaxGoroutines: maxConcurrentReads}
 	var failed []string
-	for i, err := range looks.Map(queues, func(q *string) error { return o.scanOne(*q) }) {
+	for i, err := range looks.Map(queues, func(q *string) error { return o.scanQueue(*q) }) {
 		if err != nil {
 			failed = append(failed, queues[i])
 		}
 	}
-	o.locked(func() { o.sights.looked(o.scanned, failed) })
+	o.withLock(func() { o.readTimes.recordScan(o.lastScan, failed) })
 }
 
-// scanOne scans one queue and logs the result.
-func (o *Owner) scanOne(queue string) error {
-	n, err := o.scan(queue)
+// scanQueue scans one queue and logs the result.
+func (o *Owner) scanQueue(queue string) error {
+	n, err := o.adoptFromScan(queue)
 	if err != nil {
 		o.conf.Logs.Info("scan failed", "pool", o.conf.Pool, "queue", queue, "error", err.Error())
 	}
@@ -157,14 +157,14 @@
 	return err
 }
 
-// scan reads the marks of a queue's open jobs and adopts the jobs that are unknown.
-func (o *Owner) scan(queue string) (int, error) {
+// adoptFromScan reads the marks of a queue's open jobs and adopts the jobs that are unknown.
+func (o *Owner) adoptFromScan(queue string) (int, error) {
 	marks, _, err := o.conf.Store.Range(o.ctx, gauge.TableOpen, queue, "", "")
 	if err != nil {
 		return 0, err
 	}
 	total := 0
-	for _, keys := range o.unknown(marks) {
+	for _, keys := range o.unknownJobs(marks) {
 		n, err := o.adoptKeys(o.ctx, queue, keys, false)
 		total += n
 		if err != nil {
@@ -180,8 +180,8 @@
 // and away again.
 func (o *Owner) queues() ([]string, error) {
 	open, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
-	o.scans++
-	if err != nil || o.scans%scansOfAll == 0 {
+	o.scanCount++
+	if err != nil || o.scanCount%fullScanEvery == 0 {
 		return open, err
 	}
 	o.mu.Lock()
@@ -193,17 +193,17 @@
 }
 
 const (
-	// sweepEvery is how often the rows of jobs that ended long ago are deleted.
-	sweepEvery = time.Minute
-	// sweepRows is the maximum number of rows deleted in one transaction.
-	sweepRows = 50
+	// sweepInterval is how often the rows of jobs that ended long ago are deleted.
+	sweepInterval = time.Minute
+	// maxSweepRows is the maximum number of rows deleted in one transaction.
+	maxSweepRows = 50
 )
 
 // sweepLoop deletes the rows of jobs that ended longer than Config.Keep ago, so that the table
 // doesn't fill up.
 func (o *Owner) sweepLoop() {
 	for {
-		o.rest(nil, sweepEvery)
+		o.pause(nil, sweepInterval)
 		if o.ctx.Err() != nil {
 			return
 		}
@@ -213,14 +213,14 @@
 			continue
 		}
 		for _, queue := range queues {
-			if err := o.sweep(queue); err != nil {
+			if err := o.sweepQueue(queue); err != nil {
 				o.conf.Logs.Info("sweep failed", "pool", o.conf.Pool, "queue", queue, "error", err.Error())
 			}
 		}
 	}
 }
 
-func (o *Owner) sweep(queue string) error {
+func (o *Owner) sweepQueue(queue string) error {
 	rows, _, err := o.conf.Store.Range(o.ctx, gauge.TableJobs, queue, "", "")
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 		}
 		txn.Checks = append(txn.Checks, gauge.RowCheck{RowKey: r.RowKey, Version: r.Version})
 		txn.Drops = append(txn.Drops, r.RowKey)
-		if len(txn.Drops) == sweepRows {
+		if len(txn.Drops) == maxSweepRows {
 			break
 		}
 	}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -58,90 +58,90 @@
 	cancel     context.CancelFunc
 	ctx        context.Context
 	wake       chan struct{} // signals writeLoop that a change is due to be written
-	stuck      func(failing time.Duration)
+	onStuck      func(failing time.Duration)
 	stuckAfter time.Duration
-	began      time.Duration
-	queued     atomic.Int64  // orders that wait for a slot at their worker
-	belief     *lag.Belief   // whether this owner is behind; used by tickLoop only
-	sighted    time.Duration // when the backlog was last reported; used by tickLoop only
+	claimedAt      time.Duration
+	waitingOrders     atomic.Int64  // orders that wait for a slot at their worker
+	behindDetector     *lag.Belief   // whether this owner is behind; used by tickLoop only
+	lastBacklogReport    time.Duration // when the backlog was last reported; used by tickLoop only
 
 	mu        sync.Mutex
-	core      *sched.Pool
-	written   chan struct{} // closed after each write and replaced by a new channel
-	away      bool          // the last write got no complete answer
-	writing   time.Duration // when the write in progress was sent; 0: there is none
-	took      time.Duration // duration of the last write
+	pool      *sched.Pool
+	writeDone   chan struct{} // closed after each write and replaced by a new channel
+	tableUnreachable      bool          // the last write got no complete answer
+	writeSentAt   time.Duration // when the write in progress was sent; 0: there is none
+	lastWriteTook      time.Duration // duration of the last write
 	ended     bool          // the lease was lost or given up
 	stopping  bool          // the pool is being handed over: nothing new is started
-	planned   time.Duration // when the last plan was made
-	planning  bool          // a plan is scheduled for the end of the minimum interval
-	lanes     map[gauge.Life]chan struct{}
-	stopLanes map[gauge.Life]chan struct{}
-	lag       *lag.Meter // durations of orders
-	leaving   bool       // a successor is being looked for
+	lastPlan   time.Duration // when the last plan was made
+	planScheduled  bool          // a plan is scheduled for the end of the minimum interval
+	orderSlots     map[gauge.Life]chan struct{}
+	stopSlots map[gauge.Life]chan struct{}
+	orderLag       *lag.Meter // durations of orders
+	seekingSuccessor   bool       // a successor is being looked for
 	loaded    bool
 	site      *gauge.Site
-	listed    []gauge.Worker           // newest list of workers from the platform
-	scans     int                      // used by scanLoop only
-	scanned   time.Duration            // when the last scan began; used by scanLoop only
-	avoids    map[string]time.Duration // queues whose changes are held back, and until when; used by writeLoop only
-	missing   map[string]bool          // queues of which not all open jobs have been read
-	sights    sights                   // when each queue's open jobs were last read
+	workerList    []gauge.Worker           // newest list of workers from the platform
+	scanCount     int                      // used by scanLoop only
+	lastScan   time.Duration            // when the last scan began; used by scanLoop only
+	heldBackUntil    map[string]time.Duration // queues whose changes are held back, and until when; used by writeLoop only
+	unread   map[string]bool          // queues of which not all open jobs have been read
+	readTimes    readTimes                   // when each queue's open jobs were last read
 }
 
 const (
-	// startSpan is how late a start may arrive and still be carried out. A shorter span settles an
+	// startTimeout is how late a start may arrive and still be carried out. A shorter span settles an
 	// unanswered start sooner; a worker usually answers within a few milliseconds.
-	startSpan = time.Second
-	// holdWait is how long a worker may keep a heartbeat open when it has nothing to report. It is
+	startTimeout = time.Second
+	// maxHeartbeatWait is how long a worker may keep a heartbeat open when it has nothing to report. It is
 	// well below Config.Hold, because each call extends the worker's lease by that time only.
-	holdWait = time.Second
-	// tickEvery is how often deadlines are checked when nothing else happens.
-	tickEvery = 100 * time.Millisecond
+	maxHeartbeatWait = time.Second
+	// tickInterval is how often deadlines are checked when nothing else happens.
+	tickInterval = 100 * time.Millisecond
 	// The owner lags when, within lagWindow, there were at least lagCalls orders to at least
 	// lagPeers workers and more than half of them took longer than lagSlow: this process then lacks
 	// processor time, or its network path to the workers is bad. Orders usually take a few
 	// milliseconds; an exhausted CPU quota delays one by a tenth of a second.
 	lagWindow = time.Second
-	lagSlow   = 150 * time.Millisecond
-	lagCalls  = 10
-	lagPeers  = 3
-	// planGap is the minimum time between two plans. Each plan visits every waiting job, so under
+	lagThreshold   = 150 * time.Millisecond
+	lagMinOrders  = 10
+	lagMinWorkers  = 3
+	// minPlanInterval is the minimum time between two plans. Each plan visits every waiting job, so under
 	// load several ended runs share one plan.
-	planGap = 4 * time.Millisecond
-	// startWindow bounds the starts without an answer. An answer takes about 5 ms, which allows
+	minPlanInterval = 4 * time.Millisecond
+	// maxUnansweredStarts bounds the starts without an answer. An answer takes about 5 ms, which allows
 	// 10,000 starts a second. At 10 Mbit/s and 2.6 KB a start, a full window takes a tenth of a
 	// second to send, a third of the time allowed for an answer.
-	startWindow = 48
-	// ordersAtOnce bounds the concurrent orders to one worker. An order takes a few milliseconds.
-	ordersAtOnce = 3
-	// stopsAtOnce bounds the concurrent stops to one worker that don't share the slots above.
+	maxUnansweredStarts = 48
+	// maxConcurrentOrders bounds the concurrent orders to one worker. An order takes a few milliseconds.
+	maxConcurrentOrders = 3
+	// extraConcurrentStops bounds the concurrent stops to one worker that don't share the slots above.
 	// Together they use up the idle connections that are kept for a worker.
-	stopsAtOnce = 1
-	// renewEvery is how often the lease is renewed when there is nothing else to write: four
+	extraConcurrentStops = 1
+	// renewInterval is how often the lease is renewed when there is nothing else to write: four
 	// attempts within its term.
-	renewEvery = 400 * time.Millisecond
-	// writeGap is the minimum time between two writes, so that runs that end in between share a
+	renewInterval = 400 * time.Millisecond
+	// minWriteInterval is the minimum time between two writes, so that runs that end in between share a
 	// transaction. A write takes about 10 ms, and each one is billed.
-	writeGap = 30 * time.Millisecond
-	// writeAgain is the pause after a failed write.
-	writeAgain = 150 * time.Millisecond
-	// scanEvery is how often the table is searched for jobs whose notification was lost.
-	scanEvery = 1500 * time.Millisecond
-	// scansOfAll is how many scans there are for each scan of all queues.
-	scansOfAll = 4
-	// doubtMargin covers the difference between the steady clocks of two entries.
-	doubtMargin = 200 * time.Millisecond
-	// holdAgain is the pause after a failed heartbeat.
-	holdAgain = 200 * time.Millisecond
-	// adviseAgain is the pause after a failed call to the advice service.
-	adviseAgain = 200 * time.Millisecond
-	// ackWait bounds how long the next heartbeat is delayed until the ended runs of the last report
+	minWriteInterval = 30 * time.Millisecond
+	// writeRetryDelay is the pause after a failed write.
+	writeRetryDelay = 150 * time.Millisecond
+	// scanInterval is how often the table is searched for jobs whose notification was lost.
+	scanInterval = 1500 * time.Millisecond
+	// fullScanEvery is how many scans there are for each scan of all queues.
+	fullScanEvery = 4
+	// clockMargin covers the difference between the steady clocks of two entries.
+	clockMargin = 200 * time.Millisecond
+	// heartbeatRetryDelay is the pause after a failed heartbeat.
+	heartbeatRetryDelay = 200 * time.Millisecond
+	// adviseRetryDelay is the pause after a failed call to the advice service.
+	adviseRetryDelay = 200 * time.Millisecond
+	// ackTimeout bounds how long the next heartbeat is delayed until the ended runs of the last report
 	// are written.
-	ackWait = 400 * time.Millisecond
-	// batchEntries is the number of transaction entries for changes of jobs. A transaction has at
+	ackTimeout = 400 * time.Millisecond
+	// maxBatchEntries is the number of transaction entries for changes of jobs. A transaction has at
 	// most 100 entries, and the lease needs three: its check and its two writes.
-	batchEntries = 100 - 3
+	maxBatchEntries = 100 - 3
 )
 
 // New returns an Owner of a pool whose lease was just claimed. When ctx ends, all its work stops
@@ -149,38 +149,38 @@
 func New(ctx context.Context, c Config) *Owner {
 	now := c.Now()
 	o := &Owner{
-		conf: c, began: now,
-		wake: make(chan struct{}, 1), lanes: make(map[gauge.Life]chan struct{}), stopLanes: make(map[gauge.Life]chan struct{}),
-		lag: lag.New(lag.Config{Window: lagWindow, Slow: lagSlow, Calls: lagCalls, Peers: lagPeers}), avoids: make(map[string]time.Duration), written: make(chan struct{}),
-		belief: lag.NewBelief(lag.BeliefConfig{Behind: behindAfter, Again: behindAgain}),
-		core: sched.New(sched.Config{
-			Name: c.Pool, Fence: c.Fence, Term: c.Term, Hold: c.Hold, Start: startSpan, Wait: holdWait, Window: startWindow, Lane: ordersAtOnce,
+		conf: c, claimedAt: now,
+		wake: make(chan struct{}, 1), orderSlots: make(map[gauge.Life]chan struct{}), stopSlots: make(map[gauge.Life]chan struct{}),
+		orderLag: lag.New(lag.Config{Window: lagWindow, Slow: lagThreshold, Calls: lagMinOrders, Peers: lagMinWorkers}), heldBackUntil: make(map[string]time.Duration), writeDone: make(chan struct{}),
+		behindDetector: lag.NewBelief(lag.BeliefConfig{Behind: behindAfter, Again: behindLogInterval}),
+		pool: sched.New(sched.Config{
+			Name: c.Pool, Fence: c.Fence, Term: c.Term, Hold: c.Hold, Start: startTimeout, Wait: maxHeartbeatWait, Window: maxUnansweredStarts, Lane: maxConcurrentOrders,
 			Without: c.Without, Logs: c.Logs, Count: c.Event, Longest: c.Longest,
-			Earlier: parseLives(c.Earlier), Doubt: now + c.Early + c.Grace + doubtMargin, Over: over(&c.Before, now),
-			Emptied: emptied(&c.Before, now), Unnoted: c.Before.Unnoted,
+			Earlier: parseIncarnations(c.Earlier), Doubt: now + c.Early + c.Grace + clockMargin, Over: silentUntil(&c.Before, now),
+			Emptied: drainedUntil(&c.Before, now), Unnoted: c.Before.Unnoted,
 		}),
 	}
 	o.ctx, o.cancel = context.WithCancel(ctx)
 	return o
 }
 
-// over returns, for each worker that didn't answer the previous owner, when nothing can run there
+// silentUntil returns, for each worker that didn't answer the previous owner, when nothing can run there
 // any more. The previous owner writes this when it gives up the lease; a row written while it still
 // held the lease doesn't cover what it granted later.
-func over(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
+func silentUntil(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
 	if before.Holder != "" {
 		return nil
 	}
 	until := make(map[gauge.Life]time.Duration, len(before.Left))
 	for name, left := range before.Left {
-		until[gauge.ParseLife(name)] = now + time.Duration(left)*time.Millisecond + doubtMargin
+		until[gauge.ParseLife(name)] = now + time.Duration(left)*time.Millisecond + clockMargin
 	}
 	return until
 }
 
-// emptied returns until when a worker must not get starts because the previous owner reported it as
+// drainedUntil returns until when a worker must not get starts because the previous owner reported it as
 // drained. The previous owner writes this when it gives up the lease.
-func emptied(before *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
+func drainedUntil(before *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
 	if before.Holder != "" {
 		return nil
 	}
@@ -195,49 +195,49 @@
 // context given to New ends.
 func (o *Owner) Run(site *gauge.Site, workers []gauge.Worker) {
 	o.Configure(site)
-	o.locked(func() {
-		if o.listed == nil { // otherwise a newer list arrived after this one was fetched
-			o.listed = workers
+	o.withLock(func() {
+		if o.workerList == nil { // otherwise a newer list arrived after this one was fetched
+			o.workerList = workers
 		}
 	})
-	o.run(func() {
+	o.spawn(func() {
 		// Keeps the group open until the owner has ended, for whatever reason.
 		<-o.ctx.Done()
 		o.end()
 	})
 	// The lease is renewed from here on, because reading the jobs may take longer than its term.
-	o.run(o.writeLoop)
-	if !o.load() {
+	o.spawn(o.writeLoop)
+	if !o.loadJobs() {
 		o.end()
 		o.group.Wait()
 		return
 	}
 	o.mu.Lock()
-	workers = o.listed
+	workers = o.workerList
 	o.mu.Unlock()
 	o.List(workers)
-	o.run(o.tickLoop)
-	o.run(o.scanLoop)
-	o.run(o.sweepLoop)
+	o.spawn(o.tickLoop)
+	o.spawn(o.scanLoop)
+	o.spawn(o.sweepLoop)
 	o.group.Wait()
-	o.blind()
+	o.clearBacklog()
 }
 
 // Offer returns the lease row to hand to a successor, and the row's last known version.
 func (o *Owner) Offer() (gauge.LeaseRow, int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	row := o.leaseRow(o.core.Name())
+	row := o.leaseRow(o.pool.Name())
 	row.Term = o.conf.Term
 	now := o.conf.Now()
-	if o.core.Unnoted() {
+	if o.pool.Unnoted() {
 		row.Unnoted++
 	}
 	row.Left, row.Emptied = make(map[string]int64), make(map[string]int64)
-	for l, left := range o.core.Left(now) {
+	for l, left := range o.pool.Left(now) {
 		row.Left[l.String()] = left.Milliseconds() + 1
 	}
-	for id, left := range o.core.Emptied(now) {
+	for id, left := range o.pool.Emptied(now) {
 		row.Emptied[id] = left.Milliseconds() + 1
 	}
 	return row, o.conf.Lease.Version()
@@ -258,14 +258,14 @@
 // after, with the time since the first failure, and while orders lag, with 0. It must be called
 // before Run.
 func (o *Owner) OnStuck(after time.Duration, do func(failing time.Duration)) {
-	o.stuckAfter, o.stuck = after, do
+	o.stuckAfter, o.onStuck = after, do
 }
 
 // Pool returns the pool's name.
 func (o *Owner) Pool() string { return o.conf.Pool }
 
-// lose ends this owner because another entry may own the pool now.
-func (o *Owner) lose(why string) {
+// loseLease ends this owner because another entry may own the pool now.
+func (o *Owner) loseLease(why string) {
 	if !o.end() {
 		return
 	}
@@ -284,8 +284,8 @@
 	return !already
 }
 
-// locked calls a function with the owner's lock held, and releases the lock if the function panics.
-func (o *Owner) locked(do func()) {
+// withLock calls a function with the owner's lock held, and releases the lock if the function panics.
+func (o *Owner) withLock(do func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	do()
@@ -301,53 +301,53 @@
 		return
 	}
 	o.site = s
-	o.core.Configure(s)
+	o.pool.Configure(s)
 }
 
 // List applies the platform's list of workers.
 func (o *Owner) List(workers []gauge.Worker) {
-	o.locked(func() {
-		o.listed = workers
+	o.withLock(func() {
+		o.workerList = workers
 		if o.loaded && !o.ended { // before that, reports would refer to jobs that aren't known yet
-			o.core.Workers(workers)
+			o.pool.Workers(workers)
 		}
 	})
-	o.holdFresh()
-	o.act(nil)
+	o.startHeartbeats()
+	o.update(nil)
 }
 
-// mayAdopt reports whether the pool is loaded and the lease surely still held, so that no other
+// isServing reports whether the pool is loaded and the lease surely still held, so that no other
 // owner can know better. The lock is held.
-func (o *Owner) mayAdopt() bool { return !o.ended && o.loaded && o.conf.Now() < o.conf.Lease.Until() }
+func (o *Owner) isServing() bool { return !o.ended && o.loaded && o.conf.Now() < o.conf.Lease.Until() }
 
 // Adopt adds a job that this or another entry has just accepted. It reports false if this owner
 // isn't serving the pool.
 func (o *Owner) Adopt(id, queue string, spec *gauge.JobSpec, row *gauge.JobRow, version int64) bool {
 	now := o.conf.Now()
 	ok := false
-	o.locked(func() {
-		if ok = o.mayAdopt(); ok {
-			o.core.Adopt(sched.Accepted{
-				ID: id, Queue: queue, Spec: spec, Row: row, Version: version, Arrived: o.arrival(row, now),
+	o.withLock(func() {
+		if ok = o.isServing(); ok {
+			o.pool.Adopt(sched.Accepted{
+				ID: id, Queue: queue, Spec: spec, Row: row, Version: version, Arrived: o.arrivalTime(row, now),
 			}, now)
 		}
 	})
 	if ok {
-		o.act(nil)
+		o.update(nil)
 	}
 	return ok
 }
 
-// arrival converts the time of acceptance, on the table's clock, to this process's steady clock.
-func (o *Owner) arrival(row *gauge.JobRow, now time.Duration) time.Duration {
+// arrivalTime converts the time of acceptance, on the table's clock, to this process's steady clock.
+func (o *Owner) arrivalTime(row *gauge.JobRow, now time.Duration) time.Duration {
 	age := time.Duration(o.conf.Clock()-row.Accepted) * time.Millisecond
 	return now - max(0, age)
 }
 
 // Cancel records that a job was cancelled in the given version of its row.
 func (o *Owner) Cancel(id string, version int64) {
-	o.locked(func() { o.core.Cancel(id, version) })
-	o.act(nil)
+	o.withLock(func() { o.pool.Cancel(id, version) })
+	o.update(nil)
 }
 
 // Empty requests that a worker is drained: for some seconds from now on it gets no starts. It
@@ -355,7 +355,7 @@
 // It returns false without a valid lease, because the next owner may have started tasks there.
 func (o *Owner) Empty(worker string, force bool) bool {
 	empty := false
-	o.act(func(now time.Duration) { empty = o.core.Empty(worker, force, now) && o.mayAdopt() && !o.stopping })
+	o.update(func(now time.Duration) { empty = o.pool.Empty(worker, force, now) && o.isServing() && !o.stopping })
 	return empty
 }
 
@@ -364,7 +364,7 @@
 func (o *Owner) Since() (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.began, o.mayAdopt()
+	return o.claimedAt, o.isServing()
 }
 
 // State returns the state of a job. It reports false if the job isn't known here, or if another
@@ -372,10 +372,10 @@
 func (o *Owner) State(queue, id string) (gauge.JobState, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.mayAdopt() {
+	if !o.isServing() {
 		return "", false
 	}
-	return o.core.State(queue, id)
+	return o.pool.State(queue, id)
 }
 
 // Depth returns how many jobs of a queue have no task started. It reports false if this owner
@@ -383,10 +383,10 @@
 func (o *Owner) Depth(queue string) (int, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.mayAdopt() || o.missing[queue] || o.sights.old(queue, o.conf.Now()) {
+	if !o.isServing() || o.unread[queue] || o.readTimes.isStale(queue, o.conf.Now()) {
 		return 0, false
 	}
-	return o.core.Depths()[queue], true
+	return o.pool.Depths()[queue], true
 }
 
 // Load returns the pool's load. It also records which of the workers are to be drained soon.
@@ -394,6 +394,6 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.conf.Now()
-	o.core.Soon(soon, now)
-	return o.core.Load(now)
+	o.pool.Soon(soon, now)
+	return o.pool.Load(now)
 }
--- a/internal/owner/piece.go
+++ b/internal/owner/piece.go
@@ -17,85 +17,85 @@
 // that fails or takes too long on a slow link loses only that chunk.
 
 const (
-	// pieceJobs is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about 130
+	// maxChunkMarks is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about 130
 	// KB, a tenth of a second at 10 Mbit/s.
-	pieceJobs = 40
-	// readsAtOnce bounds the concurrent reads. A read takes 4 ms, or 60 to 90 times as long while
+	maxChunkMarks = 40
+	// maxConcurrentReads bounds the concurrent reads. A read takes 4 ms, or 60 to 90 times as long while
 	// the table is slow. On a slow link, more concurrent reads would make each of them late.
-	readsAtOnce = 3
+	maxConcurrentReads = 3
 )
 
-// backlog tracks the open jobs of one queue that this owner hasn't read yet.
-type backlog struct {
+// queueLoad tracks the open jobs of one queue that this owner hasn't read yet.
+type queueLoad struct {
 	queue  string
-	pieces [][]string   // job keys in ascending order
-	left   atomic.Int64 // chunks that haven't been adopted yet
+	chunks [][]string   // job keys in ascending order
+	unreadChunks   atomic.Int64 // chunks that haven't been adopted yet
 	failed atomic.Bool  // a read has failed: the remaining chunks are left for the next attempt
 }
 
-// piece is one chunk of a queue's unread jobs.
-type piece struct {
-	of   *backlog
+// chunk is one chunk of a queue's unread jobs.
+type chunk struct {
+	load   *queueLoad
 	keys []string
 }
 
 // loadQueues reads the jobs that the queues had before this owner, starting with the smallest
 // queues, until ctx ends. It returns how many jobs it adopted, and whether any read was answered.
 func (o *Owner) loadQueues(ctx context.Context, queues []string) (jobs int64, heard bool) {
-	reads := iter.Iterator[*backlog]{MaxGoroutines: readsAtOnce}
-	backlogs := make([]*backlog, len(queues))
-	reads.ForEachIdx(backlogs, func(i int, b **backlog) { *b = o.backlogOf(ctx, queues[i]) })
-	backlogs = slices.DeleteFunc(backlogs, func(b *backlog) bool { return b == nil })
-	slices.SortFunc(backlogs, func(a, b *backlog) int { return cmp.Compare(len(a.pieces), len(b.pieces)) })
-	var pieces []piece
+	reads := iter.Iterator[*queueLoad]{MaxGoroutines: maxConcurrentReads}
+	backlogs := make([]*queueLoad, len(queues))
+	reads.ForEachIdx(backlogs, func(i int, b **queueLoad) { *b = o.newQueueLoad(ctx, queues[i]) })
+	backlogs = slices.DeleteFunc(backlogs, func(b *queueLoad) bool { return b == nil })
+	slices.SortFunc(backlogs, func(a, b *queueLoad) int { return cmp.Compare(len(a.chunks), len(b.chunks)) })
+	var pieces []chunk
 	for _, b := range backlogs {
-		if len(b.pieces) == 0 {
-			o.readWhole(b.queue)
+		if len(b.chunks) == 0 {
+			o.markRead(b.queue)
 		}
-		for _, keys := range b.pieces {
-			pieces = append(pieces, piece{b, keys})
+		for _, keys := range b.chunks {
+			pieces = append(pieces, chunk{b, keys})
 		}
 	}
 	var n atomic.Int64
-	each := iter.Iterator[piece]{MaxGoroutines: readsAtOnce}
-	each.ForEach(pieces, func(p *piece) { n.Add(o.loadPiece(ctx, p)) })
+	each := iter.Iterator[chunk]{MaxGoroutines: maxConcurrentReads}
+	each.ForEach(pieces, func(p *chunk) { n.Add(o.loadChunk(ctx, p)) })
 	return n.Load(), len(backlogs) > 0
 }
 
-// backlogOf reads the marks of a queue's open jobs. It returns nil if they can't be read.
-func (o *Owner) backlogOf(ctx context.Context, queue string) *backlog {
+// newQueueLoad reads the marks of a queue's open jobs. It returns nil if they can't be read.
+func (o *Owner) newQueueLoad(ctx context.Context, queue string) *queueLoad {
 	marks, _, err := o.conf.Store.Range(ctx, gauge.TableOpen, queue, "", "")
 	if err != nil {
 		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", queue, "error", err.Error())
 		return nil
 	}
-	b := &backlog{queue: queue, pieces: o.unknown(marks)}
-	b.left.Store(int64(len(b.pieces)))
+	b := &queueLoad{queue: queue, chunks: o.unknownJobs(marks)}
+	b.unreadChunks.Store(int64(len(b.chunks)))
 	return b
 }
 
-// loadPiece reads and adopts one chunk and returns how many new jobs it had.
-func (o *Owner) loadPiece(ctx context.Context, p *piece) int64 {
-	if ctx.Err() != nil || p.of.failed.Load() {
+// loadChunk reads and adopts one chunk and returns how many new jobs it had.
+func (o *Owner) loadChunk(ctx context.Context, p *chunk) int64 {
+	if ctx.Err() != nil || p.load.failed.Load() {
 		return 0
 	}
-	n, err := o.adoptKeys(ctx, p.of.queue, p.keys, true)
+	n, err := o.adoptKeys(ctx, p.load.queue, p.keys, true)
 	if err != nil {
-		p.of.failed.Store(true)
-		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", p.of.queue, "pieces", len(p.of.pieces),
-			"left", p.of.left.Load(), "error", err.Error())
+		p.load.failed.Store(true)
+		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", p.load.queue, "pieces", len(p.load.chunks),
+			"left", p.load.unreadChunks.Load(), "error", err.Error())
 		return 0
 	}
-	if p.of.left.Add(-1) == 0 {
-		o.readWhole(p.of.queue)
+	if p.load.unreadChunks.Add(-1) == 0 {
+		o.markRead(p.load.queue)
 	}
 	return int64(n)
 }
 
-// unknown applies the cancellations in a queue's marks, and returns the keys of this pool's jobs
+// unknownJobs applies the cancellations in a queue's marks, and returns the keys of this pool's jobs
 // that aren't known yet. Each chunk of keys spans few marks, so that little is read of the jobs in
 // between, which belong to other pools or are known already.
-func (o *Owner) unknown(marks []gauge.PartRow) [][]string {
+func (o *Owner) unknownJobs(marks []gauge.PartRow) [][]string {
 	var pieces [][]string
 	first := 0 // index of the first mark of the last chunk
 	o.mu.Lock()
@@ -104,13 +104,13 @@
 		mark := gauge.DecodeMark(m.Value)
 		switch {
 		case mark.Pool != o.conf.Pool:
-		case !o.core.Knows(m.Key):
-			if len(pieces) == 0 || i-first >= pieceJobs {
+		case !o.pool.Knows(m.Key):
+			if len(pieces) == 0 || i-first >= maxChunkMarks {
 				pieces, first = append(pieces, nil), i
 			}
 			pieces[len(pieces)-1] = append(pieces[len(pieces)-1], m.Key)
 		case mark.Cancelled:
-			o.core.Cancel(m.Key, 0)
+			o.pool.Cancel(m.Key, 0)
 		}
 	}
 	return pieces
@@ -127,12 +127,12 @@
 	if err != nil {
 		return 0, err
 	}
-	return o.adoptAll(o.decode(queue, rows, specs, inherited)), nil
+	return o.adoptJobs(o.decodeJobs(queue, rows, specs, inherited)), nil
 }
 
-// decode converts rows to jobs, as sched accepts them, for those that belong to this pool and are
+// decodeJobs converts rows to jobs, as sched accepts them, for those that belong to this pool and are
 // still open, which means that they have a spec.
-func (o *Owner) decode(queue string, rows, specs []gauge.PartRow, inherited bool) []sched.Accepted {
+func (o *Owner) decodeJobs(queue string, rows, specs []gauge.PartRow, inherited bool) []sched.Accepted {
 	bySpec := make(map[string][]byte, len(specs))
 	for _, s := range specs {
 		bySpec[s.Key] = s.Value
@@ -166,27 +166,27 @@
 		o.conf.Logs.Error(err, "job spec not read", "job", r.Key, "queue", queue)
 		return sched.Accepted{}, false
 	}
-	return sched.Accepted{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrival(row, now)}, true
+	return sched.Accepted{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrivalTime(row, now)}, true
 }
 
-// adoptAll adopts jobs that were read from the table, and returns how many of them were new.
+// adoptJobs adopts jobs that were read from the table, and returns how many of them were new.
 //
 // Workers may have reported runs of these jobs earlier, when the reports were ignored because the
 // jobs weren't known. So inherited jobs wait until every worker has reported again. That wait
 // begins when they are adopted: a worker that reports while they are being read would otherwise
 // count as one that has reported everything.
-func (o *Owner) adoptAll(jobs []sched.Accepted) int {
+func (o *Owner) adoptJobs(jobs []sched.Accepted) int {
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	jobs = slices.DeleteFunc(jobs, func(a sched.Accepted) bool {
-		return o.core.Knows(a.ID) || !a.Inherited && !o.mayAdopt()
+		return o.pool.Knows(a.ID) || !a.Inherited && !o.isServing()
 	})
 	if o.loaded && slices.ContainsFunc(jobs, func(a sched.Accepted) bool { return a.Inherited }) {
-		o.core.Rehear()
+		o.pool.Rehear()
 	}
 	for _, a := range jobs {
-		o.core.Adopt(a, now)
+		o.pool.Adopt(a, now)
 	}
 	return len(jobs)
 }
--- a/internal/owner/stop.go
+++ b/internal/owner/stop.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// drainWait bounds how long a handover waits for unwritten changes: about 30 transactions, or 1,000
+// drainTimeout bounds how long a handover waits for unwritten changes: about 30 transactions, or 1,000
 // ended jobs. An entry that stops has one second for all of its pools, and needs the rest to find
 // successors and get their answers.
-const drainWait = 400 * time.Millisecond
+const drainTimeout = 400 * time.Millisecond
 
-// calmTook is the longest write while the table isn't slow: a write takes about 10 ms, and a tenth
+// maxFastWrite is the longest write while the table isn't slow: a write takes about 10 ms, and a tenth
 // of a second more when the CPU quota is used up.
-const calmTook = 150 * time.Millisecond
+const maxFastWrite = 150 * time.Millisecond
 
 // Calm reports whether a successor could take over quickly because the table answers and isn't
 // slow. Claiming a lease and reading a pool takes about five calls in sequence; with a table 65
@@ -21,7 +21,7 @@
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ended || !o.away && o.took < calmTook && (o.writing == 0 || now-o.writing < calmTook)
+	return o.ended || !o.tableUnreachable && o.lastWriteTook < maxFastWrite && (o.writeSentAt == 0 || now-o.writeSentAt < maxFastWrite)
 }
 
 // Stop ends all work, so that a successor who is offered the pool needn't wait. It first writes the
@@ -43,18 +43,18 @@
 // drain starts nothing new and waits until all changes are in the table, or for drainWait. It
 // doesn't wait if the table is unreachable.
 func (o *Owner) drain() {
-	ctx, cancel := context.WithTimeout(o.ctx, drainWait)
+	ctx, cancel := context.WithTimeout(o.ctx, drainTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
 		o.stopping = true
-		over := o.ended || o.away || o.core.Unwritten() == 0
-		written := o.written
+		over := o.ended || o.tableUnreachable || o.pool.Unwritten() == 0
+		written := o.writeDone
 		o.mu.Unlock()
 		if over {
 			return
 		}
-		o.poke()
+		o.wakeWriter()
 		select {
 		case <-ctx.Done():
 			return
