--- a/internal/owner/sight_test.go
+++ b/internal/owner/backlog_test.go
@@ -17,31 +17,31 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// clock is a steady clock that only advances when it is told to.
-type clock struct {
+// manualClock is a steady manualClock that only advances when it is told to.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
 }
 
-func (c *clock) read() time.Duration {
+func (c *manualClock) read() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *clock) pass(d time.Duration) {
+func (c *manualClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now += d
 }
 
-// lines collects the logged lines.
-type lines struct {
+// logLines collects the logged logLines.
+type logLines struct {
 	mu  sync.Mutex
 	all []string
 }
 
-func (l *lines) logger() logr.Logger {
+func (l *logLines) logger() logr.Logger {
 	return funcr.New(func(_, line string) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -49,8 +49,8 @@
 	}, funcr.Options{})
 }
 
-// with returns the lines with the given message.
-func (l *lines) with(msg string) []string {
+// withMessage returns the lines withMessage the given message.
+func (l *logLines) withMessage(msg string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var some []string
@@ -62,30 +62,30 @@
 	return some
 }
 
-// ledger accepts transactions or, while it is away, fails them.
-type ledger struct {
-	store
-	mu   sync.Mutex
-	away bool
-	jobs int // job rows written
+// switchableTable accepts transactions or, while it is away, fails them.
+type switchableTable struct {
+	emptyStore
+	mu          sync.Mutex
+	unreachable bool
+	jobs        int // job rows written
 }
 
-func (s *ledger) taken() int {
+func (s *switchableTable) jobWrites() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.jobs
 }
 
-func (s *ledger) set(away bool) {
+func (s *switchableTable) setUnreachable(away bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unreachable = away
 }
 
-func (s *ledger) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (s *switchableTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.unreachable {
 		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindOutage, "the table is away")
 	}
 	for _, w := range t.Writes {
@@ -93,69 +93,69 @@
 			s.jobs++
 		}
 	}
-	return s.store.Commit(ctx, t)
+	return s.emptyStore.Commit(ctx, t)
 }
 
-func (s *ledger) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (s *switchableTable) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
 	return nil, gauge.Stamp{}, nil
 }
 
-// slow are workers that answer their first heartbeat and block the later ones.
-type slow struct {
+// blockingWorkers are workers that answer their first heartbeat and block the later ones.
+type blockingWorkers struct {
 	gauge.Workers
-	clock  *clock
-	mu     sync.Mutex
-	heard  map[string]bool
-	starts int
+	clock    *manualClock
+	mu       sync.Mutex
+	reported map[string]bool
+	starts   int
 }
 
-func (s *slow) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (s *blockingWorkers) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
 	s.mu.Lock()
-	first := !s.heard[w.ID]
-	s.heard[w.ID] = true
+	first := !s.reported[w.ID]
+	s.reported[w.ID] = true
 	s.mu.Unlock()
 	if !first {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	return &gauge.WorkerReport{Clock: s.shows()}, nil
+	return &gauge.WorkerReport{Clock: s.workerClock()}, nil
 }
 
-func (s *slow) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
+func (s *blockingWorkers) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.starts++
-	return s.shows(), nil
+	return s.workerClock(), nil
 }
 
-// shows returns the reading of the workers' clocks.
-func (s *slow) shows() time.Duration { return time.Hour + s.clock.read() }
+// workerClock returns the reading of the workers' clocks.
+func (s *blockingWorkers) workerClock() time.Duration { return time.Hour + s.clock.read() }
 
-func (s *slow) known() int {
+func (s *blockingWorkers) reportedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.heard)
+	return len(s.reported)
 }
 
-func (s *slow) started() int {
+func (s *blockingWorkers) startCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.starts
 }
 
-// scene runs one owner against these fakes.
-type scene struct {
+// fixture runs one owner against these fakes.
+type fixture struct {
 	t       *testing.T
-	clock   *clock
-	table   *ledger
-	workers *slow
-	lines   *lines
+	clock   *manualClock
+	table   *switchableTable
+	workers *blockingWorkers
+	lines   *logLines
 	owner   *owner.Owner
 }
 
-func newScene(t *testing.T, adjust func(*owner.Config)) *scene {
-	g := &scene{t: t, clock: &clock{now: time.Second}, table: &ledger{}, lines: &lines{}}
-	g.workers = &slow{clock: g.clock, heard: make(map[string]bool)}
+func newFixture(t *testing.T, adjust func(*owner.Config)) *fixture {
+	g := &fixture{t: t, clock: &manualClock{now: time.Second}, table: &switchableTable{}, lines: &logLines{}}
+	g.workers = &blockingWorkers{clock: g.clock, reported: make(map[string]bool)}
 	c := owner.Config{
 		Pool: "p", Store: g.table, Workers: g.workers, Logs: g.lines.logger(), Now: g.clock.read, Wall: time.Now,
 		Lease: tenure.New(tenure.Config{Lasts: time.Hour, Taken: g.clock.read(), Store: g.table, Now: g.clock.read, Clock: func() int64 { return 1 }}),
@@ -169,7 +169,7 @@
 	return g
 }
 
-func (g *scene) run(workers ...string) {
+func (g *fixture) start(workers ...string) {
 	var list []gauge.Worker
 	for _, id := range workers {
 		list = append(list, gauge.Worker{ID: id, Pool: "p", Capacity: gauge.Resources{MilliCPU: 4000, MemoryMB: 4000}})
@@ -183,16 +183,16 @@
 }
 
 // submit adds a job of one task and waits for its start.
-func (g *scene) submit(id string) {
-	before := g.workers.started()
+func (g *fixture) submit(id string) {
+	before := g.workers.startCount()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 1, Needs: gauge.Resources{MilliCPU: 100}}}}
 	row := &gauge.JobRow{State: gauge.JobPending, Pool: "p"}
-	g.wait("the owner takes jobs", func() bool { return g.owner.Adopt(id, "sheets", spec, row, 7) })
-	g.wait("it has started", func() bool { return g.workers.started() > before })
+	g.waitUntil("the owner takes jobs", func() bool { return g.owner.Adopt(id, "sheets", spec, row, 7) })
+	g.waitUntil("it has started", func() bool { return g.workers.startCount() > before })
 }
 
-// wait polls until a condition holds.
-func (g *scene) wait(what string, holds func() bool) {
+// waitUntil polls until a condition holds.
+func (g *fixture) waitUntil(what string, holds func() bool) {
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
 		if holds() {
 			return poll.Success()
@@ -201,55 +201,55 @@
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(time.Minute))
 }
 
-// await advances the clock until there are so many lines with the given message.
-func (g *scene) await(msg string, count int) []string {
+// advanceUntilLogged advances the clock until there are so many lines with the given message.
+func (g *fixture) advanceUntilLogged(msg string, count int) []string {
 	poll.WaitOn(g.t, func(poll.LogT) poll.Result {
-		if len(g.lines.with(msg)) >= count {
+		if len(g.lines.withMessage(msg)) >= count {
 			return poll.Success()
 		}
-		g.clock.pass(100 * time.Millisecond)
+		g.clock.advance(100 * time.Millisecond)
 		return poll.Continue("%d lines %q", count, msg)
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(time.Minute))
-	return g.lines.with(msg)
+	return g.lines.withMessage(msg)
 }
 
 // Guards against a pool that misses its targets for a minute while no log line shows that its owner
 // is behind: the owner's writes fail while starts are still sent. Each failed write is logged, but
 // the backlog has to be as well.
-func TestOwnerThatIsBehindTellsWhatWaits(t *testing.T) {
-	g := newScene(t, nil)
-	g.run("w1")
+func TestOwnerThatIsBehindLogsItsBacklog(t *testing.T) {
+	g := newFixture(t, nil)
+	g.start("w1")
 	g.submit("00000000000000a1")
-	g.wait("its row is written", func() bool { return g.table.taken() > 0 })
-	assert.Equal(t, len(g.lines.with("owner behind")), 0)
-	g.table.set(true)
+	g.waitUntil("its row is written", func() bool { return g.table.jobWrites() > 0 })
+	assert.Equal(t, len(g.lines.withMessage("owner behind")), 0)
+	g.table.setUnreachable(true)
 	g.submit("00000000000000a2")
-	said := g.await("owner behind", 3)
+	said := g.advanceUntilLogged("owner behind", 3)
 	assert.Assert(t, strings.Contains(said[2], `"pool"="p"`), said[2])
 	assert.Assert(t, strings.Contains(said[2], `"changes"=1`), said[2])
-	g.table.set(false)
-	caught := g.await("owner caught up", 1)
+	g.table.setUnreachable(false)
+	caught := g.advanceUntilLogged("owner caught up", 1)
 	assert.Assert(t, strings.Contains(caught[0], `"changes"=0`), caught[0])
 }
 
 // Guards against log lines that don't show whether a host or a few workers are slow: orders to most
 // workers take a third of a second and the owner asks for a successor. The line must tell more than
 // the duration of the last call.
-func TestOwnerThatLagsTellsHowManyCallsWereSlow(t *testing.T) {
-	g, s := newStuck(t)
+func TestLaggingOwnerLogsSlowCalls(t *testing.T) {
+	g, s := newStallingFixture(t)
 	g.owner.OnStuck(time.Hour, func(time.Duration) {})
-	g.run("w1", "w2", "w3", "w4", "w5", "w6")
-	g.wait("all are heard", func() bool { return s.known() == 6 })
-	let := s.shut()
+	g.start("w1", "w2", "w3", "w4", "w5", "w6")
+	g.waitUntil("all are heard", func() bool { return s.reportedCount() == 6 })
+	let := s.stall()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 18, PerWorker: 3, Needs: gauge.Resources{MilliCPU: 10}}}}
-	g.wait("the owner takes jobs", func() bool {
+	g.waitUntil("the owner takes jobs", func() bool {
 		return g.owner.Adopt("00000000000000a1", "sheets", spec, &gauge.JobRow{State: gauge.JobPending, Pool: "p"}, 7)
 	})
-	g.wait("all are on their way", func() bool { return s.sent(1) == 18 })
-	g.clock.pass(300 * time.Millisecond)
+	g.waitUntil("all are on their way", func() bool { return s.startsOfRun(1) == 18 })
+	g.clock.advance(300 * time.Millisecond)
 	close(let)
-	g.wait("it is told", func() bool { return len(g.lines.with("owner lags")) > 0 })
-	said := g.lines.with("owner lags")
+	g.waitUntil("it is told", func() bool { return len(g.lines.withMessage("owner lags")) > 0 })
+	said := g.lines.withMessage("owner lags")
 	for _, field := range []string{`"calls"=`, `"slow"=`, `"targets"=`} {
 		assert.Assert(t, strings.Contains(said[0], field), "%s in %s", field, said[0])
 	}
@@ -258,15 +258,15 @@
 // Guards against not knowing, after a handover, whether the new owner could know everything: an
 // owner leaves its pool while the table doesn't accept its writes, and has to log how much wasn't
 // written.
-func TestOwnerThatLeavesTellsWhatWasNotWritten(t *testing.T) {
-	g := newScene(t, nil)
-	g.run("w1")
+func TestLeavingOwnerLogsUnwrittenChanges(t *testing.T) {
+	g := newFixture(t, nil)
+	g.start("w1")
 	g.submit("00000000000000a1")
-	g.wait("its row is written", func() bool { return g.table.taken() > 0 })
-	g.table.set(true)
+	g.waitUntil("its row is written", func() bool { return g.table.jobWrites() > 0 })
+	g.table.setUnreachable(true)
 	g.submit("00000000000000a2")
 	g.owner.Stop("it lags")
-	left := g.lines.with("pool left")
+	left := g.lines.withMessage("pool left")
 	assert.Equal(t, len(left), 1)
 	assert.Assert(t, strings.Contains(left[0], `"unwritten"=1`), left[0])
 }
--- a/internal/owner/piece.go
+++ b/internal/owner/chunk.go
@@ -27,15 +27,15 @@
 
 // queueLoad tracks the open jobs of one queue that this owner hasn't read yet.
 type queueLoad struct {
-	queue  string
-	chunks [][]string   // job keys in ascending order
-	unreadChunks   atomic.Int64 // chunks that haven't been adopted yet
-	failed atomic.Bool  // a read has failed: the remaining chunks are left for the next attempt
+	queue        string
+	chunks       [][]string   // job keys in ascending order
+	unreadChunks atomic.Int64 // chunks that haven't been adopted yet
+	failed       atomic.Bool  // a read has failed: the remaining chunks are left for the next attempt
 }
 
 // chunk is one chunk of a queue's unread jobs.
 type chunk struct {
-	load   *queueLoad
+	load *queueLoad
 	keys []string
 }
 
@@ -155,7 +155,7 @@
 func (o *Owner) decodeJob(queue string, r gauge.PartRow, body []byte, now time.Duration) (sched.Accepted, bool) {
 	row, err := gauge.DecodeJobRow(r.Value)
 	if err != nil {
-		o.conf.Logs.Error(err, "job row not read", "job", r.Key, "queue", queue)
+		o.conf.Logs.Error(err, "job row not decoded", "job", r.Key, "queue", queue)
 		return sched.Accepted{}, false
 	}
 	if row.Pool != o.conf.Pool {
@@ -163,7 +163,7 @@
 	}
 	spec, err := gauge.DecodeJobSpec(body)
 	if err != nil {
-		o.conf.Logs.Error(err, "job spec not read", "job", r.Key, "queue", queue)
+		o.conf.Logs.Error(err, "job spec not decoded", "job", r.Key, "queue", queue)
 		return sched.Accepted{}, false
 	}
 	return sched.Accepted{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrivalTime(row, now)}, true
--- a/internal/owner/cost_bench_test.go
+++ b/internal/owner/cost_bench_test.go
@@ -21,56 +21,56 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// instant are workers on which each task ends successfully as soon as it has started.
-type instant struct {
+// instantWorkers are workers on which each task ends successfully as soon as it has started.
+type instantWorkers struct {
 	gauge.Workers
-	mu    sync.Mutex
-	began time.Time
-	by    map[string]*ends
-	stops atomic.Int64 // expected to stay 0
+	mu           sync.Mutex
+	began        time.Time
+	endsByWorker map[string]*unacknowledgedEnds
+	stops        atomic.Int64 // expected to stay 0
 }
 
-// ends are the unacknowledged ended runs of one worker.
-type ends struct {
+// unacknowledgedEnds are the unacknowledged ended runs of one worker.
+type unacknowledgedEnds struct {
 	number int64
 	list   []gauge.EndReport
-	news   chan struct{}
+	newEnd chan struct{}
 }
 
-func (w *instant) of(id string) *ends {
-	if w.by[id] == nil {
-		w.by[id] = &ends{news: make(chan struct{}, 1)}
+func (w *instantWorkers) endsOf(id string) *unacknowledgedEnds {
+	if w.endsByWorker[id] == nil {
+		w.endsByWorker[id] = &unacknowledgedEnds{newEnd: make(chan struct{}, 1)}
 	}
-	return w.by[id]
+	return w.endsByWorker[id]
 }
 
-func (w *instant) clock() time.Duration { return time.Hour + time.Since(w.began) }
+func (w *instantWorkers) clock() time.Duration { return time.Hour + time.Since(w.began) }
 
-func (w *instant) Start(_ context.Context, to *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
+func (w *instantWorkers) Start(_ context.Context, to *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	e := w.of(to.ID)
+	e := w.endsOf(to.ID)
 	e.number++
 	e.list = append(e.list, gauge.EndReport{Number: e.number, Task: c.Task, Run: c.Run, How: gauge.EndDone})
 	select {
-	case e.news <- struct{}{}:
+	case e.newEnd <- struct{}{}:
 	default:
 	}
 	return w.clock(), nil
 }
 
-func (w *instant) Stop(context.Context, *gauge.Worker, gauge.StopCall) (time.Duration, error) {
+func (w *instantWorkers) Stop(context.Context, *gauge.Worker, gauge.StopCall) (time.Duration, error) {
 	w.stops.Add(1)
 	return w.clock(), nil
 }
 
 // Hold waits until a run has ended that isn't acknowledged.
-func (w *instant) Hold(ctx context.Context, to *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (w *instantWorkers) Hold(ctx context.Context, to *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
 	timer := time.NewTimer(c.Wait)
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
-		e := w.of(to.ID)
+		e := w.endsOf(to.ID)
 		for len(e.list) > 0 && e.list[0].Number <= c.LastSeen {
 			e.list = e.list[1:]
 		}
@@ -86,24 +86,24 @@
 			// Read now: with a clock reading from before the wait, starts would expire.
 			rep.Clock = w.clock()
 			return rep, nil
-		case <-e.news:
+		case <-e.newEnd:
 		}
 	}
 }
 
-// counted accepts every transaction and gives each a version of its own.
-type counted struct {
-	store
+// versionedStore accepts every transaction and gives each a version of its own.
+type versionedStore struct {
+	emptyStore
 	version atomic.Int64
 }
 
-func (s *counted) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (s *versionedStore) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	return gauge.Stamp{Version: s.version.Add(1)}, nil, nil
 }
 
 const (
 	costWorkers = 140
-	costPlaces  = 4
+	costSlots   = 4
 	costTasks   = 8    // per job
 	costWaiting = 1000 // jobs that are submitted before the first has ended
 )
@@ -112,16 +112,16 @@
 // waiting: the cost in the owner, without the cost of calls.
 func BenchmarkOwner(b *testing.B) {
 	for name, log := range map[string]logr.Logger{"logs=none": logr.Discard(), "logs=json": logs.New(io.Discard, false)} {
-		b.Run(name, func(b *testing.B) { ownTasks(b, log) })
+		b.Run(name, func(b *testing.B) { benchmarkTasks(b, log) })
 	}
 }
 
-func ownTasks(b *testing.B, log logr.Logger) {
+func benchmarkTasks(b *testing.B, log logr.Logger) {
 	began := time.Now()
 	now := func() time.Duration { return time.Second + time.Since(began) }
-	table := &counted{}
+	table := &versionedStore{}
 	table.version.Store(100)
-	on := &instant{began: began, by: make(map[string]*ends)}
+	on := &instantWorkers{began: began, endsByWorker: make(map[string]*unacknowledgedEnds)}
 	done := make(chan struct{}, costWaiting)
 	ctx, cancel := context.WithCancel(b.Context())
 	o := owner.New(ctx, owner.Config{
@@ -136,7 +136,7 @@
 	})
 	var list []gauge.Worker
 	for i := range costWorkers {
-		room := gauge.Resources{MilliCPU: costPlaces * 1000, MemoryMB: costPlaces * 1000}
+		room := gauge.Resources{MilliCPU: costSlots * 1000, MemoryMB: costSlots * 1000}
 		list = append(list, gauge.Worker{ID: fmt.Sprintf("%012x", i), Pool: "p", Capacity: room})
 	}
 	var group sync.WaitGroup
@@ -161,20 +161,20 @@
 		assert.Assert(b, adopt())
 	}
 	b.ResetTimer()
-	before := spent(b)
+	before := cpuTime(b)
 	for range b.N {
 		<-done
 		assert.Assert(b, adopt())
 	}
-	b.ReportMetric(float64(spent(b)-before)/float64(b.N*costTasks), "cpu-ns/task")
+	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N*costTasks), "cpu-ns/task")
 	b.StopTimer()
 	cancel()
 	group.Wait()
 	assert.Equal(b, on.stops.Load(), int64(0), "a task had two runs")
 }
 
-// spent returns the CPU time that this process has used so far.
-func spent(b *testing.B) time.Duration {
+// cpuTime returns the CPU time that this process has used so far.
+func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/internal/owner/count_test.go
+++ b/internal/owner/count_test.go
@@ -15,21 +15,21 @@
 
 // Guards against reporting 0 waiting jobs where 1,354 wait: an owner takes over a pool and can't
 // read one of its two queues yet, whose count must not be written as 0.
-func TestCountOfAQueueThatIsNotReadIsNotTold(t *testing.T) {
-	store := newRows()
-	store.job(t, "parts", jobID(1), "p")
-	store.job(t, "sheets", jobID(2), "p")
+func TestCountOfUnreadQueueIsNotReported(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "parts", jobID(1), "p")
+	store.addJob(t, "sheets", jobID(2), "p")
 	store.onRange = func(_ context.Context, table, part string, _ []gauge.PartRow) error {
 		if table == gauge.TableOpen && part == "sheets" {
-			return away()
+			return noAnswer()
 		}
 		return nil
 	}
-	o := run(t, store, workers{}, logr.Discard(), nil)
-	until(t, "pool loaded", func() bool { return knows(o, "parts", jobID(1)) })
-	before := len(store.written())
-	until(t, "written twice", func() bool { return len(store.written()) > before+1 })
-	leases := store.written()
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+	waitFor(t, "pool loaded", func() bool { return knowsJobs(o, "parts", jobID(1)) })
+	before := len(store.writtenLeases())
+	waitFor(t, "written twice", func() bool { return len(store.writtenLeases()) > before+1 })
+	leases := store.writtenLeases()
 	last := leases[len(leases)-1]
 	waiting, known := last.Depth("parts")
 	assert.Assert(t, known)
@@ -46,18 +46,18 @@
 // Guards against reporting 0 waiting jobs where hundreds wait: an owner takes over a pool and
 // renews the lease before it has read the jobs. The counts of the previous owner must stay until
 // then.
-func TestCountOfTheOwnerBeforeGoesOnUntilThePoolIsRead(t *testing.T) {
-	store := newRows()
-	store.job(t, "sheets", jobID(1), "p")
+func TestPreviousOwnersCountIsReportedUntilPoolIsRead(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "sheets", jobID(1), "p")
 	store.onRange = func(ctx context.Context, _, _ string, _ []gauge.PartRow) error {
 		<-ctx.Done()
-		return away()
+		return noAnswer()
 	}
-	o := run(t, store, workers{}, logr.Discard(), func(c *owner.Config) {
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
 		c.Before = gauge.LeaseRow{Depths: map[string]int{"sheets": 7}, Unread: []string{"parts"}, Counted: 4000}
 	})
-	until(t, "lease renewed", func() bool { return len(store.written()) > 0 })
-	lease := store.written()[0]
+	waitFor(t, "lease renewed", func() bool { return len(store.writtenLeases()) > 0 })
+	lease := store.writtenLeases()[0]
 	waiting, known := lease.Depth("sheets")
 	assert.Assert(t, known)
 	assert.Equal(t, waiting, 7)
@@ -71,19 +71,19 @@
 // Guards against reporting 0 waiting jobs where 12 have waited for five seconds: an entry that
 // can't reach the owner stores jobs itself, its notifications are lost, and the table refuses the
 // owner's scans for such jobs. A count must not be reported long after the last successful scan.
-func TestCountIsNotToldLongAfterTheLastLookThatWasAnswered(t *testing.T) {
-	store := newRows()
-	store.job(t, "sheets", jobID(1), "p")
+func TestCountIsNotReportedLongAfterLastSuccessfulScan(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "sheets", jobID(1), "p")
 	var now atomic.Int64
 	now.Store(int64(time.Second))
 	var turnedAway atomic.Bool
 	store.onRange = func(_ context.Context, table, _ string, _ []gauge.PartRow) error {
 		if table == gauge.TableOpen && turnedAway.Load() {
-			return away()
+			return noAnswer()
 		}
 		return nil
 	}
-	o := run(t, store, workers{}, logr.Discard(), func(c *owner.Config) {
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
 		c.Now = func() time.Duration { return time.Duration(now.Load()) }
 	})
 	told := func() bool {
@@ -91,13 +91,13 @@
 		return known
 	}
 	written := func() bool {
-		before := len(store.written())
-		until(t, "written", func() bool { return len(store.written()) > before+1 })
-		leases := store.written()
+		before := len(store.writtenLeases())
+		waitFor(t, "written", func() bool { return len(store.writtenLeases()) > before+1 })
+		leases := store.writtenLeases()
 		_, known := leases[len(leases)-1].Depth("sheets")
 		return known
 	}
-	until(t, "told", told)
+	waitFor(t, "told", told)
 	o.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: "sheets", Pool: "p"}}})
 	assert.Assert(t, written())
 	turnedAway.Store(true)
@@ -107,5 +107,5 @@
 	assert.Assert(t, !told())
 	assert.Assert(t, !written(), "others are told as well")
 	turnedAway.Store(false)
-	until(t, "told after the next look", told)
+	waitFor(t, "told after the next look", told)
 }
--- a/internal/owner/act.go
+++ b/internal/owner/dispatch.go
@@ -145,7 +145,7 @@
 		return
 	}
 	if o.isObsolete(order, began) {
-		err := gauge.Fail(gauge.KindLate, "it waited here for too long, or is not wanted any more")
+		err := gauge.Fail(gauge.KindLate, "the order waited too long for a slot, or is obsolete")
 		o.update(func(now time.Duration) { o.pool.Answered(order, 0, err, now) })
 		return
 	}
@@ -188,7 +188,7 @@
 		return 0, gauge.Fail(gauge.KindOutage, "the lease is over")
 	}
 	if stopping && order.Kind == sched.OrderStart {
-		return 0, gauge.Fail(gauge.KindOutage, "the pool is handed over")
+		return 0, gauge.Fail(gauge.KindOutage, "the pool is being handed over")
 	}
 	w := &order.Worker
 	switch order.Kind {
@@ -207,7 +207,7 @@
 func (o *Owner) askAdvice(order sched.Order, asked time.Duration) {
 	var tickets []gauge.Ticket
 	var valid time.Duration
-	var err error = gauge.Fail(gauge.KindOutage, "there is no advice service")
+	var err error = gauge.Fail(gauge.KindOutage, "no advice service is configured")
 	if o.conf.Adviser != nil {
 		tickets, valid, err = o.conf.Adviser.Advise(o.ctx, order.Step, order.About)
 	}
--- a/internal/owner/known.go
+++ b/internal/owner/freshness.go
@@ -29,7 +29,9 @@
 }
 
 // isStale reports whether a queue was read too long ago to report its count.
-func (s *readTimes) isStale(queue string, now time.Duration) bool { return now-s.readAt(queue) > maxCountAge }
+func (s *readTimes) isStale(queue string, now time.Duration) bool {
+	return now-s.readAt(queue) > maxCountAge
+}
 
 // recordScan records a scan that began at the given time, and the queues for which it failed.
 func (s *readTimes) recordScan(began time.Duration, failed []string) {
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -12,14 +12,14 @@
 )
 
 // stop hands the pool over while time passes, and returns how long it took.
-func (g *rig) stop() time.Duration {
+func (g *harness) stop() time.Duration {
 	began := g.now()
 	g.owner.Stop("the entry stops")
 	return g.now() - began
 }
 
-// left returns the log line of the handover.
-func (g *rig) left() string {
+// handoverLine returns the log line of the handover.
+func (g *harness) handoverLine() string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, line := range g.logs {
@@ -30,46 +30,46 @@
 	return ""
 }
 
-// mostHandover is the most that a handover may take of the second that an entry has to stop, in
+// maxHandoverTime is the most that a handover may take of the second that an entry has to stop, in
 // which it hands over all of its pools, finds a successor for each and offers it the lease.
-const mostHandover = 500 * time.Millisecond
+const maxHandoverTime = 500 * time.Millisecond
 
 // Guards against tasks starting again after a handover although their runs have completed: an owner
 // with a backlog receives the ends of hundreds of runs, and its entry is told to stop before they
 // are written. If they are dropped, and the workers are gone when the successor has read the jobs,
 // nobody knows of them.
-func TestWhatWasTakenInIsInTheTableBeforeThePoolIsHandedOver(t *testing.T) {
+func TestPendingChangesAreWrittenBeforeHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 300
-		g := full(t, tasks)
+		g := newBusyHarness(t, tasks)
 		defer g.end()
-		g.site.finish(tasks)
-		g.pass(time.Millisecond)
+		g.site.endRuns(tasks)
+		g.advance(time.Millisecond)
 		took := g.stop()
-		assert.Equal(t, g.table.completed(), tasks)
-		assert.Assert(t, took < mostHandover, "took %s", took)
-		assert.Assert(t, strings.Contains(g.left(), `"unwritten"=0`), g.left())
+		assert.Equal(t, g.table.completedJobs(), tasks)
+		assert.Assert(t, took < maxHandoverTime, "took %s", took)
+		assert.Assert(t, strings.Contains(g.handoverLine(), `"unwritten"=0`), g.handoverLine())
 		g.end()
-		assert.Equal(t, g.table.cut, 0, "what is broken off may be carried out, and the lease's row has another version than was offered")
+		assert.Equal(t, g.table.cutOff, 0, "what is broken off may be carried out, and the lease's row has another version than was offered")
 	})
 }
 
 // Capacity that becomes free during a handover stays free, because a run that starts now would
 // start under an owner that is about to end. No job counts as begun either, and no worker gets
 // another heartbeat.
-func TestNothingStartsWhileAPoolIsHandedOver(t *testing.T) {
+func TestNothingStartsDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const room = workerCount * workerRoom
-		g := full(t, room)
+		const room = workerCount * workerSlots
+		g := newBusyHarness(t, room)
 		defer g.end()
 		g.adopt(t, room, 10)
 		g.table.mu.Lock()
-		g.table.takes = 50 * time.Millisecond
+		g.table.delay = 50 * time.Millisecond
 		g.table.mu.Unlock()
-		g.pass(time.Second)
-		g.site.finish(1)
-		g.pass(10 * time.Millisecond)
-		before, _ := g.site.counts()
+		g.advance(time.Second)
+		g.site.endRuns(1)
+		g.advance(10 * time.Millisecond)
+		before, _ := g.site.callCounts()
 		assert.Equal(t, before, room+1, "one waited for its room")
 		done := make(chan struct{})
 		go func() {
@@ -77,10 +77,10 @@
 			g.stop()
 		}()
 		synctest.Wait()
-		_, held := g.site.counts()
-		g.site.finish(5)
+		_, held := g.site.callCounts()
+		g.site.endRuns(5)
 		<-done
-		starts, holds := g.site.counts()
+		starts, holds := g.site.callCounts()
 		assert.Equal(t, starts, room+1)
 		assert.Equal(t, holds, held)
 		assert.Equal(t, len(g.table.jobs), room+1, "jobs that wait are as they were")
@@ -88,90 +88,90 @@
 }
 
 // Starts that wait for a slot at their worker aren't sent once the handover has begun.
-func TestStartsThatWaitTheirTurnAreNotSentDuringAHandover(t *testing.T) {
+func TestWaitingStartsAreNotSentDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t)
+		g := newHarness(t)
 		defer g.end()
 		g.site.mu.Lock()
-		g.site.takes = 20 * time.Millisecond
+		g.site.startDelay = 20 * time.Millisecond
 		g.site.mu.Unlock()
 		g.table.mu.Lock()
-		g.table.takes = 100 * time.Millisecond
+		g.table.delay = 100 * time.Millisecond
 		g.table.mu.Unlock()
-		g.adopt(t, 0, workerCount*workerRoom)
-		g.pass(50 * time.Millisecond)
-		before, _ := g.site.counts()
+		g.adopt(t, 0, workerCount*workerSlots)
+		g.advance(50 * time.Millisecond)
+		before, _ := g.site.callCounts()
 		assert.Assert(t, before > 0)
 		took := g.stop()
 		assert.Assert(t, took > 50*time.Millisecond, "there was time to send more")
-		after, _ := g.site.counts()
+		after, _ := g.site.callCounts()
 		assert.Equal(t, after, before)
 	})
 }
 
 // A handover doesn't wait for a table that is known to be unreachable.
-func TestHandoverDoesNotWaitForATableThatCannotBeReached(t *testing.T) {
+func TestHandoverDoesNotWaitForUnreachableTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 30
-		g := full(t, tasks)
+		g := newBusyHarness(t, tasks)
 		defer g.end()
 		g.table.mu.Lock()
 		g.table.err = gauge.Fail(gauge.KindOutage, "away")
 		g.table.mu.Unlock()
-		g.site.finish(tasks)
-		g.pass(time.Second)
+		g.site.endRuns(tasks)
+		g.advance(time.Second)
 		assert.Equal(t, g.stop(), time.Duration(0))
-		assert.Assert(t, strings.Contains(g.left(), `"unwritten"=30`), g.left())
+		assert.Assert(t, strings.Contains(g.handoverLine(), `"unwritten"=30`), g.handoverLine())
 	})
 }
 
 // A handover doesn't wait long for a table that has stopped answering, before any call has failed.
-func TestHandoverDoesNotWaitForLongForATableThatDoesNotAnswer(t *testing.T) {
+func TestHandoverDoesNotWaitLongForHangingTable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 30
-		g := full(t, tasks)
+		g := newBusyHarness(t, tasks)
 		defer g.end()
 		g.table.mu.Lock()
-		g.table.takes = time.Minute
+		g.table.delay = time.Minute
 		g.table.mu.Unlock()
-		g.site.finish(tasks)
-		g.pass(time.Millisecond)
+		g.site.endRuns(tasks)
+		g.advance(time.Millisecond)
 		took := g.stop()
-		assert.Assert(t, took < mostHandover, "took %s", took)
-		assert.Assert(t, strings.Contains(g.left(), `"unwritten"=30`), g.left())
+		assert.Assert(t, took < maxHandoverTime, "took %s", took)
+		assert.Assert(t, strings.Contains(g.handoverLine(), `"unwritten"=30`), g.handoverLine())
 	})
 }
 
 // Guards against an owner falling further behind when hundreds of tasks end at about the same time:
 // with a pause between any two writes, and no ended run acknowledged before all are written,
 // workers report old ends again and again, which saturates the owner's link.
-func TestABacklogIsWrittenWithoutPauses(t *testing.T) {
+func TestBacklogIsWrittenWithoutPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 400
-		g := full(t, tasks)
+		g := newBusyHarness(t, tasks)
 		defer g.end()
-		g.site.finish(tasks)
+		g.site.endRuns(tasks)
 		// Four entries for each job, of 98 per transaction, make 17 transactions of 10 ms, after
 		// one pause and a renewal that may be in progress.
-		g.pass(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
-		assert.Equal(t, g.table.completed(), tasks)
-		g.pass(time.Second)
-		assert.Equal(t, g.site.listed, tasks, "each end is listed once")
-		assert.Assert(t, g.table.most <= 100, "%d entries", g.table.most)
+		g.advance(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
+		assert.Equal(t, g.table.completedJobs(), tasks)
+		g.advance(time.Second)
+		assert.Equal(t, g.site.reportedEnds, tasks, "each end is listed once")
+		assert.Assert(t, g.table.maxEntries <= 100, "%d entries", g.table.maxEntries)
 	})
 }
 
 // Without a backlog, changes are gathered into few transactions, because each one is billed.
 func TestWritesAreRareWithoutABacklog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t)
+		g := newHarness(t)
 		defer g.end()
 		before := g.table.txns
 		for i := range 100 {
 			g.adopt(t, i, 1)
-			g.pass(5 * time.Millisecond)
-			g.site.finish(1)
-			g.pass(5 * time.Millisecond)
+			g.advance(5 * time.Millisecond)
+			g.site.endRuns(1)
+			g.advance(5 * time.Millisecond)
 		}
 		assert.Assert(t, g.table.txns-before <= 26, "%d transactions in a second", g.table.txns-before)
 	})
@@ -181,21 +181,21 @@
 // over, and the new owner starts tasks there; the fleet lease holder, which doesn't know that yet,
 // asks the previous owner. An owner that has ended, or whose lease is over, must not answer from
 // memory.
-func TestOwnerThatHasEndedCallsNoWorkerEmpty(t *testing.T) {
+func TestEndedOwnerReportsNoWorkerDrained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t)
+		g := newHarness(t)
 		defer g.end()
 		assert.Assert(t, g.owner.Empty("w1", false))
 		g.stop()
 		assert.Assert(t, !g.owner.Empty("w1", false))
 	})
 	synctest.Test(t, func(t *testing.T) {
-		g := newRig(t)
+		g := newHarness(t)
 		defer g.end()
 		g.table.mu.Lock()
 		g.table.err = gauge.Fail(gauge.KindOutage, "away")
 		g.table.mu.Unlock()
-		g.pass(3 * time.Second)
+		g.advance(3 * time.Second)
 		assert.Assert(t, !g.owner.Empty("w1", false), "another entry may have the lease")
 	})
 }
--- /dev/null
+++ b/internal/owner/harness_test.go
@@ -0,0 +1,306 @@
+package owner_test
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/go-logr/logr/funcr"
+
+	gauge "sapphiregauge"
+	"sapphiregauge/internal/owner"
+	"sapphiregauge/internal/tenure"
+)
+
+// fakeTable stores rows of jobs, and answers each transaction after a delay.
+type fakeTable struct {
+	gauge.Parted
+	mu         sync.Mutex
+	delay      time.Duration // delay of each transaction
+	err        error         // returned for each transaction instead of carrying it out
+	version    int64
+	jobs       map[string]*gauge.JobRow
+	maxEntries int // entries of the largest transaction
+	txns       int
+	cutOff     int // transactions whose context ended before the answer
+}
+
+func (b *fakeTable) Parts(context.Context, string) ([]string, error) { return nil, nil }
+
+func (b *fakeTable) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return nil, gauge.Stamp{}, b.err
+}
+
+func (b *fakeTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+	b.mu.Lock()
+	takes := b.delay
+	b.mu.Unlock()
+	select {
+	case <-ctx.Done():
+		b.mu.Lock()
+		defer b.mu.Unlock()
+		b.cutOff++
+		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindUnknown, "broken off")
+	case <-time.After(takes):
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.err != nil {
+		return gauge.Stamp{}, nil, b.err
+	}
+	b.version++
+	b.txns++
+	b.maxEntries = max(b.maxEntries, len(t.Checks)+len(t.Writes)+len(t.Drops))
+	for _, w := range t.Writes {
+		if w.Table != gauge.TableJobs {
+			continue
+		}
+		row, err := gauge.DecodeJobRow(w.Value)
+		if err != nil {
+			return gauge.Stamp{}, nil, err
+		}
+		b.jobs[w.Key] = row
+	}
+	return gauge.Stamp{Version: b.version}, nil, nil
+}
+
+// completedJobs returns how many jobs are completedJobs according to the table.
+func (b *fakeTable) completedJobs() int {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	n := 0
+	for _, row := range b.jobs {
+		if row.State == gauge.JobCompleted {
+			n++
+		}
+	}
+	return n
+}
+
+// fakeSite has workers that run what they are told to until the test ends it.
+type fakeSite struct {
+	gauge.Workers
+	began time.Time
+
+	mu           sync.Mutex
+	workers      map[string]*fakeWorker
+	startDelay   time.Duration // delay of each start
+	starts       int
+	holds        int
+	reportedEnds int           // ended runs in answers to heartbeats, counted each time they are reported
+	runEnded     chan struct{} // closed when a run ends
+	silentCount  int           // the first so many workers answer nothing
+}
+
+type fakeWorker struct {
+	runs    []gauge.RunReport
+	ended   []gauge.EndReport
+	lastEnd int64
+}
+
+func (s *fakeSite) clock() time.Duration { return time.Hour + time.Since(s.began) }
+
+func (s *fakeSite) worker(id string) *fakeWorker {
+	if s.workers[id] == nil {
+		s.workers[id] = new(fakeWorker)
+	}
+	return s.workers[id]
+}
+
+// isSilent reports whether a worker answers nothing.
+func (s *fakeSite) isSilent(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	var n int
+	_, err := fmt.Sscanf(id, "w%d", &n)
+	return err == nil && n < s.silentCount
+}
+
+// noAnswerAfter fails after the given time without an answer.
+func noAnswerAfter(after time.Duration) error {
+	time.Sleep(after)
+	return gauge.Fail(gauge.KindUnknown, "no answer")
+}
+
+func (s *fakeSite) Stop(_ context.Context, w *gauge.Worker, _ gauge.StopCall) (time.Duration, error) {
+	if s.isSilent(w.ID) {
+		return 0, noAnswerAfter(300 * time.Millisecond)
+	}
+	return s.clock(), nil
+}
+
+func (s *fakeSite) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+	if s.isSilent(w.ID) {
+		return nil, noAnswerAfter(800*time.Millisecond + c.Wait)
+	}
+	s.mu.Lock()
+	s.holds++
+	l := s.worker(w.ID)
+	for len(l.ended) > 0 && l.ended[0].Number <= c.LastSeen {
+		l.ended = l.ended[1:]
+	}
+	wait, news := len(l.ended) == 0 && c.Wait > 0, s.runEnded
+	s.mu.Unlock()
+	if wait {
+		select {
+		case <-ctx.Done():
+			return nil, gauge.Fail(gauge.KindUnknown, "broken off")
+		case <-news:
+		case <-time.After(c.Wait):
+		}
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.reportedEnds += len(l.ended)
+	return &gauge.WorkerReport{
+		Clock: s.clock(), Running: append([]gauge.RunReport(nil), l.runs...), Ended: append([]gauge.EndReport(nil), l.ended...),
+	}, nil
+}
+
+func (s *fakeSite) Start(ctx context.Context, w *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
+	s.mu.Lock()
+	s.starts++
+	takes := s.startDelay
+	s.mu.Unlock()
+	if takes > 0 {
+		select {
+		case <-ctx.Done():
+			return 0, gauge.Fail(gauge.KindUnknown, "broken off")
+		case <-time.After(takes):
+		}
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	l := s.worker(w.ID)
+	l.runs = append(l.runs, gauge.RunReport{Task: c.Task, Run: c.Run})
+	return s.clock(), nil
+}
+
+// endRuns ends at most so many of the running tasks.
+func (s *fakeSite) endRuns(most int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, l := range s.workers {
+		n := min(most, len(l.runs))
+		for _, r := range l.runs[:n] {
+			l.lastEnd++
+			l.ended = append(l.ended, gauge.EndReport{Number: l.lastEnd, Task: r.Task, Run: r.Run, How: gauge.EndDone})
+		}
+		l.runs = l.runs[n:]
+		most -= n
+	}
+	close(s.runEnded)
+	s.runEnded = make(chan struct{})
+}
+
+// callCounts returns how many starts and heartbeats were sent.
+func (s *fakeSite) callCounts() (starts, holds int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.starts, s.holds
+}
+
+// harness is a running owner in a synctest bubble.
+type harness struct {
+	owner        *owner.Owner
+	table        *fakeTable
+	site         *fakeSite
+	began        time.Time
+	mu           sync.Mutex
+	logs         []string
+	lagCallbacks int             // times a successor was asked for because orders lag
+	failingTimes []time.Duration // for each time a successor was asked for because writes fail, how long they had failed
+	end          func()
+}
+
+const (
+	workerCount = 10
+	workerSlots = 40 // tasks that fit on one worker
+	queueName   = "sheets"
+	firstJob    = 0x100 // above the owner's fencing token
+)
+
+func newHarness(t *testing.T) *harness { return newHarnessStuckAfter(t, time.Hour) }
+
+func newHarnessStuckAfter(t *testing.T, after time.Duration) *harness {
+	now := time.Now()
+	g := &harness{
+		table: &fakeTable{delay: 10 * time.Millisecond, version: 2, jobs: make(map[string]*gauge.JobRow)},
+		site:  &fakeSite{began: now, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}, began: now,
+	}
+	log := funcr.New(func(_, line string) {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.logs = append(g.logs, line)
+	}, funcr.Options{})
+	clock := func() int64 { return g.now().Milliseconds() }
+	ctx, cancel := context.WithCancel(t.Context())
+	g.owner = owner.New(ctx, owner.Config{
+		Pool: "p", Store: g.table, Workers: g.site, Logs: log, Now: g.now, Wall: time.Now, Fence: 2,
+		Lease: tenure.New(tenure.Config{Lasts: 2 * time.Second, Taken: g.now(), Version: 2, Store: g.table, Now: g.now, Clock: clock}),
+		Grace: 6 * time.Second, Hold: 4 * time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
+		Clock: clock, Count: func(string, time.Duration) {}, Event: func(string) {},
+	})
+	g.owner.OnStuck(after, func(failing time.Duration) {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		if failing > 0 {
+			g.failingTimes = append(g.failingTimes, failing)
+			return
+		}
+		g.lagCallbacks++
+	})
+	var list []gauge.Worker
+	for i := range workerCount {
+		list = append(list, gauge.Worker{ID: fmt.Sprint("w", i), Pool: "p", Capacity: gauge.Resources{MilliCPU: workerSlots, MemoryMB: workerSlots}})
+	}
+	var group sync.WaitGroup
+	group.Go(func() {
+		g.owner.Run(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: "p", MaxAttempts: 2, Stretch: 2}}}, list)
+	})
+	g.end = func() {
+		cancel()
+		group.Wait()
+	}
+	g.advance(time.Second)
+	return g
+}
+
+// now is a steady clock that doesn't start at 0, because 0 stands for never.
+func (g *harness) now() time.Duration { return time.Minute + time.Since(g.began) }
+
+// advance lets time advance and waits until all goroutines of the bubble are blocked.
+func (g *harness) advance(d time.Duration) {
+	time.Sleep(d)
+	synctest.Wait()
+}
+
+// adopt adds jobs of one task each.
+func (g *harness) adopt(t *testing.T, from, count int) {
+	t.Helper()
+	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 1, Needs: gauge.Resources{MilliCPU: 1, MemoryMB: 1}, Estimate: time.Second}}}
+	for i := range count {
+		n := firstJob + from + i
+		row := &gauge.JobRow{State: gauge.JobPending, Pool: "p", Accepted: g.now().Milliseconds()}
+		if !g.owner.Adopt(fmt.Sprintf("%016x", n), queueName, spec, row, int64(n)) {
+			t.Fatal("the owner takes no jobs")
+		}
+	}
+}
+
+// newBusyHarness returns an owner with the given number of running tasks, whose starts are all written.
+func newBusyHarness(t *testing.T, tasks int) *harness {
+	t.Helper()
+	g := newHarness(t)
+	g.adopt(t, 0, tasks)
+	g.advance(5 * time.Second)
+	if n, _ := g.site.callCounts(); n != tasks {
+		t.Fatalf("%d tasks started, not %d", n, tasks)
+	}
+	return g
+}
--- a/internal/owner/hold.go
+++ b/internal/owner/heartbeat.go
@@ -45,7 +45,7 @@
 			}
 		}
 		if err == nil && !o.applyReport(l, call, rep) {
-			err = gauge.Fail(gauge.KindUnknown, "the answer is of an earlier life")
+			err = gauge.Fail(gauge.KindUnknown, "the answer is from an earlier incarnation of the worker")
 		}
 		if err != nil {
 			o.update(func(now time.Duration) { o.pool.HoldFailed(l, err, now) })
--- a/internal/owner/handed_test.go
+++ b/internal/owner/inherit_test.go
@@ -13,57 +13,57 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// successor returns an owner that has claimed a pool with one worker, with the given lease row of
+// newSuccessor returns an owner that has claimed a pool with one worker, with the given lease row of
 // the previous owner.
-func successor(t *testing.T, store *rows, w *site, term int, before gauge.LeaseRow) *owner.Owner {
+func newSuccessor(t *testing.T, store *rowTable, w *fakeSite, term int, before gauge.LeaseRow) *owner.Owner {
 	t.Helper()
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
 	clock := func() int64 { return now().Milliseconds() }
-	o := run(t, store, w, logr.Discard(), func(c *owner.Config) {
+	o := startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
 		c.Term, c.Fence, c.Earlier, c.Before, c.Now, c.Clock = term, gauge.Fence(term+1), before.Workers, before, now, clock
 		c.Grace, c.Hold = 6*time.Second, 4*time.Second
 		c.Lease = tenure.New(tenure.Config{
 			Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 			Lasts: 2 * time.Second, Taken: now(), Store: store, Now: now, Clock: clock,
 		})
-	}, free("w1"))
+	}, idleWorker("w1"))
 	time.Sleep(500 * time.Millisecond)
 	synctest.Wait()
 	return o
 }
 
-func newSite() *site {
-	return &site{began: time.Now(), lives: make(map[string]*life), news: make(chan struct{})}
+func newFakeSite() *fakeSite {
+	return &fakeSite{began: time.Now(), workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}
 }
 
 // Guards against tasks that are lost with their machine, because the next owner of a pool doesn't
 // know that the previous one has reported the worker as drained.
-func TestNextOwnerKeepsAWorkerEmpty(t *testing.T) {
+func TestSuccessorKeepsWorkerDrained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, w := newRows(), newSite()
-		first := successor(t, store, w, 1, gauge.LeaseRow{})
+		store, w := newRowTable(), newFakeSite()
+		first := newSuccessor(t, store, w, 1, gauge.LeaseRow{})
 		assert.Assert(t, first.Empty("w1", false))
 		first.Stop("the entry stops")
 		before, _ := first.Offer()
 		all, grants := before.Split()
 		all.Join(&grants)
 
-		store.job(t, "sheets", jobID(2), "p")
-		successor(t, store, w, 2, all)
-		starts, _ := w.counts()
+		store.addJob(t, "sheets", jobID(2), "p")
+		newSuccessor(t, store, w, 2, all)
+		starts, _ := w.callCounts()
 		assert.Equal(t, starts, 0, "its machine may be on its way out")
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
-		starts, _ = w.counts()
+		starts, _ = w.callCounts()
 		assert.Equal(t, starts, 1, "it was not taken away")
 	})
 }
 
 // Guards against missed crashes: two owners in a row couldn't record all crashes, and the third
 // hears of one of them only.
-func TestOwnerHandsOnThatCrashesWereNotWritten(t *testing.T) {
+func TestOwnerHandsOnCountOfUnrecordedCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := successor(t, newRows(), newSite(), 1, gauge.LeaseRow{Unnoted: 1})
+		o := newSuccessor(t, newRowTable(), newFakeSite(), 1, gauge.LeaseRow{Unnoted: 1})
 		row, _ := o.Offer()
 		assert.Equal(t, row.Unnoted, 1)
 		time.Sleep(30 * time.Second)
@@ -75,12 +75,12 @@
 
 // Guards against missed crashes: an owner finds another incarnation of a worker, and is killed
 // before anything crashes under it and before it hands the pool over.
-func TestOwnerWritesThatItMayNotKnowOfCrashes(t *testing.T) {
+func TestOwnerWritesThatCrashesMayBeUnrecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := newRows()
-		successor(t, store, newSite(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
+		store := newRowTable()
+		newSuccessor(t, store, newFakeSite(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
 		time.Sleep(8 * time.Second) // until nothing can run there any more
 		synctest.Wait()
-		assert.Equal(t, store.granted().Unnoted, 1)
+		assert.Equal(t, store.lastGrants().Unnoted, 1)
 	})
 }
--- a/internal/owner/silent_test.go
+++ b/internal/owner/lag_test.go
@@ -12,21 +12,21 @@
 // Guards against a pool moving from owner to owner although each one's host is healthy: four of ten
 // workers are cut off with runs of cancelled jobs, and stops are sent to them again and again
 // without an answer. Orders to silent workers must not count as a sign that this host lags.
-func TestOrdersToSilentWorkersAreNoSignOfLag(t *testing.T) {
+func TestOrdersToSilentWorkersDoNotCountAsLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const tasks = 400 // fills all workers
-		g := full(t, tasks)
+		g := newBusyHarness(t, tasks)
 		defer g.end()
 		g.site.mu.Lock()
-		g.site.cut = 4
+		g.site.silentCount = 4
 		g.site.mu.Unlock()
-		g.pass(4 * time.Second) // none of the four has answered a heartbeat since
+		g.advance(4 * time.Second) // none of the four has answered a heartbeat since
 		for i := range tasks {
 			g.owner.Cancel(fmt.Sprintf("%016x", firstJob+i), int64(5000+i))
 		}
-		g.pass(3 * time.Second)
+		g.advance(3 * time.Second)
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		assert.Equal(t, g.lags, 0)
+		assert.Equal(t, g.lagCallbacks, 0)
 	})
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -243,7 +243,7 @@
 	}
 	_, _, err = o.conf.Store.Commit(o.ctx, txn)
 	if err == nil {
-		o.conf.Logs.Info("old jobs dropped", "pool", o.conf.Pool, "queue", queue, "jobs", len(txn.Drops))
+		o.conf.Logs.Info("expired job rows deleted", "pool", o.conf.Pool, "queue", queue, "jobs", len(txn.Drops))
 	}
 	return err
 }
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -20,35 +20,35 @@
 // Guards against a pool that passes from entry to entry without anyone running it: reading the jobs
 // of a large pool takes longer than the lease's term, so that another entry claims the lease and
 // reads them again. The lease must be renewed while the pool loads.
-func TestLeaseIsRenewedWhileThePoolLoads(t *testing.T) {
-	store := newRows()
-	store.job(t, "sheets", jobID(1), "p")
+func TestLeaseIsRenewedWhilePoolLoads(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "sheets", jobID(1), "p")
 	store.onRange = func(ctx context.Context, table, _ string, _ []gauge.PartRow) error {
 		if table != gauge.TableSpecs {
 			return nil
 		}
 		select {
-		case <-store.wrote:
+		case <-store.leaseWritten:
 			return nil
 		case <-ctx.Done():
-			return away()
+			return noAnswer()
 		}
 	}
-	o := run(t, store, workers{}, logr.Discard(), nil)
-	until(t, "pool loaded", func() bool { return knows(o, "sheets", jobID(1)) })
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+	waitFor(t, "pool loaded", func() bool { return knowsJobs(o, "sheets", jobID(1)) })
 }
 
 // Guards against a pool with 1,000 jobs never being read at an entry with a slow link, where no
 // answer of more than a few hundred kilobytes arrives before the call times out. The jobs must not
 // be read all at once.
-func TestLargeQueueIsReadPieceByPiece(t *testing.T) {
+func TestLargeQueueIsReadInChunks(t *testing.T) {
 	const jobs = 1000
 	const arrives = 256 << 10
-	store := newRows()
+	store := newRowTable()
 	var ids []string
 	for n := range jobs {
 		ids = append(ids, jobID(n))
-		store.job(t, "sheets", jobID(n), "p")
+		store.addJob(t, "sheets", jobID(n), "p")
 	}
 	store.onRange = func(_ context.Context, _, _ string, found []gauge.PartRow) error {
 		size := 0
@@ -56,24 +56,24 @@
 			size += len(r.Value)
 		}
 		if size > arrives {
-			return away()
+			return noAnswer()
 		}
 		return nil
 	}
-	o := run(t, store, workers{}, logr.Discard(), nil)
-	until(t, "all jobs read", func() bool { return knows(o, "sheets", ids...) })
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+	waitFor(t, "all jobs read", func() bool { return knowsJobs(o, "sheets", ids...) })
 }
 
 // Guards against a large queue being read again and again without ever being complete: on a slow
 // link a read of more than a hundred specs times out, and every third read gets no answer. What was
 // read before a failure must be kept.
-func TestWhatWasReadBeforeAFailureIsKept(t *testing.T) {
+func TestChunksReadBeforeFailureAreKept(t *testing.T) {
 	const jobs = 400
-	store := newRows()
+	store := newRowTable()
 	var ids []string
 	for n := range jobs {
 		ids = append(ids, jobID(n))
-		store.job(t, "sheets", jobID(n), "p")
+		store.addJob(t, "sheets", jobID(n), "p")
 	}
 	var reads, specs atomic.Int64
 	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartRow) error {
@@ -81,26 +81,26 @@
 			return nil
 		}
 		if reads.Add(1)%3 == 1 || len(found) > 100 {
-			return away()
+			return noAnswer()
 		}
 		specs.Add(int64(len(found)))
 		return nil
 	}
-	o := run(t, store, workers{}, logr.Discard(), nil)
-	until(t, "all jobs read", func() bool { return knows(o, "sheets", ids...) })
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+	waitFor(t, "all jobs read", func() bool { return knowsJobs(o, "sheets", ids...) })
 	assert.Equal(t, specs.Load(), int64(jobs), "each spec was read once")
 }
 
 // Guards against an entry with a slow link reading rows it doesn't need: a queue has two jobs of
 // this pool with five hundred of another pool in between.
 func TestSpecsOfOtherPoolsAreNotRead(t *testing.T) {
-	store := newRows()
+	store := newRowTable()
 	for n := range 502 {
 		pool := "q"
 		if n == 0 || n == 501 {
 			pool = "p"
 		}
-		store.job(t, "sheets", jobID(n), pool)
+		store.addJob(t, "sheets", jobID(n), pool)
 	}
 	var specs atomic.Int64
 	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartRow) error {
@@ -109,38 +109,38 @@
 		}
 		return nil
 	}
-	o := run(t, store, workers{}, logr.Discard(), nil)
-	until(t, "jobs read", func() bool { return knows(o, "sheets", jobID(0), jobID(501)) })
+	o := startOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+	waitFor(t, "jobs read", func() bool { return knowsJobs(o, "sheets", jobID(0), jobID(501)) })
 	assert.Equal(t, specs.Load(), int64(2))
 }
 
-// running are workers whose heartbeats are answered when the test says so, with the given runs.
-type running struct {
+// reportingWorkers are workers whose heartbeats are answered when the test says so, with the given runs.
+type reportingWorkers struct {
 	gauge.Workers
-	runs   map[string][]gauge.RunReport
-	report map[string]chan struct{} // a receive lets one heartbeat of the worker be answered
-	taken  map[string]chan struct{} // sent when the next heartbeat arrives, after the report has been applied
+	runs    map[string][]gauge.RunReport
+	report  map[string]chan struct{} // a receive lets one heartbeat of the worker be answered
+	applied map[string]chan struct{} // sent when the next heartbeat arrives, after the report has been applied
 
-	mu    sync.Mutex
-	heard map[string]bool
+	mu       sync.Mutex
+	reported map[string]bool
 }
 
-func newRunning(runs map[string][]gauge.RunReport, ids ...string) *running {
-	r := &running{runs: runs, report: make(map[string]chan struct{}), taken: make(map[string]chan struct{}), heard: make(map[string]bool)}
+func newReportingWorkers(runs map[string][]gauge.RunReport, ids ...string) *reportingWorkers {
+	r := &reportingWorkers{runs: runs, report: make(map[string]chan struct{}), applied: make(map[string]chan struct{}), reported: make(map[string]bool)}
 	for _, id := range ids {
-		r.report[id], r.taken[id] = make(chan struct{}), make(chan struct{})
+		r.report[id], r.applied[id] = make(chan struct{}), make(chan struct{})
 	}
 	return r
 }
 
-func (r *running) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (r *reportingWorkers) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
 	r.mu.Lock()
-	again := r.heard[w.ID]
-	r.heard[w.ID] = true
+	again := r.reported[w.ID]
+	r.reported[w.ID] = true
 	r.mu.Unlock()
 	if again {
 		select {
-		case r.taken[w.ID] <- struct{}{}:
+		case r.applied[w.ID] <- struct{}{}:
 		case <-ctx.Done():
 		}
 	}
@@ -152,19 +152,19 @@
 	}
 }
 
-func (r *running) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
+func (r *reportingWorkers) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
 	return time.Hour, nil
 }
 
-// hear lets a worker's heartbeat be answered, and waits until its report has been applied.
-func (r *running) hear(ctx context.Context, id string) {
+// reportOnce lets a worker's heartbeat be answered, and waits until its report has been applied.
+func (r *reportingWorkers) reportOnce(ctx context.Context, id string) {
 	select {
 	case r.report[id] <- struct{}{}:
 	case <-ctx.Done():
 		return
 	}
 	select {
-	case <-r.taken[id]:
+	case <-r.applied[id]:
 	case <-ctx.Done():
 	}
 }
@@ -173,11 +173,11 @@
 // queue at first. While it is being read, a worker reports a run of a job in that queue, which
 // isn't known yet; then the job is adopted. Workers that reported during the read must not count as
 // having reported that run.
-func TestTaskOfAJobThatIsReadLateIsNotStartedAgain(t *testing.T) {
-	store := newRows()
-	store.job(t, "parts", jobID(1), "q")
-	store.job(t, "sheets", jobID(2), "p")
-	w := newRunning(map[string][]gauge.RunReport{"w1": {{Task: gauge.TaskID{Job: jobID(2)}, Run: 1}}}, "w1", "w2")
+func TestTaskOfJobReadLateIsNotStartedAgain(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "parts", jobID(1), "q")
+	store.addJob(t, "sheets", jobID(2), "p")
+	w := newReportingWorkers(map[string][]gauge.RunReport{"w1": {{Task: gauge.TaskID{Job: jobID(2)}, Run: 1}}}, "w1", "w2")
 	var tries atomic.Int64
 	store.onRange = func(ctx context.Context, table, part string, _ []gauge.PartRow) error {
 		if table != gauge.TableOpen || part != "sheets" {
@@ -185,10 +185,10 @@
 		}
 		switch tries.Add(1) {
 		case 1:
-			return away()
+			return noAnswer()
 		case 2:
-			w.hear(ctx, "w1")
-			w.hear(ctx, "w2")
+			w.reportOnce(ctx, "w1")
+			w.reportOnce(ctx, "w2")
 		}
 		return nil
 	}
@@ -198,28 +198,28 @@
 			started.Store(true)
 		}
 	}, funcr.Options{})
-	o := run(t, store, w, log, nil, free("w1"), free("w2"))
-	until(t, "job read", func() bool { return knows(o, "sheets", jobID(2)) })
-	lists := store.listed()
-	until(t, "plans made", func() bool { return store.listed() > lists+1 })
+	o := startOwner(t, store, w, log, nil, idleWorker("w1"), idleWorker("w2"))
+	waitFor(t, "job read", func() bool { return knowsJobs(o, "sheets", jobID(2)) })
+	lists := store.listCallCount()
+	waitFor(t, "plans made", func() bool { return store.listCallCount() > lists+1 })
 	assert.Assert(t, !started.Load())
 }
 
-func free(id string) gauge.Worker {
+func idleWorker(id string) gauge.Worker {
 	return gauge.Worker{ID: id, Pool: "p", Capacity: gauge.Resources{MilliCPU: 1000, MemoryMB: 1000}}
 }
 
 // Guards against a pool standing still under a lease that is renewed: an entry claims the pool and
 // can write, but can't read any of its jobs.
-func TestPoolThatCannotBeReadIsLeftToOthers(t *testing.T) {
-	store := newRows()
-	store.job(t, "sheets", jobID(1), "p")
-	store.onRange = func(context.Context, string, string, []gauge.PartRow) error { return away() }
+func TestUnreadablePoolIsGivenUp(t *testing.T) {
+	store := newRowTable()
+	store.addJob(t, "sheets", jobID(1), "p")
+	store.onRange = func(context.Context, string, string, []gauge.PartRow) error { return noAnswer() }
 	var looks atomic.Int64
-	run(t, store, workers{}, logr.Discard(), func(c *owner.Config) {
+	startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
 		c.Now = func() time.Duration { return time.Second + time.Duration(looks.Add(1))*100*time.Millisecond }
 	})
-	until(t, "lease given up", func() bool {
-		return slices.ContainsFunc(store.written(), func(r gauge.LeaseRow) bool { return r.Term == 1 && r.Holder == "" })
+	waitFor(t, "lease given up", func() bool {
+		return slices.ContainsFunc(store.writtenLeases(), func(r gauge.LeaseRow) bool { return r.Term == 1 && r.Holder == "" })
 	})
 }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -53,40 +53,40 @@
 
 // Owner runs one pool.
 type Owner struct {
-	conf       Config
-	group      conc.WaitGroup
-	cancel     context.CancelFunc
-	ctx        context.Context
-	wake       chan struct{} // signals writeLoop that a change is due to be written
-	onStuck      func(failing time.Duration)
-	stuckAfter time.Duration
-	claimedAt      time.Duration
+	conf              Config
+	group             conc.WaitGroup
+	cancel            context.CancelFunc
+	ctx               context.Context
+	wake              chan struct{} // signals writeLoop that a change is due to be written
+	onStuck           func(failing time.Duration)
+	stuckAfter        time.Duration
+	claimedAt         time.Duration
 	waitingOrders     atomic.Int64  // orders that wait for a slot at their worker
-	behindDetector     *lag.Belief   // whether this owner is behind; used by tickLoop only
-	lastBacklogReport    time.Duration // when the backlog was last reported; used by tickLoop only
+	behindDetector    *lag.Belief   // whether this owner is behind; used by tickLoop only
+	lastBacklogReport time.Duration // when the backlog was last reported; used by tickLoop only
 
-	mu        sync.Mutex
-	pool      *sched.Pool
-	writeDone   chan struct{} // closed after each write and replaced by a new channel
-	tableUnreachable      bool          // the last write got no complete answer
-	writeSentAt   time.Duration // when the write in progress was sent; 0: there is none
-	lastWriteTook      time.Duration // duration of the last write
-	ended     bool          // the lease was lost or given up
-	stopping  bool          // the pool is being handed over: nothing new is started
-	lastPlan   time.Duration // when the last plan was made
-	planScheduled  bool          // a plan is scheduled for the end of the minimum interval
-	orderSlots     map[gauge.Life]chan struct{}
-	stopSlots map[gauge.Life]chan struct{}
-	orderLag       *lag.Meter // durations of orders
-	seekingSuccessor   bool       // a successor is being looked for
-	loaded    bool
-	site      *gauge.Site
-	workerList    []gauge.Worker           // newest list of workers from the platform
-	scanCount     int                      // used by scanLoop only
-	lastScan   time.Duration            // when the last scan began; used by scanLoop only
+	mu               sync.Mutex
+	pool             *sched.Pool
+	writeDone        chan struct{} // closed after each write and replaced by a new channel
+	tableUnreachable bool          // the last write got no complete answer
+	writeSentAt      time.Duration // when the write in progress was sent; 0: there is none
+	lastWriteTook    time.Duration // duration of the last write
+	ended            bool          // the lease was lost or given up
+	stopping         bool          // the pool is being handed over: nothing new is started
+	lastPlan         time.Duration // when the last plan was made
+	planScheduled    bool          // a plan is scheduled for the end of the minimum interval
+	orderSlots       map[gauge.Life]chan struct{}
+	stopSlots        map[gauge.Life]chan struct{}
+	orderLag         *lag.Meter // durations of orders
+	seekingSuccessor bool       // a successor is being looked for
+	loaded           bool
+	site             *gauge.Site
+	workerList       []gauge.Worker           // newest list of workers from the platform
+	scanCount        int                      // used by scanLoop only
+	lastScan         time.Duration            // when the last scan began; used by scanLoop only
 	heldBackUntil    map[string]time.Duration // queues whose changes are held back, and until when; used by writeLoop only
-	unread   map[string]bool          // queues of which not all open jobs have been read
-	readTimes    readTimes                   // when each queue's open jobs were last read
+	unread           map[string]bool          // queues of which not all open jobs have been read
+	readTimes        readTimes                // when each queue's open jobs were last read
 }
 
 const (
@@ -102,10 +102,10 @@
 	// lagPeers workers and more than half of them took longer than lagSlow: this process then lacks
 	// processor time, or its network path to the workers is bad. Orders usually take a few
 	// milliseconds; an exhausted CPU quota delays one by a tenth of a second.
-	lagWindow = time.Second
-	lagThreshold   = 150 * time.Millisecond
+	lagWindow     = time.Second
+	lagThreshold  = 150 * time.Millisecond
 	lagMinOrders  = 10
-	lagMinWorkers  = 3
+	lagMinWorkers = 3
 	// minPlanInterval is the minimum time between two plans. Each plan visits every waiting job, so under
 	// load several ended runs share one plan.
 	minPlanInterval = 4 * time.Millisecond
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -18,32 +18,32 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// store accepts every transaction and has no rows.
-type store struct{ gauge.Parted }
+// emptyStore accepts every transaction and has no rows.
+type emptyStore struct{ gauge.Parted }
 
-func (store) Parts(context.Context, string) ([]string, error) { return nil, nil }
+func (emptyStore) Parts(context.Context, string) ([]string, error) { return nil, nil }
 
-func (store) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (emptyStore) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	return gauge.Stamp{Version: 2}, nil, nil
 }
 
-// workers answers no heartbeat.
-type workers struct{ gauge.Workers }
+// silentWorkers answers no heartbeat.
+type silentWorkers struct{ gauge.Workers }
 
-func (workers) Hold(context.Context, *gauge.Worker, gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (silentWorkers) Hold(context.Context, *gauge.Worker, gauge.HoldCall) (*gauge.WorkerReport, error) {
 	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
 }
 
 // Guards against an entry that panics, or that keeps a pool nobody runs: the owner ends and its run
 // group is being waited for when the list of workers changes, which must not start work in that
 // group.
-func TestWhatComesAsTheOwnerEndsBeginsNothing(t *testing.T) {
+func TestWorkerListAfterEndStartsNoWork(t *testing.T) {
 	for range 300 {
 		ctx, cancel := context.WithCancel(context.Background())
 		now := func() time.Duration { return time.Second }
 		o := owner.New(ctx, owner.Config{
-			Pool: "p", Store: store{}, Workers: workers{}, Logs: logr.Discard(), Now: now, Wall: time.Now,
-			Lease: tenure.New(tenure.Config{Lasts: time.Hour, Store: store{}, Now: now, Clock: func() int64 { return 1 }}),
+			Pool: "p", Store: emptyStore{}, Workers: silentWorkers{}, Logs: logr.Discard(), Now: now, Wall: time.Now,
+			Lease: tenure.New(tenure.Config{Lasts: time.Hour, Store: emptyStore{}, Now: now, Clock: func() int64 { return 1 }}),
 			Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
 			Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(string) {},
 		})
@@ -59,8 +59,8 @@
 	}
 }
 
-// counting answers the first heartbeat only, and counts starts.
-type counting struct {
+// countingWorkers answers the first heartbeat only, and counts starts.
+type countingWorkers struct {
 	gauge.Workers
 	mu     sync.Mutex
 	holds  int
@@ -68,7 +68,7 @@
 	sent   chan struct{} // signals that a start has arrived
 }
 
-func (c *counting) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (c *countingWorkers) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
 	c.mu.Lock()
 	c.holds++
 	first := c.holds == 1
@@ -80,7 +80,7 @@
 	return &gauge.WorkerReport{Clock: time.Hour}, nil
 }
 
-func (c *counting) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
+func (c *countingWorkers) Start(context.Context, *gauge.Worker, gauge.StartCall) (time.Duration, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.starts++
@@ -91,7 +91,7 @@
 // Guards against two owners giving orders to one worker: an owner decides on a start, and its
 // machine is suspended before the order is sent; the lease expires, another entry claims the pool,
 // and the machine resumes. The lease must be checked when the order is sent.
-func TestOrderThatWaitsOverASuspensionIsNotSent(t *testing.T) {
+func TestOrderIsNotSentAfterSuspension(t *testing.T) {
 	var mu sync.Mutex
 	clock := time.Second
 	now := func() time.Duration {
@@ -110,11 +110,11 @@
 			failed <- struct{}{}
 		}
 	}, funcr.Options{})
-	w := &counting{sent: make(chan struct{}, 1)}
+	w := &countingWorkers{sent: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(t.Context())
 	o := owner.New(ctx, owner.Config{
-		Pool: "p", Store: store{}, Workers: w, Logs: log, Now: now, Wall: time.Now,
-		Lease: tenure.New(tenure.Config{Lasts: 2 * time.Second, Taken: now(), Store: store{}, Now: now, Clock: func() int64 { return 1 }}),
+		Pool: "p", Store: emptyStore{}, Workers: w, Logs: log, Now: now, Wall: time.Now,
+		Lease: tenure.New(tenure.Config{Lasts: 2 * time.Second, Taken: now(), Store: emptyStore{}, Now: now, Clock: func() int64 { return 1 }}),
 		Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
 		Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(string) {},
 	})
--- a/internal/owner/rows_test.go
+++ b/internal/owner/rowtable_test.go
@@ -19,33 +19,33 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// rows is a table whose reads a test can intercept.
-type rows struct {
+// rowTable is a table whose reads a test can intercept.
+type rowTable struct {
 	gauge.Parted
 	// onRange is called before each range read is answered, with the rows that it would return; an
 	// error fails the read. If nil, all reads are answered.
 	onRange func(ctx context.Context, table, part string, found []gauge.PartRow) error
 
-	wrote chan struct{} // closed after the first write of a lease row
+	leaseWritten chan struct{} // closed after the first write of a lease row
 
-	mu     sync.Mutex
-	kept   map[gauge.RowKey]gauge.PartRow
-	leases []gauge.LeaseRow // written by the owner
-	grants gauge.GrantRow   // last one written
-	lists  int              // calls of Parts
+	mu        sync.Mutex
+	stored    map[gauge.RowKey]gauge.PartRow
+	leases    []gauge.LeaseRow // written by the owner
+	grants    gauge.GrantRow   // last one written
+	listCalls int              // calls of Parts
 }
 
-func newRows() *rows {
-	return &rows{wrote: make(chan struct{}), kept: make(map[gauge.RowKey]gauge.PartRow)}
+func newRowTable() *rowTable {
+	return &rowTable{leaseWritten: make(chan struct{}), stored: make(map[gauge.RowKey]gauge.PartRow)}
 }
 
-func (r *rows) put(table, part, key string, value []byte, version int64) {
+func (r *rowTable) put(table, part, key string, value []byte, version int64) {
 	k := gauge.RowKey{Table: table, Part: part, Key: key}
-	r.kept[k] = gauge.PartRow{RowKey: k, Value: value, Version: version}
+	r.stored[k] = gauge.PartRow{RowKey: k, Value: value, Version: version}
 }
 
-// job adds a job that was accepted before the owner started.
-func (r *rows) job(t *testing.T, queue, id, pool string) {
+// addJob adds a addJob that was accepted before the owner started.
+func (r *rowTable) addJob(t *testing.T, queue, id, pool string) {
 	t.Helper()
 	row, err := (&gauge.JobRow{State: gauge.JobPending, Pool: pool, Accepted: 1}).Encode()
 	assert.NilError(t, err)
@@ -62,12 +62,12 @@
 // payloadBytes is the size of a typical job's payload.
 const payloadBytes = 2400
 
-func (r *rows) Parts(_ context.Context, table string) ([]string, error) {
+func (r *rowTable) Parts(_ context.Context, table string) ([]string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.lists++
+	r.listCalls++
 	var parts []string
-	for k := range r.kept {
+	for k := range r.stored {
 		if k.Table == table && !slices.Contains(parts, k.Part) {
 			parts = append(parts, k.Part)
 		}
@@ -76,16 +76,16 @@
 	return parts, nil
 }
 
-func (r *rows) listed() int {
+func (r *rowTable) listCallCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.lists
+	return r.listCalls
 }
 
-func (r *rows) Range(ctx context.Context, table, part, from, to string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (r *rowTable) Range(ctx context.Context, table, part, from, to string) ([]gauge.PartRow, gauge.Stamp, error) {
 	r.mu.Lock()
 	var found []gauge.PartRow
-	for k, row := range r.kept {
+	for k, row := range r.stored {
 		if k.Table == table && k.Part == part && k.Key >= from && (to == "" || k.Key < to) {
 			found = append(found, row)
 		}
@@ -100,7 +100,7 @@
 	return found, gauge.Stamp{Version: 2}, nil
 }
 
-func (r *rows) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (r *rowTable) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range txn.Writes {
@@ -119,48 +119,48 @@
 			return gauge.Stamp{}, nil, err
 		}
 		if r.leases = append(r.leases, *lease); len(r.leases) == 1 {
-			close(r.wrote)
+			close(r.leaseWritten)
 		}
 	}
 	return gauge.Stamp{Version: 2}, nil, nil
 }
 
-func (r *rows) written() []gauge.LeaseRow {
+func (r *rowTable) writtenLeases() []gauge.LeaseRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.leases)
 }
 
-func (r *rows) granted() gauge.GrantRow {
+func (r *rowTable) lastGrants() gauge.GrantRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.grants
 }
 
-func away() error { return gauge.Fail(gauge.KindOutage, "no answer to a read") }
+func noAnswer() error { return gauge.Fail(gauge.KindOutage, "no answer to a read") }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-// still is a clock that doesn't advance, so that no lease expires however long a test waits.
-func still() time.Duration { return time.Second }
+// frozenClock is a clock that doesn't advance, so that no lease expires however long a test waits.
+func frozenClock() time.Duration { return time.Second }
 
-// run starts an owner of pool "p" that runs until the test ends.
-func run(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
+// startOwner starts an owner of pool "p" that runs until the test ends.
+func startOwner(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
 	t.Helper()
-	o, begin := built(t, store, w, log, change)
+	o, begin := newOwner(t, store, w, log, change)
 	begin(&gauge.Site{}, list...)
 	return o
 }
 
-// built returns an owner of pool "p", and a function that runs it until the test ends.
-func built(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config)) (*owner.Owner, func(*gauge.Site, ...gauge.Worker)) {
+// newOwner returns an owner of pool "p", and a function that runs it until the test ends.
+func newOwner(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config)) (*owner.Owner, func(*gauge.Site, ...gauge.Worker)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	c := owner.Config{
-		Pool: "p", Term: 1, Store: store, Workers: w, Logs: log, Now: still, Wall: time.Now,
+		Pool: "p", Term: 1, Store: store, Workers: w, Logs: log, Now: frozenClock, Wall: time.Now,
 		Lease: tenure.New(tenure.Config{
 			Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1",
-			Term: 1, Lasts: time.Hour, Store: store, Now: still, Clock: func() int64 { return 5000 },
+			Term: 1, Lasts: time.Hour, Store: store, Now: frozenClock, Clock: func() int64 { return 5000 },
 		}),
 		Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
 		Clock: func() int64 { return 5000 }, Count: func(string, time.Duration) {}, Event: func(string) {},
@@ -175,19 +175,19 @@
 	return o, func(site *gauge.Site, list ...gauge.Worker) { group.Go(func() { o.Run(site, list) }) }
 }
 
-// until polls until a condition holds. Its timeout decides nothing but when a broken test fails.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor polls waitFor a condition holds. Its timeout decides nothing but when a broken test fails.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if holds() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(5*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
-// knows reports whether the owner knows the states of all the given jobs.
-func knows(o *owner.Owner, queue string, jobs ...string) bool {
+// knowsJobs reports whether the owner knowsJobs the states of all the given jobs.
+func knowsJobs(o *owner.Owner, queue string, jobs ...string) bool {
 	for _, id := range jobs {
 		if _, ok := o.State(queue, id); !ok {
 			return false
@@ -196,5 +196,5 @@
 	return true
 }
 
-// patience bounds each wait of a test.
-const patience = 10 * time.Second
+// waitTimeout bounds each wait of a test.
+const waitTimeout = 10 * time.Second
--- a/internal/owner/doubt_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -14,12 +14,12 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// darkSite has a worker that never answers.
-type darkSite struct{ *site }
+// siteWithSilentWorker has a worker that never answers.
+type siteWithSilentWorker struct{ *fakeSite }
 
-func (d darkSite) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (d siteWithSilentWorker) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
 	if w.ID != "dark" {
-		return d.site.Hold(ctx, w, c)
+		return d.fakeSite.Hold(ctx, w, c)
 	}
 	select {
 	case <-ctx.Done():
@@ -34,30 +34,30 @@
 // six seconds after it claimed the pool. The time at which that ends has to be handed over with the
 // pool, because nobody has granted anything to those workers since the first of these owners
 // claimed it.
-func TestSilentWorkersAreWaitedForOnceNotWithEachOwner(t *testing.T) {
+func TestSilentWorkersAreWaitedForOnceAcrossOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		now := func() time.Duration { return time.Minute + time.Since(began) }
 		clock := func() int64 { return now().Milliseconds() }
-		store := newRows()
-		store.job(t, "sheets", jobID(2), "p")
-		w := darkSite{&site{began: began, lives: make(map[string]*life), news: make(chan struct{})}}
+		store := newRowTable()
+		store.addJob(t, "sheets", jobID(2), "p")
+		w := siteWithSilentWorker{&fakeSite{began: began, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}}
 		take := func(term int, before gauge.LeaseRow) *owner.Owner {
-			return run(t, store, w, logr.Discard(), func(c *owner.Config) {
+			return startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
 				c.Term, c.Fence, c.Earlier, c.Before, c.Now, c.Clock = term, gauge.Fence(term+1), before.Workers, before, now, clock
 				c.Grace, c.Hold = 6*time.Second, 4*time.Second
 				c.Lease = tenure.New(tenure.Config{
 					Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 					Lasts: 2 * time.Second, Taken: now(), Store: store, Now: now, Clock: clock,
 				})
-			}, free("sound"), free("dark"))
+			}, idleWorker("sound"), idleWorker("dark"))
 		}
 		before := gauge.LeaseRow{Workers: []string{"dark"}} // of the previous owner
 		for term := range 3 {
 			o := take(term+1, before)
 			time.Sleep(3 * time.Second)
 			synctest.Wait()
-			if starts, _ := w.counts(); term < 2 {
+			if starts, _ := w.callCounts(); term < 2 {
 				assert.Equal(t, starts, 0, "the task may run on the dark worker yet")
 			} else {
 				assert.Equal(t, starts, 1, "nine seconds after anything may have been granted")
--- a/internal/owner/calm_test.go
+++ b/internal/owner/stop_test.go
@@ -13,30 +13,30 @@
 // Guards against a busy pool standing still for three seconds: the table gets 65 times slower, the
 // owner's entry is told to stop and hands the pool over at once, though it has seconds left, and
 // the successor claims the lease and reads the pool with calls that take a third of a second each.
-func TestOwnerTellsWhetherASuccessorCouldBeginQuickly(t *testing.T) {
+func TestOwnerReportsWhetherTableIsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := full(t, 10)
+		g := newBusyHarness(t, 10)
 		defer g.end()
 		set := func(takes time.Duration, err error) {
 			g.table.mu.Lock()
 			defer g.table.mu.Unlock()
-			g.table.takes, g.table.err = takes, err
+			g.table.delay, g.table.err = takes, err
 		}
-		g.pass(time.Second)
+		g.advance(time.Second)
 		assert.Assert(t, g.owner.Calm())
 
 		set(700*time.Millisecond, nil)
-		g.pass(600 * time.Millisecond) // the next renewal is in progress
+		g.advance(600 * time.Millisecond) // the next renewal is in progress
 		assert.Assert(t, !g.owner.Calm(), "a write hangs")
-		g.pass(time.Second)
+		g.advance(time.Second)
 		assert.Assert(t, !g.owner.Calm(), "the last one took long")
 
 		set(10*time.Millisecond, gauge.Fail(gauge.KindOutage, "away"))
-		g.pass(2 * time.Second)
+		g.advance(2 * time.Second)
 		assert.Assert(t, !g.owner.Calm(), "the table is away")
 
 		set(10*time.Millisecond, nil)
-		g.pass(2 * time.Second)
+		g.advance(2 * time.Second)
 		assert.Assert(t, g.owner.Calm(), "it is back")
 	})
 }
@@ -45,7 +45,7 @@
 // one gets no answer, and the retry takes as long as the others. If writes count as failing after
 // half a second however long they usually take, the pool goes to an entry for which the table is as
 // slow.
-func TestPoolIsLeftLaterWhileTheTableIsSlow(t *testing.T) {
+func TestPoolIsLeftLaterWhileTableIsSlow(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		takes    time.Duration
@@ -56,21 +56,21 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newRigStuckAfter(t, 500*time.Millisecond)
+				g := newHarnessStuckAfter(t, 500*time.Millisecond)
 				defer g.end()
 				set := func(takes time.Duration, err error) {
 					g.table.mu.Lock()
 					defer g.table.mu.Unlock()
-					g.table.takes, g.table.err = takes, err
+					g.table.delay, g.table.err = takes, err
 				}
 				set(tt.takes, nil)
-				g.pass(3 * time.Second)
+				g.advance(3 * time.Second)
 				set(tt.takes, gauge.Fail(gauge.KindOutage, "no answer"))
-				g.pass(2 * time.Second)
+				g.advance(2 * time.Second)
 				g.mu.Lock()
 				defer g.mu.Unlock()
-				assert.Assert(t, len(g.stuck) > 0)
-				assert.Assert(t, g.stuck[0] > tt.from && g.stuck[0] < tt.to, "%s", g.stuck[0])
+				assert.Assert(t, len(g.failingTimes) > 0)
+				assert.Assert(t, g.failingTimes[0] > tt.from && g.failingTimes[0] < tt.to, "%s", g.failingTimes[0])
 			})
 		})
 	}
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -10,8 +10,8 @@
 
 // writeLoop writes pending changes, and renews the lease with every write.
 func (o *Owner) writeLoop() {
-	var failingSince time.Duration // when the first of the current failures began; 0: the last write succeeded
-	var lastWriteTook time.Duration   // duration of the last successful write
+	var failingSince time.Duration  // when the first of the current failures began; 0: the last write succeeded
+	var lastWriteTook time.Duration // duration of the last successful write
 	for o.ctx.Err() == nil {
 		began := o.conf.Now()
 		more, err := o.write()
@@ -83,9 +83,9 @@
 
 // pendingWrite is one transaction: the lease row and the changes of jobs.
 type pendingWrite struct {
-	batch sched.Batch
-	txn   gauge.PartTxn
-	lease gauge.LeaseRow
+	batch        sched.Batch
+	txn          gauge.PartTxn
+	lease        gauge.LeaseRow
 	namedWorkers []gauge.Life // incarnations of workers that the lease row names
 }
 
@@ -97,7 +97,7 @@
 	}
 	p, err := o.prepareWrite()
 	if err != nil {
-		o.conf.Logs.Error(err, "write not made", "pool", o.conf.Pool)
+		o.conf.Logs.Error(err, "transaction not built", "pool", o.conf.Pool)
 		return false, err
 	}
 	sent := o.conf.Now()
@@ -230,7 +230,7 @@
 	for _, r := range rows {
 		row, err := gauge.DecodeJobRow(r.Value)
 		if err != nil {
-			o.conf.Logs.Error(err, "job row not read", "job", r.Key, "pool", o.conf.Pool)
+			o.conf.Logs.Error(err, "job row not decoded", "job", r.Key, "pool", o.conf.Pool)
 			continue
 		}
 		o.withLock(func() { o.pool.Conflicted(r.Key, row, r.Version) })
