--- a/internal/owner/backlog.go
+++ b/internal/owner/backlog.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// backlogReportInterval is how often the backlog is reported. Computing it walks the pool's jobs and runs,
-	// which takes about 0.05 ms with 140 workers and 1,300 waiting jobs.
+	// backlogReportInterval is how often the backlog is reported. Computing it walks the pool's
+	// jobs and runs, which takes about 0.05 ms with 140 workers and 1,300 waiting jobs.
 	backlogReportInterval = 250 * time.Millisecond
 	// behindAfter is the age of the oldest change, ended run or start at which the owner counts as
 	// behind. Writes are 30 ms apart and take 0.9 s when the table is at its slowest; a start is
@@ -31,11 +31,11 @@
 	if o.conf.Backlog != nil {
 		o.conf.Backlog(o.conf.Pool, &b)
 	}
-	said := o.behindDetector.See(b.Oldest(), now)
-	if said == lag.SaidNothing {
+	state := o.behindDetector.See(b.Oldest(), now)
+	if state == lag.SaidNothing {
 		return
 	}
-	o.conf.Logs.Info(string(said), "pool", o.conf.Pool, "changes", b.Changes, "changeAge", b.ChangeAge, "ends", b.Ends, "endAge", b.EndAge,
+	o.conf.Logs.Info(string(state), "pool", o.conf.Pool, "changes", b.Changes, "changeAge", b.ChangeAge, "ends", b.Ends, "endAge", b.EndAge,
 		"starts", b.Starts, "startAge", b.StartAge, "queued", b.Queued, "silent", b.Silent, "workers", b.Workers,
 		"calls", b.Calls, "slow", b.Slow, "targets", b.Targets, "lasted", o.behindDetector.Lasted(now))
 }
--- a/internal/owner/backlog_test.go
+++ b/internal/owner/backlog_test.go
@@ -17,7 +17,7 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// manualClock is a steady manualClock that only advances when it is told to.
+// manualClock is a steady clock that only advances when it is told to.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -35,7 +35,7 @@
 	c.now += d
 }
 
-// logLines collects the logged logLines.
+// logLines collects the logged lines.
 type logLines struct {
 	mu  sync.Mutex
 	all []string
@@ -49,20 +49,20 @@
 	}, funcr.Options{})
 }
 
-// withMessage returns the lines withMessage the given message.
+// withMessage returns the lines with the given message.
 func (l *logLines) withMessage(msg string) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var some []string
+	var matching []string
 	for _, line := range l.all {
 		if strings.Contains(line, `"msg"="`+msg+`"`) {
-			some = append(some, line)
+			matching = append(matching, line)
 		}
 	}
-	return some
+	return matching
 }
 
-// switchableTable accepts transactions or, while it is away, fails them.
+// switchableTable accepts transactions or, while it is unreachable, fails them.
 type switchableTable struct {
 	emptyStore
 	mu          sync.Mutex
@@ -76,17 +76,17 @@
 	return s.jobs
 }
 
-func (s *switchableTable) setUnreachable(away bool) {
+func (s *switchableTable) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unreachable = away
+	s.unreachable = unreachable
 }
 
 func (s *switchableTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unreachable {
-		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindOutage, "the table is away")
+		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindOutage, "the table is unreachable")
 	}
 	for _, w := range t.Writes {
 		if w.Table == gauge.TableJobs {
@@ -188,7 +188,7 @@
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 1, Needs: gauge.Resources{MilliCPU: 100}}}}
 	row := &gauge.JobRow{State: gauge.JobPending, Pool: "p"}
 	g.waitUntil("the owner takes jobs", func() bool { return g.owner.Adopt(id, "sheets", spec, row, 7) })
-	g.waitUntil("it has started", func() bool { return g.workers.startCount() > before })
+	g.waitUntil("the task has started", func() bool { return g.workers.startCount() > before })
 }
 
 // waitUntil polls until a condition holds.
@@ -213,7 +213,7 @@
 	return g.lines.withMessage(msg)
 }
 
-// Guards against a pool that misses its targets for a minute while no log line shows that its owner
+// Guards against a pool that misses its service levels for a minute while no log line shows that its owner
 // is behind: the owner's writes fail while starts are still sent. Each failed write is logged, but
 // the backlog has to be as well.
 func TestOwnerThatIsBehindLogsItsBacklog(t *testing.T) {
@@ -224,9 +224,9 @@
 	assert.Equal(t, len(g.lines.withMessage("owner behind")), 0)
 	g.table.setUnreachable(true)
 	g.submit("00000000000000a2")
-	said := g.advanceUntilLogged("owner behind", 3)
-	assert.Assert(t, strings.Contains(said[2], `"pool"="p"`), said[2])
-	assert.Assert(t, strings.Contains(said[2], `"changes"=1`), said[2])
+	lines := g.advanceUntilLogged("owner behind", 3)
+	assert.Assert(t, strings.Contains(lines[2], `"pool"="p"`), lines[2])
+	assert.Assert(t, strings.Contains(lines[2], `"changes"=1`), lines[2])
 	g.table.setUnreachable(false)
 	caught := g.advanceUntilLogged("owner caught up", 1)
 	assert.Assert(t, strings.Contains(caught[0], `"changes"=0`), caught[0])
@@ -239,19 +239,19 @@
 	g, s := newStallingFixture(t)
 	g.owner.OnStuck(time.Hour, func(time.Duration) {})
 	g.start("w1", "w2", "w3", "w4", "w5", "w6")
-	g.waitUntil("all are heard", func() bool { return s.reportedCount() == 6 })
-	let := s.stall()
+	g.waitUntil("all workers have reported", func() bool { return s.reportedCount() == 6 })
+	release := s.stall()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 18, PerWorker: 3, Needs: gauge.Resources{MilliCPU: 10}}}}
 	g.waitUntil("the owner takes jobs", func() bool {
 		return g.owner.Adopt("00000000000000a1", "sheets", spec, &gauge.JobRow{State: gauge.JobPending, Pool: "p"}, 7)
 	})
-	g.waitUntil("all are on their way", func() bool { return s.startsOfRun(1) == 18 })
+	g.waitUntil("all starts have been sent", func() bool { return s.startsOfRun(1) == 18 })
 	g.clock.advance(300 * time.Millisecond)
-	close(let)
-	g.waitUntil("it is told", func() bool { return len(g.lines.withMessage("owner lags")) > 0 })
-	said := g.lines.withMessage("owner lags")
+	close(release)
+	g.waitUntil("the lag is logged", func() bool { return len(g.lines.withMessage("owner lags")) > 0 })
+	lines := g.lines.withMessage("owner lags")
 	for _, field := range []string{`"calls"=`, `"slow"=`, `"targets"=`} {
-		assert.Assert(t, strings.Contains(said[0], field), "%s in %s", field, said[0])
+		assert.Assert(t, strings.Contains(lines[0], field), "%s in %s", field, lines[0])
 	}
 }
 
@@ -265,7 +265,7 @@
 	g.waitUntil("its row is written", func() bool { return g.table.jobWrites() > 0 })
 	g.table.setUnreachable(true)
 	g.submit("00000000000000a2")
-	g.owner.Stop("it lags")
+	g.owner.Stop("the owner lags")
 	left := g.lines.withMessage("pool left")
 	assert.Equal(t, len(left), 1)
 	assert.Assert(t, strings.Contains(left[0], `"unwritten"=1`), left[0])
--- a/internal/owner/chunk.go
+++ b/internal/owner/chunk.go
@@ -17,11 +17,11 @@
 // that fails or takes too long on a slow link loses only that chunk.
 
 const (
-	// maxChunkMarks is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about 130
-	// KB, a tenth of a second at 10 Mbit/s.
+	// maxChunkMarks is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about
+	// 130 KB, a tenth of a second at 10 Mbit/s.
 	maxChunkMarks = 40
-	// maxConcurrentReads bounds the concurrent reads. A read takes 4 ms, or 60 to 90 times as long while
-	// the table is slow. On a slow link, more concurrent reads would make each of them late.
+	// maxConcurrentReads bounds the concurrent reads. A read takes 4 ms, or 60 to 90 times as long
+	// while the table is slow. On a slow link, more concurrent reads would make each of them late.
 	maxConcurrentReads = 3
 )
 
@@ -41,25 +41,25 @@
 
 // loadQueues reads the jobs that the queues had before this owner, starting with the smallest
 // queues, until ctx ends. It returns how many jobs it adopted, and whether any read was answered.
-func (o *Owner) loadQueues(ctx context.Context, queues []string) (jobs int64, heard bool) {
-	reads := iter.Iterator[*queueLoad]{MaxGoroutines: maxConcurrentReads}
-	backlogs := make([]*queueLoad, len(queues))
-	reads.ForEachIdx(backlogs, func(i int, b **queueLoad) { *b = o.newQueueLoad(ctx, queues[i]) })
-	backlogs = slices.DeleteFunc(backlogs, func(b *queueLoad) bool { return b == nil })
-	slices.SortFunc(backlogs, func(a, b *queueLoad) int { return cmp.Compare(len(a.chunks), len(b.chunks)) })
-	var pieces []chunk
-	for _, b := range backlogs {
+func (o *Owner) loadQueues(ctx context.Context, queues []string) (jobs int64, answered bool) {
+	markReads := iter.Iterator[*queueLoad]{MaxGoroutines: maxConcurrentReads}
+	loads := make([]*queueLoad, len(queues))
+	markReads.ForEachIdx(loads, func(i int, b **queueLoad) { *b = o.newQueueLoad(ctx, queues[i]) })
+	loads = slices.DeleteFunc(loads, func(b *queueLoad) bool { return b == nil })
+	slices.SortFunc(loads, func(a, b *queueLoad) int { return cmp.Compare(len(a.chunks), len(b.chunks)) })
+	var chunks []chunk
+	for _, b := range loads {
 		if len(b.chunks) == 0 {
 			o.markRead(b.queue)
 		}
 		for _, keys := range b.chunks {
-			pieces = append(pieces, chunk{b, keys})
+			chunks = append(chunks, chunk{b, keys})
 		}
 	}
 	var n atomic.Int64
-	each := iter.Iterator[chunk]{MaxGoroutines: maxConcurrentReads}
-	each.ForEach(pieces, func(p *chunk) { n.Add(o.loadChunk(ctx, p)) })
-	return n.Load(), len(backlogs) > 0
+	chunkReads := iter.Iterator[chunk]{MaxGoroutines: maxConcurrentReads}
+	chunkReads.ForEach(chunks, func(p *chunk) { n.Add(o.loadChunk(ctx, p)) })
+	return n.Load(), len(loads) > 0
 }
 
 // newQueueLoad reads the marks of a queue's open jobs. It returns nil if they can't be read.
@@ -92,12 +92,12 @@
 	return int64(n)
 }
 
-// unknownJobs applies the cancellations in a queue's marks, and returns the keys of this pool's jobs
-// that aren't known yet. Each chunk of keys spans few marks, so that little is read of the jobs in
-// between, which belong to other pools or are known already.
+// unknownJobs applies the cancellations in a queue's marks, and returns the keys of this pool's
+// jobs that aren't known yet. Each chunk of keys spans few marks, so that little is read of the
+// jobs in between, which belong to other pools or are known already.
 func (o *Owner) unknownJobs(marks []gauge.PartRow) [][]string {
-	var pieces [][]string
-	first := 0 // index of the first mark of the last chunk
+	var chunks [][]string
+	chunkStart := 0 // index of the first mark of the last chunk
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, m := range marks {
@@ -105,15 +105,15 @@
 		switch {
 		case mark.Pool != o.conf.Pool:
 		case !o.pool.Knows(m.Key):
-			if len(pieces) == 0 || i-first >= maxChunkMarks {
-				pieces, first = append(pieces, nil), i
+			if len(chunks) == 0 || i-chunkStart >= maxChunkMarks {
+				chunks, chunkStart = append(chunks, nil), i
 			}
-			pieces[len(pieces)-1] = append(pieces[len(pieces)-1], m.Key)
+			chunks[len(chunks)-1] = append(chunks[len(chunks)-1], m.Key)
 		case mark.Cancelled:
 			o.pool.Cancel(m.Key, 0)
 		}
 	}
-	return pieces
+	return chunks
 }
 
 // adoptKeys reads the jobs with the given keys, which are in ascending order, and adopts them.
@@ -130,17 +130,17 @@
 	return o.adoptJobs(o.decodeJobs(queue, rows, specs, inherited)), nil
 }
 
-// decodeJobs converts rows to jobs, as sched accepts them, for those that belong to this pool and are
-// still open, which means that they have a spec.
+// decodeJobs converts rows to jobs, as sched accepts them, for those that belong to this pool and
+// are still open, which means that they have a spec.
 func (o *Owner) decodeJobs(queue string, rows, specs []gauge.PartRow, inherited bool) []sched.Accepted {
-	bySpec := make(map[string][]byte, len(specs))
+	specsByKey := make(map[string][]byte, len(specs))
 	for _, s := range specs {
-		bySpec[s.Key] = s.Value
+		specsByKey[s.Key] = s.Value
 	}
 	now := o.conf.Now()
 	var jobs []sched.Accepted
 	for _, r := range rows {
-		body, open := bySpec[r.Key]
+		body, open := specsByKey[r.Key]
 		if !open {
 			continue
 		}
--- a/internal/owner/config_test.go
+++ b/internal/owner/config_test.go
@@ -20,9 +20,9 @@
 func TestOlderConfigurationDoesNotReplaceNewerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newRowTable()
-		o, begin := newOwner(t, store, silentWorkers{}, logr.Discard(), nil)
+		o, run := newOwner(t, store, silentWorkers{}, logr.Discard(), nil)
 		o.Configure(&gauge.Site{Version: 2, Queues: []gauge.Queue{{Name: "charts", Pool: "p"}}})
-		begin(&gauge.Site{Version: 1})
+		run(&gauge.Site{Version: 1})
 		time.Sleep(time.Second)
 		synctest.Wait()
 		store.mu.Lock()
--- a/internal/owner/count_test.go
+++ b/internal/owner/count_test.go
@@ -63,7 +63,7 @@
 	assert.Equal(t, waiting, 7)
 	_, known = lease.Depth("parts")
 	assert.Assert(t, !known)
-	assert.Equal(t, lease.Counted, int64(4000), "it is as old as it was")
+	assert.Equal(t, lease.Counted, int64(4000), "the time of the count is kept")
 	_, known = o.Depth("sheets")
 	assert.Assert(t, !known, "this owner hasn't counted")
 }
@@ -76,9 +76,9 @@
 	store.addJob(t, "sheets", jobID(1), "p")
 	var now atomic.Int64
 	now.Store(int64(time.Second))
-	var turnedAway atomic.Bool
+	var scansFail atomic.Bool
 	store.onRange = func(_ context.Context, table, _ string, _ []gauge.PartRow) error {
-		if table == gauge.TableOpen && turnedAway.Load() {
+		if table == gauge.TableOpen && scansFail.Load() {
 			return noAnswer()
 		}
 		return nil
@@ -86,26 +86,26 @@
 	o := startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
 		c.Now = func() time.Duration { return time.Duration(now.Load()) }
 	})
-	told := func() bool {
+	reported := func() bool {
 		_, known := o.Depth("sheets")
 		return known
 	}
-	written := func() bool {
+	leaseHasCount := func() bool {
 		before := len(store.writtenLeases())
 		waitFor(t, "written", func() bool { return len(store.writtenLeases()) > before+1 })
 		leases := store.writtenLeases()
 		_, known := leases[len(leases)-1].Depth("sheets")
 		return known
 	}
-	waitFor(t, "told", told)
+	waitFor(t, "count reported", reported)
 	o.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: "sheets", Pool: "p"}}})
-	assert.Assert(t, written())
-	turnedAway.Store(true)
+	assert.Assert(t, leaseHasCount())
+	scansFail.Store(true)
 	now.Add(int64(2900 * time.Millisecond))
-	assert.Assert(t, told(), "the last look was lately")
+	assert.Assert(t, reported(), "the last successful scan is recent")
 	now.Add(int64(200 * time.Millisecond))
-	assert.Assert(t, !told())
-	assert.Assert(t, !written(), "others are told as well")
-	turnedAway.Store(false)
-	waitFor(t, "told after the next look", told)
+	assert.Assert(t, !reported())
+	assert.Assert(t, !leaseHasCount(), "nor does the lease row have it")
+	scansFail.Store(false)
+	waitFor(t, "count reported after the next scan", reported)
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -17,7 +17,8 @@
 	}
 }
 
-// updateState changes the state and reports whether a plan is due now; if it isn't, one is scheduled.
+// updateState changes the state and reports whether a plan is due now; if it isn't, one is
+// scheduled.
 func (o *Owner) updateState(do func(now time.Duration)) bool {
 	now := o.conf.Now()
 	o.mu.Lock()
@@ -36,21 +37,22 @@
 	return false
 }
 
-// dispatchOrders sends the orders that follow from the state and wakes the writer for urgent changes.
+// dispatchOrders sends the orders that follow from the state and wakes the writer for urgent
+// changes.
 func (o *Owner) dispatchOrders() {
 	orders, urgent := o.planOrders()
 	for _, order := range orders {
 		shared, own := o.slotsFor(&order)
 		o.waitingOrders.Add(1)
 		o.spawn(func() {
-			place := shared
+			slot := shared
 			select {
 			case shared <- struct{}{}:
 			case own <- struct{}{}:
-				place = own
+				slot = own
 			}
 			o.waitingOrders.Add(-1)
-			defer func() { <-place }()
+			defer func() { <-slot }()
 			o.sendOrder(order)
 		})
 	}
@@ -59,6 +61,8 @@
 	}
 }
 
+// planOrders returns the orders that follow from the state, and whether a change must be written
+// without delay.
 func (o *Owner) planOrders() (orders []sched.Order, urgent bool) {
 	now := o.conf.Now()
 	o.mu.Lock()
@@ -71,8 +75,8 @@
 	return orders, o.pool.Urgent()
 }
 
-// spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may be
-// waiting for the spawn group, and joining a group that has just finished panics.
+// spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may
+// be waiting for the group, and joining a group that has just finished panics.
 func (o *Owner) spawn(work func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,8 +85,8 @@
 	}
 }
 
-// endOnPanic ends the owner when its work panics, because its state may be half changed. Otherwise the
-// group would keep the panic until all work has ended, which never happens, and the pool would
+// endOnPanic ends the owner when its work panics, because its state may be half changed. Otherwise
+// the group would keep the panic until all work has ended, which never happens, and the pool would
 // stand still under a lease that is still renewed. Once the owner has ended, another entry claims
 // the pool.
 func (o *Owner) endOnPanic(work func()) func() {
@@ -97,8 +101,8 @@
 	}
 }
 
-// slotsFor returns the semaphores that bound the concurrent orders to one worker: each order takes a
-// connection, and new connections are billed. Stops have extra slots beside the shared ones;
+// slotsFor returns the semaphores that bound the concurrent orders to one worker: each order takes
+// a connection, and new connections are billed. Stops have extra slots beside the shared ones;
 // otherwise, when orders take long, they would wait behind starts and a cancelled task would run
 // on. For other orders own is nil.
 func (o *Owner) slotsFor(order *sched.Order) (shared, own chan struct{}) {
@@ -111,24 +115,25 @@
 	return shared, own
 }
 
-func semaphoreOf(lanes map[gauge.Life]chan struct{}, of gauge.Life, places int) chan struct{} {
-	l := lanes[of]
-	if l == nil {
-		l = make(chan struct{}, places)
-		lanes[of] = l
+func semaphoreOf(semaphores map[gauge.Life]chan struct{}, incarnation gauge.Life, slots int) chan struct{} {
+	semaphore := semaphores[incarnation]
+	if semaphore == nil {
+		semaphore = make(chan struct{}, slots)
+		semaphores[incarnation] = semaphore
 	}
-	return l
+	return semaphore
 }
 
-// isObsolete reports whether an order that has waited for its slot is of no use any more. A start carries
-// its payload: on a saturated link, sending starts that are too late delays the others beyond their
-// deadlines as well.
+// isObsolete reports whether an order that has waited for its slot is of no use any more. A start
+// carries its payload: on a saturated link, sending starts that are too late delays the others
+// beyond their deadlines as well.
 func (o *Owner) isObsolete(order sched.Order, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.Void(order, now)
 }
 
+// wakeWriter has writeLoop write without waiting for the next renewal.
 func (o *Owner) wakeWriter() {
 	select {
 	case o.wake <- struct{}{}:
@@ -136,8 +141,8 @@
 	}
 }
 
-// sendOrder carries out one order. The lease is checked again right before the call, because the process
-// may have been suspended since the order was planned.
+// sendOrder carries out one order. The lease is checked again right before the call, because the
+// process may have been suspended since the order was planned.
 func (o *Owner) sendOrder(order sched.Order) {
 	began := o.conf.Now()
 	if order.Kind == sched.OrderAdvise {
@@ -163,13 +168,13 @@
 // checkLag requests a handover of the pool when most orders take far too long, because jobs would
 // wait here that another entry could start. Orders to silent workers are not counted: they say
 // nothing about this host, and an unreachable rack would move the pool from owner to owner.
-func (o *Owner) checkLag(of gauge.Life, took, now time.Duration) {
+func (o *Owner) checkLag(incarnation gauge.Life, took, now time.Duration) {
 	o.mu.Lock()
-	lags := !o.conf.Without.Has(gauge.MechanismLag) && !o.pool.Silent(of) && o.orderLag.Note(of.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
-	o.seekingSuccessor = o.seekingSuccessor || lags
+	isLagging := !o.conf.Without.Has(gauge.MechanismLag) && !o.pool.Silent(incarnation) && o.orderLag.Note(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
+	o.seekingSuccessor = o.seekingSuccessor || isLagging
 	seen := o.orderLag.Seen(now)
 	o.mu.Unlock()
-	if !lags {
+	if !isLagging {
 		return
 	}
 	o.conf.Logs.Info("owner lags", "pool", o.conf.Pool, "took", took, "calls", seen.Calls, "slow", seen.Slow, "targets", seen.Peers)
@@ -179,12 +184,14 @@
 	o.mu.Unlock()
 }
 
+// callWorker calls the worker of an order and returns the reading of its steady clock, or 0 for a
+// probe. It fails if the lease is over, and for starts if the pool is being handed over.
 func (o *Owner) callWorker(order sched.Order, now time.Duration) (time.Duration, error) {
 	o.mu.Lock()
-	stale := o.ended || now >= o.conf.Lease.Until()+o.conf.Grace
+	leaseOver := o.ended || now >= o.conf.Lease.Until()+o.conf.Grace
 	stopping := o.stopping
 	o.mu.Unlock()
-	if stale {
+	if leaseOver {
 		return 0, gauge.Fail(gauge.KindOutage, "the lease is over")
 	}
 	if stopping && order.Kind == sched.OrderStart {
--- a/internal/owner/freshness.go
+++ b/internal/owner/freshness.go
@@ -11,8 +11,8 @@
 // that this owner doesn't know. So its count of a queue is only as recent as the last successful
 // scan.
 
-// maxCountAge is how long after a scan a queue's count is reported. As agreed with the users, a count
-// includes the jobs accepted five seconds before, and may itself be two seconds old.
+// maxCountAge is how long after a scan a queue's count is reported. As agreed with the users, a
+// count includes the jobs accepted five seconds before, and may itself be two seconds old.
 const maxCountAge = 3 * time.Second
 
 // readTimes holds the times at which the queues' open jobs were last read.
@@ -21,6 +21,7 @@
 	failed map[string]time.Duration // ... except those whose last read failed
 }
 
+// readAt returns when a queue was last read.
 func (s *readTimes) readAt(queue string) time.Duration {
 	if at, failed := s.failed[queue]; failed {
 		return at
@@ -35,15 +36,15 @@
 
 // recordScan records a scan that began at the given time, and the queues for which it failed.
 func (s *readTimes) recordScan(began time.Duration, failed []string) {
-	behind := make(map[string]time.Duration, len(failed))
+	lastReads := make(map[string]time.Duration, len(failed))
 	for _, queue := range failed {
-		behind[queue] = s.readAt(queue)
+		lastReads[queue] = s.readAt(queue)
 	}
-	s.all, s.failed = began, behind
+	s.all, s.failed = began, lastReads
 }
 
-// queuesWithoutCount returns the names of the pool's queues whose count isn't known, in order. The lock is
-// held.
+// queuesWithoutCount returns the names of the pool's queues whose count isn't known, in order. The
+// lock is held.
 func (o *Owner) queuesWithoutCount() []string {
 	now := o.conf.Now()
 	unknown := slices.Collect(maps.Keys(o.unread))
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -50,7 +50,7 @@
 		assert.Assert(t, took < maxHandoverTime, "took %s", took)
 		assert.Assert(t, strings.Contains(g.handoverLine(), `"unwritten"=0`), g.handoverLine())
 		g.end()
-		assert.Equal(t, g.table.cutOff, 0, "what is broken off may be carried out, and the lease's row has another version than was offered")
+		assert.Equal(t, g.table.cutOff, 0, "a cancelled write may still be carried out, and the lease row then has another version than offered")
 	})
 }
 
@@ -70,20 +70,20 @@
 		g.site.endRuns(1)
 		g.advance(10 * time.Millisecond)
 		before, _ := g.site.callCounts()
-		assert.Equal(t, before, room+1, "one waited for its room")
+		assert.Equal(t, before, room+1, "one start waited for free capacity")
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
 			g.stop()
 		}()
 		synctest.Wait()
-		_, held := g.site.callCounts()
+		_, heartbeatsBefore := g.site.callCounts()
 		g.site.endRuns(5)
 		<-done
-		starts, holds := g.site.callCounts()
+		starts, heartbeats := g.site.callCounts()
 		assert.Equal(t, starts, room+1)
-		assert.Equal(t, holds, held)
-		assert.Equal(t, len(g.table.jobs), room+1, "jobs that wait are as they were")
+		assert.Equal(t, heartbeats, heartbeatsBefore)
+		assert.Equal(t, len(g.table.jobs), room+1, "waiting jobs are unchanged")
 	})
 }
 
@@ -116,7 +116,7 @@
 		g := newBusyHarness(t, tasks)
 		defer g.end()
 		g.table.mu.Lock()
-		g.table.err = gauge.Fail(gauge.KindOutage, "away")
+		g.table.err = gauge.Fail(gauge.KindOutage, "unreachable")
 		g.table.mu.Unlock()
 		g.site.endRuns(tasks)
 		g.advance(time.Second)
@@ -156,7 +156,7 @@
 		g.advance(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
 		assert.Equal(t, g.table.completedJobs(), tasks)
 		g.advance(time.Second)
-		assert.Equal(t, g.site.reportedEnds, tasks, "each end is listed once")
+		assert.Equal(t, g.site.reportedEnds, tasks, "each ended run is reported once")
 		assert.Assert(t, g.table.maxEntries <= 100, "%d entries", g.table.maxEntries)
 	})
 }
@@ -193,7 +193,7 @@
 		g := newHarness(t)
 		defer g.end()
 		g.table.mu.Lock()
-		g.table.err = gauge.Fail(gauge.KindOutage, "away")
+		g.table.err = gauge.Fail(gauge.KindOutage, "unreachable")
 		g.table.mu.Unlock()
 		g.advance(3 * time.Second)
 		assert.Assert(t, !g.owner.Empty("w1", false), "another entry may have the lease")
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -38,15 +38,15 @@
 
 func (b *fakeTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	b.mu.Lock()
-	takes := b.delay
+	delay := b.delay
 	b.mu.Unlock()
 	select {
 	case <-ctx.Done():
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.cutOff++
-		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindUnknown, "broken off")
-	case <-time.After(takes):
+		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+	case <-time.After(delay):
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -69,7 +69,7 @@
 	return gauge.Stamp{Version: b.version}, nil, nil
 }
 
-// completedJobs returns how many jobs are completedJobs according to the table.
+// completedJobs returns how many jobs are completed according to the table.
 func (b *fakeTable) completedJobs() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -91,7 +91,7 @@
 	workers      map[string]*fakeWorker
 	startDelay   time.Duration // delay of each start
 	starts       int
-	holds        int
+	heartbeats        int
 	reportedEnds int           // ended runs in answers to heartbeats, counted each time they are reported
 	runEnded     chan struct{} // closed when a run ends
 	silentCount  int           // the first so many workers answer nothing
@@ -134,23 +134,24 @@
 	return s.clock(), nil
 }
 
+// Hold answers when a run has ended that isn't acknowledged, at the latest after the call's wait.
 func (s *fakeSite) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
 	if s.isSilent(w.ID) {
 		return nil, noAnswerAfter(800*time.Millisecond + c.Wait)
 	}
 	s.mu.Lock()
-	s.holds++
+	s.heartbeats++
 	l := s.worker(w.ID)
 	for len(l.ended) > 0 && l.ended[0].Number <= c.LastSeen {
 		l.ended = l.ended[1:]
 	}
-	wait, news := len(l.ended) == 0 && c.Wait > 0, s.runEnded
+	wait, runEnded := len(l.ended) == 0 && c.Wait > 0, s.runEnded
 	s.mu.Unlock()
 	if wait {
 		select {
 		case <-ctx.Done():
-			return nil, gauge.Fail(gauge.KindUnknown, "broken off")
-		case <-news:
+			return nil, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+		case <-runEnded:
 		case <-time.After(c.Wait):
 		}
 	}
@@ -165,13 +166,13 @@
 func (s *fakeSite) Start(ctx context.Context, w *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
 	s.mu.Lock()
 	s.starts++
-	takes := s.startDelay
+	delay := s.startDelay
 	s.mu.Unlock()
-	if takes > 0 {
+	if delay > 0 {
 		select {
 		case <-ctx.Done():
-			return 0, gauge.Fail(gauge.KindUnknown, "broken off")
-		case <-time.After(takes):
+			return 0, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+		case <-time.After(delay):
 		}
 	}
 	s.mu.Lock()
@@ -199,10 +200,10 @@
 }
 
 // callCounts returns how many starts and heartbeats were sent.
-func (s *fakeSite) callCounts() (starts, holds int) {
+func (s *fakeSite) callCounts() (starts, heartbeats int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.starts, s.holds
+	return s.starts, s.heartbeats
 }
 
 // harness is a running owner in a synctest bubble.
@@ -274,7 +275,7 @@
 // now is a steady clock that doesn't start at 0, because 0 stands for never.
 func (g *harness) now() time.Duration { return time.Minute + time.Since(g.began) }
 
-// advance lets time advance and waits until all goroutines of the bubble are blocked.
+// advance lets time pass and waits until all goroutines of the bubble are blocked.
 func (g *harness) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -293,7 +294,8 @@
 	}
 }
 
-// newBusyHarness returns an owner with the given number of running tasks, whose starts are all written.
+// newBusyHarness returns an owner with the given number of running tasks, whose starts are all
+// written.
 func newBusyHarness(t *testing.T, tasks int) *harness {
 	t.Helper()
 	g := newHarness(t)
--- a/internal/owner/heartbeat.go
+++ b/internal/owner/heartbeat.go
@@ -7,7 +7,8 @@
 	gauge "sapphiregauge"
 )
 
-// startHeartbeats starts a heartbeat loop for each incarnation of a worker that doesn't have one yet.
+// startHeartbeats starts a heartbeat loop for each incarnation of a worker that doesn't have one
+// yet.
 func (o *Owner) startHeartbeats() {
 	var fresh []gauge.Worker
 	o.withLock(func() { fresh = o.pool.Unheld() })
@@ -19,7 +20,8 @@
 	}
 }
 
-// heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is over.
+// heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is
+// over.
 func (o *Owner) heartbeatLoop(l gauge.Life) {
 	defer func() {
 		o.mu.Lock()
@@ -58,24 +60,24 @@
 	}
 }
 
-// applyReport applies the answer to a heartbeat. It reports false if the answer is from an incarnation
-// that is over.
-func (o *Owner) applyReport(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (taken bool) {
-	o.update(func(now time.Duration) { taken = o.pool.Report(l, call, rep, now) })
+// applyReport applies the answer to a heartbeat. It reports false if the answer is from an
+// incarnation that is over.
+func (o *Owner) applyReport(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (applied bool) {
+	o.update(func(now time.Duration) { applied = o.pool.Report(l, call, rep, now) })
 	o.startHeartbeats()
-	return taken
+	return applied
 }
 
-// isOutdated reports whether a call was refused because of a fencing token that this owner itself has
-// replaced, or because its incarnation of the worker is over.
+// isOutdated reports whether a call was refused because of a fencing token that this owner itself
+// has replaced, or because its incarnation of the worker is over.
 func (o *Owner) isOutdated(l gauge.Life, sent gauge.Fence) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.pool.Outdated(l, sent)
 }
 
-// nextHeartbeat returns the next heartbeat for an incarnation of a worker. It reports false if there is
-// none any more.
+// nextHeartbeat returns the next heartbeat for an incarnation of a worker. It reports false if
+// there is none any more.
 func (o *Owner) nextHeartbeat(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,15 +87,15 @@
 	return o.pool.Holding(l, now)
 }
 
-// waitForWrittenEnds waits, for at most ackWait, until the ended runs that a worker has reported are
-// written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
+// waitForWrittenEnds waits, for at most ackTimeout, until the ended runs that a worker has reported
+// are written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
 // report them again.
 func (o *Owner) waitForWrittenEnds(l gauge.Life) {
 	ctx, cancel := context.WithTimeout(o.ctx, ackTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
-		behind, written := o.pool.Behind(l), o.writeDone
+		behind, writeDone := o.pool.Behind(l), o.writeDone
 		o.mu.Unlock()
 		if !behind {
 			return
@@ -101,14 +103,14 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-written:
+		case <-writeDone:
 		}
 	}
 }
 
 // pause waits for the given time, or until the channel is closed or the owner ends.
-func (o *Owner) pause(until <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+func (o *Owner) pause(until <-chan struct{}, limit time.Duration) {
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case <-o.ctx.Done():
@@ -117,6 +119,7 @@
 	}
 }
 
+// tickLoop checks deadlines and reports the backlog at regular intervals.
 func (o *Owner) tickLoop() {
 	for o.ctx.Err() == nil {
 		o.update(func(now time.Duration) { o.pool.Tick(now, o.conf.Wall()) })
--- a/internal/owner/inherit_test.go
+++ b/internal/owner/inherit_test.go
@@ -13,8 +13,8 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// newSuccessor returns an owner that has claimed a pool with one worker, with the given lease row of
-// the previous owner.
+// newSuccessor returns an owner that has claimed a pool with one worker, with the given lease row
+// of the previous owner.
 func newSuccessor(t *testing.T, store *rowTable, w *fakeSite, term int, before gauge.LeaseRow) *owner.Owner {
 	t.Helper()
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
@@ -51,11 +51,11 @@
 		store.addJob(t, "sheets", jobID(2), "p")
 		newSuccessor(t, store, w, 2, all)
 		starts, _ := w.callCounts()
-		assert.Equal(t, starts, 0, "its machine may be on its way out")
+		assert.Equal(t, starts, 0, "its machine may be about to be removed")
 		time.Sleep(5 * time.Second)
 		synctest.Wait()
 		starts, _ = w.callCounts()
-		assert.Equal(t, starts, 1, "it was not taken away")
+		assert.Equal(t, starts, 1, "the machine was not removed")
 	})
 }
 
@@ -69,7 +69,7 @@
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		row, _ = o.Offer()
-		assert.Equal(t, row.Unnoted, 0, "what was there then has shown by now")
+		assert.Equal(t, row.Unnoted, 0, "crashes from before have become known by now")
 	})
 }
 
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -11,17 +11,18 @@
 	gauge "sapphiregauge"
 )
 
-// loadJobs reads the pool's open jobs once the lease is held: by then the table has all that previous
-// owners have written, and they can't write any more. Queues in partitions of the table that don't
-// answer, and what a large queue has beyond loadFor, are read later, because the pool's workers
-// wait for an owner. It reports false if the lease was lost or given up meanwhile.
+// loadJobs reads the pool's open jobs once the lease is held: by then the table has all that
+// previous owners have written, and they can't write any more. Queues in partitions of the table
+// that don't answer, and what a large queue has beyond initialLoadTimeout, are read later, because
+// the pool's workers wait for an owner. It reports false if the lease was lost or given up
+// meanwhile.
 func (o *Owner) loadJobs() bool {
 	began := o.conf.Now()
 	for {
-		looked := o.conf.Now()
+		listedAt := o.conf.Now()
 		queues, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
 		if err == nil && o.loadAtStart(queues, began) {
-			o.withLock(func() { o.readTimes.recordScan(looked, nil) })
+			o.withLock(func() { o.readTimes.recordScan(listedAt, nil) })
 			return true
 		}
 		if o.ctx.Err() != nil {
@@ -40,13 +41,14 @@
 	}
 }
 
-// loadAtStart reads as many jobs as it can within loadFor. It reports false if no read was answered.
-func (o *Owner) loadAtStart(queuesToScan []string, began time.Duration) bool {
-	o.resetUnread(queuesToScan)
+// loadAtStart reads as many jobs as it can within initialLoadTimeout. It reports false if no read
+// was answered.
+func (o *Owner) loadAtStart(queues []string, began time.Duration) bool {
+	o.resetUnread(queues)
 	ctx, cancel := context.WithTimeout(o.ctx, initialLoadTimeout)
 	defer cancel()
-	n, heard := o.loadQueues(ctx, queuesToScan)
-	if len(queuesToScan) > 0 && !heard || o.ctx.Err() != nil {
+	n, answered := o.loadQueues(ctx, queues)
+	if len(queues) > 0 && !answered || o.ctx.Err() != nil {
 		return false
 	}
 	o.withLock(func() { o.loaded = true })
@@ -56,12 +58,12 @@
 }
 
 const (
-	// initialLoadTimeout bounds the first read of a pool's jobs: no heartbeats are sent before it is over, and
-	// the workers' leases last only 4.5 s beyond the last heartbeat. What a host with a slow link
-	// can't read in this time is read later, while the pool is running.
+	// initialLoadTimeout bounds the first read of a pool's jobs: no heartbeats are sent before it
+	// is over, and the workers' leases last only 4.5 s beyond the last heartbeat. What a host with
+	// a slow link can't read in this time is read later, while the pool is running.
 	initialLoadTimeout = time.Second
-	// maxUnreadableTime is how long nothing can be read before the pool is left to another entry. The lease
-	// is renewed meanwhile; without this bound it would be renewed for ever.
+	// maxUnreadableTime is how long nothing can be read before the pool is left to another entry.
+	// The lease is renewed meanwhile; without this bound it would be renewed for ever.
 	maxUnreadableTime = 2 * time.Second
 )
 
@@ -101,43 +103,44 @@
 	return slices.Sorted(maps.Keys(o.unread))
 }
 
-// scanLoop reads the queues that load couldn't, without a pause for as long as jobs arrive, and
+// scanLoop reads the queues that loadJobs couldn't, without a pause for as long as jobs arrive, and
 // searches the table for jobs and cancellations whose notification was lost.
 func (o *Owner) scanLoop() {
-	comes := true
+	progress := true
 	for o.ctx.Err() == nil {
 		missing := o.unreadQueues()
-		if len(missing) == 0 || !comes {
+		if len(missing) == 0 || !progress {
 			o.pause(nil, scanInterval)
 			if o.ctx.Err() != nil {
 				return
 			}
 		}
-		comes = false
+		progress = false
 		if len(missing) > 0 {
 			n, _ := o.loadQueues(o.ctx, missing)
-			comes = n > 0
+			progress = n > 0
 			o.conf.Logs.Info("missing queues read", "pool", o.conf.Pool, "jobs", n, "missing", len(o.unreadQueues()))
 		}
-		if !comes || o.conf.Now()-o.lastScan >= scanInterval {
+		if !progress || o.conf.Now()-o.lastScan >= scanInterval {
 			o.scanQueues()
 		}
 		o.update(nil)
 	}
 }
 
+// scanQueues searches the queues that have been read completely for unknown jobs.
 func (o *Owner) scanQueues() {
 	o.lastScan = o.conf.Now()
-	queues, err := o.queues()
+	queues, err := o.queuesToScan()
 	if err != nil {
 		o.conf.Logs.Info("scan failed", "pool", o.conf.Pool, "error", err.Error())
 		return
 	}
 	missing := o.unreadQueues()
 	queues = slices.DeleteFunc(queues, func(q string) bool { return slices.Contains(missing, q) })
-	looks := iter.Mapper[string, error]{MaxGoroutines: maxConcurrentReads}
+	scans := iter.Mapper[string, error]{MaxGoroutines: maxConcurrentReads}
 	var failed []string
-	for i, err := range looks.Map(queues, func(q *string) error { return o.scanQueue(*q) }) {
+	for i, err := range scans.Map(queues, func(q *string) error { return o.scanQueue(*q) }) {
 		if err != nil {
 			failed = append(failed, queues[i])
 		}
@@ -174,11 +177,11 @@
 	return total, nil
 }
 
-// queues returns the names of the queues to scan. Most queues have no open jobs, and each read of a
-// queue is a billed call, so usually only this pool's queues with open jobs are scanned. Every
-// scansOfAll scans all queues with open jobs are, because a queue may have been routed to this pool
-// and away again.
-func (o *Owner) queues() ([]string, error) {
+// queuesToScan returns the names of the queuesToScan to scan. Most queuesToScan have no open jobs,
+// and each read of a queue is a billed call, so usually only this pool's queuesToScan with open
+// jobs are scanned. Every fullScanEvery scans all queuesToScan with open jobs are, because a queue
+// may have been routed to this pool and away again.
+func (o *Owner) queuesToScan() ([]string, error) {
 	open, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
 	o.scanCount++
 	if err != nil || o.scanCount%fullScanEvery == 0 {
@@ -199,7 +202,7 @@
 	maxSweepRows = 50
 )
 
-// sweepLoop deletes the rows of jobs that ended longer than Config.Keep ago, so that the table
+// sweepLoop deletes the rows of jobs that ended longer ago than their retention, so that the table
 // doesn't fill up.
 func (o *Owner) sweepLoop() {
 	for {
@@ -225,11 +228,11 @@
 	if err != nil {
 		return err
 	}
-	before := o.conf.Clock() - o.conf.Keep.Milliseconds()
+	endedBefore := o.conf.Clock() - o.conf.Keep.Milliseconds()
 	var txn gauge.PartTxn
 	for _, r := range rows {
 		row, err := gauge.DecodeJobRow(r.Value)
-		if err != nil || row.Pool != o.conf.Pool || row.Ended == 0 || row.Ended > before {
+		if err != nil || row.Pool != o.conf.Pool || row.Ended == 0 || row.Ended > endedBefore {
 			continue
 		}
 		txn.Checks = append(txn.Checks, gauge.RowCheck{RowKey: r.RowKey, Version: r.Version})
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -43,7 +43,7 @@
 // be read all at once.
 func TestLargeQueueIsReadInChunks(t *testing.T) {
 	const jobs = 1000
-	const arrives = 256 << 10
+	const maxAnswerBytes = 256 << 10
 	store := newRowTable()
 	var ids []string
 	for n := range jobs {
@@ -55,7 +55,7 @@
 		for _, r := range found {
 			size += len(r.Value)
 		}
-		if size > arrives {
+		if size > maxAnswerBytes {
 			return noAnswer()
 		}
 		return nil
@@ -114,7 +114,8 @@
 	assert.Equal(t, specs.Load(), int64(2))
 }
 
-// reportingWorkers are workers whose heartbeats are answered when the test says so, with the given runs.
+// reportingWorkers are workers whose heartbeats are answered when the test says so, with the given
+// runs.
 type reportingWorkers struct {
 	gauge.Workers
 	runs    map[string][]gauge.RunReport
@@ -215,9 +216,9 @@
 	store := newRowTable()
 	store.addJob(t, "sheets", jobID(1), "p")
 	store.onRange = func(context.Context, string, string, []gauge.PartRow) error { return noAnswer() }
-	var looks atomic.Int64
+	var clockReads atomic.Int64
 	startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
-		c.Now = func() time.Duration { return time.Second + time.Duration(looks.Add(1))*100*time.Millisecond }
+		c.Now = func() time.Duration { return time.Second + time.Duration(clockReads.Add(1))*100*time.Millisecond }
 	})
 	waitFor(t, "lease given up", func() bool {
 		return slices.ContainsFunc(store.writtenLeases(), func(r gauge.LeaseRow) bool { return r.Term == 1 && r.Holder == "" })
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -90,39 +90,40 @@
 }
 
 const (
-	// startTimeout is how late a start may arrive and still be carried out. A shorter span settles an
-	// unanswered start sooner; a worker usually answers within a few milliseconds.
+	// startTimeout is how late a start may arrive and still be carried out. A shorter timeout
+	// settles an unanswered start sooner; a worker usually answers within a few milliseconds.
 	startTimeout = time.Second
-	// maxHeartbeatWait is how long a worker may keep a heartbeat open when it has nothing to report. It is
-	// well below Config.Hold, because each call extends the worker's lease by that time only.
+	// maxHeartbeatWait is how long a worker may keep a heartbeat open when it has nothing to
+	// report. It is well below the time by which each heartbeat extends the worker's lease.
 	maxHeartbeatWait = time.Second
 	// tickInterval is how often deadlines are checked when nothing else happens.
 	tickInterval = 100 * time.Millisecond
-	// The owner lags when, within lagWindow, there were at least lagCalls orders to at least
-	// lagPeers workers and more than half of them took longer than lagSlow: this process then lacks
-	// processor time, or its network path to the workers is bad. Orders usually take a few
-	// milliseconds; an exhausted CPU quota delays one by a tenth of a second.
+	// The owner lags when, within lagWindow, there were at least lagMinOrders orders to at least
+	// lagMinWorkers workers and more than half of them took longer than lagThreshold: this process
+	// then lacks processor time, or its network path to the workers is bad. Orders usually take a
+	// few milliseconds; an exhausted CPU quota delays one by a tenth of a second.
 	lagWindow     = time.Second
 	lagThreshold  = 150 * time.Millisecond
 	lagMinOrders  = 10
 	lagMinWorkers = 3
-	// minPlanInterval is the minimum time between two plans. Each plan visits every waiting job, so under
-	// load several ended runs share one plan.
+	// minPlanInterval is the minimum time between two plans. Each plan visits every waiting job, so
+	// under load several ended runs share one plan.
 	minPlanInterval = 4 * time.Millisecond
-	// maxUnansweredStarts bounds the starts without an answer. An answer takes about 5 ms, which allows
-	// 10,000 starts a second. At 10 Mbit/s and 2.6 KB a start, a full window takes a tenth of a
-	// second to send, a third of the time allowed for an answer.
+	// maxUnansweredStarts bounds the starts without an answer. An answer takes about 5 ms, which
+	// allows 10,000 starts a second. At 10 Mbit/s and 2.6 KB a start, a full window takes a tenth
+	// of a second to send, a third of the time allowed for an answer.
 	maxUnansweredStarts = 48
-	// maxConcurrentOrders bounds the concurrent orders to one worker. An order takes a few milliseconds.
+	// maxConcurrentOrders bounds the concurrent orders to one worker. An order takes a few
+	// milliseconds.
 	maxConcurrentOrders = 3
-	// extraConcurrentStops bounds the concurrent stops to one worker that don't share the slots above.
-	// Together they use up the idle connections that are kept for a worker.
+	// extraConcurrentStops bounds the concurrent stops to one worker that don't share the slots
+	// above. Together they use up the idle connections that are kept for a worker.
 	extraConcurrentStops = 1
 	// renewInterval is how often the lease is renewed when there is nothing else to write: four
 	// attempts within its term.
 	renewInterval = 400 * time.Millisecond
-	// minWriteInterval is the minimum time between two writes, so that runs that end in between share a
-	// transaction. A write takes about 10 ms, and each one is billed.
+	// minWriteInterval is the minimum time between two writes, so that runs that end in between
+	// share a transaction. A write takes about 10 ms, and each one is billed.
 	minWriteInterval = 30 * time.Millisecond
 	// writeRetryDelay is the pause after a failed write.
 	writeRetryDelay = 150 * time.Millisecond
@@ -136,11 +137,11 @@
 	heartbeatRetryDelay = 200 * time.Millisecond
 	// adviseRetryDelay is the pause after a failed call to the advice service.
 	adviseRetryDelay = 200 * time.Millisecond
-	// ackTimeout bounds how long the next heartbeat is delayed until the ended runs of the last report
-	// are written.
+	// ackTimeout bounds how long the next heartbeat is delayed until the ended runs of the last
+	// report are written.
 	ackTimeout = 400 * time.Millisecond
-	// maxBatchEntries is the number of transaction entries for changes of jobs. A transaction has at
-	// most 100 entries, and the lease needs three: its check and its two writes.
+	// maxBatchEntries is the number of transaction entries for changes of jobs. A transaction has
+	// at most 100 entries, and the lease needs three: its check and its two writes.
 	maxBatchEntries = 100 - 3
 )
 
@@ -156,7 +157,7 @@
 		pool: sched.New(sched.Config{
 			Name: c.Pool, Fence: c.Fence, Term: c.Term, Hold: c.Hold, Start: startTimeout, Wait: maxHeartbeatWait, Window: maxUnansweredStarts, Lane: maxConcurrentOrders,
 			Without: c.Without, Logs: c.Logs, Count: c.Event, Longest: c.Longest,
-			Earlier: parseIncarnations(c.Earlier), Doubt: now + c.Early + c.Grace + clockMargin, Over: silentUntil(&c.Before, now),
+			Earlier: parseIncarnations(c.Earlier), Doubt: now + c.Early + c.Grace + clockMargin, Over: runDeadlines(&c.Before, now),
 			Emptied: drainedUntil(&c.Before, now), Unnoted: c.Before.Unnoted,
 		}),
 	}
@@ -164,10 +165,10 @@
 	return o
 }
 
-// silentUntil returns, for each worker that didn't answer the previous owner, when nothing can run there
-// any more. The previous owner writes this when it gives up the lease; a row written while it still
-// held the lease doesn't cover what it granted later.
-func silentUntil(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
+// runDeadlines returns, for each worker that didn't answer the previous owner, when nothing can run
+// there any more. The previous owner writes this when it gives up the lease; a row written while it
+// still held the lease doesn't cover what it granted later.
+func runDeadlines(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
 	if before.Holder != "" {
 		return nil
 	}
@@ -178,8 +179,8 @@
 	return until
 }
 
-// drainedUntil returns until when a worker must not get starts because the previous owner reported it as
-// drained. The previous owner writes this when it gives up the lease.
+// drainedUntil returns until when a worker must not get starts because the previous owner reported
+// it as drained. The previous owner writes this when it gives up the lease.
 func drainedUntil(before *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
 	if before.Holder != "" {
 		return nil
@@ -284,7 +285,8 @@
 	return !already
 }
 
-// withLock calls a function with the owner's lock held, and releases the lock if the function panics.
+// withLock calls a function with the owner's lock held, and releases the lock if the function
+// panics.
 func (o *Owner) withLock(do func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -338,7 +340,8 @@
 	return ok
 }
 
-// arrivalTime converts the time of acceptance, on the table's clock, to this process's steady clock.
+// arrivalTime converts the time of acceptance, on the table's clock, to this process's steady
+// clock.
 func (o *Owner) arrivalTime(row *gauge.JobRow, now time.Duration) time.Duration {
 	age := time.Duration(o.conf.Clock()-row.Accepted) * time.Millisecond
 	return now - max(0, age)
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -63,15 +63,15 @@
 type countingWorkers struct {
 	gauge.Workers
 	mu     sync.Mutex
-	holds  int
+	heartbeats  int
 	starts int
 	sent   chan struct{} // signals that a start has arrived
 }
 
 func (c *countingWorkers) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
 	c.mu.Lock()
-	c.holds++
-	first := c.holds == 1
+	c.heartbeats++
+	first := c.heartbeats == 1
 	c.mu.Unlock()
 	if !first {
 		<-ctx.Done()
--- a/internal/owner/rowtable_test.go
+++ b/internal/owner/rowtable_test.go
@@ -44,7 +44,7 @@
 	r.stored[k] = gauge.PartRow{RowKey: k, Value: value, Version: version}
 }
 
-// addJob adds a addJob that was accepted before the owner started.
+// addJob adds a job that was accepted before the owner started.
 func (r *rowTable) addJob(t *testing.T, queue, id, pool string) {
 	t.Helper()
 	row, err := (&gauge.JobRow{State: gauge.JobPending, Pool: pool, Accepted: 1}).Encode()
@@ -147,8 +147,8 @@
 // startOwner starts an owner of pool "p" that runs until the test ends.
 func startOwner(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
 	t.Helper()
-	o, begin := newOwner(t, store, w, log, change)
-	begin(&gauge.Site{}, list...)
+	o, run := newOwner(t, store, w, log, change)
+	run(&gauge.Site{}, list...)
 	return o
 }
 
@@ -175,7 +175,8 @@
 	return o, func(site *gauge.Site, list ...gauge.Worker) { group.Go(func() { o.Run(site, list) }) }
 }
 
-// waitFor polls waitFor a condition holds. Its timeout decides nothing but when a broken test fails.
+// waitFor polls until a condition holds. Its timeout decides nothing but when a broken test
+// fails.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -186,7 +187,7 @@
 	}, poll.WithTimeout(waitTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
-// knowsJobs reports whether the owner knowsJobs the states of all the given jobs.
+// knowsJobs reports whether the owner knows the states of all the given jobs.
 func knowsJobs(o *owner.Owner, queue string, jobs ...string) bool {
 	for _, id := range jobs {
 		if _, ok := o.State(queue, id); !ok {
--- a/internal/owner/slots_test.go
+++ b/internal/owner/slots_test.go
@@ -12,7 +12,8 @@
 	"sapphiregauge/internal/owner"
 )
 
-// stallingWorkers are workers that, once they are shut, delay the answers to starts until they are released.
+// stallingWorkers are workers that, once stall is called, delay the answers to starts until they are
+// released.
 type stallingWorkers struct {
 	blockingWorkers
 	callsMu sync.Mutex
@@ -24,11 +25,11 @@
 func (s *stallingWorkers) Start(ctx context.Context, w *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
 	s.callsMu.Lock()
 	s.calls = append(s.calls, c)
-	let := s.release
+	release := s.release
 	s.callsMu.Unlock()
-	if let != nil {
+	if release != nil {
 		select {
-		case <-let:
+		case <-release:
 		case <-ctx.Done():
 			return 0, gauge.Fail(gauge.KindUnknown, "no answer")
 		}
@@ -69,7 +70,7 @@
 	return len(s.stops)
 }
 
-// newStallingFixture returns a scene whose owner has such workers.
+// newStallingFixture returns a fixture whose owner has such workers.
 func newStallingFixture(t *testing.T) (*fixture, *stallingWorkers) {
 	s := &stallingWorkers{}
 	g := newFixture(t, func(c *owner.Config) { c.Workers = s })
@@ -78,24 +79,24 @@
 	return g, s
 }
 
-// newBackedUpFixture returns an owner with one worker on which one job runs, while three starts of a second job
-// get no answer and three more have to wait.
+// newBackedUpFixture returns an owner with one worker on which one job runs, while three starts of
+// a second job get no answer and three more have to wait.
 func newBackedUpFixture(t *testing.T) (*fixture, *stallingWorkers, chan struct{}) {
 	g, s := newStallingFixture(t)
 	g.start("w1")
 	g.submit("00000000000000a1")
-	let := s.stall()
+	release := s.stall()
 	spec := &gauge.JobSpec{Steps: []gauge.Step{{Count: 6, Needs: gauge.Resources{MilliCPU: 100}}}}
 	g.owner.Adopt("00000000000000a2", "sheets", spec, &gauge.JobRow{State: gauge.JobPending, Pool: "p"}, 8)
-	g.waitUntil("three are on their way", func() bool { return s.startsOfRun(1) == 1+3 })
-	return g, s, let
+	g.waitUntil("three starts have been sent", func() bool { return s.startsOfRun(1) == 1+3 })
+	return g, s, release
 }
 
 // Guards against a task of a cancelled job running on for seconds: orders to a worker take long, so
 // starts wait for a slot, and the stop must not wait behind them.
 func TestStopDoesNotWaitBehindStarts(t *testing.T) {
-	g, s, let := newBackedUpFixture(t)
-	defer close(let)
+	g, s, release := newBackedUpFixture(t)
+	defer close(release)
 	g.owner.Cancel("00000000000000a1", 9)
 	g.waitUntil("the run is told to stop", func() bool { return s.stopCount() == 1 })
 }
--- a/internal/owner/stop.go
+++ b/internal/owner/stop.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// drainTimeout bounds how long a handover waits for unwritten changes: about 30 transactions, or 1,000
-// ended jobs. An entry that stops has one second for all of its pools, and needs the rest to find
-// successors and get their answers.
+// drainTimeout bounds how long a handover waits for unwritten changes: about 30 transactions, or
+// 1,000 ended jobs. An entry that stops has one second for all of its pools, and needs the rest to
+// find successors and get their answers.
 const drainTimeout = 400 * time.Millisecond
 
-// maxFastWrite is the longest write while the table isn't slow: a write takes about 10 ms, and a tenth
-// of a second more when the CPU quota is used up.
+// maxFastWrite is the longest write while the table isn't slow: a write takes about 10 ms, and a
+// tenth of a second more when the CPU quota is used up.
 const maxFastWrite = 150 * time.Millisecond
 
 // Calm reports whether a successor could take over quickly because the table answers and isn't
@@ -40,7 +40,7 @@
 	return true
 }
 
-// drain starts nothing new and waits until all changes are in the table, or for drainWait. It
+// drain starts nothing new and waits until all changes are in the table, or for drainTimeout. It
 // doesn't wait if the table is unreachable.
 func (o *Owner) drain() {
 	ctx, cancel := context.WithTimeout(o.ctx, drainTimeout)
@@ -48,17 +48,17 @@
 	for {
 		o.mu.Lock()
 		o.stopping = true
-		over := o.ended || o.tableUnreachable || o.pool.Unwritten() == 0
-		written := o.writeDone
+		done := o.ended || o.tableUnreachable || o.pool.Unwritten() == 0
+		writeDone := o.writeDone
 		o.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
 		o.wakeWriter()
 		select {
 		case <-ctx.Done():
 			return
-		case <-written:
+		case <-writeDone:
 		}
 	}
 }
--- a/internal/owner/stop_test.go
+++ b/internal/owner/stop_test.go
@@ -27,17 +27,17 @@
 
 		set(700*time.Millisecond, nil)
 		g.advance(600 * time.Millisecond) // the next renewal is in progress
-		assert.Assert(t, !g.owner.Calm(), "a write hangs")
+		assert.Assert(t, !g.owner.Calm(), "a write is hanging")
 		g.advance(time.Second)
-		assert.Assert(t, !g.owner.Calm(), "the last one took long")
+		assert.Assert(t, !g.owner.Calm(), "the last write took long")
 
-		set(10*time.Millisecond, gauge.Fail(gauge.KindOutage, "away"))
+		set(10*time.Millisecond, gauge.Fail(gauge.KindOutage, "unreachable"))
 		g.advance(2 * time.Second)
-		assert.Assert(t, !g.owner.Calm(), "the table is away")
+		assert.Assert(t, !g.owner.Calm(), "the table is unreachable")
 
 		set(10*time.Millisecond, nil)
 		g.advance(2 * time.Second)
-		assert.Assert(t, g.owner.Calm(), "it is back")
+		assert.Assert(t, g.owner.Calm(), "the table is back")
 	})
 }
 
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -42,18 +42,19 @@
 }
 
 const (
-	// slowWriteRetries is how many times the duration of the last successful write is added to the time
-	// before a pool whose writes fail is left, so that a failed write can be retried as often.
+	// slowWriteRetries is how many times the duration of the last successful write is added to the
+	// time before a pool whose writes fail is left, so that a failed write can be retried as often.
 	// While the table was slow, one lost answer and the retry took longer than that time, and the
 	// pool went to an entry for which the table was just as slow: the pool stood still for 1.5 s,
 	// and again 3 s later.
 	slowWriteRetries = 2
-	// maxSlowWriteDelay bounds that addition, because the pool has to be offered before its lease is over.
+	// maxSlowWriteDelay bounds that addition, because the pool has to be offered before its lease
+	// is over.
 	maxSlowWriteDelay = 700 * time.Millisecond
 )
 
-// recordWrite records, after a write, whether the table is unreachable, and wakes those that wait for a
-// write.
+// recordWrite records, after a write, whether the table is unreachable, and wakes those that wait
+// for a write.
 func (o *Owner) recordWrite(unreachable bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -69,8 +70,8 @@
 	return o.tableUnreachable
 }
 
-// canReadTable reports whether the table answers a read. It is called after a failed write, because a
-// write that is sent before the table is back hangs for longer than a read does.
+// canReadTable reports whether the table answers a read. It is called after a failed write, because
+// a write that is sent before the table is back hangs for longer than a read does.
 func (o *Owner) canReadTable() bool {
 	ctx, cancel := context.WithTimeout(o.ctx, tableProbeTimeout)
 	defer cancel()
@@ -78,7 +79,8 @@
 	return err == nil
 }
 
-// tableProbeTimeout bounds that read. It takes 4 ms, or 60 to 90 times as long while the table is slow.
+// tableProbeTimeout bounds that read. It takes 4 ms, or 60 to 90 times as long while the table is
+// slow.
 const tableProbeTimeout = 450 * time.Millisecond
 
 // pendingWrite is one transaction: the lease row and the changes of jobs.
@@ -176,8 +178,9 @@
 	return row
 }
 
-// unrecordedCrashesFor is how long an owner hands on that previous owners may not have recorded all crashes.
-// After that, the tasks from before have run for long enough, or have crashed under this owner.
+// unrecordedCrashesFor is how long an owner hands on that previous owners may not have recorded all
+// crashes. After that, the tasks from before have run for long enough, or have crashed under this
+// owner.
 const unrecordedCrashesFor = 30 * time.Second
 
 // unrecordedCrashes returns how many of the previous owners may not have recorded all crashes.
