--- a/internal/owner/backlog_test.go
+++ b/internal/owner/backlog_test.go
@@ -213,9 +213,9 @@
 	return g.lines.withMessage(msg)
 }
 
-// Guards against a pool that misses its service levels for a minute while no log line shows that its owner
-// is behind: the owner's writes fail while starts are still sent. Each failed write is logged, but
-// the backlog has to be as well.
+// Guards against a pool that misses its service levels for a minute while no log line shows that
+// its owner is behind: the owner's writes fail while starts are still sent. Each failed write is
+// logged, but the backlog has to be as well.
 func TestOwnerThatIsBehindLogsItsBacklog(t *testing.T) {
 	g := newFixture(t, nil)
 	g.start("w1")
--- a/internal/owner/config_test.go
+++ b/internal/owner/config_test.go
@@ -39,9 +39,9 @@
 // The list passed to Run must not replace a newer one.
 func TestOlderWorkerListDoesNotReplaceNewerOne(t *testing.T) {
 	var calls sync.Map
-	o, begin := newOwner(t, newRowTable(), recordingWorkers{calls: &calls}, logr.Discard(), nil)
+	o, run := newOwner(t, newRowTable(), recordingWorkers{calls: &calls}, logr.Discard(), nil)
 	o.List([]gauge.Worker{idleWorker("stays")})
-	begin(&gauge.Site{Version: 1}, idleWorker("stays"), idleWorker("left"))
+	run(&gauge.Site{Version: 1}, idleWorker("stays"), idleWorker("left"))
 	waitFor(t, "the one that stays is called", func() bool {
 		_, called := calls.Load("stays")
 		return called
--- a/internal/owner/freshness.go
+++ b/internal/owner/freshness.go
@@ -11,9 +11,9 @@
 // that this owner doesn't know. So its count of a queue is only as recent as the last successful
 // scan.
 
-// maxCountAge is how long after a scan a queue's count is reported. As agreed with the users, a
+// countTTL is how long after a scan a queue's count is reported. As agreed with the users, a
 // count includes the jobs accepted five seconds before, and may itself be two seconds old.
-const maxCountAge = 3 * time.Second
+const countTTL = 3 * time.Second
 
 // readTimes holds the times at which the queues' open jobs were last read.
 type readTimes struct {
@@ -21,24 +21,22 @@
 	failed map[string]time.Duration // ... except those whose last read failed
 }
 
-// readAt returns when a queue was last read.
-func (s *readTimes) readAt(queue string) time.Duration {
+// of returns when a queue was last read.
+func (s *readTimes) of(queue string) time.Duration {
 	if at, failed := s.failed[queue]; failed {
 		return at
 	}
 	return s.all
 }
 
-// isStale reports whether a queue was read too long ago to report its count.
-func (s *readTimes) isStale(queue string, now time.Duration) bool {
-	return now-s.readAt(queue) > maxCountAge
-}
+// isOld reports whether a queue was read too long ago to report its count.
+func (s *readTimes) isOld(queue string, now time.Duration) bool { return now-s.of(queue) > countTTL }
 
 // recordScan records a scan that began at the given time, and the queues for which it failed.
 func (s *readTimes) recordScan(began time.Duration, failed []string) {
 	lastReads := make(map[string]time.Duration, len(failed))
 	for _, queue := range failed {
-		lastReads[queue] = s.readAt(queue)
+		lastReads[queue] = s.of(queue)
 	}
 	s.all, s.failed = began, lastReads
 }
@@ -50,7 +48,7 @@
 	unknown := slices.Collect(maps.Keys(o.unread))
 	for i := range o.site.Queues {
 		q := &o.site.Queues[i]
-		if q.Pool == o.conf.Pool && !o.unread[q.Name] && o.readTimes.isStale(q.Name, now) {
+		if q.Pool == o.conf.Pool && !o.unread[q.Name] && o.readTimes.isOld(q.Name, now) {
 			unknown = append(unknown, q.Name)
 		}
 	}
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -91,7 +91,7 @@
 	workers      map[string]*fakeWorker
 	startDelay   time.Duration // delay of each start
 	starts       int
-	heartbeats        int
+	heartbeats   int
 	reportedEnds int           // ended runs in answers to heartbeats, counted each time they are reported
 	runEnded     chan struct{} // closed when a run ends
 	silentCount  int           // the first so many workers answer nothing
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -386,7 +386,7 @@
 func (o *Owner) Depth(queue string) (int, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.isServing() || o.unread[queue] || o.readTimes.isStale(queue, o.conf.Now()) {
+	if !o.isServing() || o.unread[queue] || o.readTimes.isOld(queue, o.conf.Now()) {
 		return 0, false
 	}
 	return o.pool.Depths()[queue], true
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -62,10 +62,10 @@
 // countingWorkers answers the first heartbeat only, and counts starts.
 type countingWorkers struct {
 	gauge.Workers
-	mu     sync.Mutex
-	heartbeats  int
-	starts int
-	sent   chan struct{} // signals that a start has arrived
+	mu         sync.Mutex
+	heartbeats int
+	starts     int
+	sent       chan struct{} // signals that a start has arrived
 }
 
 func (c *countingWorkers) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
--- a/internal/owner/rowtable_test.go
+++ b/internal/owner/rowtable_test.go
@@ -175,8 +175,7 @@
 	return o, func(site *gauge.Site, list ...gauge.Worker) { group.Go(func() { o.Run(site, list) }) }
 }
 
-// waitFor polls until a condition holds. Its timeout decides nothing but when a broken test
-// fails.
+// waitFor polls until a condition holds. Its timeout decides nothing but when a broken test fails.
 func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -58,7 +58,7 @@
 			time.Sleep(3 * time.Second)
 			synctest.Wait()
 			if starts, _ := w.callCounts(); term < 2 {
-				assert.Equal(t, starts, 0, "the task may run on the dark worker yet")
+				assert.Equal(t, starts, 0, "the task may still run on the silent worker")
 			} else {
 				assert.Equal(t, starts, 1, "nine seconds after anything may have been granted")
 			}
--- a/internal/owner/slots_test.go
+++ b/internal/owner/slots_test.go
@@ -12,8 +12,8 @@
 	"sapphiregauge/internal/owner"
 )
 
-// stallingWorkers are workers that, once stall is called, delay the answers to starts until they are
-// released.
+// stallingWorkers are workers that, once stall is called, delay the answers to starts until they
+// are released.
 type stallingWorkers struct {
 	blockingWorkers
 	callsMu sync.Mutex
