--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,7 +1,7 @@
-// Package follow holds the state that this entry has in force and moves it
-// forward, never back: the table's head is the truth and is polled, a word from
-// a peer is only a reason to poll at once. While the table is out, a state from
-// a peer is taken if it is newer than ours.
+// Package follow holds the configuration state that is in force at this entry, and only ever moves
+// it forward. The head of the revision log in the table is authoritative and is polled; a message
+// from a peer is only a reason to poll at once. During a table outage, a peer's state is adopted if
+// it is newer.
 package follow
 
 import (
@@ -17,18 +17,18 @@
 	"sapphiregauge/internal/revlog"
 )
 
-// Config sets up a Follower.
+// Config holds the settings and dependencies of a Follower.
 type Config struct {
 	Log   *revlog.Log
-	Every time.Duration // between two polls; default 1 s
+	Every time.Duration // interval between polls; default 1 s
 	Clock gauge.Clock
 	Logs  logr.Logger
-	// Ask fetches the newest state that any live peer holds; used only while
-	// the table does not answer.
+	// Ask fetches the newest state that any live peer has. It is called only while the table
+	// doesn't answer.
 	Ask func(ctx context.Context) (gauge.State, error)
-	// Adopted is called after each step forward, one call at a time. Behind is
-	// how long the state may have been in force elsewhere before: the time since
-	// it was last confirmed that there is no newer one; 0 for the first.
+	// Adopted is called after each newer state was adopted, one call at a time. Behind is how long
+	// that state may have been in force elsewhere before: the time since it was last confirmed that
+	// there was no newer one, or 0 for the first state.
 	Adopted func(s gauge.State, behind time.Duration)
 }
 
@@ -40,11 +40,11 @@
 	state atomic.Pointer[gauge.State]
 	wake  chan struct{}
 
-	mu     sync.Mutex                // one step at a time
+	mu     sync.Mutex                // held while polling
 	proved atomic.Pointer[time.Time] // when the table or a peer last confirmed the state in force; nil: never
 }
 
-// New makes a Follower with nothing in force.
+// New returns a Follower with no state in force.
 func New(c Config) *Follower {
 	fill.Zero(&c.Every, defaultEvery)
 	f := &Follower{conf: c, wake: make(chan struct{}, 1)}
@@ -52,28 +52,27 @@
 	return f
 }
 
-// State returns what is in force. Revision 0: nothing yet.
+// State returns the state in force. Revision 0 means that there is none yet.
 func (f *Follower) State() gauge.State { return *f.state.Load() }
 
-// currentPolls: a state that so many polls in a row have not confirmed may have been
-// replaced. A single one may meet a lost answer.
+// currentPolls is the number of polls in a row after which an unconfirmed state may have been
+// replaced. A single poll can fail because an answer was lost.
 const currentPolls = 3
 
-// Current tells whether the state in force was confirmed lately.
+// Current reports whether the state in force was confirmed lately.
 func (f *Follower) Current() bool {
 	proved := f.proved.Load()
 	return proved != nil && f.conf.Clock().Sub(*proved) <= currentPolls*f.conf.Every
 }
 
-// Wake asks for a poll at once, if there is reason to think that a newer
-// revision exists.
+// Wake requests a poll at once if the given revision is newer than the one in force.
 func (f *Follower) Wake(revision int64) {
 	if revision <= f.State().Revision {
 		return
 	}
 	select {
 	case f.wake <- struct{}{}:
-	default: // a poll is due already
+	default: // a poll is requested already
 	}
 }
 
@@ -94,7 +93,7 @@
 	}
 }
 
-// Poll takes one step: read the head, adopt what is newer.
+// Poll reads the newest state once and adopts it if it is newer than the one in force.
 func (f *Follower) Poll(ctx context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +110,7 @@
 		behind = now.Sub(*before)
 	}
 	f.adopt(next, behind)
-	f.proved.Store(&now) // not before: until then the state is the one that was there
+	f.proved.Store(&now) // after adopt: until then the previous state was in force
 	return nil
 }
 
@@ -122,14 +121,13 @@
 	}
 	next, err := f.conf.Log.CatchUp(ctx, now)
 	if gauge.Is(err, gauge.KindMissing) {
-		return f.conf.Log.Load(ctx) // so far behind that the changes were trimmed
+		return f.conf.Log.Load(ctx) // so many revisions behind that the changes in between were deleted
 	}
 	return next, err
 }
 
-// adopt takes a state only if it is newer: an older one comes from a table
-// restored from a copy or from a peer that is behind, and would undo what is
-// in force.
+// adopt adopts a state only if it is newer. An older one comes from a restored backup of the table
+// or from a peer that is behind, and would undo the state in force.
 func (f *Follower) adopt(next gauge.State, behind time.Duration) {
 	if next.Revision <= f.State().Revision {
 		return
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -14,8 +14,8 @@
 	"sapphiregauge/internal/revlog"
 )
 
-// What is not confirmed any more may have been replaced: whoever asks must not go by it as if
-// it were the newest.
+// A state that isn't confirmed any more may have been replaced, and must not be taken for the
+// newest one.
 func TestStateIsCurrentForAsLongAsItIsConfirmed(t *testing.T) {
 	now := time.Unix(0, 0)
 	away := false
@@ -39,7 +39,7 @@
 	assert.Assert(t, f.Current())
 }
 
-// cut is a table that a test can take away.
+// cut is a table that a test can make unreachable.
 type cut struct {
 	*memdb.DB
 	away *bool
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,6 +1,5 @@
-// Package member keeps this entry a member: it writes the entry's row, reads
-// the others' rows, and exchanges heartbeats. What follows from them package
-// peers decides.
+// Package member maintains this entry's membership: it writes the entry's row, reads the rows of
+// the others and exchanges heartbeats with them. Package peers decides what follows from them.
 package member
 
 import (
@@ -19,22 +18,22 @@
 	"sapphiregauge/internal/ticks"
 )
 
-// Config sets up a Keeper.
+// Config holds the settings and dependencies of a Keeper.
 type Config struct {
 	Self     gauge.Member
 	Table    gauge.Table
 	Peers    gauge.Peers
 	Clock    gauge.Clock
 	Logs     logr.Logger
-	Beat     time.Duration // between two heartbeats; default 1 s
-	Row      time.Duration // between two writes of the row; default 5 s
-	Seeds    []string      // peers' addresses to try while no other entry is known
+	Beat     time.Duration // interval between heartbeats; default 1 s
+	Row      time.Duration // interval between writes of the member row; default 5 s
+	Seeds    []string      // addresses of peers to contact while no other entry is known
 	Revision func() int64
 	// Newer is called when a peer has a newer revision in force.
 	Newer func(revision int64)
 }
 
-// Method is the name under which heartbeats go over the mesh.
+// Method is the name of the heartbeat method on the mesh.
 const Method = "beat"
 
 const (
@@ -43,15 +42,15 @@
 	defaultRow  = 5 * time.Second
 )
 
-// View is what the entries' heartbeats and rows say at one moment.
+// View is the membership as this entry's heartbeats and the member rows show it at one moment.
 type View struct {
 	Live  []gauge.Member
 	Hash  uint64
-	Same  int // entries that see the same, this one among them
+	Same  int // number of entries with the same view, including this one
 	Known int
 }
 
-// Keeper keeps the membership.
+// Keeper maintains the membership.
 type Keeper struct {
 	conf Config
 
@@ -60,7 +59,7 @@
 	own gauge.Member
 }
 
-// New makes a Keeper that knows this entry alone.
+// New returns a Keeper that knows only this entry.
 func New(c Config) *Keeper {
 	fill.Zero(&c.Beat, defaultBeat)
 	fill.Zero(&c.Row, defaultRow)
@@ -68,7 +67,7 @@
 	return &Keeper{conf: c, own: c.Self, set: peers.New(peers.Config{Self: c.Self, Silence: silence, Term: 3 * c.Row})}
 }
 
-// Run writes, reads and beats until ctx ends.
+// Run writes and reads rows and sends heartbeats until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -76,11 +75,11 @@
 	group.Go(func() { ticks.Every(ctx, k.conf.Beat, k.beats) })
 }
 
-// Join reads the rows and writes the own one once, so that the entry knows
-// whom to ask before it serves.
+// Join writes this entry's row and reads the others once, so that the entry knows its peers before
+// it serves requests.
 func (k *Keeper) Join(ctx context.Context) { k.rows(ctx) }
 
-// Leave drops the own row, so that the others need not wait out the term.
+// Leave deletes this entry's row, so that the others needn't wait until it expires.
 func (k *Keeper) Leave(ctx context.Context) error {
 	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: prefix + k.own.ID}}})
 }
@@ -112,7 +111,7 @@
 	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: prefix + k.own.ID, Value: body}}})
 }
 
-// drop removes the row of an entry that is gone, if it has not written since.
+// drop deletes the row of an entry that is gone, unless the entry has written it since.
 func (k *Keeper) drop(ctx context.Context, m gauge.Member, version int64) {
 	key := prefix + m.ID
 	err := k.conf.Table.Commit(ctx, gauge.Txn{
@@ -124,8 +123,7 @@
 	}
 }
 
-// decodeRows passes over a malformed row: one bad row must not make all other
-// members unknown.
+// decodeRows skips malformed rows, because one of them must not make all other members unknown.
 func decodeRows(rows []gauge.Row) ([]gauge.Member, map[string]int64) {
 	var members []gauge.Member
 	versions := make(map[string]int64, len(rows))
@@ -149,7 +147,7 @@
 		sends[m.Peer] = k.set.Beat(now, k.conf.Revision(), m.Zone)
 	}
 	if len(sends) == 0 {
-		// While the table is out, a fresh entry can learn of the others only so.
+		// During a table outage, seeds are the only way for a new entry to learn of the others.
 		for _, addr := range k.conf.Seeds {
 			sends[addr] = k.set.Beat(now, k.conf.Revision(), "")
 		}
@@ -170,7 +168,7 @@
 	group.Wait()
 }
 
-// Handle answers a heartbeat with the own one.
+// Handle answers a peer's heartbeat with this entry's own.
 func (k *Keeper) Handle(_ context.Context, body []byte) (any, error) {
 	var b peers.Beat
 	if err := frame.Decode(body, &b); err != nil {
@@ -192,10 +190,10 @@
 	}
 }
 
-// Tell sends a heartbeat now: the word that there is a new revision.
+// Tell sends heartbeats now, which tell the peers of a new revision.
 func (k *Keeper) Tell(ctx context.Context) { k.beats(ctx) }
 
-// View returns what is known now.
+// View returns the current view.
 func (k *Keeper) View() View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -205,21 +203,21 @@
 	return View{Live: live, Hash: hash, Same: same, Known: known}
 }
 
-// Linked tells whether anything was learned from the table or a peer lately.
+// Linked reports whether anything was received lately from the table or a peer.
 func (k *Keeper) Linked() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.set.Linked(k.conf.Clock())
 }
 
-// Confirmed tells whether every entry has a revision in force or is gone.
+// Confirmed reports whether every entry has a revision in force or is gone.
 func (k *Keeper) Confirmed(revision int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.conf.Revision() >= revision && k.set.Confirmed(revision)
 }
 
-// Revisions returns the revision in force at each live entry.
+// Revisions returns the revision in force at each live entry, by the entry's ID.
 func (k *Keeper) Revisions() map[string]int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -1,5 +1,5 @@
-// Package tenure holds one lease: every transaction made with it is conditional
-// on the lease still being this holder's, and renews it.
+// Package tenure holds one lease in the table. Every transaction made with the lease is conditional
+// on this holder still having it, and renews it.
 package tenure
 
 import (
@@ -10,21 +10,21 @@
 	gauge "sapphiregauge"
 )
 
-// Config sets up a Tenure.
+// Config holds the settings and dependencies of a Tenure.
 type Config struct {
-	Key     gauge.RowKey  // of the lease's row
-	Holder  string        // this entry and its start
-	Addr    string        // for calls from other entries
-	Term    int           // holders before this one
-	Version int64         // of the row, as taken
-	Taken   time.Duration // when the transaction that took it was sent
-	Lasts   time.Duration // after a renewal was sent
+	Key     gauge.RowKey  // key of the lease row
+	Holder  string        // name of this entry and of its start
+	Addr    string        // address for calls from other entries
+	Term    int           // number of holders before this one
+	Version int64         // version of the lease row after the claim
+	Taken   time.Duration // when the transaction that claimed the lease was sent
+	Lasts   time.Duration // how long the lease lasts after a renewal was sent
 	Store   gauge.Parted
 	Now     func() time.Duration
-	Clock   func() int64 // the table's clock in milliseconds, about
+	Clock   func() int64 // the table's clock in milliseconds, approximately
 }
 
-// Tenure is one holder's time with a lease.
+// Tenure is one holder's period of holding a lease.
 type Tenure struct {
 	conf Config
 
@@ -32,47 +32,45 @@
 	version int64
 	until   time.Duration
 	lost    bool
-	granted *gauge.GrantRow // as the table surely has it; nil: not known
+	granted *gauge.GrantRow // the grant row as the table surely has it; nil: unknown
 }
 
-// New makes a Tenure of a lease that was just taken.
+// New returns a Tenure of a lease that was just claimed.
 func New(c Config) *Tenure {
 	return &Tenure{conf: c, version: c.Version, until: c.Taken + c.Lasts}
 }
 
-// Until is when the lease ends unless it is renewed: before that no other entry
-// can have taken it. It counts from before the renewal was sent, whatever time
-// the answer took.
+// Until returns when the lease ends unless it is renewed; no other entry can have claimed it
+// before. The term counts from when the renewal was sent, however long the answer took.
 func (t *Tenure) Until() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.until
 }
 
-// Version is that of the lease's row, as last known.
+// Version returns the last known version of the lease row.
 func (t *Tenure) Version() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.version
 }
 
-// Lost tells whether another holder is known to have it, or it was given up.
+// Lost reports whether the lease was given up, or another holder is known to have it.
 func (t *Tenure) Lost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost
 }
 
-// Lose takes in that another holder has it.
+// Lose records that another holder has the lease.
 func (t *Tenure) Lose() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = true
 }
 
-// Commit carries out a transaction with the lease's row in it. With KindConflict
-// it returns the other rows as the table has them; KindFenced: another holder
-// has the lease.
+// Commit carries out a transaction that also renews the lease. With an error of KindConflict it
+// returns the other rows as the table has them. KindFenced means that another holder has the lease.
 func (t *Tenure) Commit(ctx context.Context, row gauge.LeaseRow, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	txn, grants, err := t.with(row, txn)
 	if err != nil {
@@ -87,7 +85,7 @@
 		return stamp, nil, nil
 	}
 	t.mu.Lock()
-	t.granted = nil // it may be carried out yet
+	t.granted = nil // the transaction may still be carried out
 	t.mu.Unlock()
 	if !gauge.Is(err, gauge.KindConflict) {
 		return stamp, nil, err
@@ -100,8 +98,8 @@
 	return stamp, others, err
 }
 
-// with adds the lease's row to a transaction, and what the next holder has to know if
-// the table hasn't got that yet.
+// with adds the lease row to a transaction, and the grant row, which the next holder needs, unless
+// the table surely has it.
 func (t *Tenure) with(row gauge.LeaseRow, txn gauge.PartTxn) (gauge.PartTxn, *gauge.GrantRow, error) {
 	row.Holder, row.Addr, row.Term = t.conf.Holder, t.conf.Addr, t.conf.Term
 	row.Renewed = t.conf.Clock()
@@ -122,8 +120,8 @@
 	return txn, &grants, nil
 }
 
-// Writes are those of a lease's row: first what all entries read, then what only the
-// next holder does.
+// Writes returns the writes that store a lease: first the lease row, which all entries read, then
+// the grant row, which only the next holder reads.
 func Writes(key gauge.RowKey, row *gauge.LeaseRow) ([]gauge.RowWrite, error) {
 	all, grants := row.Split()
 	value, err := all.Encode()
@@ -141,8 +139,8 @@
 	return gauge.RowKey{Table: gauge.TableGrants, Part: key.Part, Key: key.Key}
 }
 
-// Read completes the row of a lease, as all entries read it, by what is for the next
-// holder. That holds for a claim of the version that the row was seen with.
+// Read adds the contents of the grant row to a lease row. They are consistent if the lease is then
+// claimed at the version with which the lease row was read.
 func Read(ctx context.Context, store gauge.Parted, key gauge.RowKey, row *gauge.LeaseRow) error {
 	at := grantsOf(key)
 	rows, _, err := store.Range(ctx, at.Table, at.Part, at.Key, at.Key+"\x00")
@@ -150,7 +148,7 @@
 		return err
 	}
 	if len(rows) == 0 {
-		return nil // of an older program, which has it all in one row
+		return nil // the lease row is from an older version, which stored everything in it
 	}
 	grants, err := gauge.DecodeGrantRow(rows[0].Value)
 	if err != nil {
@@ -160,9 +158,9 @@
 	return nil
 }
 
-// sort takes the lease's row out of those of a refused transaction. A row of
-// this holder with another version means that an earlier transaction, which got
-// no answer, was carried out. False: it is another holder's.
+// sort removes the lease row from the rows returned with a refused transaction. If it is this
+// holder's with another version, an earlier transaction that got no answer has been carried out. It
+// reports false if the row is another holder's.
 func (t *Tenure) sort(rows []gauge.PartRow) ([]gauge.PartRow, bool) {
 	var others []gauge.PartRow
 	for _, r := range rows {
@@ -181,8 +179,8 @@
 	return others, true
 }
 
-// GiveUp writes the lease's row without a holder, so that another entry needn't
-// wait for its end. Nothing may be done with the lease any more.
+// GiveUp writes the lease row without a holder, so that another entry needn't wait for the lease to
+// expire. The lease must not be used any more.
 func (t *Tenure) GiveUp(ctx context.Context, row gauge.LeaseRow) error {
 	t.mu.Lock()
 	already := t.lost
@@ -206,7 +204,7 @@
 		if !gauge.Is(err, gauge.KindConflict) {
 			return err
 		}
-		// A renewal that was under way when this began has been carried out.
+		// A renewal that was in progress when this call began has been carried out.
 		if _, ours := t.sort(rows); !ours {
 			return err
 		}
@@ -217,5 +215,5 @@
 	return err
 }
 
-// giveUpTries: a renewal may land between, and one more that got no answer.
+// giveUpTries allows for one concurrent renewal, and for one more that got no answer.
 const giveUpTries = 3
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -11,15 +11,15 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// table has one row and answers as a test says.
+// table has one lease row and one grant row.
 type table struct {
 	gauge.Parted
 	row    gauge.PartRow
-	before func() // runs before each transaction
-	fail   error  // given instead of the answer, after it was carried out
+	before func() // called before each transaction
+	fail   error  // returned after the transaction was carried out
 
 	grants  gauge.PartRow
-	granted int // how often it was written
+	granted int // how often the grant row was written
 }
 
 func (t *table) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
@@ -69,7 +69,7 @@
 	return err
 }
 
-// The lease counts from before the renewal was sent, however long the answer took.
+// The lease's term counts from when the renewal was sent, however long the answer took.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
 	g := newRig()
 	g.now = time.Second
@@ -78,10 +78,9 @@
 	assert.Equal(t, g.lease.Until(), 3*time.Second)
 }
 
-// Symptom: an owner gives its pool up for nothing.
-// Sequence: a renewal is carried out but not answered; the next is refused, as
-// the row has another version.
-// Cause: any other version is taken for another holder's.
+// Guards against an owner giving up its pool for nothing: a renewal is carried out but not
+// answered, and the next one is refused because the row has another version. That version must not
+// be taken for another holder's.
 func TestOwnUnansweredRenewalIsNoLoss(t *testing.T) {
 	g := newRig()
 	g.table.fail = gauge.Fail(gauge.KindUnknown, "no answer")
@@ -102,10 +101,9 @@
 	assert.Assert(t, g.lease.Lost())
 }
 
-// Symptom: a pool is without an owner for a term after SIGTERM.
-// Sequence: a renewal is under way when the lease is given up, and is carried out
-// first.
-// Cause: giving up is refused for the version, and not tried again.
+// Guards against a pool without an owner for a whole term after SIGTERM: the lease is given up
+// while a renewal is in progress, which is carried out first. GiveUp is then refused because of the
+// version, and has to try again.
 func TestGivingUpOutlivesARenewalUnderWay(t *testing.T) {
 	g := newRig()
 	assert.NilError(t, g.commit())
@@ -125,8 +123,8 @@
 	assert.Equal(t, row.Holder, "")
 }
 
-// What only the next holder needs is not rewritten with each renewal, which all entries
-// read: with 600 workers it is 15 KB.
+// What only the next holder needs isn't rewritten with each renewal, because all entries read the
+// lease row: with 600 workers it is 15 KB.
 func TestWhatIsForTheNextHolderIsWrittenWhenItChanges(t *testing.T) {
 	g := newRig()
 	commit := func(workers ...string) {
@@ -153,10 +151,9 @@
 	assert.DeepEqual(t, read(), []string{"c"})
 }
 
-// Symptom: a successor doesn't ask a worker that has orders.
-// Sequence: a write that leaves a worker out gets no answer, and is carried out; the
-// worker is named again.
-// Cause: what was written before that is taken for what the table has.
+// Guards against a successor that doesn't call a worker with orders: a write that leaves a worker
+// out gets no answer but is carried out, and the worker is named again. What was written before the
+// unanswered write must not be taken for what the table has.
 func TestWhatIsForTheNextHolderIsWrittenAgainAfterAWriteWithoutAnAnswer(t *testing.T) {
 	g := newRig()
 	commit := func(workers ...string) error {
