--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -32,7 +32,7 @@
 	Adopted func(s gauge.State, behind time.Duration)
 }
 
-const defaultEvery = time.Second
+const defaultInterval = time.Second
 
 // Follower holds the state in force.
 type Follower struct {
@@ -40,13 +40,13 @@
 	state atomic.Pointer[gauge.State]
 	wake  chan struct{}
 
-	mu     sync.Mutex                // held while polling
-	proved atomic.Pointer[time.Time] // when the table or a peer last confirmed the state in force; nil: never
+	mu          sync.Mutex                // held while polling
+	confirmedAt atomic.Pointer[time.Time] // when the table or a peer last confirmed the state in force; nil: never
 }
 
 // New returns a Follower with no state in force.
 func New(c Config) *Follower {
-	fill.Zero(&c.Every, defaultEvery)
+	fill.Zero(&c.Every, defaultInterval)
 	f := &Follower{conf: c, wake: make(chan struct{}, 1)}
 	f.state.Store(&gauge.State{})
 	return f
@@ -55,14 +55,14 @@
 // State returns the state in force. Revision 0 means that there is none yet.
 func (f *Follower) State() gauge.State { return *f.state.Load() }
 
-// currentPolls is the number of polls in a row after which an unconfirmed state may have been
-// replaced. A single poll can fail because an answer was lost.
-const currentPolls = 3
+// maxUnconfirmedPolls is the number of polls in a row after which an unconfirmed state may have
+// been replaced. A single poll can fail because an answer was lost.
+const maxUnconfirmedPolls = 3
 
 // Current reports whether the state in force was confirmed lately.
 func (f *Follower) Current() bool {
-	proved := f.proved.Load()
-	return proved != nil && f.conf.Clock().Sub(*proved) <= currentPolls*f.conf.Every
+	confirmedAt := f.confirmedAt.Load()
+	return confirmedAt != nil && f.conf.Clock().Sub(*confirmedAt) <= maxUnconfirmedPolls*f.conf.Every
 }
 
 // Wake requests a poll at once if the given revision is newer than the one in force.
@@ -97,7 +97,7 @@
 func (f *Follower) Poll(ctx context.Context) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	next, err := f.read(ctx)
+	next, err := f.readNewest(ctx)
 	if err != nil && f.conf.Ask != nil {
 		next, err = f.conf.Ask(ctx)
 	}
@@ -106,20 +106,20 @@
 	}
 	now := f.conf.Clock()
 	behind := time.Duration(0)
-	if before := f.proved.Load(); before != nil {
-		behind = now.Sub(*before)
+	if previous := f.confirmedAt.Load(); previous != nil {
+		behind = now.Sub(*previous)
 	}
 	f.adopt(next, behind)
-	f.proved.Store(&now) // after adopt: until then the previous state was in force
+	f.confirmedAt.Store(&now) // after adopt: until then the previous state was in force
 	return nil
 }
 
-func (f *Follower) read(ctx context.Context) (gauge.State, error) {
-	now := f.State()
-	if now.Revision == 0 {
+func (f *Follower) readNewest(ctx context.Context) (gauge.State, error) {
+	current := f.State()
+	if current.Revision == 0 {
 		return f.conf.Log.Load(ctx)
 	}
-	next, err := f.conf.Log.CatchUp(ctx, now)
+	next, err := f.conf.Log.CatchUp(ctx, current)
 	if gauge.Is(err, gauge.KindMissing) {
 		return f.conf.Log.Load(ctx) // so many revisions behind that the changes in between were deleted
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -18,14 +18,14 @@
 // newest one.
 func TestStateIsCurrentForAsLongAsItIsConfirmed(t *testing.T) {
 	now := time.Unix(0, 0)
-	away := false
+	unreachable := false
 	f := follow.New(follow.Config{
-		Log: revlog.New(cut{memdb.New(), &away}), Every: time.Second, Clock: func() time.Time { return now }, Logs: logr.Discard(),
+		Log: revlog.New(switchableDB{memdb.New(), &unreachable}), Every: time.Second, Clock: func() time.Time { return now }, Logs: logr.Discard(),
 	})
 	assert.Assert(t, !f.Current(), "nothing was read yet")
 	assert.NilError(t, f.Poll(t.Context()))
 	assert.Assert(t, f.Current())
-	away = true
+	unreachable = true
 	for range 3 {
 		now = now.Add(time.Second)
 		assert.Assert(t, f.Poll(t.Context()) != nil)
@@ -34,18 +34,18 @@
 	now = now.Add(time.Second)
 	assert.Assert(t, f.Poll(t.Context()) != nil)
 	assert.Assert(t, !f.Current())
-	away = false
+	unreachable = false
 	assert.NilError(t, f.Poll(t.Context()))
 	assert.Assert(t, f.Current())
 }
 
-// cut is a table that a test can make unreachable.
-type cut struct {
+// switchableDB is a table that a test can make unreachable.
+type switchableDB struct {
 	*memdb.DB
 	away *bool
 }
 
-func (c cut) Get(ctx context.Context, key string) (gauge.Row, error) {
+func (c switchableDB) Get(ctx context.Context, key string) (gauge.Row, error) {
 	if *c.away {
 		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "no answer")
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -37,83 +37,83 @@
 const Method = "beat"
 
 const (
-	prefix      = "member/"
-	defaultBeat = time.Second
-	defaultRow  = 5 * time.Second
+	rowPrefix                = "member/"
+	defaultHeartbeatInterval = time.Second
+	defaultRowInterval       = 5 * time.Second
 )
 
 // View is the membership as this entry's heartbeats and the member rows show it at one moment.
 type View struct {
 	Live  []gauge.Member
-	Hash  uint64
-	Same  int // number of entries with the same view, including this one
-	Known int
+	Hash  uint64 // of the live set
+	Same  int    // number of entries with the same view, including this one
+	Known int    // number of known entries, including this one
 }
 
 // Keeper maintains the membership.
 type Keeper struct {
 	conf Config
 
-	mu  sync.Mutex
-	set *peers.Set
-	own gauge.Member
+	mu      sync.Mutex
+	peerSet *peers.Set
+	self    gauge.Member
 }
 
 // New returns a Keeper that knows only this entry.
 func New(c Config) *Keeper {
-	fill.Zero(&c.Beat, defaultBeat)
-	fill.Zero(&c.Row, defaultRow)
+	fill.Zero(&c.Beat, defaultHeartbeatInterval)
+	fill.Zero(&c.Row, defaultRowInterval)
 	silence := 3 * c.Beat
-	return &Keeper{conf: c, own: c.Self, set: peers.New(peers.Config{Self: c.Self, Silence: silence, Term: 3 * c.Row})}
+	return &Keeper{conf: c, self: c.Self, peerSet: peers.New(peers.Config{Self: c.Self, Silence: silence, Term: 3 * c.Row})}
 }
 
 // Run writes and reads rows and sends heartbeats until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
-	group.Go(func() { ticks.Every(ctx, k.conf.Row, k.rows) })
-	group.Go(func() { ticks.Every(ctx, k.conf.Beat, k.beats) })
+	group.Go(func() { ticks.Every(ctx, k.conf.Row, k.syncRows) })
+	group.Go(func() { ticks.Every(ctx, k.conf.Beat, k.exchangeHeartbeats) })
 }
 
 // Join writes this entry's row and reads the others once, so that the entry knows its peers before
 // it serves requests.
-func (k *Keeper) Join(ctx context.Context) { k.rows(ctx) }
+func (k *Keeper) Join(ctx context.Context) { k.syncRows(ctx) }
 
 // Leave deletes this entry's row, so that the others needn't wait until it expires.
 func (k *Keeper) Leave(ctx context.Context) error {
-	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: prefix + k.own.ID}}})
+	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: rowPrefix + k.self.ID}}})
 }
 
-func (k *Keeper) rows(ctx context.Context) {
+func (k *Keeper) syncRows(ctx context.Context) {
 	if err := k.writeRow(ctx); err != nil {
 		k.conf.Logs.V(1).Info("own member row not written", "reason", err.Error())
 	}
-	rows, err := k.conf.Table.Scan(ctx, prefix)
+	rows, err := k.conf.Table.Scan(ctx, rowPrefix)
 	if err != nil {
 		k.conf.Logs.V(1).Info("member rows not read", "reason", err.Error())
 		return
 	}
 	members, versions := decodeRows(rows)
 	k.mu.Lock()
-	stale := k.set.Rows(k.conf.Clock(), members)
+	stale := k.peerSet.Rows(k.conf.Clock(), members)
 	k.mu.Unlock()
 	for _, m := range stale {
-		k.drop(ctx, m, versions[m.ID])
+		k.deleteRow(ctx, m, versions[m.ID])
 	}
 }
 
 func (k *Keeper) writeRow(ctx context.Context) error {
-	k.own.Beat++
-	body, err := json.Marshal(k.own)
+	k.self.Beat++
+	body, err := json.Marshal(k.self)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "member row").Because(err)
+		return gauge.Fail(gauge.KindInternal, "encoding the member row").Because(err)
 	}
-	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: prefix + k.own.ID, Value: body}}})
+	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: rowPrefix + k.self.ID, Value: body}}})
 }
 
-// drop deletes the row of an entry that is gone, unless the entry has written it since.
-func (k *Keeper) drop(ctx context.Context, m gauge.Member, version int64) {
-	key := prefix + m.ID
+// deleteRow deletes the row of an entry that is gone, unless the entry has written it since.
+func (k *Keeper) deleteRow(ctx context.Context, m gauge.Member, version int64) {
+	key := rowPrefix + m.ID
 	err := k.conf.Table.Commit(ctx, gauge.Txn{
 		Checks: []gauge.Check{{Key: key, Version: version}},
 		Puts:   []gauge.Put{{Key: key}},
@@ -138,30 +138,30 @@
 	return members, versions
 }
 
-func (k *Keeper) beats(ctx context.Context) {
+func (k *Keeper) exchangeHeartbeats(ctx context.Context) {
 	now := k.conf.Clock()
 	k.mu.Lock()
-	k.set.Look(now)
-	sends := make(map[string]peers.Beat)
-	for _, m := range k.set.Neighbours(now) {
-		sends[m.Peer] = k.set.Beat(now, k.conf.Revision(), m.Zone)
+	k.peerSet.Look(now)
+	outgoing := make(map[string]peers.Beat)
+	for _, m := range k.peerSet.Neighbours(now) {
+		outgoing[m.Peer] = k.peerSet.Beat(now, k.conf.Revision(), m.Zone)
 	}
-	if len(sends) == 0 {
+	if len(outgoing) == 0 {
 		// During a table outage, seeds are the only way for a new entry to learn of the others.
 		for _, addr := range k.conf.Seeds {
-			sends[addr] = k.set.Beat(now, k.conf.Revision(), "")
+			outgoing[addr] = k.peerSet.Beat(now, k.conf.Revision(), "")
 		}
 	}
-	delete(sends, k.own.Peer)
+	delete(outgoing, k.self.Peer)
 	k.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, 2*k.conf.Beat)
 	defer cancel()
 	var group conc.WaitGroup
-	for addr, beat := range sends {
+	for addr, beat := range outgoing {
 		group.Go(func() {
-			var back peers.Beat
-			if err := k.conf.Peers.Call(ctx, addr, Method, &beat, &back); err == nil {
-				k.heard(back)
+			var answer peers.Beat
+			if err := k.conf.Peers.Call(ctx, addr, Method, &beat, &answer); err == nil {
+				k.applyHeartbeat(answer)
 			}
 		})
 	}
@@ -174,16 +174,16 @@
 	if err := frame.Decode(body, &b); err != nil {
 		return nil, err
 	}
-	k.heard(b)
+	k.applyHeartbeat(b)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	back := k.set.Beat(k.conf.Clock(), k.conf.Revision(), b.From.Zone)
-	return &back, nil
+	answer := k.peerSet.Beat(k.conf.Clock(), k.conf.Revision(), b.From.Zone)
+	return &answer, nil
 }
 
-func (k *Keeper) heard(b peers.Beat) {
+func (k *Keeper) applyHeartbeat(b peers.Beat) {
 	k.mu.Lock()
-	k.set.Heard(k.conf.Clock(), b)
+	k.peerSet.Heard(k.conf.Clock(), b)
 	k.mu.Unlock()
 	if k.conf.Newer != nil && b.Revision > k.conf.Revision() {
 		k.conf.Newer(b.Revision)
@@ -191,15 +191,15 @@
 }
 
 // Tell sends heartbeats now, which tell the peers of a new revision.
-func (k *Keeper) Tell(ctx context.Context) { k.beats(ctx) }
+func (k *Keeper) Tell(ctx context.Context) { k.exchangeHeartbeats(ctx) }
 
 // View returns the current view.
 func (k *Keeper) View() View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.conf.Clock()
-	hash, live := k.set.Look(now)
-	same, known := k.set.Share(now)
+	hash, live := k.peerSet.Look(now)
+	same, known := k.peerSet.Share(now)
 	return View{Live: live, Hash: hash, Same: same, Known: known}
 }
 
@@ -207,21 +207,21 @@
 func (k *Keeper) Linked() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.set.Linked(k.conf.Clock())
+	return k.peerSet.Linked(k.conf.Clock())
 }
 
 // Confirmed reports whether every entry has a revision in force or is gone.
 func (k *Keeper) Confirmed(revision int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.conf.Revision() >= revision && k.set.Confirmed(revision)
+	return k.conf.Revision() >= revision && k.peerSet.Confirmed(revision)
 }
 
 // Revisions returns the revision in force at each live entry, by the entry's ID.
 func (k *Keeper) Revisions() map[string]int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	out := k.set.Revisions(k.conf.Clock())
-	out[k.own.ID] = k.conf.Revision()
-	return out
+	revisions := k.peerSet.Revisions(k.conf.Clock())
+	revisions[k.self.ID] = k.conf.Revision()
+	return revisions
 }
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -28,11 +28,11 @@
 type Tenure struct {
 	conf Config
 
-	mu      sync.Mutex
-	version int64
-	until   time.Duration
-	lost    bool
-	granted *gauge.GrantRow // the grant row as the table surely has it; nil: unknown
+	mu           sync.Mutex
+	version      int64
+	until        time.Duration
+	lost         bool
+	storedGrants *gauge.GrantRow // the grant row as the table surely has it; nil: unknown
 }
 
 // New returns a Tenure of a lease that was just claimed.
@@ -72,7 +72,7 @@
 // Commit carries out a transaction that also renews the lease. With an error of KindConflict it
 // returns the other rows as the table has them. KindFenced means that another holder has the lease.
 func (t *Tenure) Commit(ctx context.Context, row gauge.LeaseRow, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
-	txn, grants, err := t.with(row, txn)
+	txn, grants, err := t.withLease(row, txn)
 	if err != nil {
 		return gauge.Stamp{}, nil, err
 	}
@@ -80,17 +80,17 @@
 	stamp, rows, err := t.conf.Store.Commit(ctx, txn)
 	if err == nil {
 		t.mu.Lock()
-		t.version, t.until, t.granted = stamp.Version, sent+t.conf.Lasts, grants
+		t.version, t.until, t.storedGrants = stamp.Version, sent+t.conf.Lasts, grants
 		t.mu.Unlock()
 		return stamp, nil, nil
 	}
 	t.mu.Lock()
-	t.granted = nil // the transaction may still be carried out
+	t.storedGrants = nil // the transaction may still be carried out
 	t.mu.Unlock()
 	if !gauge.Is(err, gauge.KindConflict) {
 		return stamp, nil, err
 	}
-	others, ok := t.sort(rows)
+	others, ok := t.splitConflict(rows)
 	if !ok {
 		t.Lose()
 		return stamp, nil, gauge.Fail(gauge.KindFenced, "the table names another holder").Because(err)
@@ -98,21 +98,21 @@
 	return stamp, others, err
 }
 
-// with adds the lease row to a transaction, and the grant row, which the next holder needs, unless
-// the table surely has it.
-func (t *Tenure) with(row gauge.LeaseRow, txn gauge.PartTxn) (gauge.PartTxn, *gauge.GrantRow, error) {
+// withLease adds the lease row to a transaction, and the grant row, which the next holder needs,
+// unless the table surely has it.
+func (t *Tenure) withLease(row gauge.LeaseRow, txn gauge.PartTxn) (gauge.PartTxn, *gauge.GrantRow, error) {
 	row.Holder, row.Addr, row.Term = t.conf.Holder, t.conf.Addr, t.conf.Term
 	row.Renewed = t.conf.Clock()
 	t.mu.Lock()
 	check := gauge.RowCheck{RowKey: t.conf.Key, Version: t.version}
-	granted := t.granted
+	storedGrants := t.storedGrants
 	t.mu.Unlock()
 	writes, err := Writes(t.conf.Key, &row)
 	if err != nil {
 		return txn, nil, err
 	}
 	_, grants := row.Split()
-	if granted != nil && granted.Equal(&grants) {
+	if storedGrants != nil && storedGrants.Equal(&grants) {
 		writes = writes[:1]
 	}
 	txn.Checks = append([]gauge.RowCheck{check}, txn.Checks...)
@@ -128,22 +128,22 @@
 	if err != nil {
 		return nil, err
 	}
-	granted, err := grants.Encode()
+	grantsValue, err := grants.Encode()
 	if err != nil {
 		return nil, err
 	}
-	return []gauge.RowWrite{{RowKey: key, Value: value}, {RowKey: grantsOf(key), Value: granted}}, nil
+	return []gauge.RowWrite{{RowKey: key, Value: value}, {RowKey: grantsKey(key), Value: grantsValue}}, nil
 }
 
-func grantsOf(key gauge.RowKey) gauge.RowKey {
+func grantsKey(key gauge.RowKey) gauge.RowKey {
 	return gauge.RowKey{Table: gauge.TableGrants, Part: key.Part, Key: key.Key}
 }
 
 // Read adds the contents of the grant row to a lease row. They are consistent if the lease is then
 // claimed at the version with which the lease row was read.
 func Read(ctx context.Context, store gauge.Parted, key gauge.RowKey, row *gauge.LeaseRow) error {
-	at := grantsOf(key)
-	rows, _, err := store.Range(ctx, at.Table, at.Part, at.Key, at.Key+"\x00")
+	grantsAt := grantsKey(key)
+	rows, _, err := store.Range(ctx, grantsAt.Table, grantsAt.Part, grantsAt.Key, grantsAt.Key+"\x00")
 	if err != nil {
 		return err
 	}
@@ -158,10 +158,10 @@
 	return nil
 }
 
-// sort removes the lease row from the rows returned with a refused transaction. If it is this
-// holder's with another version, an earlier transaction that got no answer has been carried out. It
-// reports false if the row is another holder's.
-func (t *Tenure) sort(rows []gauge.PartRow) ([]gauge.PartRow, bool) {
+// splitConflict removes the lease row from the rows returned with a refused transaction. If it is
+// this holder's with another version, an earlier transaction that got no answer has been carried
+// out. It reports false if the row is another holder's.
+func (t *Tenure) splitConflict(rows []gauge.PartRow) ([]gauge.PartRow, bool) {
 	var others []gauge.PartRow
 	for _, r := range rows {
 		if r.RowKey != t.conf.Key {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return err
 	}
-	for range giveUpTries {
+	for range maxGiveUpTries {
 		var rows []gauge.PartRow
 		_, rows, err = t.conf.Store.Commit(ctx, gauge.PartTxn{
 			Checks: []gauge.RowCheck{{RowKey: t.conf.Key, Version: version}},
@@ -205,7 +205,7 @@
 			return err
 		}
 		// A renewal that was in progress when this call began has been carried out.
-		if _, ours := t.sort(rows); !ours {
+		if _, ours := t.splitConflict(rows); !ours {
 			return err
 		}
 		t.mu.Lock()
@@ -215,5 +215,5 @@
 	return err
 }
 
-// giveUpTries allows for one concurrent renewal, and for one more that got no answer.
-const giveUpTries = 3
+// maxGiveUpTries allows for one concurrent renewal, and for one more that got no answer.
+const maxGiveUpTries = 3
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -11,67 +11,67 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// table has one lease row and one grant row.
-type table struct {
+// fakeTable has one lease row and one grant row.
+type fakeTable struct {
 	gauge.Parted
-	row    gauge.PartRow
-	before func() // called before each transaction
-	fail   error  // returned after the transaction was carried out
+	row       gauge.PartRow
+	before    func() // called before each transaction
+	commitErr error  // returned after the transaction was carried out
 
-	grants  gauge.PartRow
-	granted int // how often the grant row was written
+	grants      gauge.PartRow
+	grantWrites int // how often the grant row was written
 }
 
-func (t *table) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
-	if t.granted == 0 || t.grants.RowKey != (gauge.RowKey{Table: name, Part: part, Key: from}) {
+func (t *fakeTable) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
+	if t.grantWrites == 0 || t.grants.RowKey != (gauge.RowKey{Table: name, Part: part, Key: from}) {
 		return nil, gauge.Stamp{}, nil
 	}
 	return []gauge.PartRow{t.grants}, gauge.Stamp{}, nil
 }
 
 //nolint:gochecknoglobals // a constant; Go has no constant structs
-var key = gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}
+var leaseKey = gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}
 
-func (t *table) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (t *fakeTable) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	if t.before != nil {
 		t.before()
 	}
 	if txn.Checks[0].Version != t.row.Version {
 		return gauge.Stamp{}, []gauge.PartRow{t.row, {RowKey: gauge.RowKey{Table: gauge.TableJobs}}}, gauge.Fail(gauge.KindConflict, "changed")
 	}
-	t.row = gauge.PartRow{RowKey: key, Value: txn.Writes[0].Value, Version: t.row.Version + 1}
+	t.row = gauge.PartRow{RowKey: leaseKey, Value: txn.Writes[0].Value, Version: t.row.Version + 1}
 	if len(txn.Writes) > 1 {
-		t.grants, t.granted = gauge.PartRow{RowKey: txn.Writes[1].RowKey, Value: txn.Writes[1].Value}, t.granted+1
+		t.grants, t.grantWrites = gauge.PartRow{RowKey: txn.Writes[1].RowKey, Value: txn.Writes[1].Value}, t.grantWrites+1
 	}
-	if t.fail != nil {
-		return gauge.Stamp{}, nil, t.fail
+	if t.commitErr != nil {
+		return gauge.Stamp{}, nil, t.commitErr
 	}
 	return gauge.Stamp{Version: t.row.Version}, nil, nil
 }
 
-type rig struct {
-	table *table
+type fixture struct {
+	table *fakeTable
 	lease *tenure.Tenure
 	now   time.Duration
 }
 
-func newRig() *rig {
-	g := &rig{table: &table{row: gauge.PartRow{RowKey: key, Version: 7}}}
+func newFixture() *fixture {
+	g := &fixture{table: &fakeTable{row: gauge.PartRow{RowKey: leaseKey, Version: 7}}}
 	g.lease = tenure.New(tenure.Config{
-		Key: key, Holder: "me", Addr: "a", Term: 3, Version: 7, Taken: 0, Lasts: 2 * time.Second,
+		Key: leaseKey, Holder: "me", Addr: "a", Term: 3, Version: 7, Taken: 0, Lasts: 2 * time.Second,
 		Store: g.table, Now: func() time.Duration { return g.now }, Clock: func() int64 { return 1 },
 	})
 	return g
 }
 
-func (g *rig) commit() error {
+func (g *fixture) commit() error {
 	_, _, err := g.lease.Commit(context.Background(), gauge.LeaseRow{}, gauge.PartTxn{})
 	return err
 }
 
 // The lease's term counts from when the renewal was sent, however long the answer took.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
-	g := newRig()
+	g := newFixture()
 	g.now = time.Second
 	g.table.before = func() { g.now += 500 * time.Millisecond }
 	assert.NilError(t, g.commit())
@@ -82,21 +82,21 @@
 // answered, and the next one is refused because the row has another version. That version must not
 // be taken for another holder's.
 func TestOwnUnansweredRenewalIsNoLoss(t *testing.T) {
-	g := newRig()
-	g.table.fail = gauge.Fail(gauge.KindUnknown, "no answer")
+	g := newFixture()
+	g.table.commitErr = gauge.Fail(gauge.KindUnknown, "no answer")
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindUnknown)
 	assert.Equal(t, g.lease.Until(), 2*time.Second, "an unanswered renewal renews nothing")
-	g.table.fail = nil
+	g.table.commitErr = nil
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindConflict)
 	assert.Assert(t, !g.lease.Lost())
 	assert.NilError(t, g.commit())
 }
 
 func TestAnotherHoldersRowIsALoss(t *testing.T) {
-	g := newRig()
+	g := newFixture()
 	other, err := (&gauge.LeaseRow{Holder: "other", Term: 4}).Encode()
 	assert.NilError(t, err)
-	g.table.row = gauge.PartRow{RowKey: key, Value: other, Version: 9}
+	g.table.row = gauge.PartRow{RowKey: leaseKey, Value: other, Version: 9}
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindFenced)
 	assert.Assert(t, g.lease.Lost())
 }
@@ -105,7 +105,7 @@
 // while a renewal is in progress, which is carried out first. GiveUp is then refused because of the
 // version, and has to try again.
 func TestGivingUpOutlivesARenewalUnderWay(t *testing.T) {
-	g := newRig()
+	g := newFixture()
 	assert.NilError(t, g.commit())
 	raced := false
 	g.table.before = func() {
@@ -115,7 +115,7 @@
 		raced = true
 		value, err := (&gauge.LeaseRow{Holder: "me", Term: 3}).Encode()
 		assert.NilError(t, err)
-		g.table.row = gauge.PartRow{RowKey: key, Value: value, Version: g.table.row.Version + 1}
+		g.table.row = gauge.PartRow{RowKey: leaseKey, Value: value, Version: g.table.row.Version + 1}
 	}
 	assert.NilError(t, g.lease.GiveUp(context.Background(), gauge.LeaseRow{}))
 	row, err := gauge.DecodeLeaseRow(g.table.row.Value)
@@ -126,7 +126,7 @@
 // What only the next holder needs isn't rewritten with each renewal, because all entries read the
 // lease row: with 600 workers it is 15 KB.
 func TestWhatIsForTheNextHolderIsWrittenWhenItChanges(t *testing.T) {
-	g := newRig()
+	g := newFixture()
 	commit := func(workers ...string) {
 		t.Helper()
 		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers, Depths: map[string]int{"q": 1}}, gauge.PartTxn{})
@@ -138,14 +138,14 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(row.Workers), 0)
 		assert.Equal(t, row.Depths["q"], 1)
-		assert.NilError(t, tenure.Read(t.Context(), g.table, key, row))
+		assert.NilError(t, tenure.Read(t.Context(), g.table, leaseKey, row))
 		return row.Workers
 	}
 	commit("a")
 	commit("a")
-	assert.Equal(t, g.table.granted, 1)
+	assert.Equal(t, g.table.grantWrites, 1)
 	commit("a", "b")
-	assert.Equal(t, g.table.granted, 2)
+	assert.Equal(t, g.table.grantWrites, 2)
 	assert.DeepEqual(t, read(), []string{"a", "b"})
 	assert.NilError(t, g.lease.GiveUp(t.Context(), gauge.LeaseRow{Workers: []string{"c"}, Depths: map[string]int{"q": 1}}))
 	assert.DeepEqual(t, read(), []string{"c"})
@@ -155,24 +155,24 @@
 // out gets no answer but is carried out, and the worker is named again. What was written before the
 // unanswered write must not be taken for what the table has.
 func TestWhatIsForTheNextHolderIsWrittenAgainAfterAWriteWithoutAnAnswer(t *testing.T) {
-	g := newRig()
+	g := newFixture()
 	commit := func(workers ...string) error {
 		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers}, gauge.PartTxn{})
 		return err
 	}
 	assert.NilError(t, commit("a", "b"))
-	g.table.fail = gauge.Fail(gauge.KindUnknown, "no answer")
+	g.table.commitErr = gauge.Fail(gauge.KindUnknown, "no answer")
 	assert.Equal(t, gauge.KindOf(commit("a")), gauge.KindUnknown)
-	g.table.fail = nil
+	g.table.commitErr = nil
 	assert.Equal(t, gauge.KindOf(commit("a", "b")), gauge.KindConflict, "the version is its own")
 	assert.NilError(t, commit("a", "b"))
 	var row gauge.LeaseRow
-	assert.NilError(t, tenure.Read(t.Context(), g.table, key, &row))
+	assert.NilError(t, tenure.Read(t.Context(), g.table, leaseKey, &row))
 	assert.DeepEqual(t, row.Workers, []string{"a", "b"})
 }
 
 func TestRowOfAnOlderProgramHasWhatIsForTheNextHolder(t *testing.T) {
 	row := gauge.LeaseRow{Workers: []string{"a"}}
-	assert.NilError(t, tenure.Read(t.Context(), &table{}, key, &row))
+	assert.NilError(t, tenure.Read(t.Context(), &fakeTable{}, leaseKey, &row))
 	assert.DeepEqual(t, row.Workers, []string{"a"})
 }
