--- a/internal/owner/chunk.go
+++ b/internal/owner/chunk.go
@@ -14,7 +14,8 @@
 )
 
 // A large queue is read in chunks, and each chunk is adopted as soon as it arrives, so that a read
-// that fails or takes too long on a slow link loses only that chunk.
+// that fails or takes too long on a slow link loses only that chunk. What is read first are the
+// marks: one small row for each open job, in gauge.TableOpen.
 
 const (
 	// maxChunkMarks is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about
--- a/internal/owner/freshness.go
+++ b/internal/owner/freshness.go
@@ -11,8 +11,8 @@
 // that this owner doesn't know. So its count of a queue is only as recent as the last successful
 // scan.
 
-// countTTL is how long after a scan a queue's count is reported. As agreed with the users, a
-// count includes the jobs accepted five seconds before, and may itself be two seconds old.
+// countTTL is how long after a scan a queue's count is reported. As agreed with the users, a count
+// includes the jobs accepted five seconds before, and may itself be two seconds old.
 const countTTL = 3 * time.Second
 
 // readTimes holds the times at which the queues' open jobs were last read.
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -108,16 +108,16 @@
 func (o *Owner) scanLoop() {
 	progress := true
 	for o.ctx.Err() == nil {
-		missing := o.unreadQueues()
-		if len(missing) == 0 || !progress {
+		unread := o.unreadQueues()
+		if len(unread) == 0 || !progress {
 			o.pause(nil, scanInterval)
 			if o.ctx.Err() != nil {
 				return
 			}
 		}
 		progress = false
-		if len(missing) > 0 {
-			n, _ := o.loadQueues(o.ctx, missing)
+		if len(unread) > 0 {
+			n, _ := o.loadQueues(o.ctx, unread)
 			progress = n > 0
 			o.conf.Logs.Info("missing queues read", "pool", o.conf.Pool, "jobs", n, "missing", len(o.unreadQueues()))
 		}
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -1,7 +1,7 @@
-// Package owner runs one pool at the entry that holds the pool's lease. It keeps a heartbeat (a
-// long-polling call that extends the worker's lease and returns its report) open at every worker,
-// sends the orders that package sched decides on, and writes the results to the table. Each write
-// is conditional on this entry still holding the lease.
+// Package owner runs one pool at the entry (server process) that holds the pool's lease. It keeps a
+// heartbeat (a long-polling call that extends the worker's lease and returns its report) open at
+// every worker, sends the orders that package sched decides on, and writes the results to the
+// table. Each write is conditional on this entry still holding the lease.
 package owner
 
 import (
@@ -43,8 +43,8 @@
 	Wall    func() time.Time
 	Stamp   func(s gauge.Stamp, sent time.Duration) // receives each reading of the table's clock, with the local time at which the call was sent
 	Clock   func() int64                            // the table's clock in milliseconds, approximately
-	Count   func(event string, took time.Duration)
-	Event   func(event string) // counts an event that operators should see
+	Count   func(event string, took time.Duration)  // records the duration of a call or write
+	Event   func(event string)                      // counts an event that operators should see
 	// Backlog receives the owner's backlog several times a second, and nil when this owner has
 	// ended. A nil function disables the reports.
 	Backlog func(pool string, b *gauge.Backlog)
@@ -57,28 +57,28 @@
 	group             conc.WaitGroup
 	cancel            context.CancelFunc
 	ctx               context.Context
-	wake              chan struct{} // signals writeLoop that a change is due to be written
-	onStuck           func(failing time.Duration)
-	stuckAfter        time.Duration
-	claimedAt         time.Duration
-	waitingOrders     atomic.Int64  // orders that wait for a slot at their worker
-	behindDetector    *lag.Belief   // whether this owner is behind; used by tickLoop only
-	lastBacklogReport time.Duration // when the backlog was last reported; used by tickLoop only
+	wake              chan struct{}               // signals writeLoop that a change is due to be written
+	onStuck           func(failing time.Duration) // see OnStuck
+	stuckAfter        time.Duration               // how long writes may fail before onStuck is called
+	claimedAt         time.Duration               // when this owner was made, right after the claim
+	waitingOrders     atomic.Int64                // orders that wait for a slot at their worker
+	behindDetector    *lag.Belief                 // whether this owner is behind; used by tickLoop only
+	lastBacklogReport time.Duration               // when the backlog was last reported; used by tickLoop only
 
 	mu               sync.Mutex
 	pool             *sched.Pool
-	writeDone        chan struct{} // closed after each write and replaced by a new channel
-	tableUnreachable bool          // the last write got no complete answer
-	writeSentAt      time.Duration // when the write in progress was sent; 0: there is none
-	lastWriteTook    time.Duration // duration of the last write
-	ended            bool          // the lease was lost or given up
-	stopping         bool          // the pool is being handed over: nothing new is started
-	lastPlan         time.Duration // when the last plan was made
-	planScheduled    bool          // a plan is scheduled for the end of the minimum interval
-	orderSlots       map[gauge.Life]chan struct{}
-	stopSlots        map[gauge.Life]chan struct{}
-	orderLag         *lag.Meter // durations of orders
-	seekingSuccessor bool       // a successor is being looked for
+	writeDone        chan struct{}                // closed after each write and replaced by a new channel
+	tableUnreachable bool                         // the last write got no complete answer
+	writeSentAt      time.Duration                // when the write in progress was sent; 0: there is none
+	lastWriteTook    time.Duration                // duration of the last write
+	ended            bool                         // the lease was lost or given up
+	stopping         bool                         // the pool is being handed over: nothing new is started
+	lastPlan         time.Duration                // when the last plan was made
+	planScheduled    bool                         // a plan is scheduled for the end of the minimum interval
+	orderSlots       map[gauge.Life]chan struct{} // semaphores of all orders to an incarnation of a worker
+	stopSlots        map[gauge.Life]chan struct{} // additional semaphores of stops
+	orderLag         *lag.Meter                   // durations of orders
+	seekingSuccessor bool                         // a successor is being looked for
 	loaded           bool
 	site             *gauge.Site
 	workerList       []gauge.Worker           // newest list of workers from the platform
@@ -94,7 +94,8 @@
 	// settles an unanswered start sooner; a worker usually answers within a few milliseconds.
 	startTimeout = time.Second
 	// maxHeartbeatWait is how long a worker may keep a heartbeat open when it has nothing to
-	// report. It is well below the time by which each heartbeat extends the worker's lease.
+	// report. Only a new heartbeat extends the worker's lease, so it is well below the time by
+	// which each one does.
 	maxHeartbeatWait = time.Second
 	// tickInterval is how often deadlines are checked when nothing else happens.
 	tickInterval = 100 * time.Millisecond
@@ -129,7 +130,7 @@
 	writeRetryDelay = 150 * time.Millisecond
 	// scanInterval is how often the table is searched for jobs whose notification was lost.
 	scanInterval = 1500 * time.Millisecond
-	// fullScanEvery is how many scans there are for each scan of all queues.
+	// fullScanEvery: one in so many scans covers the queues of all pools.
 	fullScanEvery = 4
 	// clockMargin covers the difference between the steady clocks of two entries.
 	clockMargin = 200 * time.Millisecond
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -168,8 +168,8 @@
 // of the previous owner, which are reported while they are recent enough. Queues that haven't been
 // read, or not for long, are listed as unread, because reporting them as empty would hide the jobs
 // that wait there.
-func (o *Owner) leaseRow(names []gauge.Life) gauge.LeaseRow {
-	row := gauge.LeaseRow{Workers: incarnationNames(names), Unnoted: o.unrecordedCrashes()}
+func (o *Owner) leaseRow(named []gauge.Life) gauge.LeaseRow {
+	row := gauge.LeaseRow{Workers: incarnationNames(named), Unnoted: o.unrecordedCrashes()}
 	if !o.loaded {
 		row.CountsOf(&o.conf.Before)
 		return row
@@ -195,20 +195,20 @@
 	}
 }
 
-func incarnationNames(lives []gauge.Life) []string {
-	names := make([]string, len(lives))
-	for i, l := range lives {
+func incarnationNames(incarnations []gauge.Life) []string {
+	names := make([]string, len(incarnations))
+	for i, l := range incarnations {
 		names[i] = l.String()
 	}
 	return names
 }
 
 func parseIncarnations(names []string) []gauge.Life {
-	lives := make([]gauge.Life, len(names))
+	incarnations := make([]gauge.Life, len(names))
 	for i, name := range names {
-		lives[i] = gauge.ParseLife(name)
+		incarnations[i] = gauge.ParseLife(name)
 	}
-	return lives
+	return incarnations
 }
 
 // applyWrite applies a write that is in the table. It reports whether the next one is due at once.
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -32,7 +32,7 @@
 	version      int64
 	until        time.Duration
 	lost         bool
-	storedGrants *gauge.GrantRow // the grant row as the table surely has it; nil: unknown
+	storedGrants *gauge.GrantRow // the grant row that is known to be in the table; nil: unknown
 }
 
 // New returns a Tenure of a lease that was just claimed.
@@ -99,7 +99,7 @@
 }
 
 // withLease adds the lease row to a transaction, and the grant row, which the next holder needs,
-// unless the table surely has it.
+// unless the same one is known to be stored.
 func (t *Tenure) withLease(row gauge.LeaseRow, txn gauge.PartTxn) (gauge.PartTxn, *gauge.GrantRow, error) {
 	row.Holder, row.Addr, row.Term = t.conf.Holder, t.conf.Addr, t.conf.Term
 	row.Renewed = t.conf.Clock()
