--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -42,11 +42,11 @@
 // switchableDB is a table that a test can make unreachable.
 type switchableDB struct {
 	*memdb.DB
-	away *bool
+	unreachable *bool
 }
 
 func (c switchableDB) Get(ctx context.Context, key string) (gauge.Row, error) {
-	if *c.away {
+	if *c.unreachable {
 		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "no answer")
 	}
 	return c.DB.Get(ctx, key)
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -150,7 +150,7 @@
 		return
 	}
 	if o.isObsolete(order, began) {
-		err := gauge.Fail(gauge.KindLate, "the order waited too long for a slot, or is obsolete")
+		err := gauge.Fail(gauge.KindLate, "the order waited here for too long, or is obsolete")
 		o.update(func(now time.Duration) { o.pool.Answered(order, 0, err, now) })
 		return
 	}
