--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -17,11 +17,11 @@
 	Inherited bool          // it was there before this owner took over, so that runs of it may exist
 }
 
-// Adopt takes in a job. One that is known already is left as it is.
+// Adopt adds a job; a known one is left as it is.
 //
-// A notice of a job may come late: after the job has ended here, or from before
-// this owner took over, when the job is one that was read from the table or has
-// ended. Taken in then, the job would run a second time.
+// A notification of a job may come late: after the job has ended here, or from before this owner
+// took over, when the job was read from the table already or has ended. If it were adopted then, it
+// would run a second time.
 func (p *Pool) Adopt(a Accepted, now time.Duration) {
 	if p.Knows(a.ID) || (!a.Inherited && a.Version <= int64(p.conf.Fence)) {
 		return
@@ -44,8 +44,7 @@
 	}
 	p.cancelEarly(j)
 	if a.Inherited && p.partial {
-		// Runs of it that were told of so far were left aside, also those told of while
-		// it was being read.
+		// Reports about its runs were ignored so far, also those that came while it was being read.
 		p.Rehear()
 	}
 	if a.Inherited {
@@ -59,9 +58,8 @@
 		"state", a.Row.State, "inherited", a.Inherited, "age", now-a.Arrived)
 }
 
-// numbersPerTerm is how many run numbers each owner has to itself for jobs that
-// it inherits, so that a run of an earlier owner that nobody heard of is never
-// mistaken for one of this owner's.
+// numbersPerTerm is how many run numbers each owner has to itself for the jobs that it inherits, so
+// that an unreported run of a previous owner is never mistaken for one of this owner's.
 const numbersPerTerm = 1000
 
 func (j *job) skipNumbers(term int) {
@@ -74,30 +72,28 @@
 	}
 }
 
-// Partial tells that jobs may be missing, as some of the table can't be read. What
-// runs of jobs that aren't known is left alone until they are, and ends of theirs
-// stay with the workers.
+// Partial sets whether jobs may be missing because some of the table can't be read. Runs of unknown
+// jobs are left alone until the jobs are known, and their end reports stay with the workers.
 func (p *Pool) Partial(missing bool) { p.partial = missing }
 
-// Knows tells whether a job has been adopted, also if it has ended since.
+// Knows reports whether a job has been adopted, also if it has ended since.
 func (p *Pool) Knows(id string) bool {
 	_, past := p.past[id]
 	return past || p.jobs[id] != nil
 }
 
-// past is what is remembered of a job that has ended and is in the table so.
+// endedJob is what is remembered of a job that has ended and whose end is in the table.
 type past struct {
 	queue string
 	state gauge.JobState
 	ended time.Duration
 }
 
-// pastFor is how long it is remembered that a job has ended here: well beyond
-// the last try to deliver a notice of it, and any reading of the table that was
-// under way.
+// endedRetention is how long a job that has ended here is remembered: well beyond the last attempt
+// to deliver a notification of it, and beyond any read of the table that was under way.
 const pastFor = time.Minute
 
-// Cancel takes in that a job's row says it is cancelled, as of a version.
+// Cancel records that a job's row says it is cancelled, as of a version of the row.
 func (p *Pool) Cancel(id string, version int64) {
 	j := p.jobs[id]
 	if j == nil {
@@ -112,20 +108,20 @@
 	p.haltJob(j)
 }
 
-// halt has a run end.
+// halt marks a run to be stopped.
 func (p *Pool) halt(r *run) {
 	r.stop = true
 	p.halts[r] = true
 }
 
-// haltJob has all runs of a job end that is over.
+// haltJob stops all runs of a job that is over.
 func (p *Pool) haltJob(j *job) {
 	for _, r := range j.live() {
 		p.halt(r)
 	}
 }
 
-// State tells how far a job of a queue is; false if it isn't known here.
+// State returns the state of a job in a queue, false if the job isn't known here.
 func (p *Pool) State(queue, id string) (gauge.JobState, bool) {
 	if old, ok := p.past[id]; ok && old.queue == queue {
 		return old.state, true
@@ -135,7 +131,7 @@
 		return "", false
 	}
 	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.dirty() {
-		return gauge.JobRunning, true // not told before the table has it; a cancel it has
+		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
 	}
 	if j.begun && !j.row.State.Final() {
 		return gauge.JobRunning, true
@@ -143,7 +139,7 @@
 	return j.row.State, true
 }
 
-// attempts is how often a task of the job may fail.
+// maxAttempts is how often a task of the job may fail.
 func (p *Pool) attempts(j *job) int {
 	if q := p.policy(j); q != nil && q.MaxAttempts > 0 {
 		return q.MaxAttempts
@@ -151,5 +147,5 @@
 	return defaultAttempts
 }
 
-// defaultAttempts is used for a queue that the configuration no longer has.
+// defaultAttempts is used for a queue that is no longer configured.
 const defaultAttempts = 2
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -8,12 +8,11 @@
 	gauge "sapphiregauge"
 )
 
-// advised are the tickets that a stage has for workers, where its queue asks for
-// them.
+// stageAdvice holds the tickets that a stage has for workers, if its queue requires advice.
 type advised struct {
 	asking  bool
-	tickets map[gauge.Life]ticket        // each holds for one life of a worker
-	asked   map[gauge.Life]time.Duration // those that were asked about, and when
+	tickets map[gauge.Life]ticket        // each holds for one incarnation of a worker
+	asked   map[gauge.Life]time.Duration // when each worker was last asked about
 }
 
 type ticket struct {
@@ -22,18 +21,19 @@
 }
 
 const (
-	// adviceMost workers are asked about at a time: the service takes time for
-	// each, and callers' objectives count one question about thirty.
+	// maxAdviceWorkers is how many workers a query covers at most: the advice service takes time
+	// for each, and callers' objectives allow for one query about thirty.
 	adviceMost = 30
-	// adviceAgain is how long an answer about a worker stands: the policy of a
-	// step doesn't change, but tickets run out.
+	// adviceRetryAfter is the least time between two queries about a worker: the policy for a step
+	// doesn't change, but tickets expire.
 	adviceAgain = time.Second
-	// ticketMargin is kept from a ticket's end, for the way of the start.
+	// ticketMargin is subtracted from a ticket's validity, for the time that the start takes to the
+	// worker.
 	ticketMargin = 200 * time.Millisecond
 )
 
-// ticketFor returns the stage's ticket for a worker; false: it must not start
-// there. A queue without advice needs none.
+// ticketFor returns the stage's ticket for a worker; false: the stage must not start there. A queue
+// without advice needs none.
 func (t *turn) ticketFor(w *worker, now time.Duration) (string, bool) {
 	if t.advice == nil {
 		return "", true
@@ -42,8 +42,8 @@
 	return k.text, ok && now < k.until-ticketMargin
 }
 
-// ask orders a question about the workers that have room for the stage and about
-// which nothing is known, unless one is under way.
+// askAdvice orders a query about the workers that have room for the stage and for which no answer
+// is known, unless a query is in flight.
 func (p *Pool) ask(t *turn, room *rooms, now time.Duration) {
 	a := &t.stage.advised
 	if t.advice == nil || a.asking {
@@ -69,8 +69,7 @@
 	p.orders = append(p.orders, order)
 }
 
-// Advised takes in the answer to a question. The tickets hold from when it was
-// asked.
+// Advised handles the answer to a query. The tickets are valid from the time of the query.
 func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, asked time.Duration) {
 	a := &o.stage.advised
 	a.asking = false
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -7,7 +7,7 @@
 	gauge "sapphiregauge"
 )
 
-// Answered takes in the outcome of an order.
+// Answered handles the outcome of an order.
 func (p *Pool) Answered(o Order, clock time.Duration, err error, now time.Duration) {
 	r := o.run
 	if o.odd != nil {
@@ -53,8 +53,9 @@
 	}
 }
 
-// answeredTooLate takes in the outcome of an order to a life that is over. Which life was it
-// that answered isn't known: only a refusal says something of the run, as it was no start then.
+// answeredTooLate handles the outcome of an order to an incarnation that is dead. Which incarnation
+// has answered isn't known. Only a refusal says something about the run, as nothing was started
+// then.
 func (p *Pool) answeredTooLate(o Order, err error, now time.Duration) {
 	r := o.run
 	kind := gauge.KindOf(err)
@@ -71,27 +72,28 @@
 		"worker", o.Worker.ID, "born", o.Worker.Born, "kind", kind)
 }
 
-// lateSpan is how long after a start that got no answer it may still be carried out, by a next life of
-// its worker: for that one its deadline says nothing. Workers leave orders waiting for some 6 s.
+// lateStartSpan is how long a start without an answer may still be carried out by a later
+// incarnation of its worker, to which its deadline means nothing. Workers leave orders queued for
+// about 6 s.
 const lateSpan = 8 * time.Second
 
-// mayStillCome tells whether a start may be carried out yet by a life that nobody has heard of. That
-// the lease of the one before has run out says nothing of it.
+// mayStillStart reports whether an incarnation that hasn't reported yet may still carry out the
+// start. The expiry of the previous incarnation's lease doesn't rule that out.
 func (r *run) mayStillCome(now time.Duration) bool {
 	return (r.phase == phaseSent || r.unsure) && r.listed == 0 && now < r.sent+lateSpan
 }
 
-// clockSlack covers what a worker's clock may have been read wrong by.
+// clockSlack covers the error in reading a worker's clock.
 const clockSlack = time.Second
 
-// cannotShow tells whether a clock that an order was answered with can't be this life's: it shows less
-// than when the run was ordered. A later life of the worker has answered.
+// clockRegressed reports whether the clock in an answer to an order can't be this incarnation's: it
+// shows less than when the run was ordered, so that a later incarnation has answered.
 func (w *worker) cannotShow(clock, sent time.Duration) bool {
 	return w.clock > 0 && clock < w.clockAt(sent)-clockSlack
 }
 
-// answeredByAnother takes in that a later life than is known has carried out an order. Its next
-// report tells; till then nothing is known of the run.
+// answeredByAnother handles an order that a later incarnation than the known one has carried out.
+// Nothing is known of the run until its next report.
 func (p *Pool) answeredByAnother(o Order) {
 	r := o.run
 	r.asked, r.pacing = false, false
@@ -105,8 +107,8 @@
 		"worker", o.Worker.ID, "born", o.Worker.Born)
 }
 
-// spare takes back that a run was lost with a life that is over: its order reached the next one,
-// or none.
+// markNotLost corrects a run that was taken for lost with a dead incarnation: its order reached the
+// next incarnation, or none.
 func (p *Pool) spare(r *run) {
 	if !r.lost {
 		return
@@ -115,8 +117,8 @@
 	p.acquit(r.task, r.number)
 }
 
-// arrive takes in that a worker lists a run. One that was ordered of the life before goes on in
-// the next, unless its stop is on its way.
+// confirmListed handles a run that a worker lists. If it was ordered from the previous incarnation,
+// it goes on in this one unless its stop is in flight.
 func (p *Pool) arrive(r *run) {
 	if !r.lost {
 		return
@@ -128,8 +130,8 @@
 	}
 }
 
-// Void tells whether a start that hasn't been sent yet is of no use any more: its run is
-// to end, or it would surely come too late. Its outcome is KindLate then.
+// Void reports whether a start that hasn't been sent yet is pointless: its run is to end, or it
+// would certainly arrive too late. Its outcome is then KindLate.
 func (p *Pool) Void(o Order, now time.Duration) bool {
 	if o.Kind != OrderStart {
 		return false
@@ -138,8 +140,8 @@
 	return r.stop || !r.worker.runs[r] || r.worker.clockAt(now) > r.until
 }
 
-// restAfterRefusal is how long a worker that refused a start gets no other.
-// Several holds fit in, so that what it has free is known again.
+// refusalBackoff is how long a worker that refused a start gets no other. That is time for several
+// heartbeats, after which its free capacity is known again.
 const restAfterRefusal = 500 * time.Millisecond
 
 func (p *Pool) started(r *run, clock time.Duration, err error, now time.Duration) {
@@ -153,13 +155,13 @@
 	switch gauge.KindOf(err) {
 	case gauge.KindUnknown, gauge.KindInternal:
 		r.phase, r.unsure = phaseUnsure, true
-		r.worker.mute = true // it would be the first choice for the next start
+		r.worker.mute = true // otherwise it would be the first choice for the next start
 		p.look(r.worker)
 	case gauge.KindStale:
 		r.task.lastRun++
 		p.end(r, now)
 	case gauge.KindOutage:
-		r.worker.mute = true // nobody listens there, or this host can't connect
+		r.worker.mute = true // nothing listens there, or this host can't connect
 		p.end(r, now)
 	case gauge.KindLate, gauge.KindReplaced, gauge.KindFenced:
 		p.end(r, now)
@@ -176,8 +178,8 @@
 	}
 }
 
-// look asks what runs on a worker: a run that was never there has no end that a
-// waiting hold would tell. It acknowledges no ends, as a hold does that too.
+// poll asks a worker at once for its runs: a run that never began there has no end that would end a
+// waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
 func (p *Pool) look(w *worker) {
 	p.orders = append(p.orders, Order{
 		Kind: OrderLook, Worker: w.info, Look: gauge.HoldCall{Fence: p.fence(w)},
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -6,14 +6,14 @@
 	gauge "sapphiregauge"
 )
 
-// mark is up to where something had come when it was looked at, and when that was.
-// It tells how long what was there then has waited, at no cost to whatever adds to it.
+// ageTracker remembers the value of a growing counter at one moment. From that it derives how long
+// items have waited, at no cost to whatever adds them.
 type mark struct {
 	upTo int64
 	at   time.Duration
 }
 
-// age tells how long what is between two counts has waited at least.
+// age returns how long items between the two counts have waited at least.
 func (m *mark) age(settled, all int64, now time.Duration) time.Duration {
 	if settled >= all {
 		*m = mark{}
@@ -25,8 +25,8 @@
 	return now - m.at
 }
 
-// Backlog tells what waits at this owner. Ages are counted from the first call that
-// saw something wait, so that it is to be called every so often.
+// Backlog returns what waits at this owner. Ages are counted from the first call that saw something
+// wait, so it has to be called regularly.
 func (p *Pool) Backlog(now time.Duration) gauge.Backlog {
 	b := gauge.Backlog{}
 	for _, j := range p.jobs {
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// missesBeforeRest failures in a row, with no success between, mean that a
-	// worker fails what it starts: of sound runs three in a hundred fail at most,
-	// so that three in a row come by chance once in 30,000.
+	// failuresBeforeBackoff failures in a row without a success mean that a worker fails whatever
+	// it starts. At most three in a hundred healthy runs fail, so three in a row happen by chance
+	// once in 30,000.
 	missesBeforeRest = 3
-	// restOfFailing is how long such a worker gets no starts; after it one
-	// failure is enough for the next rest.
+	// failureBackoff is how long such a worker gets no starts. After it one failure is enough for
+	// the next back-off.
 	restOfFailing = 2 * time.Second
 )
 
-// judge keeps account of a worker's failures, so that one that fails everything
-// doesn't use up the attempts of every job in the pool.
-// Failures of one job count once: a job that can never be done fails anywhere,
-// and is no sign against the worker.
+// recordOutcome counts a worker's consecutive failures, so that a worker that fails everything
+// doesn't use up the attempts of every job in the pool. Failures of one job count once: a job that
+// can never succeed fails anywhere, and says nothing about the worker.
 func (p *Pool) judge(w *worker, job string, how gauge.Ending, now time.Duration) {
 	switch how {
 	case gauge.EndDone:
@@ -38,8 +37,8 @@
 	}
 }
 
-// mayRest tells whether one more worker may rest: at least three in four go on,
-// so that a wave of failures with another cause doesn't stop the pool.
+// mayBackOff reports whether one more worker may get no starts: at least three in four stay in use,
+// so that a burst of failures with another cause doesn't stop the pool.
 func (p *Pool) mayRest(now time.Duration) bool {
 	resting, all := 0, 0
 	for _, w := range p.workers {
--- a/internal/sched/barrier.go
+++ b/internal/sched/barrier.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// hearing is what jobs that are read late wait for: workers may have told of runs of
-// theirs before the jobs were known, which was left aside.
+// reportBarrier makes jobs that are read late wait for fresh reports: workers may have reported
+// runs of theirs before the jobs were known, and such runs were ignored.
 type hearing struct {
-	left  map[string]bool // workers that haven't been heard since
-	begun bool            // some have been
+	left  map[string]bool // workers that haven't reported since
+	begun bool            // some workers have reported since
 }
 
-// open tells whether workers are still to be heard.
+// isOpen reports whether some workers still have to report.
 func (h *hearing) open() bool { return h != nil && len(h.left) > 0 }
 
-// Rehear makes inherited tasks that are adopted from now on wait until every worker has
-// been heard anew, or can run nothing any more: what they told so far of jobs that are
-// to be adopted now was left aside. Tasks of jobs that were known before don't wait.
+// Rehear makes inherited tasks that are adopted from now on wait until every worker has reported
+// anew or can run nothing any more: what workers have reported so far about jobs that are to be
+// adopted now was ignored. Tasks of jobs that were known before don't wait.
 func (p *Pool) Rehear() {
 	if p.newest != nil && !p.newest.begun && len(p.newest.left) == p.reachable() {
-		return // nobody was heard since
+		return // no worker has reported since
 	}
 	h := &hearing{left: make(map[string]bool)}
 	for id, w := range p.workers {
@@ -33,7 +33,7 @@
 	p.hearings = append(p.hearings, h)
 }
 
-// reachable counts the workers whose lives aren't over.
+// liveWorkers counts the workers that aren't dead.
 func (p *Pool) reachable() int {
 	n := 0
 	for _, w := range p.workers {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// heard takes in that a worker has told all that it runs, or runs nothing any more.
+// markReported records that a worker has reported all that it runs, or runs nothing any more.
 func (p *Pool) heard(id string) {
 	if _, awaited := p.earlier[id]; awaited {
 		delete(p.earlier, id)
@@ -62,8 +62,8 @@
 	}
 }
 
-// lapse takes in that time has passed: what ran on a worker has ended when its lease has
-// run out, with the holds that were sent since.
+// expireAwaited stops waiting for workers whose leases have expired, including extensions by
+// heartbeats sent since: whatever ran there has ended.
 func (p *Pool) lapse(now time.Duration) {
 	p.loseReplaced(now)
 	for id, l := range p.earlier {
@@ -81,7 +81,7 @@
 	}
 }
 
-// awaited are the workers that inherited tasks wait for.
+// awaitedWorkers are the workers that inherited tasks wait for.
 func (p *Pool) awaited() map[string]bool {
 	ids := make(map[string]bool, len(p.earlier))
 	for id := range p.earlier {
@@ -93,7 +93,7 @@
 	return ids
 }
 
-// unknownYet tells whether a run of the task may exist that nobody has told.
+// mayHaveUnreportedRun reports whether a run of the task may exist that no worker has reported.
 func (p *Pool) unknownYet(t *task) bool {
 	return t.job.inherited && (p.doubts || t.job.hearing.open())
 }
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -13,8 +13,8 @@
 	Job     string
 	Queue   string
 	Row     []byte
-	Version int64 // that the table is thought to have
-	Final   bool  // nothing runs any more: spec and marker can go
+	Version int64 // that the table is expected to have
+	Final   bool  // nothing runs any more: spec and marker can be dropped
 	changes int
 }
 
@@ -22,23 +22,23 @@
 type Batch struct {
 	Queue   string // of all changes
 	Changes []Change
-	More    bool // more wait than go into a transaction, in queues that aren't avoided
+	More    bool // more changes wait than fit into the transaction, in queues that aren't avoided
 }
 
 const (
-	// jobEntries is how many entries of a transaction a job's change takes, its check
-	// and its write, and endEntries how many more one takes with which spec and marker go.
+	// jobEntries is how many entries of a transaction a job's change takes: its check and its
+	// write. endEntries is how many more it takes to drop spec and marker.
 	jobEntries = 2
 	endEntries = 2
-	// batchBytes of rows at most go together. A transaction may have 1 MB in all, where
-	// rows grow by a third; but one entry's slow link takes 0.3 s for these.
+	// batchBytes bounds the rows of a batch. A transaction may have 1 MB in all, and rows grow by a
+	// third when encoded, but over an entry's slow link this much takes 0.3 s.
 	batchBytes = 256 << 10
 )
 
-// Batch returns changes of one queue that the table doesn't have yet, as many as go
-// into a transaction with room for so many entries, the urgent ones first. Queues to
-// avoid are left out: their part of the table doesn't answer, and would hold up the
-// others. Now is the table's clock in milliseconds.
+// Batch returns changes of one queue that the table doesn't have yet, urgent ones first, as many as
+// fit into a transaction with the given number of entries. Queues to avoid are left out: their
+// partition doesn't answer, and would delay the others. Now is the table's clock in milliseconds.
+// It fails if a row can't be encoded.
 func (p *Pool) Batch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
 	b := Batch{}
 	waiting := p.dirty(avoid)
@@ -75,7 +75,7 @@
 	return jobEntries
 }
 
-// change is the job's row as it is to be written.
+// change returns the job's row as it is to be written.
 func (j *job) change(now int64) (Change, error) {
 	if j.row.State.Final() && j.row.Ended == 0 {
 		j.row.Ended = now
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// Urgent tells whether a change waits that is worth a write of its own.
+// Urgent reports whether a change waits that justifies a write of its own.
 func (p *Pool) Urgent() bool {
 	if p.counts.urgent() {
 		return true
@@ -103,13 +103,13 @@
 	return false
 }
 
-// dirty lists the jobs with something to be written, those of queues to avoid aside.
+// writable returns the jobs with changes to write, except those of queues to avoid.
 func (p *Pool) dirty(avoid func(queue string) bool) []*job {
 	dirty := slices.DeleteFunc(p.counts.unwritten(), func(j *job) bool { return avoid(j.queue) })
 	return dirty
 }
 
-// byUrgency orders jobs by which is to be written first.
+// byUrgency compares jobs by which is to be written first.
 func byUrgency(a, b *job) int {
 	if a.urgent != b.urgent {
 		if a.urgent {
@@ -120,8 +120,9 @@
 	return cmp.Compare(a.arrived, b.arrived)
 }
 
-// firstOf returns the first jobs of a queue, in order. Under a backlog thousands
-// wait, of which a transaction takes some dozens: most need one look, and no sorting.
+// firstOf returns the first jobs of a queue in order of urgency, at most as many as given. In a
+// backlog thousands wait, of which a transaction takes some dozens, so most jobs take one
+// comparison and aren't sorted.
 func firstOf(jobs []*job, queue string, most int) []*job {
 	first := make([]*job, 0, most+1)
 	for _, j := range jobs {
@@ -136,13 +137,13 @@
 	return first
 }
 
-// leaves tells whether a job that has ended has nothing left but its spec and
-// marker in the table.
+// isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
+// table.
 func (j *job) leaves() bool {
 	return j.row.State.Final() && !j.cleaned && len(j.live()) == 0
 }
 
-// Written takes in that a batch is in the table, as of a version.
+// Written records that a batch is in the table, as of a version.
 func (p *Pool) Written(b Batch, version int64, now time.Duration) {
 	for _, c := range b.Changes {
 		j := p.jobs[c.Job]
@@ -165,9 +166,9 @@
 	}
 }
 
-// Conflicted takes in rows as the table has them, after a batch was refused. A
-// row that a caller's cancel has changed ends the job here; one that an earlier
-// batch without an answer has changed is simply newer.
+// Conflicted handles a row as the table has it, after a batch was refused. A row that a caller's
+// cancellation has changed ends the job here. A row that was changed by an earlier batch without an
+// answer is merely newer.
 func (p *Pool) Conflicted(id string, row *gauge.JobRow, version int64) {
 	j := p.jobs[id]
 	if j == nil || version <= j.version {
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -7,25 +7,25 @@
 	gauge "sapphiregauge"
 )
 
-// turn is a stage with tasks that may start, and its rank.
+// candidate is a stage with tasks that may start, and its rank.
 type turn struct {
 	job   *job
 	stage *stage
 	rank  rank
-	// advice of its queue, nil if it has none
+	// advice policy of its queue, nil if it has none
 	advice *gauge.Advice
 }
 
-// rank orders turns: the lower one starts first.
+// rank orders candidates: the lower one starts first.
 type rank struct {
-	lasting  int // 0: lasting tasks, which are few and earn all the time
+	lasting  int // 0: long-running tasks, which are few and whose value accrues all the time
 	priority int
 	late     int // 0: it can meet its objective; 1: it can't; 2: long past it
 	due      time.Duration
 }
 
-// before tells whether the turn comes before another. It is asked some thousand
-// times a plan: what decides is looked at first, and nothing after it.
+// before reports whether the candidate comes before another. It is called some thousand times a
+// plan, so it compares the deciding fields first and stops at the first difference.
 func (t *turn) before(o *turn) bool {
 	a, b := &t.rank, &o.rank
 	switch {
@@ -42,31 +42,31 @@
 	}
 }
 
-// turns is a heap, the first turn on top: of a thousand that wait only the few are
-// put in order for which there is room.
+// candidateHeap is a heap with the first candidate on top. Of a thousand candidates only the few
+// for which there is room are put in order.
 type turns []turn
 
 func (t turns) Len() int           { return len(t) }
 func (t turns) Less(i, k int) bool { return t[i].before(&t[k]) }
 func (t turns) Swap(i, k int)      { t[i], t[k] = t[k], t[i] }
 
-// Push is of heap.Interface; nothing is put in later.
+// Push implements heap.Interface; nothing is added later.
 func (t *turns) Push(any) {}
 
-// Pop is of heap.Interface. What it returns has been read already.
+// Pop implements heap.Interface. What it returns has been read already.
 func (t *turns) Pop() any {
 	*t = (*t)[:len(*t)-1]
 	return nil
 }
 
-// next takes the first turn out.
+// next removes and returns the first candidate.
 func (t *turns) next() turn {
 	first := (*t)[0]
 	heap.Pop(t)
 	return first
 }
 
-// turns ranks the stages that wait and that the freest worker could take.
+// candidates ranks the waiting stages that the worker with the most room could take.
 func (p *Pool) turns(most gauge.Resources, now time.Duration) turns {
 	if len(p.counts.waiting) == 0 || !most.Holds(p.counts.least) {
 		return nil
@@ -82,8 +82,8 @@
 	return list
 }
 
-// policy is the configuration of a job's queue, nil if it has none. It is looked up
-// once in a configuration.
+// policy is the configuration of a job's queue, nil if the queue has none. It is looked up once per
+// configuration.
 func (p *Pool) policy(j *job) *gauge.Queue {
 	if j.site == p.site {
 		return j.policy
@@ -97,7 +97,7 @@
 	return j.policy
 }
 
-// advice is the policy of a job's queue, nil if it has none.
+// advice is the advice policy of a job's queue, nil if the queue has none.
 func (p *Pool) advice(j *job) *gauge.Advice {
 	if q := p.policy(j); q != nil {
 		return q.Advice
@@ -105,11 +105,11 @@
 	return nil
 }
 
-// defaultStretch is used for a queue that the configuration no longer has.
+// defaultStretch is used for a queue that is no longer configured.
 const defaultStretch = 2
 
-// lateFactor: up to three times the objective a late job is still worth
-// something to its caller.
+// lateFactor is the multiple of its objective up to which a late job is still worth something to
+// its caller.
 const lateFactor = 3
 
 func (p *Pool) rank(j *job, o *occurrence, st *stage, now time.Duration) rank {
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -7,20 +7,20 @@
 	"sapphiregauge/internal/proof"
 )
 
-// Whether a worker was lost for what ran there or for another reason is told by what else was
-// lost at the same moment.
+// Whether a worker was lost because of its runs or for another reason is inferred from what else
+// was lost at the same moment.
 
 const (
-	// noticeSpan is how much later than it was an owner may notice a broken connection, where
-	// a quota of processor time is used up.
+	// detectionDelay is how late an owner may notice a broken connection when its quota of
+	// processor time is used up.
 	noticeSpan = 100 * time.Millisecond
-	// surelySilent tells a worker that is lost from one whose answer was: holds are sent
-	// again 0.2 s after one failed.
+	// confirmedSilence separates a lost worker from a lost answer: heartbeats are repeated 0.2 s
+	// after a failure.
 	surelySilent = 700 * time.Millisecond
 )
 
-// beside are the tasks that were lost with a likelier cause: a task of another job that began
-// lately, where they did not, or one that has lost more workers.
+// tasksWithLikelierCause are the tasks that were lost next to a likelier cause: a task of another
+// job that had begun recently, when they had not, or one that has lost more workers.
 func (l *loss) beside() map[*task]bool {
 	tasks := make(map[*task]bool)
 	for _, r := range l.runs {
@@ -36,18 +36,18 @@
 	return tasks
 }
 
-// toll is what else was lost at about the time of a loss.
+// correlatedLosses counts what else was lost at about the time of a loss.
 type toll struct {
-	innocent  bool // a worker on which nothing can be the reason
+	innocent  bool // one was a worker with runs, none of which can be the cause
 	idle      int  // workers without runs
-	rackIdle  int  // of these, on the same rack
-	rackBusy  int  // workers with runs, on the same rack
-	rackStays int  // workers of the rack that were not lost
-	lost      int  // workers in all
-	stays     int  // workers that were not lost
+	rackIdle  int  // of these, those on the same rack
+	rackBusy  int  // workers with runs on the same rack
+	rackStays int  // workers of the rack that weren't lost
+	lost      int  // workers lost in all
+	stays     int  // workers that weren't lost
 }
 
-// add counts a worker that was lost.
+// add counts a lost worker.
 func (x *toll) add(mate, busy, innocent bool) {
 	x.lost++
 	x.innocent = x.innocent || innocent
@@ -78,29 +78,30 @@
 	return x
 }
 
-// together tells whether a worker was lost together with others that no task can have ended:
-// then it was the rack, the power or a cut. A single idle worker says nothing, unless the whole
-// rack is gone: machines move to other pools all the while, and their workers are listed for
-// seconds after. Neither do workers on which a task began lately: tasks that end their workers
-// may come together.
+// areCorrelated reports whether a worker was lost together with others that no task can have
+// crashed: then the cause was the rack, the power or a network partition. A single idle worker says
+// nothing unless the whole rack is gone, because machines move to other pools all the time and
+// their workers stay listed for seconds afterwards. Workers on which a task began recently say
+// nothing, either: several tasks that crash their workers may come at once.
 func (x toll) together() bool {
 	return x.innocent || x.idle > 1 || x.rackIdle > 0 && x.rackStays == 0 || x.most()
 }
 
-// mostLost others that were lost at one moment, or one less on its rack, are more than tasks are
-// likely to end then.
+// massLosses other workers lost at one moment, or one fewer on the same rack, are more than tasks
+// are likely to crash at once.
 const mostLost = 3
 
-// most tells whether all of a rack were lost at one moment, or nearly all workers: the power, or
-// the rack. Tasks that end their workers may come in numbers, but are then tried one by one.
+// isMassLoss reports whether all of a rack, or nearly all workers, were lost at one moment: then
+// the cause was the rack or the power. Several tasks may crash their workers at once, but are then
+// started one by one in isolation.
 func (x toll) most() bool {
 	rack := x.rackIdle + x.rackBusy
 	return rack >= mostLost-1 && x.rackStays == 0 || x.lost >= mostLost && fewOf*x.stays <= x.lost
 }
 
-// unclear tells whether other workers were lost that may have the same cause: those with tasks on
-// the rack, or most of them, as when the power goes. Then a crash proves nothing, but it counts:
-// tasks that end their workers may come in numbers.
+// isAmbiguous reports whether other workers were lost that may have the same cause: those with
+// tasks on the rack, or most of the workers, as in a power failure. Then a crash proves nothing,
+// but it counts, since several tasks that crash their workers may come at once.
 func (x toll) unclear() bool { return x.rackBusy > 0 || x.lost > x.stays }
 
 func count(holds bool) int {
@@ -110,13 +111,14 @@
 	return 0
 }
 
-// lostWith tells whether a worker stopped answering at about the time of a loss.
+// lostWith reports whether a worker stopped answering at about the time of a loss.
 func (p *Pool) lostWith(w *worker, l *loss, now time.Duration) bool {
 	return w.heard && w.silent && !w.leaving(w.silentAt) && now-w.silentAt >= surelySilent && l.overlaps(w.lostFrom(p.conf.Wait), w.silentAt)
 }
 
-// lostFrom is when a worker that doesn't answer was lost at the earliest: shortly before its hold
-// broke, or, if that was kept for longer than a worker keeps one, at any time since it answered.
+// earliestLoss is the earliest time at which a silent worker can have been lost: shortly before its
+// heartbeat broke, or at any time since its last answer if the heartbeat had been open longer than
+// a worker delays one.
 func (w *worker) lostFrom(wait time.Duration) time.Duration {
 	if w.silent && w.silentAt-w.heardAt < wait {
 		return max(w.heardAt, w.silentAt-noticeSpan)
@@ -124,23 +126,24 @@
 	return w.heardAt
 }
 
-// with tells whether two workers were lost together.
+// isCorrelatedWith reports whether two workers were lost together.
 func (l *loss) with(o *loss) bool {
 	return l != o && l.life.Worker != o.life.Worker && !l.planned && l.before == o.before && l.overlaps(o.from, o.at) &&
 		!slices.ContainsFunc(l.runs, func(r lostRun) bool { return o.had(r.task) })
 }
 
-// overlaps tells whether a worker that was lost in a span may have been so at the same moment.
+// overlaps reports whether a worker that was lost in the given span may have been lost at the same
+// moment.
 func (l *loss) overlaps(from, at time.Duration) bool {
 	return from <= l.at+noticeSpan && l.from <= at+noticeSpan
 }
 
-// had tells whether a run of a task was lost.
+// lostTask reports whether a run of the task was lost.
 func (l *loss) had(t *task) bool {
 	return slices.ContainsFunc(l.runs, func(r lostRun) bool { return r.task == t })
 }
 
-// sharesTask tells whether a task that was lost with a worker has a run on this one.
+// sharesTask reports whether a task that was lost with a worker has a run on this one.
 func (w *worker) sharesTask(l *loss) bool {
 	for r := range w.runs {
 		if l.had(r.task) {
--- /dev/null
+++ b/internal/sched/drain.go
@@ -0,0 +1,50 @@
+package sched
+
+import "time"
+
+// drainSpan is how long a worker gets no starts after a request to drain it. The request is
+// repeated several times a second. An order that ends the worker may take some seconds from the
+// answer to this request to its effect.
+const emptyFor = 4 * time.Second
+
+// Empty has a worker drained, and reports whether nothing runs there and the table has all its end
+// reports. Otherwise these would be lost with its machine, and the successor would start their
+// tasks again. An unknown worker isn't drained: starts may go there as soon as it is known. With
+// force, runs that don't end by themselves are stopped.
+func (p *Pool) Empty(id string, force bool, now time.Duration) bool {
+	w := p.workers[id]
+	if w == nil {
+		return false
+	}
+	if now >= w.emptyUntil {
+		p.conf.Logs.Info("worker to be emptied", "pool", p.conf.Name, "worker", id, "runs", len(w.runs), "force", force)
+	}
+	w.emptyUntil, w.force = now+emptyFor, force
+	return w.heard && !w.silent && len(w.runs) == 0 && w.odd == 0 && w.settled()
+}
+
+// Emptied returns the workers that are being drained, and for how much longer. A successor has to
+// know, as their machines may be taken away meanwhile.
+func (p *Pool) Emptied(now time.Duration) map[string]time.Duration {
+	left := make(map[string]time.Duration)
+	for id, w := range p.workers {
+		if now < w.emptyUntil && !w.gone {
+			left[id] = w.emptyUntil - now
+		}
+	}
+	return left
+}
+
+// soonSpan is how long a worker is expected to be drained soon after each announcement. The
+// announcement is repeated several times a second.
+const soonFor = 2 * time.Second
+
+// Soon announces workers that will be drained before long: long-running tasks that start now avoid
+// them if they can.
+func (p *Pool) Soon(ids []string, now time.Duration) {
+	for _, id := range ids {
+		if w := p.workers[id]; w != nil {
+			w.soonUntil = now + soonFor
+		}
+	}
+}
--- a/internal/sched/endreports.go
+++ b/internal/sched/endreports.go
@@ -2,33 +2,34 @@
 
 import gauge "sapphiregauge"
 
-// An end lasts in two places: with the worker, which lists it until it is
-// acknowledged, and in the table, once the row of its job is written. In between an
-// owner must treat the worker as the only one that knows: name it for a successor to
-// ask, and not have its machine taken away.
+// An end report exists in two places: at the worker, which lists it until it is acknowledged, and
+// in the table, once the row of its job is written. In between, the worker is the only durable
+// source: the owner names it in the lease row for a successor to ask, and doesn't let its machine
+// be taken away.
 
-// unkept is an end that was taken in, whose job's row isn't written yet.
+// unstoredEnd is a received end report whose job's row isn't written yet.
 type unkept struct {
 	number  int64
 	job     *job
-	changes int // of the job's row, with what the end changed
+	changes int // of the job's row, including the one made by the end report
 }
 
 func (u unkept) inTable() bool { return u.job.saved >= u.changes || u.job.cleaned }
 
-// take notes that an end was taken in. It waits for its job's row, if that has any
-// change: also one that an end told by another worker has made, which may be the
-// only other trace of the same fact.
+// recordEnd records a received end report. If the job's row has any unwritten changes, the report
+// waits for them, also for one made by another worker's end report, which may be the only other
+// trace of the same fact.
 func (w *worker) take(number int64, j *job) {
 	w.ends = number
 	if j != nil && j.dirty() {
-		j.urgent = true // the ends after this one wait for it, too
+		j.urgent = true // the end reports after this one wait for it as well
 		w.unkept = append(w.unkept, unkept{number: number, job: j, changes: j.changes})
 	}
 	w.keep()
 }
 
-// keep moves the mark of ends that are in the table on, up to the first that isn't.
+// updateStored advances the number of the last stored end report, up to the first report that isn't
+// in the table.
 func (w *worker) keep() {
 	n := 0
 	for n < len(w.unkept) && w.unkept[n].inTable() {
@@ -41,11 +42,10 @@
 	w.unkept, w.kept = nil, w.ends
 }
 
-// settled tells whether the table has all that the worker has told, and the worker
-// has told all.
+// isSettled reports whether the table has all of the worker's end reports.
 func (w *worker) settled() bool { return w.kept == w.ends && !w.held }
 
-// Behind tells whether a worker has listed ends that the table doesn't have yet.
+// Behind reports whether a worker has listed end reports that the table doesn't have yet.
 func (p *Pool) Behind(l gauge.Life) bool {
 	w := p.current(l)
 	return w != nil && w.kept < w.ends
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -9,13 +9,13 @@
 	gauge "sapphiregauge"
 )
 
-// Walked is what the pool keeps count of, found by a walk over all jobs instead.
+// Walked holds what the pool tracks incrementally, computed by a walk over all jobs instead.
 type Walked struct {
 	Depths  map[string]int
 	Urgent  bool
-	Changed []string // jobs that a write is to take along
+	Changed []string // jobs that are to be written
 	Waiting []string // steps with tasks that may start
-	Stale   []string // occurrences of which the chain of steps that is left isn't known rightly
+	Stale   []string // occurrences whose cached chain of remaining steps is wrong
 	Load    gauge.PoolLoad
 }
 
@@ -102,8 +102,7 @@
 	}
 }
 
-// Waiting names the steps with tasks that may start, as a plan finds them when any
-// task fits.
+// Waiting returns the steps with tasks that may start, as a plan finds them when any task fits.
 func (p *Pool) Waiting(now time.Duration) []string {
 	var names []string
 	large := gauge.Resources{MilliCPU: math.MaxInt, MemoryMB: math.MaxInt, Accels: math.MaxInt}
@@ -114,7 +113,7 @@
 	return names
 }
 
-// Changed names the jobs that a write is to take along.
+// Changed returns the jobs that are to be written.
 func (p *Pool) Changed() []string {
 	var names []string
 	for _, j := range p.counts.unwritten() {
@@ -124,7 +123,7 @@
 	return names
 }
 
-// anew works the chain out without a look at what is known of it.
+// uncachedChain computes the chain without its cached value.
 func (o *occurrence) anew() time.Duration {
 	return (&occurrence{number: o.number, steps: o.steps, left: o.left, stale: true}).chain()
 }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -7,12 +7,13 @@
 	gauge "sapphiregauge"
 )
 
-// A worker is known by the life that it lives. Whatever names a worker to this package, a row of
-// the platform's list, an answer, a row of an owner before, goes through here, where it is
-// decided which life is meant: what is known of one is never taken for another's. The newest
-// that was heard of counts; what comes of an earlier one is too late.
+// A worker is identified by its incarnation. Whatever names a worker to this package (an entry of
+// the platform's list, an answer, a row of a previous owner) goes through this file, which decides
+// which incarnation is meant, so that what is known of one is never applied to another. The newest
+// known incarnation counts; anything from an earlier one is too late.
 
-// current is the worker of a life; nil: that life isn't known, or another has begun.
+// current returns the worker of an incarnation; nil if that incarnation isn't known or isn't the
+// newest.
 func (p *Pool) current(l gauge.Life) *worker {
 	w := p.workers[l.Worker]
 	if w == nil || w.info.Life() != l {
@@ -21,8 +22,8 @@
 	return w
 }
 
-// listedAs is the worker that a row of the platform's list names; nil: the row is of an earlier
-// life than is known, or doesn't tell of which, and names no worker to use.
+// listedAs returns the worker that an entry of the platform's list names; nil if the entry is of an
+// earlier incarnation than is known, or doesn't say of which, so that it names no usable worker.
 func (p *Pool) listedAs(info gauge.Worker) *worker {
 	w := p.workers[info.ID]
 	switch {
@@ -37,8 +38,8 @@
 	}
 }
 
-// elsewhere takes in that another pool has a worker. A life that began there isn't this owner's
-// to hold, also if it has answered a hold that was meant for the life before.
+// listedElsewhere handles a worker that is listed in another pool. An incarnation that began there
+// isn't this owner's, even if it has answered a heartbeat that was meant for the previous one.
 func (p *Pool) elsewhere(info gauge.Worker) {
 	w := p.workers[info.ID]
 	if w == nil || info.Life().Before(w.info.Life()) || w.known && info.Life() == w.info.Life() {
@@ -47,8 +48,8 @@
 	p.over(w, "it has started again in another pool", p.ticked)
 }
 
-// answering is the worker whose life has answered to a call; nil: it is over, or another has
-// begun since it answered.
+// answering returns the worker whose incarnation has answered a call; nil if it is dead or no
+// longer the newest.
 func (p *Pool) answering(asked gauge.Life, born int64, now time.Duration) *worker {
 	w := p.workers[asked.Worker]
 	if w == nil {
@@ -57,7 +58,7 @@
 	of := gauge.Life{Worker: asked.Worker, Born: born}
 	switch known := w.info.Life(); {
 	case known.Before(of):
-		// Of what it is, and has, only its own row tells.
+		// What it is and has is known only from its own entry in the list.
 		return p.succeed(w, gauge.Worker{ID: w.info.ID, Born: born, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
 	case of.Before(known):
 		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", asked.Worker, "born", born, "newest", known.Born)
@@ -69,12 +70,12 @@
 	}
 }
 
-// begin takes in a life of a worker.
+// begin adds an incarnation of a worker.
 func (p *Pool) begin(info gauge.Worker) *worker {
 	w := &worker{
 		info: info, runs: make(map[*run]bool), expiry: p.inherited(info.Life()), since: p.ticked, emptyUntil: p.conf.Emptied[info.ID],
 	}
-	w.info.Draining = false // that is taken in with its row
+	w.info.Draining = false // handled with its entry in the platform's list
 	p.raise(w)
 	before, awaited := p.earlier[info.ID]
 	if w.follows = awaited && before != info.Life(); w.follows {
@@ -87,9 +88,9 @@
 	return w
 }
 
-// succeed takes in that a worker has started again: the life before is over, and what is known
-// of it holds no more. Only what was promised of the worker whatever life it lives goes on: it
-// is to be emptied, for an order to its machine.
+// succeed records that a worker has restarted: the previous incarnation is dead, and what is known
+// of it no longer applies. Only what concerns the worker in any incarnation goes on: it is to be
+// drained, for an order to its machine.
 func (p *Pool) succeed(old *worker, info gauge.Worker, now time.Duration) *worker {
 	w := p.begin(info)
 	w.follows = true
@@ -106,8 +107,8 @@
 	return w
 }
 
-// passOn has the next life settle what may have been ordered of the one before and wasn't listed
-// there: the order may reach the next life, and its deadline says nothing on another clock.
+// passOn lets the next incarnation settle orders to the previous one whose runs it never listed.
+// Such an order may reach the next incarnation, and its deadline means nothing on another clock.
 func (p *Pool) passOn(old, next *worker) {
 	if old.gone {
 		return
@@ -127,14 +128,14 @@
 	}
 }
 
-// fence is the fencing token of calls to a worker: the version of a write of this owner's. It
-// rises with each life, and whenever the worker doesn't answer: one that starts again knows of
-// no token, and would carry out what was meant for the life before, up to seconds later. It never
-// reaches the next owner's, who takes the lease by a later write.
+// fence is the fencing token for calls to a worker: the version of one of this owner's writes. It
+// rises with each incarnation and whenever the worker doesn't answer, because a worker that
+// restarts knows of no token and would carry out calls for its previous incarnation up to seconds
+// later. It never reaches the successor's token, as a successor takes the lease by a later write.
 func (p *Pool) fence(w *worker) gauge.Fence { return max(p.conf.Fence, w.fence) }
 
-// raise has nothing carried out any more, once the worker has answered, that was sent before. With
-// no write since the last time it waits for the next one.
+// raiseFence gives a worker a higher token, so that earlier calls are refused once the worker has
+// answered. Without a write since the last time it waits for the next one.
 func (p *Pool) raise(w *worker) {
 	w.unfenced = p.written <= p.fence(w)
 	if !w.unfenced {
@@ -142,16 +143,16 @@
 	}
 }
 
-// Outdated tells whether a call's fencing token is an earlier one of this owner's own, or was
-// for a life that is over, or that this owner has never heard: refused by it the call tells of no
-// other owner of this pool. One that was never heard may have been called by another pool's owner,
-// who held its life before.
+// Outdated reports whether a call's fencing token is an earlier one of this owner's own, or whether
+// the call was for an incarnation that is dead or has never reported to this owner. The refusal of
+// such a call doesn't show that this pool has another owner. An incarnation that has never reported
+// may have been called by the owner of another pool, which had its previous incarnation.
 func (p *Pool) Outdated(l gauge.Life, sent gauge.Fence) bool {
 	w := p.current(l)
 	return w == nil || !w.heard || sent < p.fence(w)
 }
 
-// Unheld lists the lives that were begun since it was last asked: a hold is to be kept at each.
+// Unheld returns the incarnations that began since the last call; each needs heartbeats.
 func (p *Pool) Unheld() []gauge.Worker {
 	list := p.unheld
 	p.unheld = nil
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -7,23 +7,22 @@
 	gauge "sapphiregauge"
 )
 
-// counts is what is kept up with each event, because it is asked for at each write
-// or plan: a walk over all jobs each time would take an owner of a thousand jobs more
-// of its processor than all else.
+// poolIndex is updated with each event, because it is read at each write or plan: a walk over all
+// jobs each time would take the owner of a thousand jobs more processor time than all else.
 type counts struct {
-	depths  map[string]int // by queue: open jobs of which no worker has told a run
-	changed map[*job]bool  // jobs with something to be written, and some that had
+	depths  map[string]int // by queue: open jobs of which no worker has reported a run
+	changed map[*job]bool  // jobs with something to write, and some that had
 	timed   map[*job]bool  // open jobs with occurrences to come, and some that had
 
-	waiting []*stage        // steps with tasks that may start, and some that had
-	least   gauge.Resources // no task of theirs needs less of any kind
+	waiting []*stage        // stages with tasks that may start, and some that had
+	least   gauge.Resources // none of their tasks needs less of any resource
 }
 
 func newCounts() counts {
 	return counts{depths: make(map[string]int), changed: make(map[*job]bool), timed: make(map[*job]bool)}
 }
 
-// enter counts a job that was adopted.
+// add adds an adopted job.
 func (c *counts) enter(j *job) {
 	if j.open() && !j.started {
 		c.depths[j.queue]++
@@ -36,15 +35,15 @@
 	}
 }
 
-// leave takes a job off its queue's depth.
+// decrementDepth removes a job from its queue's depth.
 func (c *counts) leave(queue string) {
 	if c.depths[queue]--; c.depths[queue] == 0 {
 		delete(c.depths, queue)
 	}
 }
 
-// told notes that a worker has told of a run of the job. A start that was only decided
-// on doesn't count: it may wait here for long, or be refused.
+// markStarted records that a worker has reported a run of the job. A start that was only ordered
+// doesn't count: it may be delayed here for long, or be refused.
 func (j *job) told() {
 	if !j.started && j.open() {
 		j.counts.leave(j.queue)
@@ -61,11 +60,10 @@
 	j.counts.changed[j] = true
 }
 
-// Depths counts by queue the jobs of which no task has started, as far as workers have
-// told.
+// Depths returns the number of jobs by queue of which no worker has reported a started task.
 func (p *Pool) Depths() map[string]int { return maps.Clone(p.counts.depths) }
 
-// unwritten lists the jobs with something to be written.
+// unwrittenJobs returns the jobs with something to write.
 func (c *counts) unwritten() []*job {
 	var some []*job
 	for j := range c.changed {
@@ -73,13 +71,13 @@
 		case !j.cleaned && (j.dirty() || j.leaves()):
 			some = append(some, j)
 		case j.cleaned || j.open():
-			delete(c.changed, j) // any other job leaves when its last run has ended
+			delete(c.changed, j) // any other job becomes droppable when its last run has ended
 		}
 	}
 	return some
 }
 
-// urgent tells whether one of them is worth a write of its own.
+// hasUrgent reports whether a change justifies a write of its own.
 func (c *counts) urgent() bool {
 	for j := range c.changed {
 		if !j.cleaned && j.dirty() && j.urgent {
@@ -89,7 +87,7 @@
 	return false
 }
 
-// offer has a step wait for its turn, if tasks of it may start.
+// enqueue adds a stage to the waiting list if tasks of it may start.
 func (c *counts) offer(st *stage) {
 	if st.queued || st.idle == 0 || !st.job.open() || !st.occ.ready(st) {
 		return
@@ -103,8 +101,8 @@
 	c.least = lesser(c.least, need)
 }
 
-// sift drops the steps that wait no more, shows the others, and works out anew what
-// they need at least.
+// pruneWaiting drops the stages that no longer wait, passes the others to visit, and updates
+// minNeed.
 func (c *counts) sift(show func(st *stage, need gauge.Resources)) {
 	keep := c.waiting[:0]
 	for _, st := range c.waiting {
@@ -124,14 +122,14 @@
 	c.waiting = keep
 }
 
-// lesser takes the smaller amount of each kind.
+// minResources returns the smaller amount of each resource.
 func lesser(a, b gauge.Resources) gauge.Resources {
 	return gauge.Resources{
 		MilliCPU: min(a.MilliCPU, b.MilliCPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), Accels: min(a.Accels, b.Accels),
 	}
 }
 
-// occur makes the occurrences that are due.
+// createDue creates the occurrences that are due.
 func (c *counts) occur(wall time.Time, now time.Duration) {
 	for j := range c.timed {
 		j.occur(wall, now)
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -8,22 +8,23 @@
 	gauge "sapphiregauge"
 )
 
-// A suspect starts apart: on a worker where no other job has a task, and nothing of another
-// job starts there until its run has lived long enough. If the worker crashes again nobody
-// else's work goes with it, and only one task can be the cause.
+// A suspect starts in isolation: on a worker where no other job has a task, and no task of another
+// job starts there until its run has lived long enough. If the worker crashes again, nobody else's
+// work is lost with it, and only one task can be the cause.
 
 const (
-	// apartWait is how long a task that has crashed two workers waits for one that is free of
-	// other work. Longer it may not stand still, though that worker isn't to be had.
+	// isolationWait is how long a task that has crashed two workers waits for a worker that is free
+	// of other work. It must not stand still for longer, even if no such worker is available.
 	apartWait = 2 * time.Second
-	// lastWait is the same once few of its starts are left: beside others each would prove nothing.
+	// lastStartsWait is the same once few of its starts are left: next to other tasks each start
+	// would prove nothing.
 	lastWait = 6 * time.Second
-	// placeSpan is how long a place is kept until the table has that the task is tried there.
-	// A write takes some 10 ms, in a slow spell 60 times as long.
+	// reservationSpan is how long a reservation is kept until the table has the record of the
+	// isolated run. A write takes about 10 ms, and 60 times as long when the table is slow.
 	placeSpan = 700 * time.Millisecond
 )
 
-// place is where a suspect will start, once the table knows of it.
+// reservation is where a suspect will start, once the table has the record of it.
 type place struct {
 	workers []*worker // one for each task of a gang
 	number  int
@@ -32,7 +33,7 @@
 	closed  bool // other jobs' tasks don't start there
 }
 
-// startSuspects starts the tasks that may have ended a worker.
+// startSuspects starts the tasks that may have crashed a worker.
 func (p *Pool) startSuspects(now time.Duration) {
 	if len(p.suspects) == 0 {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// suspectsInTurn lists them, those that wait longest first.
+// suspectsByWait returns the suspects, those that have waited longest first.
 func (p *Pool) suspectsInTurn() []*task {
 	list := make([]*task, 0, len(p.suspects))
 	for t := range p.suspects {
@@ -86,7 +87,7 @@
 	return []*task{t}
 }
 
-// mayTry tells whether nothing but a place is missing for a suspect's start.
+// mayReserve reports whether a suspect's start lacks nothing but a worker.
 func (p *Pool) mayTry(t *task, now time.Duration) bool {
 	if !t.stage.occ.ready(t.stage) || t.place == nil && !t.noted() {
 		return false
@@ -99,17 +100,17 @@
 	return true
 }
 
-// noted tells whether the table knows all that has to be known of a suspect.
+// isRecorded reports whether the table has all that is known of a suspect.
 func (t *task) noted() bool { return t.job.saved >= t.written }
 
-// apartOnly tells whether a suspect has lost so many workers, or has so few starts left, that it starts
-// apart only, and when the table knows.
+// isolatedOnly reports whether a suspect has lost so many workers, or has so few starts left, that
+// it starts only in isolation and only once the table has the record of it.
 func (t *task) apartOnly() bool { return t.known().Strong() || t.fewLeft() }
 
-// fewLeft tells whether few starts are left until the task is given up.
+// fewLeft reports whether few starts are left until the task's job is failed.
 func (t *task) fewLeft() bool { return t.known().FewLeft(t.awaits + t.adrift) }
 
-// apartFor is how long a suspect waits for a worker that is free of other work.
+// isolationTimeout is how long a suspect waits for a worker that is free of other work.
 func (t *task) apartFor() time.Duration {
 	switch {
 	case t.fewLeft():
@@ -121,9 +122,10 @@
 	}
 }
 
-// reserve finds a place for a suspect, and has the table told of it. One that has lost two workers waits
-// till the table knows: an owner that took over between the start and the crash would otherwise not
-// know of the run. After the first crash it suffices that this is known: the next owner allows for one more.
+// reserve finds workers for a suspect, and has the table record it. A task that has lost two
+// workers waits until the table has the record: otherwise an owner that took over between the start
+// and the crash wouldn't know of the run. After the first crash it suffices that this crash is
+// known, since the successor allows for one more.
 func (p *Pool) reserve(t *task, now time.Duration) {
 	p.notice(t)
 	of := turn{job: t.job, stage: t.stage, advice: p.advice(t.job)}
@@ -157,8 +159,8 @@
 	}
 }
 
-// placesApart picks workers without other jobs' tasks, if it can on racks where nothing is tried, and
-// nowhere else once few starts are left.
+// pickIsolated picks workers without other jobs' tasks, preferably on racks without other isolated
+// runs, and only there once few starts are left.
 func (p *Pool) placesApart(t *task, of *turn, now time.Duration) []*worker {
 	workers := p.places(t, of, now, func(w *worker) bool { return w.onlyOf(t.job) && !p.rackTries(w, t.job) })
 	if workers == nil && !t.fewLeft() {
@@ -167,7 +169,7 @@
 	return workers
 }
 
-// placesBeside picks workers that other jobs use, if it can without lasting tasks.
+// pickShared picks workers that other jobs use, preferably without long-running tasks.
 func (p *Pool) placesBeside(t *task, of *turn, now time.Duration) []*worker {
 	workers := p.places(t, of, now, func(w *worker) bool { return w.triesOnly(t.job) && w.lasting == 0 })
 	if workers == nil {
@@ -176,7 +178,7 @@
 	return workers
 }
 
-// nextRun is the number of the next run of a suspect, and its gang.
+// nextRun is the number of the next run of a suspect and its gang.
 func (t *task) nextRun() int {
 	number := 0
 	for _, m := range t.members() {
@@ -185,7 +187,7 @@
 	return number + 1
 }
 
-// places picks workers for a suspect, of those that suit; nil: there aren't enough.
+// pickWorkers picks workers for a suspect among the suitable ones; nil if there are too few.
 func (p *Pool) places(t *task, of *turn, now time.Duration, suits func(w *worker) bool) []*worker {
 	room := p.apart(now)
 	allowed := p.bounded(of.allows(now))
@@ -207,7 +209,7 @@
 	return picked
 }
 
-// startApart starts a suspect at its place, once the table knows of it.
+// startReserved starts a suspect on its reserved workers, once the table has the record of it.
 func (p *Pool) startApart(t *task, now time.Duration) {
 	at := t.place
 	of := turn{job: t.job, stage: t.stage, advice: p.advice(t.job)}
@@ -236,11 +238,11 @@
 	}
 }
 
-// placeFits tells whether a suspect's place still has what it needs: room may have shrunk, and
-// other tasks of the step have started there.
+// reservationFits reports whether the reserved workers still have what the suspect needs: their
+// free capacity may have shrunk, and other tasks of the step may have started there.
 func (t *task) placeFits() bool {
 	st := t.stage
-	on := st.perWorker() // counts the place itself
+	on := st.perWorker() // counts the reservation itself
 	taken := make(map[*worker]gauge.Resources)
 	for _, w := range t.place.workers {
 		if !st.fits(w, st.spec.Room(), taken[w], on[w]-1) {
@@ -251,14 +253,14 @@
 	return true
 }
 
-// giveBack gives a suspect's place up before it has started there.
+// cancelReservation drops a reservation that wasn't used, and the record of it.
 func (p *Pool) giveBack(t *task) {
 	number := t.place.number
 	p.unreserve(t)
 	p.acquit(t, number)
 }
 
-// apart are the workers that a suspect may start on.
+// isolationRound returns the workers on which a suspect may start.
 func (p *Pool) apart(now time.Duration) *rooms {
 	r := &rooms{without: p.conf.Without}
 	for _, w := range p.byID() {
@@ -269,7 +271,7 @@
 	return r
 }
 
-// unreserve lets a suspect's place go.
+// releaseReservation removes a suspect's reservation.
 func (p *Pool) unreserve(t *task) {
 	if t.place == nil {
 		return
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -15,35 +15,35 @@
 	spec      *gauge.JobSpec
 	row       gauge.JobRow
 	version   int64         // of the row in the table
-	arrived   time.Duration // when it was accepted, on this entry's clock
+	arrived   time.Duration // when it was accepted, on the local clock
 	occs      map[int]*occurrence
-	next      int           // first occurrence that is not yet made
-	chain     time.Duration // estimated time of the longest chain of steps
-	begun     bool          // the start of some task was decided on
-	started   bool          // a worker has told of a run of it
+	next      int           // first occurrence that isn't created yet
+	chain     time.Duration // estimated duration of the longest chain of steps
+	begun     bool          // a start of one of its tasks was ordered
+	started   bool          // a worker has reported a run of it
 	inherited bool          // it was there before this owner took over
-	hearing   *hearing      // what its tasks wait for, if it was read late
+	hearing   *hearing      // reports that its tasks wait for, if it was read late
 
 	changes int  // grows with each change of the row
 	saved   int  // changes that the table has
-	urgent  bool // the changes are worth a write of their own
-	cleaned bool // nothing of it is left to do or to drop
+	urgent  bool // the changes justify a write of their own
+	cleaned bool // its spec and marker are dropped from the table
 
 	counts    *counts       // of its pool
 	site      *gauge.Site   // configuration in which its queue was looked up ...
-	policy    *gauge.Queue  // ... what was found ...
+	policy    *gauge.Queue  // ... its queue there ...
 	objective time.Duration // ... and how long after its arrival it should be done
 	mark      mark          // of changes, for Backlog
 }
 
-// occurrence is one run through a job's steps.
+// occurrence is one execution of a job's steps; a scheduled job has several.
 type occurrence struct {
 	number int
 	steps  []*stage
-	left   int // tasks that are not done
+	left   int // tasks that aren't done
 
-	longest time.Duration // as chain last worked it out
-	stale   bool          // it is to be worked out anew
+	longest time.Duration // result of the last call of chain
+	stale   bool          // the result has to be computed again
 }
 
 // stage is one step of one occurrence.
@@ -52,15 +52,15 @@
 	job    *job
 	occ    *occurrence
 	tasks  []*task
-	made   time.Duration // none of its tasks became ready before
-	left   int           // tasks that are not done
+	made   time.Duration // no task became ready before
+	left   int           // tasks that aren't done
 	idle   int           // of these, tasks without a run
-	queued bool          // it is on the list of those that wait
+	queued bool          // it is on the list of waiting stages
 
 	advised advised
 }
 
-// task is one task; it may have several runs that are not known to be over.
+// task is one task; it may have several runs that aren't known to be over.
 type task struct {
 	id        gauge.TaskID
 	job       *job
@@ -70,22 +70,22 @@
 	lastRun   int
 	saved     string
 	readyAt   time.Duration // when it last became ready to start
-	awaySince time.Duration // lasting tasks: since when it is not at work
-
-	suspect     bool   // it may end the worker that starts it
-	notedBefore bool   // owners before noted a run of it
-	noticed     bool   // a run of it is known that may have ended its worker
-	countedRun  int    // run that was counted last, though it is held against nothing
-	unsettled   bool   // owners before noted runs of which it isn't known what became
-	adrift      int    // runs that were lost on workers of which it isn't known whether they crashed
-	awaits      int    // lost workers of which it isn't known yet why they were
+	awaySince time.Duration // long-running tasks: since when it has no run
+
+	suspect     bool   // it may crash the worker that starts it
+	notedBefore bool   // previous owners recorded a run of it
+	noticed     bool   // unrecorded crashes before this owner are allowed for
+	countedRun  int    // last run that was counted as an unattributed start
+	unsettled   bool   // previous owners recorded runs whose outcome isn't known
+	adrift      int    // runs lost on workers that may have crashed or only be cut off
+	awaits      int    // lost workers whose loss isn't attributed yet
 	written     int    // change of the job's row that has to be in the table before a suspect starts
 	place       *place // where it is to start, while it is a suspect
 }
 
 func (t *task) failures() int { return len(t.failed()) }
 
-// failed lists the numbers of the task's runs that failed.
+// failedRuns returns the numbers of the task's runs that failed.
 func (t *task) failed() []int {
 	if len(t.job.row.Failures) == 0 {
 		return nil
@@ -93,12 +93,12 @@
 	return t.job.row.Failures[t.key()]
 }
 
-// key names the task within its job.
+// key identifies the task within its job.
 func (t *task) key() string {
 	return strconv.Itoa(t.id.Occurrence) + "." + strconv.Itoa(t.id.Step) + "." + strconv.Itoa(t.id.Index)
 }
 
-// attach notes a run that may exist.
+// attach adds a run that may exist.
 func (t *task) attach(r *run) {
 	if len(t.runs) == 0 && !t.done {
 		t.stage.idle--
@@ -106,7 +106,7 @@
 	t.runs = append(t.runs, r)
 }
 
-// detach takes a run that is over off the task's list.
+// detach removes a run that is over.
 func (t *task) detach(r *run) {
 	before := len(t.runs)
 	t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
@@ -116,7 +116,7 @@
 	}
 }
 
-// touch notes that the row has changed.
+// touch records a change of the row.
 func (j *job) touch(urgent bool) {
 	j.changes++
 	j.urgent = j.urgent || urgent
@@ -125,10 +125,10 @@
 
 func (j *job) dirty() bool { return j.changes > j.saved }
 
-// open tells whether tasks of the job may still start.
+// isOpen reports whether tasks of the job may still start.
 func (j *job) open() bool { return !j.row.State.Final() }
 
-// occurrence makes an occurrence from what the row says of it.
+// occurrence returns an occurrence, created from the row if needed.
 func (j *job) occurrence(number int, now time.Duration) *occurrence {
 	if o := j.occs[number]; o != nil {
 		return o
@@ -163,7 +163,7 @@
 	return o
 }
 
-// task finds a task by its id; nil if the job has none such.
+// task returns a task by its id, nil if the job has no such task.
 func (j *job) task(id gauge.TaskID, now time.Duration) *task {
 	if id.Occurrence < j.row.Over || id.Occurrence >= j.spec.Occurrences() || id.Step >= len(j.spec.Steps) {
 		return nil
@@ -174,7 +174,7 @@
 	return j.occurrence(id.Occurrence, now).steps[id.Step].tasks[id.Index]
 }
 
-// ready tells whether all steps before one are done.
+// isReady reports whether all steps that the stage depends on are done.
 func (o *occurrence) ready(st *stage) bool {
 	for _, a := range st.spec.After {
 		if o.steps[a].left > 0 {
@@ -184,8 +184,8 @@
 	return true
 }
 
-// release notes when the tasks of steps that waited for one became ready: counted from
-// when the job came, the time that a task has waited for room would tell nothing.
+// release records when the tasks of steps that waited for this one became ready. If that were
+// counted from the job's arrival, it wouldn't show how long a task has waited for room.
 func (o *occurrence) release(done *stage, now time.Duration) {
 	for _, st := range o.steps {
 		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.ready(st) {
@@ -198,14 +198,14 @@
 	}
 }
 
-// offer has all steps wait of which tasks may start.
+// enqueue adds all stages with tasks that may start to the waiting list.
 func (o *occurrence) offer() {
 	for _, st := range o.steps {
 		st.job.counts.offer(st)
 	}
 }
 
-// finish notes that a task is done, and what follows from it.
+// finish marks a task done, and updates its stage, occurrence and job.
 func (j *job) finish(t *task, now time.Duration) {
 	o := j.occs[t.id.Occurrence]
 	if len(t.runs) == 0 {
@@ -242,8 +242,7 @@
 	j.advance()
 }
 
-// advance moves the mark of completed occurrences on, and completes the job
-// with the last of them.
+// advance moves the mark of completed occurrences, and completes the job with the last of them.
 func (j *job) advance() {
 	for {
 		o := j.occs[j.row.Over]
@@ -267,14 +266,14 @@
 	}
 }
 
-// cancel ends the job; the table has it already.
+// cancel ends the job; the table has the cancellation already.
 func (j *job) cancel() {
 	if j.open() {
 		j.close(gauge.JobCancelled)
 	}
 }
 
-// live lists the runs of the job that may exist.
+// liveRuns returns the runs of the job that may exist.
 func (j *job) live() []*run {
 	var rs []*run
 	for _, o := range j.occs {
@@ -287,8 +286,8 @@
 	return rs
 }
 
-// chain is the estimated time of the longest chain of steps that is left. It
-// changes only when a step is done.
+// chain is the estimated duration of the longest chain of steps that are left. It changes only when
+// a step is done.
 func (o *occurrence) chain() time.Duration {
 	if !o.stale {
 		return o.longest
@@ -308,7 +307,7 @@
 	return longest
 }
 
-// longest is the estimated time of the longest chain of a job's steps.
+// longestChain is the estimated duration of the longest chain of a job's steps.
 func longest(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -8,7 +8,7 @@
 
 const milli = 1000.0
 
-// Load tells what the pool has to do.
+// Load returns the pool's demand and the load of its workers.
 func (p *Pool) Load(now time.Duration) gauge.PoolLoad {
 	l := gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.arrived, Jobs: p.came}
 	for _, j := range p.jobs {
@@ -37,7 +37,7 @@
 	return l
 }
 
-// load adds what a stage has to do.
+// addLoad adds the demand of a stage.
 func (st *stage) load(l *gauge.PoolLoad, into *gauge.Demand, ready bool, now time.Duration) {
 	if st.left == 0 {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-// work is the estimated work of a job, in core-seconds, lasting tasks aside.
+// estimatedWork is the estimated work of a job in core-seconds, without long-running tasks.
 func work(j *gauge.JobSpec) float64 {
 	sum := 0.0
 	for i := range j.Steps {
@@ -78,11 +78,11 @@
 	return sum * float64(j.Occurrences())
 }
 
-// overrun: a run that has taken longer than estimated is thought to take so much of its
-// time more. Estimates are off by half.
+// overrunShare is the share of its time so far that a run is expected to go on for once it has
+// taken longer than estimated. Estimates are off by half.
 const overrun = 0.25
 
-// busy is how much longer the runs on the worker go on, lasting ones aside, by estimates.
+// busyFor is how much longer the runs on the worker go on by estimates, without long-running ones.
 func (w *worker) busy(now time.Duration) time.Duration {
 	var most time.Duration
 	for r := range w.runs {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// settleSpan after a worker was lost others that were lost with it have shown: till then
-	// nobody knows what it was lost for, and what ran there waits.
+	// attributionDelay is the time after a worker's loss until others that were lost with it are
+	// known. Before, the loss can't be attributed, and the lost tasks wait.
 	settleSpan = time.Second
-	// pausedSpan without a tick, of which there are ten a second: this process stood still, and
-	// heard of none of the losses meanwhile.
+	// pauseThreshold without a tick, of which there are ten a second, means that this process stood
+	// still and noticed no losses meanwhile.
 	pausedSpan = 500 * time.Millisecond
-	// lossesFor is how long a loss is remembered, to be compared with others.
+	// lossRetention is how long a loss is remembered, to be compared with others.
 	lossesFor = 10 * time.Second
 )
 
-// lostRun is a run that ended with its worker's life, or its lease.
+// lostRun is a run that ended with its worker's incarnation or lease.
 type lostRun struct {
 	task   *task
 	number int
 	lived  time.Duration
-	told   bool // its worker has told that it was there
-	order  *run // its worker hasn't, and the next life may have had the order; else nil
+	told   bool // its worker has reported it
+	order  *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
 }
 
-// spared tells whether the run was not lost after all.
+// isNotLost reports whether the run turned out not to be lost.
 func (l lostRun) spared() bool { return l.order != nil && l.order.spared }
 
-// loss is a worker whose life is over.
+// loss is a worker whose incarnation is dead.
 type loss struct {
 	life gauge.Life
 	rack string
-	from time.Duration // it has answered till then ...
-	at   time.Duration // ... and not since: it was lost in between
+	from time.Duration // last time that it answered ...
+	at   time.Duration // ... and when it no longer did: it was lost in between
 	runs []lostRun
-	// innocent: there were runs, and none of them can be why it was lost.
+	// tasksRuledOut: it had runs, and none of them can be the cause.
 	innocent bool
-	planned  bool // it was to leave, or to be emptied
-	alone    bool // tasks of one job were all that ran there
+	planned  bool // it was leaving, or being drained
+	alone    bool // only tasks of one job ran there
 	judged   bool
-	// before: this owner never heard it, so that nobody knows when it was lost.
+	// unreported: it never reported to this owner, so the time of its loss isn't known.
 	before bool
 }
 
-// lose ends a run together with its worker. The line tells how long the run surely lived and
-// how many others were lost with it: a task that ends its workers shows by runs that are lost
-// soon after their starts, one worker after the other.
+// lose ends a run together with its worker. The log line says how long the run lived at least and
+// how many others were lost with it: a task that crashes its workers shows as runs that are lost
+// soon after their starts, on one worker after the other.
 func (p *Pool) lose(r *run, why string, with int, now time.Duration) {
 	p.conf.Count(EventLost)
 	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
@@ -59,13 +59,14 @@
 	p.end(r, now)
 }
 
-// leave keeps a run that was lost until it is known what became of the worker.
+// addLost keeps a lost run until it is known what became of the worker.
 func (w *worker) leave(l lostRun) {
 	l.task.adrift++
 	w.lost = append(w.lost, l)
 }
 
-// lapsed takes in that a worker's lease has run out: with it has all that is known to have run there.
+// expireRuns handles the expiry of a worker's lease: all runs that are known to have been there
+// have ended.
 func (p *Pool) lapsed(w *worker, now time.Duration) {
 	var lost []*run
 	for r := range w.runs {
@@ -83,12 +84,12 @@
 	}
 }
 
-// lived is how long the run has lived at the least: until its worker last told of it.
+// lived is how long the run has lived at least, up to its worker's last report of it.
 func (r *run) lived() time.Duration { return r.credit + max(0, r.toldAt-r.sent) }
 
-// watch notes what runs on a worker that has stopped answering. A successor would otherwise
-// start it again without knowing that its worker has crashed: an owner learns that by the
-// answer of the worker's next life, seconds later.
+// recordAtRisk records the runs on a worker that has stopped answering. Otherwise a successor would
+// start their tasks again without knowing that the worker has crashed: an owner learns that only by
+// the answer of the worker's next incarnation, seconds later.
 func (p *Pool) watch(w *worker) {
 	if w.watched || len(w.runs) == 0 || !p.fewSilent() {
 		return
@@ -102,8 +103,8 @@
 	}
 }
 
-// fewSilent tells whether only some workers don't answer: with most of them it is this
-// owner's way to them, or their power, and no task's doing.
+// fewSilent reports whether only some workers don't answer. If most don't, the cause is this
+// owner's network or the workers' power, and not a task.
 func (p *Pool) fewSilent() bool {
 	silent, all := 0, 0
 	for _, w := range p.workers {
@@ -117,10 +118,10 @@
 	return silent <= 1 || fewOf*silent <= all
 }
 
-// fewOf: a quarter of the workers are few.
+// fewDivisor: at most a quarter of the workers count as few.
 const fewOf = 4
 
-// unwatch takes back what was noted of a worker that answers again: it hasn't crashed.
+// clearAtRisk takes back what was recorded for a worker that answers again: it hasn't crashed.
 func (p *Pool) unwatch(w *worker) {
 	if w.watched {
 		for r := range w.runs {
@@ -136,7 +137,7 @@
 	w.watched, w.lost = false, nil
 }
 
-// oneJob tells whether tasks of one job are all that runs on a worker.
+// runsSingleJob reports whether only tasks of one job run on a worker.
 func (w *worker) oneJob() bool {
 	var one *job
 	for r := range w.runs {
@@ -154,7 +155,7 @@
 	return one != nil && w.odd == 0
 }
 
-// innocent tells whether a worker had runs of which none can be why it was lost.
+// tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
 func (w *worker) innocent() bool {
 	for r := range w.runs {
 		if r.lived() < proof.Soon || r.trial != nil || r.task.trialTask().suspect {
@@ -169,8 +170,8 @@
 	return len(w.runs)+len(w.lost) > 0
 }
 
-// fell takes in that a worker's life is over, with the runs that were lost there. What
-// it was lost for is judged a little later.
+// recordLoss records that a worker is dead, with the runs that were lost there. The loss is
+// attributed a little later.
 func (p *Pool) fell(w *worker, now time.Duration) {
 	l := &loss{
 		life: w.info.Life(), rack: w.info.Rack(), from: w.lostFrom(p.conf.Wait), at: w.silentAt, runs: w.lost, innocent: w.innocent(),
@@ -179,13 +180,13 @@
 	if !w.silent {
 		l.at = now
 	}
-	// Only empty machines are ordered to leave.
+	// Machines are ordered to leave only when they are empty.
 	l.planned = w.info.Draining || len(l.runs) == 0 && w.leaving(l.at)
 	for _, r := range l.runs {
 		r.task.adrift--
 		r.task.awaits++
 		if !l.planned && !r.task.done && r.task.job.open() {
-			// The next owner has to know, should this one not come to judge it.
+			// The successor has to know, should this owner not get to attribute the loss.
 			p.try(r.task, gauge.Trial{Run: r.number, Worker: l.life.Worker, Born: l.life.Born, Alone: l.alone && r.told, Lived: r.lived})
 		}
 	}
@@ -193,10 +194,10 @@
 	p.losses = append(p.losses, l)
 }
 
-// leaving tells whether a worker was to leave, or to be emptied, when it stopped answering.
+// isLeaving reports whether a worker was leaving, or being drained, when it stopped answering.
 func (w *worker) leaving(at time.Duration) bool { return w.info.Draining || at < w.emptyUntil }
 
-// judgeLosses finds out what workers were lost for, once that can be known.
+// attributeLosses finds the causes of losses, once they can be known.
 func (p *Pool) judgeLosses(now time.Duration) {
 	for _, l := range p.losses {
 		if !l.judged && now >= max(l.at, p.resumed)+settleSpan {
@@ -237,13 +238,13 @@
 	}
 }
 
-// proves tells whether nothing but a task can have ended its worker: it ended as soon after
-// its start as those before, and nothing else was there.
+// provesCrash reports whether nothing but the task can have crashed its worker: the run ended as
+// soon after its start as those before, and no other job's task was there.
 func (l *loss) proves(r lostRun) bool {
 	return l.alone && r.told && r.lived < r.task.probation(r.number)
 }
 
-// lossOf is the loss of a worker that this owner never heard.
+// lossOf is the loss of a worker that never reported to this owner.
 func (p *Pool) lossOf(of gauge.Life, now time.Duration) *loss {
 	for _, l := range p.losses {
 		if l.life == of {
@@ -253,8 +254,8 @@
 	return &loss{life: of, from: now, at: now, before: true}
 }
 
-// unheard takes in that a worker of an owner before can run nothing any more, and has never
-// answered to this one.
+// loseUnreported records that a worker of a previous owner, which has never reported to this one,
+// can't run anything any more.
 func (p *Pool) unheard(l gauge.Life, now time.Duration) {
 	p.lostBefore = true
 	if p.workers[l.Worker] == nil {
@@ -262,8 +263,8 @@
 	}
 }
 
-// loseReplaced takes in the workers that have started again before this owner heard their lives
-// before: what these were lost for it doesn't know, but which were lost.
+// loseReplaced records the loss of incarnations that were replaced before they reported to this
+// owner. Why they were lost isn't known.
 func (p *Pool) loseReplaced(now time.Duration) {
 	for _, l := range p.replaced {
 		p.losses = append(p.losses, &loss{life: l, from: now, at: now, judged: true, before: true})
@@ -271,8 +272,8 @@
 	p.replaced = nil
 }
 
-// unheardWith counts the workers without a suspect that were not heard either: one may have
-// left the pool meanwhile, several are a rack.
+// unreportedWith counts the workers without a suspect that didn't report either: one may have left
+// the pool meanwhile, several are a rack.
 func (p *Pool) unheardWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -6,20 +6,20 @@
 	gauge "sapphiregauge"
 )
 
-// OrderKind is what is ordered.
+// OrderKind is the kind of an order.
 type OrderKind string
 
-// The orders.
+// The kinds of orders.
 const (
 	OrderStart OrderKind = "start"
 	OrderStop  OrderKind = "stop"
 	OrderPace  OrderKind = "pace"
-	OrderLook  OrderKind = "look" // what runs there now?
-	// OrderAdvise asks the advice service. Its outcome is to be told by Advised.
+	OrderLook  OrderKind = "look" // asks at once what runs on the worker
+	// OrderAdvise queries the advice service. Its outcome goes to Advised.
 	OrderAdvise OrderKind = "advise"
 )
 
-// Order is one call to a worker. Its outcome is to be told by Answered.
+// Order is one call to a worker. Its outcome goes to Answered.
 type Order struct {
 	Kind   OrderKind
 	Worker gauge.Worker
@@ -27,8 +27,8 @@
 	Stop   gauge.StopCall
 	Pace   gauge.PaceCall
 	Look   gauge.HoldCall
-	Step   string   // asked about
-	About  []string // workers
+	Step   string   // that the query is about
+	About  []string // workers that the query is about
 	lives  []gauge.Life
 	stage  *stage
 	valid  time.Duration
@@ -50,16 +50,16 @@
 	}
 }
 
-// Events that are counted, beside the ends of runs by how they came. The first
-// three are signs of a promise in danger.
+// Events that are counted, besides the ends of runs by kind. The first three show that a guarantee
+// is in danger.
 const (
 	EventSurplus  = "surplus run"      // a task had two runs; the surplus one is stopped
-	EventVanished = "run vanished"     // a worker lost a run without an end
-	EventOdd      = "run of ended job" // a run of a job that is not open; stopped
-	EventLost     = "run lost"         // a run ended with its worker's life, or with its lease
-	EventLapsed   = "worker lapsed"    // a silent worker's lease ran out with runs there
+	EventVanished = "run vanished"     // a worker lost a run without an end report
+	EventOdd      = "run of ended job" // a run that belongs to no open job; stopped
+	EventLost     = "run lost"         // a run ended with its worker's incarnation or lease
+	EventLapsed   = "worker lapsed"    // a silent worker's lease expired with runs there
 	EventCrashed  = "worker crashed"   // with runs there
-	EventGivenUp  = "job given up"     // a task of it ends its workers
+	EventGivenUp  = "job given up"     // one of its tasks crashes its workers
 	EventFailed   = "job failed"
 	EventDone     = "job completed"
 )
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -6,35 +6,35 @@
 	gauge "sapphiregauge"
 )
 
-// oddKey names a run at a worker.
+// orphanKey identifies a run on a worker.
 type oddKey struct {
 	task gauge.TaskID
 	run  int
 }
 
-// oddRun is a run that a worker lists and that no open job has: the job was cancelled
-// or has failed, and a start, maybe of an earlier owner, was carried out late. It is
-// told to stop until the worker doesn't list it any more: a stop may be lost, and no
-// further report need come while the run goes on.
+// orphanRun is a run that a worker lists and that belongs to no open job: the job was cancelled or
+// has failed, and a start, possibly by a previous owner, was carried out late. It is stopped until
+// the worker no longer lists it: a stop may be lost, and there may be no further report while the
+// run goes on.
 type oddRun struct {
 	worker *worker
 	key    oddKey
-	asked  bool          // a stop is on its way
+	asked  bool          // a stop is in flight
 	again  time.Duration // no stop is sent before
 }
 
 const (
-	// stopSilent is the least time between two stops of one run at a worker whose
-	// holds get no answer. Short orders may come through where the answers to holds,
-	// which list up to 500 ends, don't; to a worker that is really gone each is a
-	// connection that is waited for.
+	// stopPauseSilent is the least time between two stops of one run on a worker whose heartbeats
+	// get no answer. Short orders may get through when the answers to heartbeats, which list up to
+	// 500 end reports, don't. To a worker that is really dead each stop is a connection attempt
+	// that has to time out.
 	stopSilent = 500 * time.Millisecond
-	// stopSettles: a run that is listed so long after its stop was answered is told
-	// again. A stop takes 400 ms at most by the users' figure, and a report some more.
+	// stopConfirmSpan is how long after an answered stop a run that is still listed is stopped
+	// again. A stop takes 400 ms at most, as the users specify, and its report some more.
 	stopSettles = time.Second
 )
 
-// stopPause is the least time between two stops of one run there.
+// stopPause is the least time between two stops of one run on the worker.
 func (w *worker) stopPause() time.Duration {
 	if w.silent {
 		return stopSilent
@@ -42,14 +42,14 @@
 	return stopAgain
 }
 
-// surelyOver tells whether no task of a job may run any more. With jobs missing one
-// that isn't known may be open.
+// isCertainlyOver reports whether no task of a job may run any more. While jobs are missing, an
+// unknown job may be open.
 func (p *Pool) surelyOver(job string) bool {
 	_, cancelled := p.cancels[job]
 	return !p.partial || p.Knows(job) || cancelled
 }
 
-// noteOdd has a run stopped that no open job has.
+// addOrphan has a run stopped that belongs to no open job.
 func (p *Pool) noteOdd(w *worker, rr gauge.RunReport) {
 	if !p.surelyOver(rr.Task.Job) {
 		return
@@ -67,7 +67,7 @@
 	p.conf.Logs.Info("run of no open job", "job", rr.Task.Job, "task", rr.Task.String(), "run", rr.Run, "worker", w.info.ID)
 }
 
-// keepOdds forgets those runs of a worker that a report doesn't list any more.
+// pruneOrphans forgets the orphan runs of a worker that a report no longer lists.
 func (p *Pool) keepOdds(w *worker, running []gauge.RunReport) {
 	if len(w.odds) == 0 {
 		return
@@ -77,14 +77,14 @@
 		there[oddKey{rr.Task, rr.Run}] = true
 	}
 	for k, o := range w.odds {
-		// One of a job that has been read since is known as a run of it.
+		// A run whose job has been read since is known as the job's.
 		if !there[k] || w.knowsRun(p, k) {
 			p.forgetOdd(o)
 		}
 	}
 }
 
-// knowsRun tells whether a run that was odd is one of a job now.
+// knowsRun reports whether an orphan run belongs to a known job by now.
 func (w *worker) knowsRun(p *Pool, k oddKey) bool {
 	j := p.jobs[k.task.Job]
 	if j == nil || j.occs[k.task.Occurrence] == nil {
@@ -99,14 +99,14 @@
 	delete(p.odds, o)
 }
 
-// forgetOdds is for a worker that is over, or on which nothing runs any more.
+// forgetOrphans is called for a worker that is dead or on which nothing runs any more.
 func (p *Pool) forgetOdds(w *worker) {
 	for _, o := range w.odds {
 		p.forgetOdd(o)
 	}
 }
 
-// stopOdds orders the end of runs that no open job has.
+// stopOrphans orders stops of orphan runs.
 func (p *Pool) stopOdds(now time.Duration) {
 	for o := range p.odds {
 		if o.asked || now < o.again {
@@ -120,7 +120,7 @@
 	}
 }
 
-// oddAnswered takes in the outcome of such a stop.
+// orphanAnswered handles the outcome of such a stop.
 func (p *Pool) oddAnswered(o *oddRun, clock time.Duration, err error, now time.Duration) {
 	o.asked = false
 	o.worker.read(clock, now)
@@ -135,14 +135,15 @@
 		"worker", o.worker.info.ID, "kind", gauge.KindOf(err), "error", err.Error())
 }
 
-// cancelled is a cancel of a job that isn't known here.
+// earlyCancel is the cancellation of a job that isn't known here.
 type cancelled struct {
 	version int64 // of the job's row
 	told    time.Duration
 }
 
-// rememberCancel keeps a cancel whose job has yet to be read, or whose hand-in has yet
-// to be told: what comes of the job then is of a version before the cancel.
+// rememberCancel keeps the cancellation of a job that hasn't been read yet, or whose submission
+// this owner hasn't been notified of: what arrives of the job later has a version from before the
+// cancellation.
 func (p *Pool) rememberCancel(id string, version int64) {
 	if p.Knows(id) {
 		return
@@ -150,7 +151,7 @@
 	p.cancels[id] = cancelled{version: max(version, p.cancels[id].version), told: p.ticked}
 }
 
-// forgetCancels drops cancels whose jobs can't come any more.
+// forgetCancels drops cancellations of jobs that can't arrive any more.
 func (p *Pool) forgetCancels(now time.Duration) {
 	for id, c := range p.cancels {
 		if !p.partial && now > c.told+pastFor {
@@ -159,7 +160,7 @@
 	}
 }
 
-// cancelEarly cancels a job that was just taken in if a cancel came before it.
+// cancelEarly cancels a job that was just adopted if its cancellation came first.
 func (p *Pool) cancelEarly(j *job) {
 	c, ok := p.cancels[j.id]
 	if !ok {
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	// paceDown: above this share of its target a serving task's tail has the
-	// tasks that fill beside it slowed down, well before the target is passed.
+	// slowDownShare is the share of its latency target above which a serving task's tail has the
+	// best-effort tasks beside it slowed down, well before the target is exceeded.
 	paceDown = 0.8
-	// paceUp: below this share they get faster again, a little at a time.
+	// speedUpShare is the share below which they speed up again, a little at a time.
 	paceUp   = 0.5
 	paceStep = 10
-	// unpaced: the last pace failed, so that it isn't known what holds.
+	// paceUnknown: the last change of pace failed, so the current pace isn't known.
 	unpaced = -1
 )
 
-// pace slows tasks that fill down where a task that serves beside them is near
-// its target, and lets them work on where it is far from it.
+// pace slows best-effort tasks down where a serving task beside them is near its latency target,
+// and speeds them up where it is far from it.
 func (p *Pool) pace(now time.Duration) {
 	for _, w := range p.byID() {
 		if w.gone || w.silent || w.fills == 0 {
@@ -45,8 +45,8 @@
 	}
 }
 
-// worstTail is the largest share of its target that the tail of a serving task
-// on the worker takes.
+// worstTail is the largest share of its target that the tail latency of a serving task on the
+// worker takes.
 func (w *worker) worstTail() float64 {
 	worst := 0.0
 	for r := range w.runs {
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -6,13 +6,13 @@
 	gauge "sapphiregauge"
 )
 
-// rooms are the workers that take starts, for one round of them.
+// placementRound holds the workers that take starts, for one round of starts.
 type rooms struct {
 	workers  []*worker
 	without  gauge.Without
-	most     gauge.Resources             // no worker has more of any kind free
-	promised map[*worker]gauge.Resources // for tasks that are to come from other workers
-	kept     map[*worker]bool            // only for lasting tasks
+	most     gauge.Resources             // no worker has more of any resource free
+	promised map[*worker]gauge.Resources // for tasks that are to move here from other workers
+	kept     map[*worker]bool            // only for long-running tasks
 }
 
 func (p *Pool) rooms(now time.Duration) *rooms {
@@ -39,8 +39,8 @@
 	r.kept[w] = true
 }
 
-// measure works out anew what is free at most: what doesn't fit in that needn't
-// be tried on each worker.
+// updateMaxFree computes what is free at most: what doesn't fit into that needn't be tried on each
+// worker.
 func (r *rooms) measure() {
 	r.most = gauge.Resources{}
 	for _, w := range r.workers {
@@ -51,9 +51,9 @@
 	}
 }
 
-// place picks the worker for one task of a stage; nil if none has room. On counts
-// the stage's runs by worker; taken is what is set aside in the same round; allowed
-// tells on which workers the stage may run.
+// place picks the worker for one task of a stage; nil if none has room. On counts the stage's runs
+// by worker, taken is what this round has reserved already, and allowed reports on which workers
+// the stage may run.
 func (r *rooms) place(st *stage, on spread, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
 	var best *worker
 	var bestScore float64
@@ -69,16 +69,16 @@
 	return best
 }
 
-// fits tells whether a worker has what a task of a stage needs, beside what is taken there: room,
-// the label, and no more tasks of the stage than may be on one worker.
+// fits reports whether a worker has what a task of a stage needs, in addition to what is taken
+// there: room, the label, and no more tasks of the stage than the bound per worker allows.
 func (st *stage) fits(w *worker, need, taken gauge.Resources, on int) bool {
-	// First what is cheap and rules most workers out.
+	// The cheap checks that exclude most workers come first.
 	return w.free().Holds(need) && w.info.HasLabel(st.spec.Label) && w.free().Minus(taken).Holds(need) &&
 		(st.spec.PerWorker == 0 || on < st.spec.PerWorker)
 }
 
-// allows tells on which workers the turn's stage may run, as far as its queue's
-// advice goes.
+// allowedWorkers returns a filter of the workers on which the stage may run according to its
+// queue's advice.
 func (t *turn) allows(now time.Duration) func(*worker) bool {
 	return func(w *worker) bool {
 		_, ok := t.ticketFor(w, now)
@@ -88,7 +88,7 @@
 
 func anyWorker(*worker) bool { return true }
 
-// spread counts a stage's runs by worker; nil: nobody asks.
+// workerCounts counts a stage's runs by worker; nil if they aren't needed.
 type spread map[*worker]int
 
 func (s spread) add(w *worker) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// perWorker counts the stage's runs by worker, and the places that are kept for its suspects, if
-// it matters where they are.
+// countByWorker counts the stage's runs by worker, including reservations of its suspects; nil if
+// their distribution doesn't matter.
 func (st *stage) perWorker() spread {
 	if st.spec.PerWorker == 0 && !st.spec.Lasts {
 		return nil
@@ -118,24 +118,24 @@
 }
 
 const (
-	// scoreRack outweighs any difference in free room: on a rack without its
-	// data a task takes twice as long.
+	// scoreRack outweighs any difference in free capacity: on a rack without its data a task takes
+	// twice as long.
 	scoreRack = 1000.0
-	// scoreSpread keeps lasting tasks of one step on different workers.
+	// scoreSpread keeps long-running tasks of one step on different workers.
 	scoreSpread = 100.0
-	// scoreTogether gathers lasting tasks of different steps on few workers, so
-	// that the others can move to another pool or have their upkeep at once.
+	// scoreGather puts long-running tasks of different steps on few workers, so that the others can
+	// move to another pool or have their maintenance at once.
 	scoreTogether = 5.0
-	// scoreApart keeps tasks that fill away from those with a bound on their
-	// tail, which they disturb.
+	// scoreInterference keeps best-effort tasks away from tasks with a bound on their tail latency,
+	// which they disturb.
 	scoreApart = 10.0
-	// scoreSoon keeps lasting tasks off workers that are to be emptied soon, where they
-	// would have to leave again: it outweighs the gathering and any free room.
+	// scoreSoon keeps long-running tasks off workers that are to be drained soon, where they would
+	// have to leave again. It outweighs scoreGather and any free capacity.
 	scoreSoon = 8.0
 )
 
-// score says how well a worker suits: the larger the better. The fullest that
-// has room is the best, so that others stay empty and can move to another pool.
+// score rates how well a worker suits; larger is better. The fullest worker with room is the best,
+// so that others stay empty and can move to another pool.
 func (w *worker) score(st *stage, on int, without gauge.Without) float64 {
 	score := 0.0
 	if w.info.Capacity.MilliCPU > 0 && !without.Has(gauge.MechanismPack) {
@@ -159,8 +159,8 @@
 	return score
 }
 
-// disturbers counts the runs that a task would disturb or be disturbed by: for
-// one that fills, those that serve, and the other way round.
+// interfering counts the runs that a task would disturb or be disturbed by: for a best-effort task
+// those that serve, and vice versa.
 func (w *worker) disturbers(fills bool) int {
 	if fills {
 		return w.lasting - w.lastingFills
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -6,7 +6,7 @@
 	gauge "sapphiregauge"
 )
 
-// Plan returns the orders that follow from all that has been taken in.
+// Plan returns the orders that follow from all events so far.
 func (p *Pool) Plan(now time.Duration) []Order {
 	p.stops(now)
 	p.stopOdds(now)
@@ -18,8 +18,8 @@
 	return out
 }
 
-// stops orders the end of runs that are to end. A stop that got no answer is
-// sent again: it has no effect twice.
+// orderStops orders stops of runs that are to end. A stop without an answer is repeated, as it is
+// idempotent.
 func (p *Pool) stops(now time.Duration) {
 	for r := range p.halts {
 		if r.worker.gone || r.asked || r.phase == phaseStopping || r.phase == phaseSent {
@@ -33,7 +33,7 @@
 	}
 }
 
-// stopAgain is the least time between two stops of one run.
+// stopRetryPause is the least time between two stops of one run.
 const stopAgain = 200 * time.Millisecond
 
 func (p *Pool) stop(r *run) {
@@ -45,9 +45,9 @@
 	})
 }
 
-// evacuate moves lasting tasks away from workers that are to be emptied or that
-// leave, no more of a step at once than may be away, and only to a place that is
-// free: a task that is stopped without one is away for as long as none comes.
+// evacuate moves long-running tasks away from workers that are being drained or are leaving. No
+// more of a step are moved at once than may be unavailable, and only where there is room: a task
+// that is stopped without a new place is unavailable until one is found.
 func (p *Pool) evacuate(now time.Duration) {
 	var room *rooms
 	for _, w := range p.byID() {
@@ -70,13 +70,12 @@
 	}
 }
 
-// mayLeave tells whether a run may be stopped so that its worker gets empty.
+// mayEvacuate reports whether a run may be stopped to drain its worker.
 //
-// Work that ends by itself is left to end, also if it could go on from a checkpoint
-// elsewhere: a stop costs it what was done since the checkpoint, the restore, and a
-// second wait for room, and the machine is gained a second or two sooner at best.
-// On a day with steady demand every tenth run was stopped, and of the largest jobs,
-// whose slack is three seconds, two in five were late.
+// Work that ends by itself is left to end, even if it could continue elsewhere from a checkpoint: a
+// stop costs the work since the checkpoint, the restore, and a second wait for room, and frees the
+// machine a second or two sooner at best. On a day with steady demand every tenth run was stopped,
+// and of the largest jobs, whose slack is three seconds, two in five were late.
 func (p *Pool) mayLeave(w *worker, r *run, room *rooms, now time.Duration) bool {
 	st := r.task.stage.spec
 	if r.tried && r.task.fewLeft() && !w.force {
@@ -102,10 +101,10 @@
 	return true
 }
 
-// makeRoom keeps other work from the worker that has the most room for a lasting task that
-// is to leave its own. In a pool in its turn whatever gets free is taken at once, so that a
-// machine with a lasting task wasn't empty in time for its upkeep: waves missed their
-// end by the length of a turn.
+// keepRoom keeps other work off the worker with the most room for a long-running task that is to
+// leave its own worker. In a pool at its peak, any free room is taken at once, so that a machine
+// with a long-running task wasn't empty in time for its maintenance: waves missed their end by the
+// length of a peak.
 func (p *Pool) makeRoom(r *run, room *rooms, now time.Duration) {
 	st, need := r.task.stage, r.room
 	on := st.perWorker()
@@ -126,17 +125,16 @@
 	}
 }
 
-// keepRoom is how long a worker is kept for a lasting task: what runs there ends in about
-// two seconds, and a few ends are enough.
+// keepRoomSpan is how long a worker is kept for a long-running task: its runs end within about two
+// seconds, and a few ends are enough.
 const keepRoom = 2 * time.Second
 
-// keepPlace is how long a place that was found is kept for a lasting task while it is
-// stopped where it was: a stop takes 0.4 s at most, and its end is told within a tenth.
-// Taken by other work meanwhile, the task would be away until something ends.
+// keepTargetSpan is how long the room found for a long-running task is kept while the task is
+// stopped on its old worker: a stop takes 0.4 s at most, and its end is reported within 0.1 s. If
+// other work took the room meanwhile, the task would be unavailable until some run ends.
 const keepPlace = 700 * time.Millisecond
 
-// leavesBefore tells whether a worker that leaves is gone before a run there has ended,
-// as far as estimates go.
+// leavesBefore reports whether a leaving worker is gone before a run there has ended, by estimates.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
@@ -145,7 +143,7 @@
 	return now+left > w.leaves
 }
 
-// away counts the other tasks of a lasting stage that don't surely serve.
+// unavailable counts the other tasks of a long-running stage that aren't certainly serving.
 func (st *stage) away(except *task, now time.Duration) int {
 	n := 0
 	for _, t := range st.tasks {
@@ -156,14 +154,14 @@
 	return n
 }
 
-// lookAgain is the pause between two looks at a worker for what a task there is waited
-// for: a fourth of the second that a lasting task takes to start.
+// pollPause is the least time between two polls of a worker for a task that others wait for: a
+// quarter of the second that a long-running task takes to start.
 const lookAgain = 250 * time.Millisecond
 
-// lookAtAway has the workers asked on which tasks of a stage start up, while others wait
-// to leave their workers until these serve. A hold is kept for up to a second without an
-// end; told by that alone each task of the next ones would leave a second later, and a
-// wave lasts as long as the longest chain of them.
+// pollStarting polls the workers on which tasks of a stage are starting up, while other tasks can't
+// leave their workers until these serve. A heartbeat without an end takes up to a second. If
+// progress came by heartbeats alone, each further task would leave a second later, and a wave lasts
+// as long as its longest chain of them.
 func (p *Pool) lookAtAway(st *stage, now time.Duration) {
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
@@ -176,14 +174,14 @@
 	}
 }
 
-// foundFor is how long a run that an owner before this one started must have been known
-// before it counts as at work. That owner may have stopped it just before: then its worker
-// goes on listing it for as long as the stop takes, a second by the users' figures at the
-// most. Another task stopped meanwhile would be one too many away.
+// foundRunDelay is how long a run that a previous owner started must have been known before it
+// counts as serving. That owner may have stopped it just before, and then its worker lists it until
+// the stop is complete, a second at most as the users specify. If another task were stopped
+// meanwhile, one too many would be unavailable.
 const foundFor = 3 * time.Second
 
-// atWork tells whether a lasting task surely serves its users now: its worker has told
-// that it does.
+// isServing reports whether a long-running task certainly serves its users now: its worker has
+// reported that it does.
 func (t *task) atWork(now time.Duration) bool {
 	for _, r := range t.runs {
 		if r.found && now-r.sent <= foundFor {
@@ -196,7 +194,7 @@
 	return false
 }
 
-// starts places the tasks whose turn it is.
+// orderStarts places the waiting tasks in order of rank.
 func (p *Pool) starts(now time.Duration) {
 	if now >= p.limit {
 		return // another owner may have taken over
@@ -211,7 +209,7 @@
 		return
 	}
 	turns := p.turns(room.most, now)
-	// Room only shrinks within a plan: once the smallest task doesn't fit, none does.
+	// Free room only shrinks within a plan: once the smallest task doesn't fit, none does.
 	for len(turns) > 0 && room.most.Holds(p.counts.least) && !p.full() {
 		t := turns.next()
 		if !room.most.Holds(t.stage.spec.Room()) {
@@ -223,7 +221,7 @@
 		}
 		p.startEach(t, room, now)
 	}
-	clear(p.turned) // else it would keep jobs that have ended
+	clear(p.turned) // otherwise it would keep ended jobs in memory
 }
 
 // startEach starts as many tasks of a stage as there is room for.
@@ -279,10 +277,10 @@
 	room.measure()
 }
 
-// atFull is the progress of a lasting task that serves its users.
+// servingProgress is the progress of a long-running task that serves its users.
 const atFull = 100
 
-// fullSpeed is the percentage that a run starts with.
+// fullSpeed is the percentage of its speed that a run starts with.
 const fullSpeed = 100
 
 // start orders a run; nil if the worker can't be given a deadline.
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -7,13 +7,14 @@
 	gauge "sapphiregauge"
 )
 
-// What an owner knew of crashes and could not write is lost with it. So owners tell the next that there may be
-// some, which allows for them by a guess; and it finds out what became of the runs that they noted.
+// What an owner knew of crashes and couldn't write is lost with it. So owners tell their successor
+// in the lease row that there may be some, and the successor allows for them by presuming crashes.
+// It also finds out what became of the runs that previous owners recorded.
 
-// guessMost bounds how many crashes an owner may guess of a task that nobody has seen.
+// maxPresumed bounds how many unseen crashes of a task an owner may presume.
 const guessMost = 2
 
-// guess counts a crash that owners before may not have come to note.
+// presumeCrash counts a crash that previous owners may have failed to record.
 func (t *task) guess() {
 	key := t.trialTask().key()
 	if t.job.row.Guessed[key] >= guessMost {
@@ -23,8 +24,8 @@
 	t.countExcused()
 }
 
-// notice allows for crashes that owners before may not have come to note, once one of the task is
-// known.
+// allowForUnrecorded allows for crashes that previous owners may have failed to record, once a
+// crash of the task is known.
 func (p *Pool) notice(t *task) {
 	lead := t.trialTask()
 	if lead.noticed {
@@ -43,21 +44,21 @@
 	}
 }
 
-// mayHaveCrashed tells whether owners before, several in a row, may have lost runs of a task of which
-// nothing is known. Its starts are noted from now on: owners that are replaced one after the other,
-// each before it notices a crash, would otherwise start it without an end.
+// mayHaveCrashed reports whether several previous owners in a row may have lost runs of a task of
+// which nothing is known. From then on its starts are recorded. Otherwise owners that are replaced
+// one after the other, each before it notices a crash, would start the task again without limit.
 func (p *Pool) mayHaveCrashed(t *task) bool {
 	return t.job.inherited && !t.trialTask().suspect && p.conf.Unnoted > 0
 }
 
-// noteRoutine notes a run that is about to start, for the next owner only.
+// recordRoutineRun records a run that is about to start, for the successor only.
 func (p *Pool) noteRoutine(r *run) {
 	tr := gauge.Trial{Run: r.number, Worker: r.worker.info.ID, Born: r.worker.info.Born, Routine: true}
 	r.task.setTrials(append(slices.Clone(r.task.trials()), tr), false)
 	r.tried = true
 }
 
-// inheritTrials takes in what owners before this one knew of a job's runs.
+// inheritSuspectRuns takes over what previous owners recorded of a job's runs.
 func (p *Pool) inheritTrials(j *job, now time.Duration) {
 	for _, key := range j.row.Tried() {
 		ts := j.row.Trials[key]
@@ -86,8 +87,8 @@
 	}
 }
 
-// settleTrials finds out what became of runs that owners before this one noted. It is asked
-// once all workers that may have them were heard, or can run nothing any more.
+// settleSuspectRuns finds out what became of runs that previous owners recorded. It is called once
+// all workers that may have them have reported or can't run anything any more.
 func (p *Pool) settleTrials(t *task, now time.Duration) {
 	if !t.unsettled {
 		return
@@ -102,18 +103,18 @@
 		case w == nil || w.gone || tr.Life().Before(w.info.Life()):
 			p.crashedBefore(t, tr, now)
 		case w.heard && !w.silent:
-			p.acquit(t, tr.Run) // it lives, and hasn't the run
+			p.acquit(t, tr.Run) // it is alive and doesn't have the run
 		default:
 			w.leave(lostRun{task: t, number: tr.Run, lived: tr.Lived, told: true})
 		}
 	}
 }
 
-// crashedBefore takes in that a worker was gone before this owner heard it.
+// recordPriorCrash records that a worker was dead before it reported to this owner.
 func (p *Pool) crashedBefore(t *task, tr gauge.Trial, now time.Duration) {
 	if others := p.unheardWith(p.lossOf(tr.Life(), now)) > 1; others {
-		// What those were lost for nobody knows. It excuses no task that has lost two workers
-		// already, but proves nothing, either.
+		// Why these were lost isn't known. That excuses no task that has already lost two workers,
+		// but it proves nothing, either.
 		if !t.known().Strong() {
 			p.excuse(t, tr.Run, tr.Lived)
 			return
@@ -127,8 +128,8 @@
 	p.giveUp(t)
 }
 
-// Unnoted tells whether crashes are known that the table doesn't have: who takes the pool over now has
-// to know that there may be more than it reads.
+// Unnoted reports whether crashes are known that the table doesn't have: a successor has to know
+// that there may be more than it reads.
 func (p *Pool) Unnoted() bool {
 	for t := range p.suspects {
 		if !t.noted() {
@@ -138,6 +139,6 @@
 	return false
 }
 
-// LostBefore tells whether workers were lost before this owner heard them: those before it may not have
-// come to note why.
+// LostBefore reports whether workers were lost before they reported to this owner: previous owners
+// may have failed to record why.
 func (p *Pool) LostBefore() bool { return p.lostBefore }
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -7,19 +7,19 @@
 	"sapphiregauge/internal/proof"
 )
 
-// A run of a suspect is on probation: its worker is closed to others until it has lived for as
-// long as one that ends its worker would not.
+// A run of a suspect is on probation: its worker is closed to other jobs until the run has lived
+// for longer than one that crashes its worker would.
 
-// probation is how long a run of the task has to live, by what is known of the others.
+// probation is how long a run of the task has to live, given what is known of its other runs.
 func (t *task) probation(run int) time.Duration {
 	return proof.Case{Trials: t.trials().Without(run)}.Probation()
 }
 
-// survived takes in that a worker has told of a suspect's run. Others may start beside it once
+// checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
 // it has lived long enough.
 func (p *Pool) survived(r *run) {
 	if r.tried && !r.outlived && r.lived() >= proof.Soon {
-		// Lost from now on, it wasn't lost by starting, also for the next owner.
+		// If it is lost from now on, the start wasn't the cause, for the successor either.
 		r.outlived = true
 		p.outlive(r)
 	}
@@ -35,10 +35,10 @@
 	}
 }
 
-// inheritTrial goes on with a run that an owner before this one tried.
+// inheritProbation continues the probation of a run that a previous owner started in isolation.
 func (p *Pool) inheritTrial(r *run) {
-	// When it began isn't known. Each run of a suspect is noted until it has lived for a while, and
-	// of others most have.
+	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
+	// while, and most runs of other tasks have lived for as long.
 	r.credit = proof.Soon
 	for _, tr := range r.task.trials() {
 		if tr.Run != r.number || tr.Crashed {
@@ -52,7 +52,7 @@
 	}
 }
 
-// closeWorker keeps a run's worker from other jobs' tasks, for the suspect that it is a run of.
+// closeWorker keeps other jobs' tasks off a run's worker, for the suspect that it is a run of.
 func (r *run) closeWorker(t *task) {
 	if r.worker.trials == nil {
 		r.worker.trials = make(map[*task]int)
@@ -61,7 +61,7 @@
 	r.worker.trials[t]++
 }
 
-// endTrial takes a run off those that are tried on its worker.
+// endIsolation removes a run from the isolated ones on its worker.
 func (p *Pool) endTrial(r *run) {
 	if r.trial == nil {
 		return
@@ -72,7 +72,7 @@
 	r.trial = nil
 }
 
-// outlive notes how long a run that is tried has lived so far.
+// recordLived records how long a run on probation has lived so far.
 func (p *Pool) outlive(r *run) {
 	ts := slices.Clone(r.task.trials())
 	for i := range ts {
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -6,8 +6,8 @@
 	gauge "sapphiregauge"
 )
 
-// Report takes in the answer to a hold that was sent to a life of a worker; false: it is of
-// none that still counts.
+// Report handles the answer to a heartbeat to an incarnation of a worker; false if the incarnation
+// no longer counts.
 func (p *Pool) Report(asked gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport, now time.Duration) bool {
 	w := p.answering(asked, rep.Born, now)
 	if w == nil {
@@ -15,8 +15,8 @@
 	}
 	id := w.info.ID
 	if w.follows && !w.unfenced && call.Fence >= w.fence {
-		// Nothing that was meant for the life before is carried out from now on; till now
-		// its lease may have been extended.
+		// From now on no call that was meant for the previous incarnation is carried out. Until now
+		// one may have extended the lease.
 		w.follows = false
 		w.expiry = max(w.expiry, now+p.conf.Longest)
 	}
@@ -29,8 +29,8 @@
 		p.conf.Logs.Info("worker heard", "pool", p.conf.Name, "worker", id, "born", rep.Born, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
 	w.silent, w.mute, w.heard, w.heardAt = false, false, true, now
-	// Compared with the reports before it alone: answers to orders overtake reports all
-	// the while at a busy worker, and what they tell is kept with each run.
+	// It is compared only with earlier reports: answers to orders overtake reports all the time at
+	// a busy worker, and what they say is recorded with each run.
 	newest := rep.Clock >= w.pictured
 	w.read(rep.Clock, now)
 	held := len(rep.Ended) >= endsAtOnce // there may be more
@@ -49,22 +49,22 @@
 			"running", len(rep.Running))
 	}
 	if newest {
-		// An older picture may have what has ended since.
+		// An older report may list runs that have ended since.
 		w.pictured, w.held = rep.Clock, held
 		p.running(w, rep, held, now)
 	}
 	if newest && !held {
-		p.heard(id) // all that it has to tell of the owner before is told
+		p.heard(id) // it has reported everything about previous owners' runs
 	}
 	return true
 }
 
-// endsAtOnce is how many ends a worker lists at most. The users' figure.
+// maxEndsListed is how many end reports a worker lists at most, as the users specify.
 const endsAtOnce = 500
 
-// running compares what a worker runs with what it should run. Held: there are ends
-// that were not taken in. A run that isn't listed may be one of those: taken for lost,
-// its task would start again although it is done.
+// compareRuns compares the runs that a worker lists with those that it should have. If held, there
+// are end reports that haven't been received. A run that isn't listed may have one of these: if it
+// were taken for lost, its task would start again although it is done.
 func (p *Pool) running(w *worker, rep *gauge.WorkerReport, held bool, now time.Duration) {
 	w.reports++
 	w.odd = 0
@@ -92,8 +92,8 @@
 	for r := range w.runs {
 		there := r.listed == w.reports
 		if !there && r.phase == phaseUnsure {
-			// Once a stop is answered the start can't be carried out any more,
-			// which is known sooner than that its own deadline has passed.
+			// Once a stop is answered the start can't be carried out any more, which is known
+			// sooner than that its own deadline has passed.
 			p.halt(r)
 		}
 		if !there && !held && r.overBy(rep.Clock) {
@@ -106,20 +106,20 @@
 	}
 }
 
-// overBy tells whether a run that a worker doesn't list, as of a reading of its
-// clock, is over for good.
+// overBy reports whether a run that the worker doesn't list is certainly over, as of a reading of
+// the worker's clock.
 func (r *run) overBy(clock time.Duration) bool {
 	switch r.phase {
 	case phaseLive, phaseStopping:
 		return clock > r.known
 	default:
-		// The order may still come, but is refused after its own deadline.
+		// The order may still arrive, but is refused after its own deadline.
 		return clock > r.until
 	}
 }
 
-// reported finds the run that a worker lists, or takes in one that the owner
-// before this one started. Nil: it is of no job that is known here.
+// listedRun returns the run that a worker lists, or adds one that a previous owner started. It is
+// nil if the run belongs to no known job.
 func (p *Pool) reported(w *worker, rr gauge.RunReport, clock, now time.Duration) *run {
 	j := p.jobs[rr.Task.Job]
 	if j == nil {
@@ -150,7 +150,7 @@
 	return r
 }
 
-// ended takes in the end of a run.
+// handleEnd handles the end report of a run.
 func (p *Pool) ended(w *worker, e gauge.EndReport, now time.Duration) {
 	j := p.jobs[e.Task.Job]
 	if j == nil {
@@ -193,7 +193,7 @@
 	}
 }
 
-// save keeps the checkpoint of a task that isn't running.
+// saveCheckpoint keeps the checkpoint of a task that isn't running.
 func (j *job) save(t *task, saved string) {
 	if j.row.Saved == nil {
 		j.row.Saved = make(map[string]string)
@@ -204,7 +204,7 @@
 
 func (p *Pool) done(j *job, t *task, now time.Duration) {
 	if t.stage.spec.Gang {
-		// One end stands for all members.
+		// One end report stands for all members.
 		for _, m := range t.stage.tasks {
 			if !m.done {
 				j.finish(m, now)
@@ -243,7 +243,7 @@
 	}
 }
 
-// endGang ends the runs of the other members: they can't work without it.
+// endGang stops the runs of the other members: they can't work without it.
 func (p *Pool) endGang(t *task, e gauge.EndReport) {
 	for _, m := range t.stage.tasks {
 		for _, r := range m.runs {
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -6,10 +6,10 @@
 	gauge "sapphiregauge"
 )
 
-// asideSpan is how long a worker is kept free for a suspect. Most work ends in that time.
+// setAsideSpan is how long a worker is kept free for a suspect. Most work ends in that time.
 const asideSpan = 2 * time.Second
 
-// setAside keeps a worker without lasting tasks free for a suspect, the one that is free
+// setAside keeps a worker without long-running tasks free for a suspect: the one that will be free
 // soonest.
 func (p *Pool) setAside(t *task, now time.Duration) {
 	if !p.fewAside(now) {
@@ -31,8 +31,8 @@
 	p.conf.Logs.Info("worker set aside", "pool", p.conf.Name, "worker", best.info.ID, "runs", len(best.runs), "job", t.job.id, "task", t.id.String())
 }
 
-// fewAside tells whether one more worker may be kept from other work: one in any case, and a
-// quarter of them at the most.
+// maySetAside reports whether one more worker may be kept from other work: one in any case, and at
+// most a quarter of the workers.
 func (p *Pool) fewAside(now time.Duration) bool {
 	aside, all := 0, 0
 	for _, w := range p.workers {
@@ -45,13 +45,14 @@
 	return aside == 0 || fewOf*(aside+1) <= all
 }
 
-// setAside tells whether a worker is kept for suspects: one is tried there, or is to be.
+// isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
+// reservation, or is to get one.
 func (w *worker) setAside(now time.Duration) bool { return w.tries() > 0 || now < w.asideUntil }
 
-// tries counts what is tried on a worker, or is to be.
+// isolatedCount counts the suspects that run in isolation or have a reservation on a worker.
 func (w *worker) tries() int { return len(w.trials) + len(w.places) }
 
-// onlyOf tells whether no other job has a task on a worker.
+// hasOnlyJob reports whether no other job has a task on a worker.
 func (w *worker) onlyOf(j *job) bool {
 	for r := range w.runs {
 		if r.task.job != j {
@@ -61,8 +62,8 @@
 	return w.triesOnly(j)
 }
 
-// rackTries tells whether another job's suspect is tried on a worker's rack: if both workers are
-// lost at once it can't be told from a loss of the rack.
+// rackIsolatesOther reports whether another job's suspect is isolated on another worker of the
+// rack: if both workers were lost at once, that couldn't be told from a loss of the rack.
 func (p *Pool) rackTries(w *worker, j *job) bool {
 	for _, o := range p.workers {
 		if o != w && o.tries() > 0 && o.info.Rack() == w.info.Rack() && !o.triesOnly(j) {
@@ -72,7 +73,8 @@
 	return false
 }
 
-// triesOnly tells whether no other job's suspect is tried on a worker, or is to be.
+// isolatesOnlyJob reports whether no other job's suspect is isolated on a worker or has a
+// reservation there.
 func (w *worker) triesOnly(j *job) bool {
 	for t := range w.trials {
 		if t.job != j {
@@ -87,7 +89,7 @@
 	return true
 }
 
-// reserve keeps a place for one of a suspect's tasks.
+// addReservation reserves room for one of a suspect's tasks.
 func (w *worker) reserve(t *task) {
 	if w.places == nil {
 		w.places = make(map[*task]int)
@@ -95,7 +97,7 @@
 	w.places[t]++
 }
 
-// reserved is the room that is kept on a worker for suspects.
+// reservedRoom is the capacity that is reserved on a worker for suspects.
 func (w *worker) reserved() gauge.Resources {
 	var sum gauge.Resources
 	for t, n := range w.places {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -1,10 +1,10 @@
-// Package sched decides for one pool which task starts on which worker, and
-// which runs stop. It is a state machine without input or output: what happens
-// goes in with its time, orders come out. Its promises: a task never has two
-// runs at once, room is never exceeded, no task starts before those it waits
-// for, and no end is forgotten at a worker before the table has it.
+// Package sched decides for one pool which task starts on which worker, and which runs are stopped.
+// It is a state machine without I/O: events go in with their times, and orders come out. It
+// guarantees that a task never has two runs at once, that a worker's capacity is never exceeded,
+// that no task starts before the steps it depends on are done, and that no worker is told to forget
+// an end report before the table has it.
 //
-// Times are readings of one steady clock that counts suspensions.
+// All times are readings of one monotonic clock that also counts while the machine is suspended.
 package sched
 
 import (
@@ -22,74 +22,74 @@
 type Config struct {
 	Name  string
 	Fence gauge.Fence   // this owner's fencing token
-	Term  int           // owners before this one
-	Hold  time.Duration // how far a worker's lease is extended at a time
+	Term  int           // number of previous owners
+	Hold  time.Duration // how far a heartbeat extends a worker's lease
 	Start time.Duration // a start that arrives later than this is refused
-	Wait  time.Duration // how long a worker may keep a hold waiting
-	// Window is how many starts may be without an answer at a time; 0: any number.
+	Wait  time.Duration // how long a worker may delay its answer to a heartbeat
+	// Window bounds the starts without an answer; 0: no bound.
 	Window int
-	Lane   int // the same, at one worker; not for gangs
+	Lane   int // the same for each worker; gangs are exempt
 	Logs   logr.Logger
-	// Without names what is switched off.
+	// Without names the mechanisms that are switched off.
 	Without gauge.Without
-	Count   func(event string) // counts what an operator should see; nil: nobody counts
+	Count   func(event string) // counts events for operators; nil: they aren't counted
 
-	// Earlier are the workers that the owner before this one may have given
-	// orders to, and Doubt is when everything has surely ended that it ordered.
+	// Earlier are the workers to which the previous owner may have given orders. Doubt is when
+	// everything that it ordered has certainly ended.
 	Earlier []gauge.Life
 	Doubt   time.Duration
-	// Over is when that is for workers of which the owner before knew: those that didn't
-	// answer it. Without this each owner would wait anew for the same silent workers.
+	// Over is that time for each worker that didn't answer the previous owner. Without it each
+	// owner would wait a full term again for the same silent workers.
 	Over map[gauge.Life]time.Duration
-	// Unnoted is how many owners lately may have lost workers of which the table has no crash.
+	// Unnoted is how many recent owners may have lost workers whose crashes aren't in the table.
 	Unnoted int
-	// Emptied are the workers, by id, that the owner before kept empty, and until when.
+	// Emptied are the workers, by id, that the previous owner was draining, and until when.
 	Emptied map[string]time.Duration
-	// Longest is the longest lease that a worker grants. One that has started again may have one
-	// that was meant for its life before, by another clock.
+	// Longest is the longest lease that a worker grants. A worker that has restarted may hold a
+	// lease that was meant for its previous incarnation, measured by another clock.
 	Longest time.Duration
 }
 
-// Pool is the state of one pool at its owner. It is not safe for concurrent use.
+// Pool is the owner's state of one pool. It is not safe for concurrent use.
 type Pool struct {
 	conf    Config
 	site    *gauge.Site
 	limit   time.Duration // no grant reaches beyond this
 	jobs    map[string]*job
-	past    map[string]past       // jobs that ended here
-	workers map[string]*worker    // by id, as there is one life at a time
-	earlier map[string]gauge.Life // workers of the owner before that haven't been heard
-	unheld  []gauge.Worker        // lives that no hold is kept at yet
-	written gauge.Fence           // version of the newest write of the lease's row
-	// hearings are those that aren't over, newest the one that began last.
+	past    map[string]past       // jobs that have ended here
+	workers map[string]*worker    // by id: there is one incarnation at a time
+	earlier map[string]gauge.Life // workers of the previous owner that haven't reported yet
+	unheld  []gauge.Worker        // incarnations without heartbeats yet
+	written gauge.Fence           // version of the newest write of the lease row
+	// barriers are the open report barriers; newestBarrier is the latest of them.
 	hearings []*hearing
 	newest   *hearing
 	partial  bool // jobs may be missing: some could not be read yet
 	orders   []Order
 	halts    map[*run]bool // runs that are to end
 	odds     map[*oddRun]bool
-	suspects map[*task]bool       // tasks that may end their workers
-	losses   []*loss              // workers that were lost lately
-	replaced []gauge.Life         // over before this owner heard them, and not among the losses yet
-	tried    map[gauge.Life]bool  // workers on which owners before this one tried suspects
-	cancels  map[string]cancelled // of jobs that aren't known
-	ticked   time.Duration        // when time was last told
-	resumed  time.Duration        // when it was, after a pause of this process
+	suspects map[*task]bool       // tasks that may crash their workers
+	losses   []*loss              // workers lost recently
+	replaced []gauge.Life         // ended before they reported to this owner, and not among the losses yet
+	tried    map[gauge.Life]bool  // workers on which previous owners isolated suspects
+	cancels  map[string]cancelled // cancellations of unknown jobs
+	ticked   time.Duration        // time of the last tick
+	resumed  time.Duration        // time of the last tick that followed a pause of this process
 	arrived  float64              // core-seconds of all jobs adopted so far
-	came     int                  // how many these are
-	doubts   bool                 // inherited tasks wait, in this round of starts
+	came     int                  // number of jobs adopted so far
+	doubts   bool                 // inherited tasks have to wait, in this round of starts
 	flying   int                  // starts that have no answer yet
 	counts   counts
 	swept    time.Duration // when ended jobs were last forgotten
 
-	lostBefore bool // workers were lost before this owner heard them
+	lostBefore bool // workers were lost before they reported to this owner
 
-	sorted []*worker // workers by id; nil: to be sorted anew
-	taking []*worker // memory for the next plan's rooms ...
-	turned turns     // ... and for its turns
+	sorted []*worker // workers by id; nil: to be sorted again
+	taking []*worker // reused by the next plan for its workers ...
+	turned turns     // ... and for its candidates
 }
 
-// New makes a Pool without jobs and workers.
+// New returns a Pool without jobs and workers.
 func New(c Config) *Pool {
 	if c.Count == nil {
 		c.Count = func(string) {}
@@ -107,14 +107,14 @@
 	return p
 }
 
-// Configure takes in a configuration.
+// Configure sets the site configuration.
 func (p *Pool) Configure(s *gauge.Site) { p.site = s }
 
-// Limit sets the time beyond which no grant may reach: until then no other owner
-// can have taken over.
+// Limit sets the time beyond which no grant may reach. No other owner can have taken over before
+// it.
 func (p *Pool) Limit(t time.Duration) { p.limit = t }
 
-// Workers takes in the platform's list.
+// Workers takes the platform's list of workers.
 func (p *Pool) Workers(list []gauge.Worker) {
 	seen := make(map[string]bool, len(list))
 	for _, info := range list {
@@ -145,9 +145,9 @@
 	}
 }
 
-// inherited is when the grants of the owners before to a worker have surely run out. A
-// worker's lease is one for all that runs there and never gets shorter, so that theirs
-// also covers what this owner starts.
+// inheritedExpiry is when all grants of previous owners to a worker have certainly expired. A
+// worker has a single lease for all its runs, which never gets shorter, so their grants also cover
+// what this owner starts.
 func (p *Pool) inherited(l gauge.Life) time.Duration {
 	if p.conf.Term == 0 {
 		return 0
@@ -155,8 +155,7 @@
 	return p.doubtedUntil(l)
 }
 
-// doubtedUntil is when everything has surely ended on a worker that owners before this
-// one ordered.
+// previousRunsEnd is when everything that previous owners ordered on a worker has certainly ended.
 func (p *Pool) doubtedUntil(l gauge.Life) time.Duration {
 	if over, ok := p.conf.Over[l]; ok {
 		return min(over, p.conf.Doubt)
@@ -164,7 +163,7 @@
 	return p.conf.Doubt
 }
 
-// Left tells how much longer anything may run on the workers that don't answer.
+// Left returns how much longer anything may run on each worker that doesn't answer.
 func (p *Pool) Left(now time.Duration) map[gauge.Life]time.Duration {
 	left := make(map[gauge.Life]time.Duration)
 	for _, l := range p.earlier {
@@ -178,14 +177,14 @@
 	return left
 }
 
-// Name lists the workers for the lease row: those that this owner, or an earlier
-// one that it hasn't heard about, may have given orders to. A successor asks all of
-// them before it starts anything again that was there before it.
+// Name returns the workers for the lease row: those to which this owner, or a previous one whose
+// runs aren't all known yet, may have given orders. A successor asks all of them before it restarts
+// anything that it inherits.
 //
-// Workers that run nothing and take nothing, and whose ends are in the table, are
-// left out, and get no start before they are named again. Machines change pools several times a minute: named until
-// their leases are over, workers of machines that have left would have a successor
-// wait for them for seconds, with the whole pool's work.
+// Workers that run nothing, take no starts and have all their end reports in the table are left
+// out, and get no start before they are named again. Machines change pools several times a minute.
+// If workers of machines that have left stayed listed until their leases expire, a successor would
+// wait seconds for them, with the whole pool's work.
 func (p *Pool) Name() []gauge.Life {
 	lives := make([]gauge.Life, 0, len(p.workers))
 	awaited := p.awaited()
@@ -204,7 +203,7 @@
 	return lives
 }
 
-// earlierLife is the life of a worker that isn't listed, as owners before knew it.
+// earlierIncarnation is the incarnation of an unlisted worker as previous owners knew it.
 func (p *Pool) earlierLife(id string) gauge.Life {
 	if l, ok := p.earlier[id]; ok {
 		return l
@@ -212,7 +211,8 @@
 	return gauge.Life{Worker: id}
 }
 
-// Noted tells that the lease row in the table names these lives, as of a version.
+// Noted records that the lease row in the table names these incarnations, as of a version of the
+// row.
 func (p *Pool) Noted(lives []gauge.Life, version int64) {
 	p.written = max(p.written, gauge.Fence(version))
 	for _, w := range p.workers {
@@ -228,7 +228,7 @@
 	}
 }
 
-// Holding returns the next hold for a life of a worker, false if there is none: it is over.
+// Holding returns the next heartbeat for an incarnation of a worker; false if it is dead.
 func (p *Pool) Holding(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
 	w := p.current(l)
 	if w == nil || w.gone {
@@ -236,18 +236,18 @@
 	}
 	c := gauge.HoldCall{Fence: p.fence(w)}
 	if !w.silent && w.heard {
-		// One that doesn't answer may have started again, and would forget its ends by the
-		// numbers of those of its life before.
+		// A worker that doesn't answer may have restarted. It would discard its own end reports by
+		// the numbers of its previous incarnation.
 		c.LastSeen = w.kept
-		// A worker that doesn't answer gets no extension: what runs there has
-		// to end some time, so that it can start elsewhere.
+		// A worker that doesn't answer gets no extension: its runs have to expire some time, so
+		// that their tasks can start elsewhere.
 		c.Until = w.grant(now, min(p.conf.Hold, p.limit-now))
 		c.Wait = p.conf.Wait
 	}
 	return w.info, c, true
 }
 
-// HoldFailed takes in that a hold at a life of a worker got no answer.
+// HoldFailed records that a heartbeat to an incarnation of a worker got no answer.
 func (p *Pool) HoldFailed(l gauge.Life, err error, now time.Duration) {
 	w := p.current(l)
 	if w == nil {
@@ -262,7 +262,7 @@
 			"expires", w.expiry-now, "error", err.Error())
 		w.silentAt = now
 	} else {
-		p.watch(w) // not at once: often it is the answer that was lost
+		p.watch(w) // from the second failure on: often only the answer was lost
 	}
 	w.silent = true
 	p.raise(w)
@@ -271,14 +271,15 @@
 	}
 }
 
-// Silent tells whether the last hold at a life of a worker got no answer, or the life is over.
+// Silent reports whether the last heartbeat to an incarnation got no answer, or the incarnation is
+// dead.
 func (p *Pool) Silent(l gauge.Life) bool {
 	w := p.current(l)
 	return w == nil || w.silent
 }
 
-// over takes in that a worker's life has ended, and none of the same worker answers at its
-// address: nothing runs there.
+// retireWorker ends an incarnation when no other one of the same worker answers at its address:
+// nothing runs there.
 func (p *Pool) over(w *worker, why string, now time.Duration) {
 	if w.gone {
 		return
@@ -287,7 +288,7 @@
 	p.heard(w.info.ID)
 }
 
-// die ends a worker's life, with what runs there.
+// markDead ends an incarnation of a worker, and its runs with it.
 func (p *Pool) die(w *worker, why string, now time.Duration) {
 	if w.gone {
 		return
@@ -302,13 +303,13 @@
 	p.forgetOdds(w)
 }
 
-// end takes a run off all lists: it is over, and can't begin any more.
+// end removes a run that is over and can't begin any more.
 func (p *Pool) end(r *run, now time.Duration) {
 	r.worker.remove(r)
 	p.land(r)
 	p.endTrial(r)
 	if !r.lost {
-		p.acquit(r.task, r.number) // its worker has outlived it
+		p.acquit(r.task, r.number) // the run has ended before its worker
 	}
 	delete(p.halts, r)
 	r.task.detach(r)
@@ -318,8 +319,7 @@
 	}
 }
 
-// Tick takes in that time has passed: leases that ran out, occurrences that are
-// due.
+// Tick handles the passing of time: leases that expire and occurrences that become due.
 func (p *Pool) Tick(now time.Duration, wall time.Time) {
 	if p.ticked > 0 && now-p.ticked > pausedSpan {
 		p.resumed = now
@@ -328,13 +328,13 @@
 	p.forgetCancels(now)
 	for id, w := range p.workers {
 		if w.silent && now > max(w.expiry, p.conf.Doubt) {
-			p.forgetOdds(w) // whoever ordered them, their leases have run out
+			p.forgetOdds(w) // whoever ordered them, their leases have expired
 		}
 		if now > w.expiry && (w.silent || !w.listed) {
 			p.lapsed(w, now)
 		}
 		if len(w.lost) > 0 && w.silent && !w.listed {
-			p.fell(w, now) // no row says any more that it lives
+			p.fell(w, now) // no entry of the platform's list says any more that it is alive
 		}
 		if !w.listed && now > w.expiry && len(w.runs) == 0 && (w.gone || w.silent && w.kept == w.ends) {
 			p.forgetOdds(w)
@@ -348,8 +348,8 @@
 	p.forget(now)
 }
 
-// sweepGap is the pause between two looks for ended jobs that may be forgotten: a
-// minute of a large pool's are some ten thousand.
+// sweepGap is the pause between two searches for ended jobs to forget: a large pool ends some ten
+// thousand in a minute.
 const sweepGap = time.Second
 
 // forget drops what is remembered of jobs that ended long ago.
@@ -365,7 +365,7 @@
 	}
 }
 
-// byID lists the workers in a fixed order.
+// byID returns the workers in a fixed order.
 func (p *Pool) byID() []*worker {
 	if p.sorted == nil {
 		p.sorted = slices.SortedFunc(maps.Values(p.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
@@ -373,7 +373,7 @@
 	return p.sorted
 }
 
-// occur makes the occurrences that are due.
+// createDue creates the occurrences that are due.
 func (j *job) occur(wall time.Time, now time.Duration) {
 	if !j.spec.Timed() || !j.open() {
 		return
@@ -384,9 +384,9 @@
 	}
 }
 
-// doubtful tells whether runs or ends of a task may exist that this owner hasn't
-// heard of: the owner before it may have started it on a worker that hasn't answered
-// yet, or that has ends left to tell.
+// mayHaveUnreportedRuns reports whether runs or end reports may exist that this owner hasn't
+// received: the previous owner may have started a task on a worker that hasn't answered yet, or
+// that has more end reports to deliver.
 func (p *Pool) doubtful(now time.Duration) bool {
 	if len(p.earlier) > 0 {
 		return true
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -8,15 +8,15 @@
 	"sapphiregauge/internal/proof"
 )
 
-// A task may end each worker that starts it, and all that runs there. Such a crash is no end
-// of a run that anybody tells: the task would start again on the next worker, without a bound,
-// and take the work of other callers along each time. So runs that were lost with a worker are
-// kept with the job's row as trials. A task that may be the cause starts apart from others,
-// which tells it from those that were only beside it, and is given up when it must be the
-// cause. Workers that are lost together, or with nothing on them that began lately, were lost
-// for another reason: nothing is held against what ran there.
-
-// trialTask is the task that the trials are kept with: members of a gang are one.
+// A task may crash each worker that starts it, and with it all that runs there. No end report comes
+// of such a crash, so the task would start again on the next worker without limit, and take other
+// callers' work with it each time. So runs that were lost with a worker are recorded in the job's
+// row. A task that may be the cause is a suspect: it starts in isolation, which tells it from tasks
+// that merely ran beside it, and its job is failed when it must be the cause. Workers that are lost
+// together, or with no recently begun runs, were lost for another reason, which isn't held against
+// their tasks.
+
+// leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
 func (t *task) trialTask() *task {
 	if t.stage.spec.Gang {
 		return t.stage.tasks[0]
@@ -24,7 +24,7 @@
 	return t
 }
 
-// trials are the task's runs that may have ended their workers.
+// suspectRuns are the task's runs that may have crashed their workers.
 func (t *task) trials() gauge.Trials {
 	if len(t.job.row.Trials) == 0 {
 		return nil
@@ -46,7 +46,7 @@
 	t.trialTask().written = j.changes
 }
 
-// known is what is held against the task.
+// evidence is what is known against the task.
 func (t *task) known() proof.Case {
 	c := proof.Case{Trials: t.trials(), Excused: t.excused(), Lasts: t.stage.spec.Lasts}
 	if c.Excused > 0 {
@@ -55,8 +55,8 @@
 	return c
 }
 
-// excused is how many starts of the task ended before it had shown that it lives, and are held
-// against nothing.
+// unattributed counts the starts of the task that ended before it had shown that it survives, and
+// aren't held against it.
 func (t *task) excused() int {
 	if len(t.job.row.Excused) == 0 {
 		return 0
@@ -64,7 +64,7 @@
 	return t.job.row.Excused[t.trialTask().key()]
 }
 
-// countExcused takes in one more start that proved nothing.
+// countUnattributed counts one more start that proved nothing.
 func (t *task) countExcused() {
 	t.job.row.Excused = increment(t.job.row.Excused, t.trialTask().key())
 	t.job.touch(true)
@@ -79,7 +79,7 @@
 	return counts
 }
 
-// forget drops what is held against nothing, as the task has shown that it lives.
+// forgetUnattributed drops the unattributed starts, as the task has shown that it survives.
 func (t *task) forget() {
 	if t.excused() == 0 {
 		return
@@ -91,8 +91,8 @@
 	t.job.touch(false)
 }
 
-// excuse takes in that a run was lost with its worker for another reason, as far as that can
-// be known.
+// excuse records that a run was lost with its worker for another reason, as far as that can be
+// known.
 func (p *Pool) excuse(t *task, run int, lived time.Duration) {
 	alone := t.trials().Tried(run)
 	if lived < proof.Soon || alone && lived < t.probation(run) {
@@ -102,8 +102,8 @@
 	p.giveUp(t)
 }
 
-// countRun takes in that a run ended before its task had shown that it lives. Of a gang's run
-// all members tell. Alone: it was tried apart from others.
+// countStart counts a run that ended before its task had shown that it survives. All members of a
+// gang report the same run. Alone: it ran in isolation.
 func (p *Pool) countRun(t *task, run int, alone bool) {
 	lead := t.trialTask()
 	if t.done || !t.job.open() || lead.countedRun == run {
@@ -118,7 +118,7 @@
 	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.known().Starts(), "excused", t.excused())
 }
 
-// try notes a run whose worker may crash, or has. One that is noted already is kept up.
+// recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
 func (p *Pool) try(t *task, tr gauge.Trial) {
 	p.notice(t)
 	ts := slices.Clone(t.trials())
@@ -133,7 +133,8 @@
 	p.suspect(t)
 }
 
-// acquit takes back that a run may have ended its worker; crashes that are certain stay.
+// dropUnconfirmed removes the record of a run that may have crashed its worker; confirmed crashes
+// stay.
 func (p *Pool) acquit(t *task, run int) {
 	ts := t.trials()
 	left := slices.DeleteFunc(slices.Clone(ts), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
@@ -147,7 +148,7 @@
 	p.suspect(t)
 }
 
-// clear drops all trials of a task that has shown that it doesn't end its worker.
+// clearSuspicion drops all records of a task that has shown that it doesn't crash its worker.
 func (p *Pool) clear(t *task) {
 	if len(t.trials()) == 0 && t.excused() == 0 {
 		return
@@ -157,7 +158,7 @@
 	p.suspect(t)
 }
 
-// suspect keeps up whether a task is a suspect.
+// updateSuspect updates whether a task is a suspect.
 func (p *Pool) suspect(t *task) {
 	lead := t.trialTask()
 	is := lead.known().Suspect()
@@ -175,7 +176,7 @@
 	p.unreserve(lead)
 }
 
-// giveUp ends the job of a task that ends its workers.
+// failIfCause fails the job of a task that crashes its workers.
 func (p *Pool) giveUp(t *task) {
 	ts := t.trials()
 	if !t.known().Cause() || !t.job.open() {
@@ -188,21 +189,22 @@
 	p.haltJob(t.job)
 }
 
-// waitsApart tells whether a task doesn't start beside others: it is a suspect, or may be one.
+// needsIsolation reports whether a task must not start beside others: it is a suspect, or may be
+// one.
 func (t *task) waitsApart(now time.Duration) bool {
 	return t.trialTask().suspect || t.waitsForJudgement(now)
 }
 
-// judgementWait bounds how long a task waits for workers that don't answer, beyond their leases.
-// One that has crashed is off the list by then, or another life answers; one that is cut off
-// may be so for minutes.
+// attributionWait bounds how long a task waits for workers that don't answer, beyond their leases.
+// By then a crashed worker is no longer listed, or another incarnation answers. A worker that is
+// cut off may be so for minutes.
 const judgementWait = 3 * time.Second
 
-// judgedFrom: with so many workers lost a task waits until it is known what for.
+// attributionThreshold is the number of lost workers from which a task waits for attribution.
 const judgedFrom = 2
 
-// waitsForJudgement tells whether a task has lost one worker after the other, and it isn't known
-// yet what the last ones were lost for. After the first it starts again at once.
+// waitsForAttribution reports whether a task has lost one worker after the other and the last
+// losses aren't attributed yet. After the first loss it starts again at once.
 func (t *task) waitsForJudgement(now time.Duration) bool {
 	lost := t.awaits + t.adrift
 	if lost == 0 {
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -1,14 +1,14 @@
 package sched
 
-// Each start carries its job's text: sent at once for all that wait, starts would fill a
-// thin link for longer than answers are waited for, with holds and the lease's renewal
-// behind them. So those without an answer are bounded, in all and at each worker: a few
-// workers that are cut off would otherwise hold up the starts at all others.
+// Each start carries its job's payload. If all waiting starts were sent at once, they would fill a
+// slow link for longer than the time limit for answers, with heartbeats and the lease's renewal
+// queued behind them. So the starts in flight are bounded, in all and for each worker: otherwise a
+// few unreachable workers would hold up the starts on all others.
 
-// full tells whether as many starts as may be are without an answer.
+// isWindowFull reports whether no more starts may be in flight.
 func (p *Pool) full() bool { return p.conf.Window > 0 && p.flying >= p.conf.Window }
 
-// bounded leaves out workers with as many starts without an answer as one may have.
+// withinWorkerWindow excludes workers that have as many starts in flight as one may have.
 func (p *Pool) bounded(allowed func(*worker) bool) func(*worker) bool {
 	if p.conf.Lane == 0 {
 		return allowed
@@ -16,14 +16,14 @@
 	return func(w *worker) bool { return w.flying < p.conf.Lane && allowed(w) }
 }
 
-// fly counts a start that is sent.
+// addInFlight counts a start that is sent.
 func (p *Pool) fly(r *run) {
 	r.flying = true
 	r.worker.flying++
 	p.flying++
 }
 
-// land counts a start no more: it was answered, or nobody waits for its answer.
+// removeInFlight no longer counts a start: it was answered, or nobody waits for its answer.
 func (p *Pool) land(r *run) {
 	if !r.flying {
 		return
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -11,15 +11,14 @@
 
 // The phases of a run.
 const (
-	phaseSent     phase = "sent"     // the order is out
-	phaseUnsure   phase = "unsure"   // it got no answer, and may be carried out yet
-	phaseLive     phase = "live"     // the worker has it
-	phaseStopping phase = "stopping" // a stop was answered
+	phaseSent     phase = "sent"     // the start is sent
+	phaseUnsure   phase = "unsure"   // the start got no answer, and may still be carried out
+	phaseLive     phase = "live"     // the worker has confirmed the run
+	phaseStopping phase = "stopping" // the worker has confirmed a stop
 )
 
-// run is one start of a task that may exist on a worker. It leaves the lists
-// only when it is sure that it is over and can't begin any more: another start
-// before that might run the task twice at once.
+// run is one start of a task that may exist on a worker. It is removed only when it is certainly
+// over and can't begin any more: a start before that might run the task twice at once.
 type run struct {
 	task     *task
 	worker   *worker
@@ -27,95 +26,94 @@
 	phase    phase
 	room     gauge.Resources
 	sent     time.Duration // when it was ordered, or found
-	found    bool          // an owner before this one started it
-	flying   bool          // its start has no answer yet, and counts for the bound on these
-	until    time.Duration // on the worker's clock: an order that comes later is refused
-	known    time.Duration // on the worker's clock: the worker has had it, or its stop, since
-	credit   time.Duration // how long it surely lived before this owner found it
-	toldAt   time.Duration // when its worker last told that it is there
+	found    bool          // a previous owner started it
+	flying   bool          // its start has no answer yet, and counts for the start window
+	until    time.Duration // on the worker's clock: the start is refused if it arrives later
+	known    time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
+	credit   time.Duration // how long it had lived at least when this owner found it
+	toldAt   time.Duration // when its worker last reported it
 	stop     bool          // it is to end
 	unsure   bool          // its start got no answer
 	again    time.Duration // no stop is sent before
-	asked    bool          // a stop is on its way
-	progress int           // percent of its work done; 100: a lasting task is at work
-	paced    int           // percent of its speed that it was told to work at
-	load     int           // as reported
-	pacing   bool          // a pace is on its way
+	asked    bool          // a stop is in flight
+	progress int           // percent of its work done; 100: a long-running task serves
+	paced    int           // percent of full speed that it was last told to work at
+	load     int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
+	pacing   bool          // a change of pace is in flight
 	listed   int           // number of the last report that listed it
-	tried    bool          // it is one of a suspect, and hasn't lived long enough yet
-	outlived bool          // the row tells that it has lived for a while
-	trial    *task         // the suspect that it is a run of, while its worker is closed to others
-	lost     bool          // it ended with its worker's life, or its lease
-	spared   bool          // ... or so it seemed
+	tried    bool          // it is a run of a suspect, and still on probation
+	outlived bool          // the row has that it has lived for proof.Soon
+	trial    *task         // the suspect that it is a run of, while its worker is closed to other jobs
+	lost     bool          // it ended with its worker's incarnation or lease
+	spared   bool          // it was taken for lost, and wasn't
 }
 
-// worker is one life of a worker as this owner sees it.
+// worker is one incarnation of a worker as this owner sees it.
 type worker struct {
 	info     gauge.Worker
 	listed   bool          // it is on the platform's list
-	known    bool          // it was, in this pool
-	since    time.Duration // when it was first
-	noted    bool          // the lease row names it: a successor will ask it first
-	fence    gauge.Fence   // its own, see Pool.fence
-	unfenced bool          // what was sent before may be carried out yet: its token is to rise
-	follows  bool          // its worker had orders in an earlier life
-	heard    bool          // it has answered to this owner's fencing token
-	mute     bool          // a start got no answer, and nothing was heard since
+	known    bool          // it has been listed in this pool
+	since    time.Duration // when this owner first learnt of it
+	noted    bool          // the lease row names it: a successor asks it first
+	fence    gauge.Fence   // for this worker, see Pool.fence
+	unfenced bool          // earlier calls may still be carried out: its token has to rise
+	follows  bool          // its worker had orders in an earlier incarnation
+	heard    bool          // it has answered a call with this owner's fencing token
+	mute     bool          // a start got no answer, and no report has come since
 	flying   int           // starts that have no answer yet
-	silent   bool          // its last hold got no answer
-	gone     bool          // it is surely over
+	silent   bool          // its last heartbeat got no answer
+	gone     bool          // it is certainly over
 
 	runs map[*run]bool
 	used gauge.Resources
-	// of these runs: lasting ones, those that fill, and those that do both
+	// of these runs: long-running, best-effort, and both
 	lasting, fills, lastingFills int
 
-	reports int                // that were taken in so far
-	odd     int                // runs there of jobs that this owner doesn't know
-	odds    map[oddKey]*oddRun // of these, the ones that are to end
+	reports int                // reports processed so far
+	odd     int                // runs there that belong to no job known here
+	odds    map[oddKey]*oddRun // of these, the runs that are to end
 
 	pictured time.Duration // worker's clock in the newest report
 
 	clock     time.Duration // worker's clock ...
-	readAt    time.Duration // ... as read at this time on ours
-	leaves    time.Duration // it stays until then at least, while it drains
-	expiry    time.Duration // until when this owner's grants reach, on our clock
+	readAt    time.Duration // ... as read at this time on the local clock
+	leaves    time.Duration // it stays at least until then while it is draining
+	expiry    time.Duration // local time until which this owner's grants reach
 	heardAt   time.Duration
-	lookedAt  time.Duration // when it was last asked what runs there, beside the holds
-	soonUntil time.Duration // until then it is known to be emptied soon
-	soon      bool          // that is so now, for one round of starts
-
-	ends       int64         // ends up to this number are taken in
-	kept       int64         // ends up to this number are in the table
-	unkept     []unkept      // those in between that wait for a job's row, in their order
-	held       bool          // it has ends that were not taken in, or may have more than it lists
-	mark       mark          // of ends, for Backlog
-	emptyUntil time.Duration // it gets no starts before, as it is to be emptied for upkeep or a move
-	keptUntil  time.Duration // until then only lasting tasks start here
-	force      bool          // what does not end by itself there is to be ended
-	rest       time.Duration // no starts before this, since it fails or is slow
-	silentAt   time.Duration // since when its holds get no answer, while it is silent
-	watched    bool          // what runs there has been noted, as it doesn't answer
-	lost       []lostRun     // runs that ended with its lease: it may have crashed, or be cut off
-	trials     map[*task]int // suspects that are tried there: their runs
-	places     map[*task]int // suspects that are to be tried there: their tasks
+	lookedAt  time.Duration // when it was last polled, beside the heartbeats
+	soonUntil time.Duration // until then it is expected to be drained soon
+	soon      bool          // the same for the current round of starts
+
+	ends       int64         // end reports up to this number are received
+	kept       int64         // end reports up to this number are in the table
+	unkept     []unkept      // received end reports that wait for a job's row, in order
+	held       bool          // some end reports aren't received, or there may be more than it listed
+	mark       mark          // of end reports, for Backlog
+	emptyUntil time.Duration // it gets no starts before, as it is drained for maintenance or a move
+	keptUntil  time.Duration // until then only long-running tasks start here
+	force      bool          // runs that don't end by themselves are to be stopped as well
+	rest       time.Duration // no starts before, as it fails or refuses them
+	silentAt   time.Duration // since when its heartbeats get no answer, while it is silent
+	watched    bool          // its runs are recorded as suspect, since it doesn't answer
+	lost       []lostRun     // runs that ended with its lease: it may have crashed or be cut off
+	trials     map[*task]int // suspects that run here in isolation: number of runs
+	places     map[*task]int // suspects with a reservation here: number of tasks
 	asideUntil time.Duration // until then it is kept free for a suspect
-	misses     int           // failures in a row, of different jobs
-	missed     string        // job of the last one
+	misses     int           // consecutive failures, of different jobs
+	missed     string        // job of the last failure
 }
 
-// slowClock is how slow a worker's clock may be: it shows at least this share of
-// the time that passes here. Users' figure.
+// slowClock is the least rate of a worker's clock: it shows at least 98 % of the time that passes
+// here, as the users specify.
 const slowClock = 0.98
 
-// ClockAt is the least that the worker's clock may show now.
+// clockAt is the least that the worker's clock may show now.
 func (w *worker) clockAt(now time.Duration) time.Duration {
 	return w.clock + time.Duration(float64(now-w.readAt)*slowClock)
 }
 
-// grant returns a deadline on the worker's clock that has surely passed after
-// a span from now, and notes when that is. A worker whose clock is not yet known
-// gets none.
+// grant returns a deadline on the worker's clock that has certainly passed after a span from now,
+// and records when that is. It returns 0 as long as the worker's clock isn't known.
 func (w *worker) grant(now, span time.Duration) time.Duration {
 	if w.clock == 0 || span <= 0 {
 		return 0
@@ -124,7 +122,7 @@
 	return w.clockAt(now) + time.Duration(float64(span)*slowClock)
 }
 
-// read takes in a reading of the worker's clock.
+// read records a reading of the worker's clock.
 func (w *worker) read(clock, now time.Duration) {
 	if clock > 0 && clock >= w.clock {
 		w.clock, w.readAt = clock, now
@@ -145,7 +143,7 @@
 	}
 }
 
-// count adds a run to what is counted by kind, or takes it off.
+// count adds n to the counts by kind of run.
 func (w *worker) count(r *run, n int) {
 	spec := r.task.stage.spec
 	if spec.Lasts {
@@ -161,7 +159,7 @@
 
 func (w *worker) free() gauge.Resources { return w.info.Capacity.Minus(w.used) }
 
-// lastingRoom is what its lasting tasks use.
+// longRunningRoom is the capacity that its long-running tasks use.
 func (w *worker) lastingRoom() gauge.Resources {
 	var sum gauge.Resources
 	for r := range w.runs {
@@ -172,7 +170,7 @@
 	return sum
 }
 
-// find returns the run of a task with a number; nil if there is none here.
+// find returns the run of a task with the given number, nil if there is none here.
 func (w *worker) find(t *task, number int) *run {
 	for _, r := range t.runs {
 		if r.worker == w && r.number == number {
@@ -182,8 +180,8 @@
 	return nil
 }
 
-// done tells whether nothing runs on the worker, it gets no starts, and nobody has
-// to ask it for an end. One whose life is over can't be asked.
+// omittable reports whether the lease row may leave the worker out: nothing runs there, it gets no
+// starts, and no end report is missing. A dead incarnation can't be asked for any.
 func (w *worker) done() bool {
 	if !w.heard || len(w.runs) > 0 || w.odd > 0 {
 		return false
@@ -191,12 +189,12 @@
 	return w.gone || w.settled() && (w.silent || !w.listed || w.info.Draining)
 }
 
-// waits tells whether a worker could be used but for the lease row.
+// waitsForLeaseRow reports whether a worker could be used as soon as the lease row names it.
 func (w *worker) waits() bool {
 	return !w.noted && w.listed && w.heard && !w.silent && !w.gone && !w.info.Draining
 }
 
-// takes tells whether new runs may start here.
+// takesStarts reports whether new runs may start here.
 func (w *worker) takes(now time.Duration) bool {
 	return w.listed && w.noted && w.heard && !w.mute && !w.silent && !w.gone && !w.info.Draining &&
 		now >= w.emptyUntil && w.odd == 0 && w.clock > 0 && now >= w.rest
