--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -28,32 +28,32 @@
 	}
 	j := &job{
 		id: a.ID, queue: a.Queue, spec: a.Spec, row: *a.Row, version: a.Version, arrived: a.Arrived, inherited: a.Inherited,
-		occs: make(map[int]*occurrence), next: a.Row.Over, chain: longest(a.Spec), counts: &p.counts,
+		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.Over, longestChain: longestChain(a.Spec), index: &p.index,
 	}
 	p.jobs[a.ID] = j
-	p.arrived += work(a.Spec)
-	p.came++
+	p.adoptedWork += estimatedWork(a.Spec)
+	p.adoptedJobs++
 	if a.Inherited {
-		j.begun = len(a.Row.Done) > 0 || a.Row.Over > 0
-		j.started = j.begun || len(a.Row.Failures) > 0 || len(a.Row.Saved) > 0
+		j.startOrdered = len(a.Row.Done) > 0 || a.Row.Over > 0
+		j.started = j.startOrdered || len(a.Row.Failures) > 0 || len(a.Row.Saved) > 0
 	}
-	p.counts.enter(j)
+	p.index.add(j)
 	if !a.Spec.Timed() {
 		j.occurrence(0, now)
-		j.next = 1
+		j.nextOccurrence = 1
 	}
 	p.cancelEarly(j)
-	if a.Inherited && p.partial {
+	if a.Inherited && p.jobsMissing {
 		// Reports about its runs were ignored so far, also those that came while it was being read.
 		p.Rehear()
 	}
 	if a.Inherited {
-		j.hearing = p.newest
+		j.barrier = p.newestBarrier
 	}
 	if a.Inherited && p.conf.Term > 0 {
 		j.skipNumbers(p.conf.Term)
 	}
-	p.inheritTrials(j, now)
+	p.inheritSuspectRuns(j, now)
 	p.conf.Logs.Info("job adopted", "job", a.ID, "queue", a.Queue, "pool", p.conf.Name, "version", a.Version,
 		"state", a.Row.State, "inherited", a.Inherited, "age", now-a.Arrived)
 }
@@ -63,7 +63,7 @@
 const numbersPerTerm = 1000
 
 func (j *job) skipNumbers(term int) {
-	for _, o := range j.occs {
+	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
 				t.lastRun = max(t.lastRun, term*numbersPerTerm)
@@ -74,24 +74,24 @@
 
 // Partial sets whether jobs may be missing because some of the table can't be read. Runs of unknown
 // jobs are left alone until the jobs are known, and their end reports stay with the workers.
-func (p *Pool) Partial(missing bool) { p.partial = missing }
+func (p *Pool) Partial(missing bool) { p.jobsMissing = missing }
 
 // Knows reports whether a job has been adopted, also if it has ended since.
 func (p *Pool) Knows(id string) bool {
-	_, past := p.past[id]
+	_, past := p.endedJobs[id]
 	return past || p.jobs[id] != nil
 }
 
 // endedJob is what is remembered of a job that has ended and whose end is in the table.
-type past struct {
-	queue string
-	state gauge.JobState
-	ended time.Duration
+type endedJob struct {
+	queue   string
+	state   gauge.JobState
+	endedAt time.Duration
 }
 
 // endedRetention is how long a job that has ended here is remembered: well beyond the last attempt
 // to deliver a notification of it, and beyond any read of the table that was under way.
-const pastFor = time.Minute
+const endedRetention = time.Minute
 
 // Cancel records that a job's row says it is cancelled, as of a version of the row.
 func (p *Pool) Cancel(id string, version int64) {
@@ -105,42 +105,42 @@
 	}
 	p.conf.Logs.Info("job cancelled", "job", id, "pool", p.conf.Name, "version", version)
 	j.cancel()
-	p.haltJob(j)
+	p.requestJobStop(j)
 }
 
-// halt marks a run to be stopped.
-func (p *Pool) halt(r *run) {
-	r.stop = true
-	p.halts[r] = true
+// requestStop marks a run to be stopped.
+func (p *Pool) requestStop(r *run) {
+	r.toStop = true
+	p.toStop[r] = true
 }
 
-// haltJob stops all runs of a job that is over.
-func (p *Pool) haltJob(j *job) {
-	for _, r := range j.live() {
-		p.halt(r)
+// requestJobStop stops all runs of a job that is over.
+func (p *Pool) requestJobStop(j *job) {
+	for _, r := range j.liveRuns() {
+		p.requestStop(r)
 	}
 }
 
 // State returns the state of a job in a queue, false if the job isn't known here.
 func (p *Pool) State(queue, id string) (gauge.JobState, bool) {
-	if old, ok := p.past[id]; ok && old.queue == queue {
+	if old, ok := p.endedJobs[id]; ok && old.queue == queue {
 		return old.state, true
 	}
 	j := p.jobs[id]
 	if j == nil || j.queue != queue {
 		return "", false
 	}
-	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.dirty() {
+	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.isDirty() {
 		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
 	}
-	if j.begun && !j.row.State.Final() {
+	if j.startOrdered && !j.row.State.Final() {
 		return gauge.JobRunning, true
 	}
 	return j.row.State, true
 }
 
 // maxAttempts is how often a task of the job may fail.
-func (p *Pool) attempts(j *job) int {
+func (p *Pool) maxAttempts(j *job) int {
 	if q := p.policy(j); q != nil && q.MaxAttempts > 0 {
 		return q.MaxAttempts
 	}
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -9,24 +9,24 @@
 )
 
 // stageAdvice holds the tickets that a stage has for workers, if its queue requires advice.
-type advised struct {
-	asking  bool
-	tickets map[gauge.Life]ticket        // each holds for one incarnation of a worker
-	asked   map[gauge.Life]time.Duration // when each worker was last asked about
+type stageAdvice struct {
+	queryInFlight bool
+	tickets       map[gauge.Life]ticket        // each holds for one incarnation of a worker
+	queriedAt     map[gauge.Life]time.Duration // when each worker was last asked about
 }
 
 type ticket struct {
-	text  string
-	until time.Duration
+	text      string
+	expiresAt time.Duration
 }
 
 const (
 	// maxAdviceWorkers is how many workers a query covers at most: the advice service takes time
 	// for each, and callers' objectives allow for one query about thirty.
-	adviceMost = 30
+	maxAdviceWorkers = 30
 	// adviceRetryAfter is the least time between two queries about a worker: the policy for a step
 	// doesn't change, but tickets expire.
-	adviceAgain = time.Second
+	adviceRetryAfter = time.Second
 	// ticketMargin is subtracted from a ticket's validity, for the time that the start takes to the
 	// worker.
 	ticketMargin = 200 * time.Millisecond
@@ -34,25 +34,25 @@
 
 // ticketFor returns the stage's ticket for a worker; false: the stage must not start there. A queue
 // without advice needs none.
-func (t *turn) ticketFor(w *worker, now time.Duration) (string, bool) {
+func (t *candidate) ticketFor(w *worker, now time.Duration) (string, bool) {
 	if t.advice == nil {
 		return "", true
 	}
-	k, ok := t.stage.advised.tickets[w.info.Life()]
-	return k.text, ok && now < k.until-ticketMargin
+	k, ok := t.stage.advice.tickets[w.info.Life()]
+	return k.text, ok && now < k.expiresAt-ticketMargin
 }
 
 // askAdvice orders a query about the workers that have room for the stage and for which no answer
 // is known, unless a query is in flight.
-func (p *Pool) ask(t *turn, room *rooms, now time.Duration) {
-	a := &t.stage.advised
-	if t.advice == nil || a.asking {
+func (p *Pool) askAdvice(t *candidate, room *placementRound, now time.Duration) {
+	a := &t.stage.advice
+	if t.advice == nil || a.queryInFlight {
 		return
 	}
 	var about []*worker
 	for _, w := range room.workers {
-		asked, known := a.asked[w.info.Life()]
-		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceAgain, t.advice.Valid)) {
+		asked, known := a.queriedAt[w.info.Life()]
+		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceRetryAfter, t.advice.Valid)) {
 			about = append(about, w)
 		}
 	}
@@ -60,36 +60,36 @@
 		return
 	}
 	slices.SortFunc(about, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
-	a.asking = true
-	order := Order{Kind: OrderAdvise, stage: t.stage, Step: t.stage.tasks[0].id.StepName(), valid: t.advice.Valid}
-	for _, w := range about[:min(len(about), adviceMost)] {
+	a.queryInFlight = true
+	order := Order{Kind: OrderAdvise, stage: t.stage, Step: t.stage.tasks[0].id.StepName(), validity: t.advice.Valid}
+	for _, w := range about[:min(len(about), maxAdviceWorkers)] {
 		order.About = append(order.About, w.info.ID)
-		order.lives = append(order.lives, w.info.Life())
+		order.incarnations = append(order.incarnations, w.info.Life())
 	}
 	p.orders = append(p.orders, order)
 }
 
 // Advised handles the answer to a query. The tickets are valid from the time of the query.
 func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, asked time.Duration) {
-	a := &o.stage.advised
-	a.asking = false
+	a := &o.stage.advice
+	a.queryInFlight = false
 	if err != nil {
 		p.conf.Logs.Info("advice failed", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "error", err.Error())
 		return
 	}
 	if valid == 0 {
-		valid = o.valid // the service doesn't say: as configured
+		valid = o.validity // the service doesn't say: as configured
 	}
 	if a.tickets == nil {
-		a.tickets, a.asked = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
+		a.tickets, a.queriedAt = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
 	}
-	lives := make(map[string]gauge.Life, len(o.lives))
-	for _, l := range o.lives {
-		a.asked[l], lives[l.Worker] = asked, l
+	lives := make(map[string]gauge.Life, len(o.incarnations))
+	for _, l := range o.incarnations {
+		a.queriedAt[l], lives[l.Worker] = asked, l
 		delete(a.tickets, l)
 	}
 	for _, t := range tickets {
-		a.tickets[lives[t.Worker]] = ticket{text: t.Text, until: asked + valid}
+		a.tickets[lives[t.Worker]] = ticket{text: t.Text, expiresAt: asked + valid}
 	}
 	p.conf.Logs.Info("advice", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "good", len(tickets), "valid", valid)
 }
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -10,8 +10,8 @@
 // Answered handles the outcome of an order.
 func (p *Pool) Answered(o Order, clock time.Duration, err error, now time.Duration) {
 	r := o.run
-	if o.odd != nil {
-		p.oddAnswered(o.odd, clock, err, now)
+	if o.orphan != nil {
+		p.orphanAnswered(o.orphan, clock, err, now)
 	}
 	if r == nil {
 		return
@@ -20,32 +20,32 @@
 		p.answeredTooLate(o, err, now)
 		return
 	}
-	if (clock > 0 || err == nil) && r.worker.cannotShow(clock, r.sent) {
+	if (clock > 0 || err == nil) && r.worker.clockRegressed(clock, r.orderedAt) {
 		p.answeredByAnother(o)
 		return
 	}
-	r.worker.read(clock, now)
+	r.worker.readClock(clock, now)
 	switch o.Kind {
 	case OrderStart:
-		p.land(r)
-		p.started(r, clock, err, now)
+		p.removeInFlight(r)
+		p.startAnswered(r, clock, err, now)
 	case OrderStop:
-		r.asked = false
+		r.stopInFlight = false
 		if err == nil {
 			r.phase = phaseStopping
-			r.known = max(r.known, clock)
-			if r.unsure {
-				p.look(r.worker)
+			r.confirmedAt = max(r.confirmedAt, clock)
+			if r.unanswered {
+				p.poll(r.worker)
 			}
 		}
 	case OrderPace:
-		r.pacing = false
+		r.paceInFlight = false
 		if err != nil {
-			r.paced = unpaced
+			r.pace = paceUnknown
 		}
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.over(r.worker, "another life answers at its address", now)
+		p.retireWorker(r.worker, "another life answers at its address", now)
 	}
 	if err != nil {
 		p.conf.Logs.Info("order failed", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
@@ -61,12 +61,12 @@
 	kind := gauge.KindOf(err)
 	switch {
 	case o.Kind == OrderStop:
-		r.asked = false
+		r.stopInFlight = false
 	case o.Kind == OrderPace:
-		r.pacing = false
+		r.paceInFlight = false
 	case err != nil && kind != gauge.KindUnknown && kind != gauge.KindInternal && r.worker.runs[r]:
-		p.spare(r)
-		p.end(r, now)
+		p.markNotLost(r)
+		p.endRun(r, now)
 	}
 	p.conf.Logs.Info("order to an earlier life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
 		"worker", o.Worker.ID, "born", o.Worker.Born, "kind", kind)
@@ -75,12 +75,12 @@
 // lateStartSpan is how long a start without an answer may still be carried out by a later
 // incarnation of its worker, to which its deadline means nothing. Workers leave orders queued for
 // about 6 s.
-const lateSpan = 8 * time.Second
+const lateStartSpan = 8 * time.Second
 
 // mayStillStart reports whether an incarnation that hasn't reported yet may still carry out the
 // start. The expiry of the previous incarnation's lease doesn't rule that out.
-func (r *run) mayStillCome(now time.Duration) bool {
-	return (r.phase == phaseSent || r.unsure) && r.listed == 0 && now < r.sent+lateSpan
+func (r *run) mayStillStart(now time.Duration) bool {
+	return (r.phase == phaseSent || r.unanswered) && r.lastReport == 0 && now < r.orderedAt+lateStartSpan
 }
 
 // clockSlack covers the error in reading a worker's clock.
@@ -88,45 +88,45 @@
 
 // clockRegressed reports whether the clock in an answer to an order can't be this incarnation's: it
 // shows less than when the run was ordered, so that a later incarnation has answered.
-func (w *worker) cannotShow(clock, sent time.Duration) bool {
-	return w.clock > 0 && clock < w.clockAt(sent)-clockSlack
+func (w *worker) clockRegressed(clock, sent time.Duration) bool {
+	return w.clock > 0 && clock < w.minClockAt(sent)-clockSlack
 }
 
 // answeredByAnother handles an order that a later incarnation than the known one has carried out.
 // Nothing is known of the run until its next report.
 func (p *Pool) answeredByAnother(o Order) {
 	r := o.run
-	r.asked, r.pacing = false, false
+	r.stopInFlight, r.paceInFlight = false, false
 	if o.Kind == OrderStart {
-		p.land(r)
-		r.phase, r.unsure, r.until = phaseUnsure, true, math.MaxInt64
-		r.worker.mute = true
+		p.removeInFlight(r)
+		r.phase, r.unanswered, r.startDeadline = phaseUnsure, true, math.MaxInt64
+		r.worker.startUnanswered = true
 	}
-	p.look(r.worker)
+	p.poll(r.worker)
 	p.conf.Logs.Info("order answered by a later life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
 		"worker", o.Worker.ID, "born", o.Worker.Born)
 }
 
 // markNotLost corrects a run that was taken for lost with a dead incarnation: its order reached the
 // next incarnation, or none.
-func (p *Pool) spare(r *run) {
+func (p *Pool) markNotLost(r *run) {
 	if !r.lost {
 		return
 	}
-	r.lost, r.spared = false, true
-	p.acquit(r.task, r.number)
+	r.lost, r.notLost = false, true
+	p.dropUnconfirmed(r.task, r.number)
 }
 
 // confirmListed handles a run that a worker lists. If it was ordered from the previous incarnation,
 // it goes on in this one unless its stop is in flight.
-func (p *Pool) arrive(r *run) {
+func (p *Pool) confirmListed(r *run) {
 	if !r.lost {
 		return
 	}
-	p.spare(r)
-	if !r.asked && !r.task.done && r.task.job.open() {
-		r.stop = false
-		delete(p.halts, r)
+	p.markNotLost(r)
+	if !r.stopInFlight && !r.task.done && r.task.job.isOpen() {
+		r.toStop = false
+		delete(p.toStop, r)
 	}
 }
 
@@ -137,41 +137,41 @@
 		return false
 	}
 	r := o.run
-	return r.stop || !r.worker.runs[r] || r.worker.clockAt(now) > r.until
+	return r.toStop || !r.worker.runs[r] || r.worker.minClockAt(now) > r.startDeadline
 }
 
 // refusalBackoff is how long a worker that refused a start gets no other. That is time for several
 // heartbeats, after which its free capacity is known again.
-const restAfterRefusal = 500 * time.Millisecond
+const refusalBackoff = 500 * time.Millisecond
 
-func (p *Pool) started(r *run, clock time.Duration, err error, now time.Duration) {
+func (p *Pool) startAnswered(r *run, clock time.Duration, err error, now time.Duration) {
 	if !r.worker.runs[r] {
 		return // its end came first
 	}
 	if err == nil {
-		p.alive(r, clock, now)
+		p.confirmStarted(r, clock, now)
 		return
 	}
 	switch gauge.KindOf(err) {
 	case gauge.KindUnknown, gauge.KindInternal:
-		r.phase, r.unsure = phaseUnsure, true
-		r.worker.mute = true // otherwise it would be the first choice for the next start
-		p.look(r.worker)
+		r.phase, r.unanswered = phaseUnsure, true
+		r.worker.startUnanswered = true // otherwise it would be the first choice for the next start
+		p.poll(r.worker)
 	case gauge.KindStale:
 		r.task.lastRun++
-		p.end(r, now)
+		p.endRun(r, now)
 	case gauge.KindOutage:
-		r.worker.mute = true // nothing listens there, or this host can't connect
-		p.end(r, now)
+		r.worker.startUnanswered = true // nothing listens there, or this host can't connect
+		p.endRun(r, now)
 	case gauge.KindLate, gauge.KindReplaced, gauge.KindFenced:
-		p.end(r, now)
+		p.endRun(r, now)
 	case gauge.KindTicket:
-		delete(r.task.stage.advised.tickets, r.worker.info.Life())
-		delete(r.task.stage.advised.asked, r.worker.info.Life())
-		p.end(r, now)
+		delete(r.task.stage.advice.tickets, r.worker.info.Life())
+		delete(r.task.stage.advice.queriedAt, r.worker.info.Life())
+		p.endRun(r, now)
 	default:
-		p.end(r, now)
-		r.worker.rest = now + restAfterRefusal
+		p.endRun(r, now)
+		r.worker.backoffUntil = now + refusalBackoff
 	}
 	if r.task.stage.spec.Gang {
 		p.endGang(r.task, gauge.EndReport{Run: r.number})
@@ -180,17 +180,17 @@
 
 // poll asks a worker at once for its runs: a run that never began there has no end that would end a
 // waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
-func (p *Pool) look(w *worker) {
+func (p *Pool) poll(w *worker) {
 	p.orders = append(p.orders, Order{
 		Kind: OrderLook, Worker: w.info, Look: gauge.HoldCall{Fence: p.fence(w)},
 	})
 }
 
-func (p *Pool) alive(r *run, clock, now time.Duration) {
+func (p *Pool) confirmStarted(r *run, clock, now time.Duration) {
 	if r.phase == phaseSent {
 		r.phase = phaseLive
 	}
-	r.task.job.told()
-	r.known, r.toldAt = max(r.known, clock), now
-	r.worker.heardAt = now
+	r.task.job.markStarted()
+	r.confirmedAt, r.reportedAt = max(r.confirmedAt, clock), now
+	r.worker.answeredAt = now
 }
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -8,19 +8,19 @@
 
 // ageTracker remembers the value of a growing counter at one moment. From that it derives how long
 // items have waited, at no cost to whatever adds them.
-type mark struct {
-	upTo int64
-	at   time.Duration
+type ageTracker struct {
+	count int64
+	at    time.Duration
 }
 
 // age returns how long items between the two counts have waited at least.
-func (m *mark) age(settled, all int64, now time.Duration) time.Duration {
+func (m *ageTracker) age(settled, all int64, now time.Duration) time.Duration {
 	if settled >= all {
-		*m = mark{}
+		*m = ageTracker{}
 		return 0
 	}
-	if settled >= m.upTo {
-		m.upTo, m.at = all, now
+	if settled >= m.count {
+		m.count, m.at = all, now
 	}
 	return now - m.at
 }
@@ -30,10 +30,10 @@
 func (p *Pool) Backlog(now time.Duration) gauge.Backlog {
 	b := gauge.Backlog{}
 	for _, j := range p.jobs {
-		if j.dirty() {
+		if j.isDirty() {
 			b.Changes++
 		}
-		b.ChangeAge = max(b.ChangeAge, j.mark.age(int64(j.saved), int64(j.changes), now))
+		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedChanges), int64(j.changes), now))
 	}
 	for _, w := range p.workers {
 		if w.listed {
@@ -42,14 +42,14 @@
 				b.Silent++
 			}
 		}
-		if !w.gone {
-			b.Ends += int(w.ends - w.kept)
-			b.EndAge = max(b.EndAge, w.mark.age(w.kept, w.ends, now))
+		if !w.dead {
+			b.Ends += int(w.lastEnd - w.lastStoredEnd)
+			b.EndAge = max(b.EndAge, w.endAge.age(w.lastStoredEnd, w.lastEnd, now))
 		}
 		for r := range w.runs {
 			if r.phase == phaseSent {
 				b.Starts++
-				b.StartAge = max(b.StartAge, now-r.sent)
+				b.StartAge = max(b.StartAge, now-r.orderedAt)
 			}
 		}
 	}
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -41,14 +41,14 @@
 // It fails if a row can't be encoded.
 func (p *Pool) Batch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
 	b := Batch{}
-	waiting := p.dirty(avoid)
+	waiting := p.writable(avoid)
 	if len(waiting) == 0 {
 		return b, nil
 	}
 	b.Queue = slices.MinFunc(waiting, byUrgency).queue
 	due, left, size := 0, entries, 0
 	for _, j := range waiting {
-		due += j.entries(j.row.State.Final())
+		due += j.entryCount(j.row.State.Final())
 	}
 	b.More = due > entries
 	for _, j := range firstOf(waiting, b.Queue, max(1, entries/jobEntries)) {
@@ -56,7 +56,7 @@
 		if err != nil {
 			return b, err
 		}
-		left -= j.entries(c.Final)
+		left -= j.entryCount(c.Final)
 		size += len(c.Row)
 		if len(b.Changes) > 0 && (left < 0 || size > batchBytes) {
 			b.More = true
@@ -67,8 +67,8 @@
 	return b, nil
 }
 
-// entries is how many entries of a transaction the job's change takes.
-func (j *job) entries(final bool) int {
+// entryCount is how many entryCount of a transaction the job's change takes.
+func (j *job) entryCount(final bool) int {
 	if final {
 		return jobEntries + endEntries
 	}
@@ -86,17 +86,17 @@
 	}
 	return Change{
 		Job: j.id, Queue: j.queue, Row: row, Version: j.version,
-		Final: j.row.State.Final() && len(j.live()) == 0, changes: j.changes,
+		Final: j.row.State.Final() && len(j.liveRuns()) == 0, changes: j.changes,
 	}, nil
 }
 
 // Urgent reports whether a change waits that justifies a write of its own.
 func (p *Pool) Urgent() bool {
-	if p.counts.urgent() {
+	if p.index.hasUrgent() {
 		return true
 	}
-	for _, w := range p.byID() {
-		if w.ends > w.kept && !w.gone || w.waits() {
+	for _, w := range p.workersByID() {
+		if w.lastEnd > w.lastStoredEnd && !w.dead || w.waitsForLeaseRow() {
 			return true
 		}
 	}
@@ -104,8 +104,8 @@
 }
 
 // writable returns the jobs with changes to write, except those of queues to avoid.
-func (p *Pool) dirty(avoid func(queue string) bool) []*job {
-	dirty := slices.DeleteFunc(p.counts.unwritten(), func(j *job) bool { return avoid(j.queue) })
+func (p *Pool) writable(avoid func(queue string) bool) []*job {
+	dirty := slices.DeleteFunc(p.index.unwrittenJobs(), func(j *job) bool { return avoid(j.queue) })
 	return dirty
 }
 
@@ -139,8 +139,8 @@
 
 // isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
 // table.
-func (j *job) leaves() bool {
-	return j.row.State.Final() && !j.cleaned && len(j.live()) == 0
+func (j *job) isDroppable() bool {
+	return j.row.State.Final() && !j.dropped && len(j.liveRuns()) == 0
 }
 
 // Written records that a batch is in the table, as of a version.
@@ -151,18 +151,18 @@
 			continue
 		}
 		j.version = version
-		j.saved = max(j.saved, c.changes)
-		if !j.dirty() {
+		j.savedChanges = max(j.savedChanges, c.changes)
+		if !j.isDirty() {
 			j.urgent = false
 		}
 		if c.Final {
-			j.cleaned = true
+			j.dropped = true
 			delete(p.jobs, c.Job)
-			p.past[c.Job] = past{queue: j.queue, state: j.row.State, ended: now}
+			p.endedJobs[c.Job] = endedJob{queue: j.queue, state: j.row.State, endedAt: now}
 		}
 	}
 	for _, w := range p.workers {
-		w.keep()
+		w.updateStored()
 	}
 }
 
@@ -175,9 +175,9 @@
 		return
 	}
 	j.version = version
-	if row.State == gauge.JobCancelled && j.open() {
+	if row.State == gauge.JobCancelled && j.isOpen() {
 		p.conf.Logs.Info("job cancelled", "job", id, "pool", p.conf.Name, "version", version, "seen", "at a write")
 		j.cancel()
-		p.haltJob(j)
+		p.requestJobStop(j)
 	}
 }
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -8,7 +8,7 @@
 )
 
 // candidate is a stage with tasks that may start, and its rank.
-type turn struct {
+type candidate struct {
 	job   *job
 	stage *stage
 	rank  rank
@@ -18,23 +18,23 @@
 
 // rank orders candidates: the lower one starts first.
 type rank struct {
-	lasting  int // 0: long-running tasks, which are few and whose value accrues all the time
+	class    int // 0: long-running tasks, which are few and whose value accrues all the time
 	priority int
-	late     int // 0: it can meet its objective; 1: it can't; 2: long past it
+	lateness int // 0: it can meet its objective; 1: it can't; 2: long past it
 	due      time.Duration
 }
 
 // before reports whether the candidate comes before another. It is called some thousand times a
 // plan, so it compares the deciding fields first and stops at the first difference.
-func (t *turn) before(o *turn) bool {
+func (t *candidate) before(o *candidate) bool {
 	a, b := &t.rank, &o.rank
 	switch {
-	case a.lasting != b.lasting:
-		return a.lasting < b.lasting
+	case a.class != b.class:
+		return a.class < b.class
 	case a.priority != b.priority:
 		return a.priority < b.priority
-	case a.late != b.late:
-		return a.late < b.late
+	case a.lateness != b.lateness:
+		return a.lateness < b.lateness
 	case a.due != b.due:
 		return a.due < b.due
 	default:
@@ -44,40 +44,40 @@
 
 // candidateHeap is a heap with the first candidate on top. Of a thousand candidates only the few
 // for which there is room are put in order.
-type turns []turn
+type candidateHeap []candidate
 
-func (t turns) Len() int           { return len(t) }
-func (t turns) Less(i, k int) bool { return t[i].before(&t[k]) }
-func (t turns) Swap(i, k int)      { t[i], t[k] = t[k], t[i] }
+func (t candidateHeap) Len() int           { return len(t) }
+func (t candidateHeap) Less(i, k int) bool { return t[i].before(&t[k]) }
+func (t candidateHeap) Swap(i, k int)      { t[i], t[k] = t[k], t[i] }
 
 // Push implements heap.Interface; nothing is added later.
-func (t *turns) Push(any) {}
+func (t *candidateHeap) Push(any) {}
 
 // Pop implements heap.Interface. What it returns has been read already.
-func (t *turns) Pop() any {
+func (t *candidateHeap) Pop() any {
 	*t = (*t)[:len(*t)-1]
 	return nil
 }
 
 // next removes and returns the first candidate.
-func (t *turns) next() turn {
+func (t *candidateHeap) next() candidate {
 	first := (*t)[0]
 	heap.Pop(t)
 	return first
 }
 
 // candidates ranks the waiting stages that the worker with the most room could take.
-func (p *Pool) turns(most gauge.Resources, now time.Duration) turns {
-	if len(p.counts.waiting) == 0 || !most.Holds(p.counts.least) {
+func (p *Pool) candidates(most gauge.Resources, now time.Duration) candidateHeap {
+	if len(p.index.waiting) == 0 || !most.Holds(p.index.minNeed) {
 		return nil
 	}
-	list := p.turned[:0]
-	p.counts.sift(func(st *stage, need gauge.Resources) {
+	list := p.candidateBuf[:0]
+	p.index.pruneWaiting(func(st *stage, need gauge.Resources) {
 		if most.Holds(need) {
-			list = append(list, turn{job: st.job, stage: st, rank: p.rank(st.job, st.occ, st, now), advice: p.advice(st.job)})
+			list = append(list, candidate{job: st.job, stage: st, rank: p.rank(st.job, st.occ, st, now), advice: p.advice(st.job)})
 		}
 	})
-	p.turned = list
+	p.candidateBuf = list
 	heap.Init(&list)
 	return list
 }
@@ -93,7 +93,7 @@
 	if j.policy != nil {
 		stretch, target = j.policy.Stretch, j.policy.Target
 	}
-	j.objective = time.Duration(stretch*float64(j.chain)) + target
+	j.objective = time.Duration(stretch*float64(j.longestChain)) + target
 	return j.policy
 }
 
@@ -113,11 +113,11 @@
 const lateFactor = 3
 
 func (p *Pool) rank(j *job, o *occurrence, st *stage, now time.Duration) rank {
-	r := rank{lasting: 1}
+	r := rank{class: 1}
 	if st.spec.Lasts {
-		r.lasting = 0
+		r.class = 0
 		if st.spec.Fills {
-			r.lasting = 1
+			r.class = 1
 		}
 	}
 	if q := p.policy(j); q != nil {
@@ -131,9 +131,9 @@
 	switch {
 	case p.conf.Without.Has(gauge.MechanismTimely):
 	case left < -j.objective*(lateFactor-1):
-		r.late = 2
+		r.lateness = 2
 	case left < o.chain()/2:
-		r.late = 1
+		r.lateness = 1
 	}
 	return r
 }
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -5,7 +5,7 @@
 // drainSpan is how long a worker gets no starts after a request to drain it. The request is
 // repeated several times a second. An order that ends the worker may take some seconds from the
 // answer to this request to its effect.
-const emptyFor = 4 * time.Second
+const drainSpan = 4 * time.Second
 
 // Empty has a worker drained, and reports whether nothing runs there and the table has all its end
 // reports. Otherwise these would be lost with its machine, and the successor would start their
@@ -16,11 +16,11 @@
 	if w == nil {
 		return false
 	}
-	if now >= w.emptyUntil {
+	if now >= w.drainUntil {
 		p.conf.Logs.Info("worker to be emptied", "pool", p.conf.Name, "worker", id, "runs", len(w.runs), "force", force)
 	}
-	w.emptyUntil, w.force = now+emptyFor, force
-	return w.heard && !w.silent && len(w.runs) == 0 && w.odd == 0 && w.settled()
+	w.drainUntil, w.forceDrain = now+drainSpan, force
+	return w.reported && !w.silent && len(w.runs) == 0 && w.orphanCount == 0 && w.isSettled()
 }
 
 // Emptied returns the workers that are being drained, and for how much longer. A successor has to
@@ -28,8 +28,8 @@
 func (p *Pool) Emptied(now time.Duration) map[string]time.Duration {
 	left := make(map[string]time.Duration)
 	for id, w := range p.workers {
-		if now < w.emptyUntil && !w.gone {
-			left[id] = w.emptyUntil - now
+		if now < w.drainUntil && !w.dead {
+			left[id] = w.drainUntil - now
 		}
 	}
 	return left
@@ -37,14 +37,14 @@
 
 // soonSpan is how long a worker is expected to be drained soon after each announcement. The
 // announcement is repeated several times a second.
-const soonFor = 2 * time.Second
+const soonSpan = 2 * time.Second
 
 // Soon announces workers that will be drained before long: long-running tasks that start now avoid
 // them if they can.
 func (p *Pool) Soon(ids []string, now time.Duration) {
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
-			w.soonUntil = now + soonFor
+			w.drainSoonUntil = now + soonSpan
 		}
 	}
 }
--- a/internal/sched/endreports.go
+++ b/internal/sched/endreports.go
@@ -8,54 +8,54 @@
 // be taken away.
 
 // unstoredEnd is a received end report whose job's row isn't written yet.
-type unkept struct {
+type unstoredEnd struct {
 	number  int64
 	job     *job
 	changes int // of the job's row, including the one made by the end report
 }
 
-func (u unkept) inTable() bool { return u.job.saved >= u.changes || u.job.cleaned }
+func (u unstoredEnd) isStored() bool { return u.job.savedChanges >= u.changes || u.job.dropped }
 
 // recordEnd records a received end report. If the job's row has any unwritten changes, the report
 // waits for them, also for one made by another worker's end report, which may be the only other
 // trace of the same fact.
-func (w *worker) take(number int64, j *job) {
-	w.ends = number
-	if j != nil && j.dirty() {
+func (w *worker) recordEnd(number int64, j *job) {
+	w.lastEnd = number
+	if j != nil && j.isDirty() {
 		j.urgent = true // the end reports after this one wait for it as well
-		w.unkept = append(w.unkept, unkept{number: number, job: j, changes: j.changes})
+		w.unstoredEnds = append(w.unstoredEnds, unstoredEnd{number: number, job: j, changes: j.changes})
 	}
-	w.keep()
+	w.updateStored()
 }
 
 // updateStored advances the number of the last stored end report, up to the first report that isn't
 // in the table.
-func (w *worker) keep() {
+func (w *worker) updateStored() {
 	n := 0
-	for n < len(w.unkept) && w.unkept[n].inTable() {
+	for n < len(w.unstoredEnds) && w.unstoredEnds[n].isStored() {
 		n++
 	}
-	if w.unkept = w.unkept[n:]; len(w.unkept) > 0 {
-		w.kept = w.unkept[0].number - 1
+	if w.unstoredEnds = w.unstoredEnds[n:]; len(w.unstoredEnds) > 0 {
+		w.lastStoredEnd = w.unstoredEnds[0].number - 1
 		return
 	}
-	w.unkept, w.kept = nil, w.ends
+	w.unstoredEnds, w.lastStoredEnd = nil, w.lastEnd
 }
 
 // isSettled reports whether the table has all of the worker's end reports.
-func (w *worker) settled() bool { return w.kept == w.ends && !w.held }
+func (w *worker) isSettled() bool { return w.lastStoredEnd == w.lastEnd && !w.endsPending }
 
 // Behind reports whether a worker has listed end reports that the table doesn't have yet.
 func (p *Pool) Behind(l gauge.Life) bool {
 	w := p.current(l)
-	return w != nil && w.kept < w.ends
+	return w != nil && w.lastStoredEnd < w.lastEnd
 }
 
 // Unwritten counts the jobs with changes that the table doesn't have.
 func (p *Pool) Unwritten() int {
 	n := 0
 	for _, j := range p.jobs {
-		if j.dirty() {
+		if j.isDirty() {
 			n++
 		}
 	}
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -21,29 +21,29 @@
 
 // Walk goes over all jobs and workers.
 func (p *Pool) Walk(now time.Duration) Walked {
-	w := Walked{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.arrived, Jobs: p.came}}
+	w := Walked{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.adoptedWork, Jobs: p.adoptedJobs}}
 	for _, j := range p.jobs {
-		if !j.started && j.open() {
+		if !j.started && j.isOpen() {
 			w.Depths[j.queue]++
 		}
-		w.Urgent = w.Urgent || j.dirty() && j.urgent
-		if j.dirty() || j.leaves() {
+		w.Urgent = w.Urgent || j.isDirty() && j.urgent
+		if j.isDirty() || j.isDroppable() {
 			w.Changed = append(w.Changed, j.id)
 		}
-		if j.open() {
-			w.walkJob(p, j, now)
+		if j.isOpen() {
+			w.addJob(p, j, now)
 		}
 	}
 	for id, k := range p.workers {
-		w.Urgent = w.Urgent || k.ends > k.kept && !k.gone || k.waits()
-		if k.listed && !k.gone {
+		w.Urgent = w.Urgent || k.lastEnd > k.lastStoredEnd && !k.dead || k.waitsForLeaseRow()
+		if k.listed && !k.dead {
 			lasting := 0
 			for r := range k.runs {
 				if r.task.stage.spec.Lasts {
 					lasting++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(k.runs), Lasting: lasting, Takes: k.takes(now), Busy: k.busy(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(k.runs), Lasting: lasting, Takes: k.takesStarts(now), Busy: k.busyFor(now)})
 		}
 	}
 	slices.Sort(w.Changed)
@@ -51,9 +51,9 @@
 	return w
 }
 
-func (w *Walked) walkJob(p *Pool, j *job, now time.Duration) {
-	for _, o := range j.occs {
-		if known := o.chain(); known != o.anew() {
+func (w *Walked) addJob(p *Pool, j *job, now time.Duration) {
+	for _, o := range j.occurrences {
+		if known := o.chain(); known != o.uncachedChain() {
 			w.Stale = append(w.Stale, fmt.Sprintf("%s.%d", j.id, o.number))
 		}
 		for i, st := range o.steps {
@@ -66,22 +66,22 @@
 					idle++
 				}
 			}
-			if idle > 0 && o.ready(st) {
+			if idle > 0 && o.isReady(st) {
 				w.Waiting = append(w.Waiting, fmt.Sprintf("%s.%d.%d", j.id, o.number, i))
 			}
 			if left > 0 {
 				into := &w.Load.Timely
-				if p.rank(j, o, st, now).late > 0 {
+				if p.rank(j, o, st, now).lateness > 0 {
 					into = &w.Load.Late
 				}
-				w.walkStage(into, st, o.ready(st), idle, now)
+				w.addStage(into, st, o.isReady(st), idle, now)
 			}
 		}
 	}
 }
 
-func (w *Walked) walkStage(into *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
-	cores := float64(st.spec.Room().MilliCPU) / milli
+func (w *Walked) addStage(into *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
+	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
 	if st.spec.Lasts {
 		w.Load.Lasting += cores * float64(len(st.tasks))
 		w.Load.Away += idle
@@ -106,7 +106,7 @@
 func (p *Pool) Waiting(now time.Duration) []string {
 	var names []string
 	large := gauge.Resources{MilliCPU: math.MaxInt, MemoryMB: math.MaxInt, Accels: math.MaxInt}
-	for _, t := range p.turns(large, now) {
+	for _, t := range p.candidates(large, now) {
 		names = append(names, fmt.Sprintf("%s.%d.%d", t.job.id, t.stage.occ.number, t.stage.tasks[0].id.Step))
 	}
 	slices.Sort(names)
@@ -116,7 +116,7 @@
 // Changed returns the jobs that are to be written.
 func (p *Pool) Changed() []string {
 	var names []string
-	for _, j := range p.counts.unwritten() {
+	for _, j := range p.index.unwrittenJobs() {
 		names = append(names, j.id)
 	}
 	slices.Sort(names)
@@ -124,6 +124,6 @@
 }
 
 // uncachedChain computes the chain without its cached value.
-func (o *occurrence) anew() time.Duration {
-	return (&occurrence{number: o.number, steps: o.steps, left: o.left, stale: true}).chain()
+func (o *occurrence) uncachedChain() time.Duration {
+	return (&occurrence{number: o.number, steps: o.steps, remaining: o.remaining, chainStale: true}).chain()
 }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -30,7 +30,7 @@
 	case w == nil:
 		return p.begin(info)
 	case w.info.Life().Before(info.Life()):
-		return p.succeed(w, info, p.ticked)
+		return p.succeed(w, info, p.lastTick)
 	case info.Life().Before(w.info.Life()):
 		return nil
 	default:
@@ -40,12 +40,12 @@
 
 // listedElsewhere handles a worker that is listed in another pool. An incarnation that began there
 // isn't this owner's, even if it has answered a heartbeat that was meant for the previous one.
-func (p *Pool) elsewhere(info gauge.Worker) {
+func (p *Pool) listedElsewhere(info gauge.Worker) {
 	w := p.workers[info.ID]
-	if w == nil || info.Life().Before(w.info.Life()) || w.known && info.Life() == w.info.Life() {
+	if w == nil || info.Life().Before(w.info.Life()) || w.listedHere && info.Life() == w.info.Life() {
 		return
 	}
-	p.over(w, "it has started again in another pool", p.ticked)
+	p.retireWorker(w, "it has started again in another pool", p.lastTick)
 }
 
 // answering returns the worker whose incarnation has answered a call; nil if it is dead or no
@@ -63,7 +63,7 @@
 	case of.Before(known):
 		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", asked.Worker, "born", born, "newest", known.Born)
 		return nil
-	case w.gone:
+	case w.dead:
 		return nil
 	default:
 		return w
@@ -73,18 +73,18 @@
 // begin adds an incarnation of a worker.
 func (p *Pool) begin(info gauge.Worker) *worker {
 	w := &worker{
-		info: info, runs: make(map[*run]bool), expiry: p.inherited(info.Life()), since: p.ticked, emptyUntil: p.conf.Emptied[info.ID],
+		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Life()), knownSince: p.lastTick, drainUntil: p.conf.Emptied[info.ID],
 	}
 	w.info.Draining = false // handled with its entry in the platform's list
-	p.raise(w)
-	before, awaited := p.earlier[info.ID]
-	if w.follows = awaited && before != info.Life(); w.follows {
-		p.replaced = append(p.replaced, before)
-		p.lostBefore = true
+	p.raiseFence(w)
+	before, awaited := p.unreported[info.ID]
+	if w.restarted = awaited && before != info.Life(); w.restarted {
+		p.replacedUnreported = append(p.replacedUnreported, before)
+		p.lostUnreported = true
 	}
 	p.workers[info.ID] = w
-	p.sorted = nil
-	p.unheld = append(p.unheld, info)
+	p.sortedWorkers = nil
+	p.newIncarnations = append(p.newIncarnations, info)
 	return w
 }
 
@@ -93,38 +93,38 @@
 // drained, for an order to its machine.
 func (p *Pool) succeed(old *worker, info gauge.Worker, now time.Duration) *worker {
 	w := p.begin(info)
-	w.follows = true
-	w.expiry = max(w.expiry, now+p.conf.Longest)
-	w.emptyUntil, w.force, w.soonUntil = old.emptyUntil, old.force, old.soonUntil
-	w.fence, w.unfenced = p.fence(old), old.unfenced
-	if !old.silent || old.unfenced {
-		p.raise(w)
+	w.restarted = true
+	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
+	w.drainUntil, w.forceDrain, w.drainSoonUntil = old.drainUntil, old.forceDrain, old.drainSoonUntil
+	w.fence, w.fencePending = p.fence(old), old.fencePending
+	if !old.silent || old.fencePending {
+		p.raiseFence(w)
 	}
 	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", old.info.Born,
-		"runs", len(old.runs), "kept", old.kept, "ends", old.ends)
+		"runs", len(old.runs), "kept", old.lastStoredEnd, "ends", old.lastEnd)
 	p.passOn(old, w)
-	p.die(old, "it has started again", now)
+	p.markDead(old, "it has started again", now)
 	return w
 }
 
 // passOn lets the next incarnation settle orders to the previous one whose runs it never listed.
 // Such an order may reach the next incarnation, and its deadline means nothing on another clock.
 func (p *Pool) passOn(old, next *worker) {
-	if old.gone {
+	if old.dead {
 		return
 	}
 	for r := range old.runs {
-		if r.listed > 0 {
+		if r.lastReport > 0 {
 			continue
 		}
-		p.land(r)
-		p.endTrial(r)
-		old.remove(r)
-		old.leave(lostRun{task: r.task, number: r.number, lived: r.lived(), told: r.toldAt > 0, order: r})
+		p.removeInFlight(r)
+		p.endIsolation(r)
+		old.removeRun(r)
+		old.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0, passedOn: r})
 		r.lost = true
-		r.worker, r.phase, r.unsure, r.until, r.known = next, phaseUnsure, true, math.MaxInt64, 0
-		next.add(r)
-		p.halt(r)
+		r.worker, r.phase, r.unanswered, r.startDeadline, r.confirmedAt = next, phaseUnsure, true, math.MaxInt64, 0
+		next.addRun(r)
+		p.requestStop(r)
 	}
 }
 
@@ -136,10 +136,10 @@
 
 // raiseFence gives a worker a higher token, so that earlier calls are refused once the worker has
 // answered. Without a write since the last time it waits for the next one.
-func (p *Pool) raise(w *worker) {
-	w.unfenced = p.written <= p.fence(w)
-	if !w.unfenced {
-		w.fence = p.written
+func (p *Pool) raiseFence(w *worker) {
+	w.fencePending = p.leaseRowVersion <= p.fence(w)
+	if !w.fencePending {
+		w.fence = p.leaseRowVersion
 	}
 }
 
@@ -149,12 +149,12 @@
 // may have been called by the owner of another pool, which had its previous incarnation.
 func (p *Pool) Outdated(l gauge.Life, sent gauge.Fence) bool {
 	w := p.current(l)
-	return w == nil || !w.heard || sent < p.fence(w)
+	return w == nil || !w.reported || sent < p.fence(w)
 }
 
 // Unheld returns the incarnations that began since the last call; each needs heartbeats.
 func (p *Pool) Unheld() []gauge.Worker {
-	list := p.unheld
-	p.unheld = nil
+	list := p.newIncarnations
+	p.newIncarnations = nil
 	return list
 }
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -9,34 +9,34 @@
 
 // poolIndex is updated with each event, because it is read at each write or plan: a walk over all
 // jobs each time would take the owner of a thousand jobs more processor time than all else.
-type counts struct {
-	depths  map[string]int // by queue: open jobs of which no worker has reported a run
-	changed map[*job]bool  // jobs with something to write, and some that had
-	timed   map[*job]bool  // open jobs with occurrences to come, and some that had
+type poolIndex struct {
+	depths    map[string]int // by queue: open jobs of which no worker has reported a run
+	changed   map[*job]bool  // jobs with something to write, and some that had
+	scheduled map[*job]bool  // open jobs with occurrences to come, and some that had
 
 	waiting []*stage        // stages with tasks that may start, and some that had
-	least   gauge.Resources // none of their tasks needs less of any resource
+	minNeed gauge.Resources // none of their tasks needs less of any resource
 }
 
-func newCounts() counts {
-	return counts{depths: make(map[string]int), changed: make(map[*job]bool), timed: make(map[*job]bool)}
+func newPoolIndex() poolIndex {
+	return poolIndex{depths: make(map[string]int), changed: make(map[*job]bool), scheduled: make(map[*job]bool)}
 }
 
 // add adds an adopted job.
-func (c *counts) enter(j *job) {
-	if j.open() && !j.started {
+func (c *poolIndex) add(j *job) {
+	if j.isOpen() && !j.started {
 		c.depths[j.queue]++
 	}
 	if j.spec.Timed() {
-		c.timed[j] = true
+		c.scheduled[j] = true
 	}
-	if !j.open() {
+	if !j.isOpen() {
 		c.changed[j] = true // its spec and marker are to be dropped
 	}
 }
 
 // decrementDepth removes a job from its queue's depth.
-func (c *counts) leave(queue string) {
+func (c *poolIndex) decrementDepth(queue string) {
 	if c.depths[queue]--; c.depths[queue] == 0 {
 		delete(c.depths, queue)
 	}
@@ -44,33 +44,33 @@
 
 // markStarted records that a worker has reported a run of the job. A start that was only ordered
 // doesn't count: it may be delayed here for long, or be refused.
-func (j *job) told() {
-	if !j.started && j.open() {
-		j.counts.leave(j.queue)
+func (j *job) markStarted() {
+	if !j.started && j.isOpen() {
+		j.index.decrementDepth(j.queue)
 	}
 	j.started = true
 }
 
 // close ends the job for good.
 func (j *job) close(state gauge.JobState) {
-	if !j.started && j.open() {
-		j.counts.leave(j.queue)
+	if !j.started && j.isOpen() {
+		j.index.decrementDepth(j.queue)
 	}
 	j.row.State = state
-	j.counts.changed[j] = true
+	j.index.changed[j] = true
 }
 
 // Depths returns the number of jobs by queue of which no worker has reported a started task.
-func (p *Pool) Depths() map[string]int { return maps.Clone(p.counts.depths) }
+func (p *Pool) Depths() map[string]int { return maps.Clone(p.index.depths) }
 
 // unwrittenJobs returns the jobs with something to write.
-func (c *counts) unwritten() []*job {
+func (c *poolIndex) unwrittenJobs() []*job {
 	var some []*job
 	for j := range c.changed {
 		switch {
-		case !j.cleaned && (j.dirty() || j.leaves()):
+		case !j.dropped && (j.isDirty() || j.isDroppable()):
 			some = append(some, j)
-		case j.cleaned || j.open():
+		case j.dropped || j.isOpen():
 			delete(c.changed, j) // any other job becomes droppable when its last run has ended
 		}
 	}
@@ -78,9 +78,9 @@
 }
 
 // hasUrgent reports whether a change justifies a write of its own.
-func (c *counts) urgent() bool {
+func (c *poolIndex) hasUrgent() bool {
 	for j := range c.changed {
-		if !j.cleaned && j.dirty() && j.urgent {
+		if !j.dropped && j.isDirty() && j.urgent {
 			return true
 		}
 	}
@@ -88,33 +88,33 @@
 }
 
 // enqueue adds a stage to the waiting list if tasks of it may start.
-func (c *counts) offer(st *stage) {
-	if st.queued || st.idle == 0 || !st.job.open() || !st.occ.ready(st) {
+func (c *poolIndex) enqueue(st *stage) {
+	if st.waiting || st.idle == 0 || !st.job.isOpen() || !st.occ.isReady(st) {
 		return
 	}
 	need := st.spec.Room()
 	if len(c.waiting) == 0 {
-		c.least = need
+		c.minNeed = need
 	}
-	st.queued = true
+	st.waiting = true
 	c.waiting = append(c.waiting, st)
-	c.least = lesser(c.least, need)
+	c.minNeed = minResources(c.minNeed, need)
 }
 
 // pruneWaiting drops the stages that no longer wait, passes the others to visit, and updates
 // minNeed.
-func (c *counts) sift(show func(st *stage, need gauge.Resources)) {
+func (c *poolIndex) pruneWaiting(show func(st *stage, need gauge.Resources)) {
 	keep := c.waiting[:0]
 	for _, st := range c.waiting {
-		if st.idle == 0 || !st.job.open() {
-			st.queued = false
+		if st.idle == 0 || !st.job.isOpen() {
+			st.waiting = false
 			continue
 		}
 		need := st.spec.Room()
 		if len(keep) == 0 {
-			c.least = need
+			c.minNeed = need
 		}
-		c.least = lesser(c.least, need)
+		c.minNeed = minResources(c.minNeed, need)
 		keep = append(keep, st)
 		show(st, need)
 	}
@@ -123,18 +123,18 @@
 }
 
 // minResources returns the smaller amount of each resource.
-func lesser(a, b gauge.Resources) gauge.Resources {
+func minResources(a, b gauge.Resources) gauge.Resources {
 	return gauge.Resources{
 		MilliCPU: min(a.MilliCPU, b.MilliCPU), MemoryMB: min(a.MemoryMB, b.MemoryMB), Accels: min(a.Accels, b.Accels),
 	}
 }
 
 // createDue creates the occurrences that are due.
-func (c *counts) occur(wall time.Time, now time.Duration) {
-	for j := range c.timed {
-		j.occur(wall, now)
-		if !j.open() || j.next >= j.spec.Occurrences() {
-			delete(c.timed, j)
+func (c *poolIndex) createDue(wall time.Time, now time.Duration) {
+	for j := range c.scheduled {
+		j.createDue(wall, now)
+		if !j.isOpen() || j.nextOccurrence >= j.spec.Occurrences() {
+			delete(c.scheduled, j)
 		}
 	}
 }
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -15,22 +15,22 @@
 const (
 	// isolationWait is how long a task that has crashed two workers waits for a worker that is free
 	// of other work. It must not stand still for longer, even if no such worker is available.
-	apartWait = 2 * time.Second
+	isolationWait = 2 * time.Second
 	// lastStartsWait is the same once few of its starts are left: next to other tasks each start
 	// would prove nothing.
-	lastWait = 6 * time.Second
+	lastStartsWait = 6 * time.Second
 	// reservationSpan is how long a reservation is kept until the table has the record of the
 	// isolated run. A write takes about 10 ms, and 60 times as long when the table is slow.
-	placeSpan = 700 * time.Millisecond
+	reservationSpan = 700 * time.Millisecond
 )
 
 // reservation is where a suspect will start, once the table has the record of it.
-type place struct {
-	workers []*worker // one for each task of a gang
-	number  int
-	until   time.Duration
-	alone   bool // no other job has a task there
-	closed  bool // other jobs' tasks don't start there
+type reservation struct {
+	workers   []*worker // one for each task of a gang
+	number    int
+	expiresAt time.Duration
+	soleJob   bool // no other job has a task there
+	closed    bool // other jobs' tasks don't start there
 }
 
 // startSuspects starts the tasks that may have crashed a worker.
@@ -39,33 +39,33 @@
 		return
 	}
 	p.loseReplaced(now)
-	for _, t := range p.suspectsInTurn() {
-		if t.done || !t.job.open() || p.jobs[t.job.id] != t.job {
-			p.unreserve(t)
+	for _, t := range p.suspectsByWait() {
+		if t.done || !t.job.isOpen() || p.jobs[t.job.id] != t.job {
+			p.releaseReservation(t)
 			delete(p.suspects, t)
 			continue
 		}
-		if p.full() {
+		if p.isWindowFull() {
 			return
 		}
-		if !p.mayTry(t, now) {
+		if !p.mayReserve(t, now) {
 			continue
 		}
-		p.settleTrials(t, now)
-		if !t.suspect || !t.job.open() {
+		p.settleSuspectRuns(t, now)
+		if !t.isSuspect || !t.job.isOpen() {
 			continue
 		}
-		if t.place == nil {
+		if t.reservation == nil {
 			p.reserve(t, now)
 		}
-		if t.place != nil {
-			p.startApart(t, now)
+		if t.reservation != nil {
+			p.startReserved(t, now)
 		}
 	}
 }
 
 // suspectsByWait returns the suspects, those that have waited longest first.
-func (p *Pool) suspectsInTurn() []*task {
+func (p *Pool) suspectsByWait() []*task {
 	list := make([]*task, 0, len(p.suspects))
 	for t := range p.suspects {
 		list = append(list, t)
@@ -88,12 +88,12 @@
 }
 
 // mayReserve reports whether a suspect's start lacks nothing but a worker.
-func (p *Pool) mayTry(t *task, now time.Duration) bool {
-	if !t.stage.occ.ready(t.stage) || t.place == nil && !t.noted() {
+func (p *Pool) mayReserve(t *task, now time.Duration) bool {
+	if !t.stage.occ.isReady(t.stage) || t.reservation == nil && !t.isRecorded() {
 		return false
 	}
 	for _, m := range t.members() {
-		if len(m.runs) > 0 || m.waitsForJudgement(now) || p.unknownYet(m) {
+		if len(m.runs) > 0 || m.waitsForAttribution(now) || p.mayHaveUnreportedRun(m) {
 			return false
 		}
 	}
@@ -101,22 +101,22 @@
 }
 
 // isRecorded reports whether the table has all that is known of a suspect.
-func (t *task) noted() bool { return t.job.saved >= t.written }
+func (t *task) isRecorded() bool { return t.job.savedChanges >= t.requiredChange }
 
 // isolatedOnly reports whether a suspect has lost so many workers, or has so few starts left, that
 // it starts only in isolation and only once the table has the record of it.
-func (t *task) apartOnly() bool { return t.known().Strong() || t.fewLeft() }
+func (t *task) isolatedOnly() bool { return t.evidence().Strong() || t.fewLeft() }
 
 // fewLeft reports whether few starts are left until the task's job is failed.
-func (t *task) fewLeft() bool { return t.known().FewLeft(t.awaits + t.adrift) }
+func (t *task) fewLeft() bool { return t.evidence().FewLeft(t.unattributedLosses + t.undecidedRuns) }
 
 // isolationTimeout is how long a suspect waits for a worker that is free of other work.
-func (t *task) apartFor() time.Duration {
+func (t *task) isolationTimeout() time.Duration {
 	switch {
 	case t.fewLeft():
-		return lastWait
-	case t.apartOnly():
-		return apartWait
+		return lastStartsWait
+	case t.isolatedOnly():
+		return isolationWait
 	default:
 		return 0
 	}
@@ -127,53 +127,53 @@
 // and the crash wouldn't know of the run. After the first crash it suffices that this crash is
 // known, since the successor allows for one more.
 func (p *Pool) reserve(t *task, now time.Duration) {
-	p.notice(t)
-	of := turn{job: t.job, stage: t.stage, advice: p.advice(t.job)}
-	at := &place{number: t.nextRun(), until: now + placeSpan}
-	if t.apartOnly() || p.fewAside(now) {
-		at.workers, at.alone = p.placesApart(t, &of, now), true
+	p.allowForUnrecorded(t)
+	of := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
+	at := &reservation{number: t.nextRun(), expiresAt: now + reservationSpan}
+	if t.isolatedOnly() || p.maySetAside(now) {
+		at.workers, at.soleJob = p.pickIsolated(t, &of, now), true
 	}
-	if at.workers == nil && now-t.readyAt < t.apartFor() {
+	if at.workers == nil && now-t.readyAt < t.isolationTimeout() {
 		p.setAside(t, now)
 		return
 	}
 	if at.workers == nil {
-		at.workers, at.alone = p.placesBeside(t, &of, now), false
+		at.workers, at.soleJob = p.pickShared(t, &of, now), false
 	}
 	if at.workers == nil {
-		p.ask(&of, p.apart(now), now)
+		p.askAdvice(&of, p.isolationRound(now), now)
 		return
 	}
 	// A worker that others use is closed to them only for a task that is likely the cause.
-	at.closed = at.alone || t.apartOnly()
-	t.place = at
+	at.closed = at.soleJob || t.isolatedOnly()
+	t.reservation = at
 	told := make(map[*worker]bool)
 	for _, w := range at.workers {
 		if at.closed {
-			w.reserve(t)
+			w.addReservation(t)
 		}
 		if !told[w] {
 			told[w] = true
-			p.try(t, gauge.Trial{Run: at.number, Worker: w.info.ID, Born: w.info.Born, Alone: at.alone, Apart: at.alone})
+			p.recordSuspectRun(t, gauge.Trial{Run: at.number, Worker: w.info.ID, Born: w.info.Born, Alone: at.soleJob, Apart: at.soleJob})
 		}
 	}
 }
 
 // pickIsolated picks workers without other jobs' tasks, preferably on racks without other isolated
 // runs, and only there once few starts are left.
-func (p *Pool) placesApart(t *task, of *turn, now time.Duration) []*worker {
-	workers := p.places(t, of, now, func(w *worker) bool { return w.onlyOf(t.job) && !p.rackTries(w, t.job) })
+func (p *Pool) pickIsolated(t *task, of *candidate, now time.Duration) []*worker {
+	workers := p.pickWorkers(t, of, now, func(w *worker) bool { return w.hasOnlyJob(t.job) && !p.rackIsolatesOther(w, t.job) })
 	if workers == nil && !t.fewLeft() {
-		workers = p.places(t, of, now, func(w *worker) bool { return w.onlyOf(t.job) })
+		workers = p.pickWorkers(t, of, now, func(w *worker) bool { return w.hasOnlyJob(t.job) })
 	}
 	return workers
 }
 
 // pickShared picks workers that other jobs use, preferably without long-running tasks.
-func (p *Pool) placesBeside(t *task, of *turn, now time.Duration) []*worker {
-	workers := p.places(t, of, now, func(w *worker) bool { return w.triesOnly(t.job) && w.lasting == 0 })
+func (p *Pool) pickShared(t *task, of *candidate, now time.Duration) []*worker {
+	workers := p.pickWorkers(t, of, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) && w.longRunning == 0 })
 	if workers == nil {
-		workers = p.places(t, of, now, func(w *worker) bool { return w.triesOnly(t.job) })
+		workers = p.pickWorkers(t, of, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) })
 	}
 	return workers
 }
@@ -188,13 +188,13 @@
 }
 
 // pickWorkers picks workers for a suspect among the suitable ones; nil if there are too few.
-func (p *Pool) places(t *task, of *turn, now time.Duration, suits func(w *worker) bool) []*worker {
-	room := p.apart(now)
-	allowed := p.bounded(of.allows(now))
-	on := t.stage.perWorker()
+func (p *Pool) pickWorkers(t *task, of *candidate, now time.Duration, suits func(w *worker) bool) []*worker {
+	room := p.isolationRound(now)
+	allowed := p.withinWorkerWindow(of.allowedWorkers(now))
+	on := t.stage.countByWorker()
 	taken := make(map[*worker]gauge.Resources)
 	for _, w := range room.workers {
-		taken[w] = w.reserved()
+		taken[w] = w.reservedRoom()
 	}
 	var picked []*worker
 	for range t.members() {
@@ -210,27 +210,27 @@
 }
 
 // startReserved starts a suspect on its reserved workers, once the table has the record of it.
-func (p *Pool) startApart(t *task, now time.Duration) {
-	at := t.place
-	of := turn{job: t.job, stage: t.stage, advice: p.advice(t.job)}
-	allowed := p.bounded(of.allows(now))
+func (p *Pool) startReserved(t *task, now time.Duration) {
+	at := t.reservation
+	of := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
+	allowed := p.withinWorkerWindow(of.allowedWorkers(now))
 	for _, w := range at.workers {
-		if !w.takes(now) || !allowed(w) || at.alone && !w.onlyOf(t.job) {
-			p.giveBack(t)
+		if !w.takesStarts(now) || !allowed(w) || at.soleJob && !w.hasOnlyJob(t.job) {
+			p.cancelReservation(t)
 			return
 		}
 	}
-	if now >= at.until || at.number != t.nextRun() || !t.placeFits() {
-		p.giveBack(t)
+	if now >= at.expiresAt || at.number != t.nextRun() || !t.reservationFits() {
+		p.cancelReservation(t)
 		return
 	}
-	if t.apartOnly() && !t.noted() {
+	if t.isolatedOnly() && !t.isRecorded() {
 		return
 	}
-	p.unreserve(t)
+	p.releaseReservation(t)
 	for i, m := range t.members() {
-		if r := p.start(&of, m, at.workers[i], at.number, now); r != nil {
-			r.tried = true
+		if r := p.orderStart(&of, m, at.workers[i], at.number, now); r != nil {
+			r.onProbation = true
 			if at.closed {
 				r.closeWorker(t)
 			}
@@ -240,11 +240,11 @@
 
 // reservationFits reports whether the reserved workers still have what the suspect needs: their
 // free capacity may have shrunk, and other tasks of the step may have started there.
-func (t *task) placeFits() bool {
+func (t *task) reservationFits() bool {
 	st := t.stage
-	on := st.perWorker() // counts the reservation itself
+	on := st.countByWorker() // counts the reservation itself
 	taken := make(map[*worker]gauge.Resources)
-	for _, w := range t.place.workers {
+	for _, w := range t.reservation.workers {
 		if !st.fits(w, st.spec.Room(), taken[w], on[w]-1) {
 			return false
 		}
@@ -254,17 +254,17 @@
 }
 
 // cancelReservation drops a reservation that wasn't used, and the record of it.
-func (p *Pool) giveBack(t *task) {
-	number := t.place.number
-	p.unreserve(t)
-	p.acquit(t, number)
+func (p *Pool) cancelReservation(t *task) {
+	number := t.reservation.number
+	p.releaseReservation(t)
+	p.dropUnconfirmed(t, number)
 }
 
 // isolationRound returns the workers on which a suspect may start.
-func (p *Pool) apart(now time.Duration) *rooms {
-	r := &rooms{without: p.conf.Without}
-	for _, w := range p.byID() {
-		if w.takes(now) {
+func (p *Pool) isolationRound(now time.Duration) *placementRound {
+	r := &placementRound{disabled: p.conf.Without}
+	for _, w := range p.workersByID() {
+		if w.takesStarts(now) {
 			r.workers = append(r.workers, w)
 		}
 	}
@@ -272,12 +272,12 @@
 }
 
 // releaseReservation removes a suspect's reservation.
-func (p *Pool) unreserve(t *task) {
-	if t.place == nil {
+func (p *Pool) releaseReservation(t *task) {
+	if t.reservation == nil {
 		return
 	}
-	for _, w := range t.place.workers {
-		delete(w.places, t)
+	for _, w := range t.reservation.workers {
+		delete(w.reservations, t)
 	}
-	t.place = nil
+	t.reservation = nil
 }
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -10,83 +10,83 @@
 
 // job is one accepted job and what is known of its tasks.
 type job struct {
-	id        string
-	queue     string
-	spec      *gauge.JobSpec
-	row       gauge.JobRow
-	version   int64         // of the row in the table
-	arrived   time.Duration // when it was accepted, on the local clock
-	occs      map[int]*occurrence
-	next      int           // first occurrence that isn't created yet
-	chain     time.Duration // estimated duration of the longest chain of steps
-	begun     bool          // a start of one of its tasks was ordered
-	started   bool          // a worker has reported a run of it
-	inherited bool          // it was there before this owner took over
-	hearing   *hearing      // reports that its tasks wait for, if it was read late
-
-	changes int  // grows with each change of the row
-	saved   int  // changes that the table has
-	urgent  bool // the changes justify a write of their own
-	cleaned bool // its spec and marker are dropped from the table
-
-	counts    *counts       // of its pool
+	id             string
+	queue          string
+	spec           *gauge.JobSpec
+	row            gauge.JobRow
+	version        int64         // of the row in the table
+	arrived        time.Duration // when it was accepted, on the local clock
+	occurrences    map[int]*occurrence
+	nextOccurrence int            // first occurrence that isn't created yet
+	longestChain   time.Duration  // estimated duration of the longest chain of steps
+	startOrdered   bool           // a start of one of its tasks was ordered
+	started        bool           // a worker has reported a run of it
+	inherited      bool           // it was there before this owner took over
+	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
+
+	changes      int  // grows with each change of the row
+	savedChanges int  // changes that the table has
+	urgent       bool // the changes justify a write of their own
+	dropped      bool // its spec and marker are dropped from the table
+
+	index     *poolIndex    // of its pool
 	site      *gauge.Site   // configuration in which its queue was looked up ...
 	policy    *gauge.Queue  // ... its queue there ...
 	objective time.Duration // ... and how long after its arrival it should be done
-	mark      mark          // of changes, for Backlog
+	changeAge ageTracker    // of changes, for Backlog
 }
 
 // occurrence is one execution of a job's steps; a scheduled job has several.
 type occurrence struct {
-	number int
-	steps  []*stage
-	left   int // tasks that aren't done
+	number    int
+	steps     []*stage
+	remaining int // tasks that aren't done
 
-	longest time.Duration // result of the last call of chain
-	stale   bool          // the result has to be computed again
+	longestChain time.Duration // result of the last call of chain
+	chainStale   bool          // the result has to be computed again
 }
 
 // stage is one step of one occurrence.
 type stage struct {
-	spec   *gauge.Step
-	job    *job
-	occ    *occurrence
-	tasks  []*task
-	made   time.Duration // no task became ready before
-	left   int           // tasks that aren't done
-	idle   int           // of these, tasks without a run
-	queued bool          // it is on the list of waiting stages
-
-	advised advised
+	spec          *gauge.Step
+	job           *job
+	occ           *occurrence
+	tasks         []*task
+	earliestReady time.Duration // no task became ready before
+	remaining     int           // tasks that aren't done
+	idle          int           // of these, tasks without a run
+	waiting       bool          // it is on the list of waiting stages
+
+	advice stageAdvice
 }
 
 // task is one task; it may have several runs that aren't known to be over.
 type task struct {
-	id        gauge.TaskID
-	job       *job
-	stage     *stage
-	done      bool
-	runs      []*run
-	lastRun   int
-	saved     string
-	readyAt   time.Duration // when it last became ready to start
-	awaySince time.Duration // long-running tasks: since when it has no run
-
-	suspect     bool   // it may crash the worker that starts it
-	notedBefore bool   // previous owners recorded a run of it
-	noticed     bool   // unrecorded crashes before this owner are allowed for
-	countedRun  int    // last run that was counted as an unattributed start
-	unsettled   bool   // previous owners recorded runs whose outcome isn't known
-	adrift      int    // runs lost on workers that may have crashed or only be cut off
-	awaits      int    // lost workers whose loss isn't attributed yet
-	written     int    // change of the job's row that has to be in the table before a suspect starts
-	place       *place // where it is to start, while it is a suspect
+	id         gauge.TaskID
+	job        *job
+	stage      *stage
+	done       bool
+	runs       []*run
+	lastRun    int
+	checkpoint string
+	readyAt    time.Duration // when it last became ready to start
+	awaySince  time.Duration // long-running tasks: since when it has no run
+
+	isSuspect          bool         // it may crash the worker that starts it
+	recordedBefore     bool         // previous owners recorded a run of it
+	unrecordedAllowed  bool         // unrecorded crashes before this owner are allowed for
+	countedRun         int          // last run that was counted as an unattributed start
+	hasUnsettledRuns   bool         // previous owners recorded runs whose outcome isn't known
+	undecidedRuns      int          // runs lost on workers that may have crashed or only be cut off
+	unattributedLosses int          // lost workers whose loss isn't attributed yet
+	requiredChange     int          // change of the job's row that has to be in the table before a suspect starts
+	reservation        *reservation // where it is to start, while it is a suspect
 }
 
-func (t *task) failures() int { return len(t.failed()) }
+func (t *task) failureCount() int { return len(t.failedRuns()) }
 
-// failedRuns returns the numbers of the task's runs that failed.
-func (t *task) failed() []int {
+// failedRuns returns the numbers of the task's runs that failedRuns.
+func (t *task) failedRuns() []int {
 	if len(t.job.row.Failures) == 0 {
 		return nil
 	}
@@ -112,7 +112,7 @@
 	t.runs = slices.DeleteFunc(t.runs, func(o *run) bool { return o == r })
 	if before > 0 && len(t.runs) == 0 && !t.done {
 		t.stage.idle++
-		t.job.counts.offer(t.stage)
+		t.job.index.enqueue(t.stage)
 	}
 }
 
@@ -120,23 +120,23 @@
 func (j *job) touch(urgent bool) {
 	j.changes++
 	j.urgent = j.urgent || urgent
-	j.counts.changed[j] = true
+	j.index.changed[j] = true
 }
 
-func (j *job) dirty() bool { return j.changes > j.saved }
+func (j *job) isDirty() bool { return j.changes > j.savedChanges }
 
 // isOpen reports whether tasks of the job may still start.
-func (j *job) open() bool { return !j.row.State.Final() }
+func (j *job) isOpen() bool { return !j.row.State.Final() }
 
 // occurrence returns an occurrence, created from the row if needed.
 func (j *job) occurrence(number int, now time.Duration) *occurrence {
-	if o := j.occs[number]; o != nil {
+	if o := j.occurrences[number]; o != nil {
 		return o
 	}
-	o := &occurrence{number: number, stale: true}
+	o := &occurrence{number: number, chainStale: true}
 	done := j.row.Done[number]
 	for i := range j.spec.Steps {
-		st := &stage{spec: &j.spec.Steps[i], job: j, occ: o, made: now}
+		st := &stage{spec: &j.spec.Steps[i], job: j, occ: o, earliestReady: now}
 		for k := range st.spec.Count {
 			t := &task{
 				id:  gauge.TaskID{Job: j.id, Occurrence: number, Step: i, Index: k},
@@ -144,22 +144,22 @@
 			}
 			t.done = i < len(done) && hasBit(done[i], k)
 			if len(j.row.Saved) > 0 {
-				t.saved = j.row.Saved[t.key()]
+				t.checkpoint = j.row.Saved[t.key()]
 			}
-			for _, n := range t.failed() {
+			for _, n := range t.failedRuns() {
 				t.lastRun = max(t.lastRun, n)
 			}
 			if !t.done {
-				st.left++
+				st.remaining++
 				st.idle++
 			}
 			st.tasks = append(st.tasks, t)
 		}
-		o.left += st.left
+		o.remaining += st.remaining
 		o.steps = append(o.steps, st)
 	}
-	j.occs[number] = o
-	o.offer()
+	j.occurrences[number] = o
+	o.enqueue()
 	return o
 }
 
@@ -175,9 +175,9 @@
 }
 
 // isReady reports whether all steps that the stage depends on are done.
-func (o *occurrence) ready(st *stage) bool {
+func (o *occurrence) isReady(st *stage) bool {
 	for _, a := range st.spec.After {
-		if o.steps[a].left > 0 {
+		if o.steps[a].remaining > 0 {
 			return false
 		}
 	}
@@ -188,10 +188,10 @@
 // counted from the job's arrival, it wouldn't show how long a task has waited for room.
 func (o *occurrence) release(done *stage, now time.Duration) {
 	for _, st := range o.steps {
-		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.ready(st) {
+		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.isReady(st) {
 			continue
 		}
-		st.made = now
+		st.earliestReady = now
 		for _, t := range st.tasks {
 			t.readyAt = now
 		}
@@ -199,25 +199,25 @@
 }
 
 // enqueue adds all stages with tasks that may start to the waiting list.
-func (o *occurrence) offer() {
+func (o *occurrence) enqueue() {
 	for _, st := range o.steps {
-		st.job.counts.offer(st)
+		st.job.index.enqueue(st)
 	}
 }
 
 // finish marks a task done, and updates its stage, occurrence and job.
 func (j *job) finish(t *task, now time.Duration) {
-	o := j.occs[t.id.Occurrence]
+	o := j.occurrences[t.id.Occurrence]
 	if len(t.runs) == 0 {
 		t.stage.idle--
 	}
 	t.done = true
-	t.stage.left--
-	o.left--
-	if t.stage.left == 0 {
-		o.stale = true
+	t.stage.remaining--
+	o.remaining--
+	if t.stage.remaining == 0 {
+		o.chainStale = true
 		o.release(t.stage, now)
-		o.offer() // other steps may have waited for this one
+		o.enqueue() // other steps may have waited for this one
 	}
 	if j.row.Done == nil {
 		j.row.Done = make(map[int][][]byte)
@@ -235,9 +235,9 @@
 		delete(j.row.Failures, t.key())
 	}
 	if len(j.row.Trials) > 0 {
-		delete(j.row.Trials, t.trialTask().key())
+		delete(j.row.Trials, t.leadTask().key())
 	}
-	t.forget()
+	t.forgetUnattributed()
 	j.touch(true)
 	j.advance()
 }
@@ -245,22 +245,22 @@
 // advance moves the mark of completed occurrences, and completes the job with the last of them.
 func (j *job) advance() {
 	for {
-		o := j.occs[j.row.Over]
-		if o == nil || o.left > 0 {
+		o := j.occurrences[j.row.Over]
+		if o == nil || o.remaining > 0 {
 			break
 		}
-		delete(j.occs, j.row.Over)
+		delete(j.occurrences, j.row.Over)
 		delete(j.row.Done, j.row.Over)
 		j.row.Over++
 	}
-	if j.row.Over >= j.spec.Occurrences() && j.open() {
+	if j.row.Over >= j.spec.Occurrences() && j.isOpen() {
 		j.close(gauge.JobCompleted)
 	}
 }
 
 // fail ends the job for good.
 func (j *job) fail() {
-	if j.open() {
+	if j.isOpen() {
 		j.close(gauge.JobFailed)
 		j.touch(true)
 	}
@@ -268,15 +268,15 @@
 
 // cancel ends the job; the table has the cancellation already.
 func (j *job) cancel() {
-	if j.open() {
+	if j.isOpen() {
 		j.close(gauge.JobCancelled)
 	}
 }
 
 // liveRuns returns the runs of the job that may exist.
-func (j *job) live() []*run {
+func (j *job) liveRuns() []*run {
 	var rs []*run
-	for _, o := range j.occs {
+	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
 				rs = append(rs, t.runs...)
@@ -289,8 +289,8 @@
 // chain is the estimated duration of the longest chain of steps that are left. It changes only when
 // a step is done.
 func (o *occurrence) chain() time.Duration {
-	if !o.stale {
-		return o.longest
+	if !o.chainStale {
+		return o.longestChain
 	}
 	ends := make([]time.Duration, len(o.steps))
 	var longest time.Duration
@@ -298,17 +298,17 @@
 		for _, a := range st.spec.After {
 			ends[i] = max(ends[i], ends[a])
 		}
-		if st.left > 0 {
+		if st.remaining > 0 {
 			ends[i] += st.spec.Estimate
 		}
 		longest = max(longest, ends[i])
 	}
-	o.longest, o.stale = longest, false
+	o.longestChain, o.chainStale = longest, false
 	return longest
 }
 
-// longestChain is the estimated duration of the longest chain of a job's steps.
-func longest(spec *gauge.JobSpec) time.Duration {
+// longestChain is the estimated duration of the longestChain chain of a job's steps.
+func longestChain(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
 	for i := range spec.Steps {
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -6,43 +6,43 @@
 	gauge "sapphiregauge"
 )
 
-const milli = 1000.0
+const milliPerCore = 1000.0
 
 // Load returns the pool's demand and the load of its workers.
 func (p *Pool) Load(now time.Duration) gauge.PoolLoad {
-	l := gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.arrived, Jobs: p.came}
+	l := gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.adoptedWork, Jobs: p.adoptedJobs}
 	for _, j := range p.jobs {
-		if !j.open() {
+		if !j.isOpen() {
 			continue
 		}
-		for _, o := range j.occs {
-			if o.left == 0 {
+		for _, o := range j.occurrences {
+			if o.remaining == 0 {
 				continue
 			}
 			into := &l.Timely
-			if p.rank(j, o, o.steps[0], now).late > 0 { // the same for all steps
+			if p.rank(j, o, o.steps[0], now).lateness > 0 { // the same for all steps
 				into = &l.Late
 			}
 			for _, st := range o.steps {
-				st.load(&l, into, o.ready(st), now)
+				st.addLoad(&l, into, o.isReady(st), now)
 			}
 		}
 	}
-	for _, w := range p.byID() {
-		if w.gone || !w.listed {
+	for _, w := range p.workersByID() {
+		if w.dead || !w.listed {
 			continue
 		}
-		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), Lasting: w.lasting, Takes: w.takes(now), Busy: w.busy(now)})
+		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), Lasting: w.longRunning, Takes: w.takesStarts(now), Busy: w.busyFor(now)})
 	}
 	return l
 }
 
 // addLoad adds the demand of a stage.
-func (st *stage) load(l *gauge.PoolLoad, into *gauge.Demand, ready bool, now time.Duration) {
-	if st.left == 0 {
+func (st *stage) addLoad(l *gauge.PoolLoad, into *gauge.Demand, ready bool, now time.Duration) {
+	if st.remaining == 0 {
 		return
 	}
-	cores := float64(st.spec.Room().MilliCPU) / milli
+	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
 	if st.spec.Lasts {
 		l.Lasting += cores * float64(len(st.tasks))
 		l.Away += st.idle
@@ -51,12 +51,12 @@
 		}
 		return
 	}
-	into.Busy += cores * float64(st.left-st.idle)
+	into.Busy += cores * float64(st.remaining-st.idle)
 	if !ready {
 		return
 	}
 	into.Waiting += cores * float64(st.idle)
-	if now-st.made <= l.Oldest {
+	if now-st.earliestReady <= l.Oldest {
 		return // none of its tasks has waited longer
 	}
 	for _, t := range st.tasks {
@@ -66,13 +66,13 @@
 	}
 }
 
-// estimatedWork is the estimated work of a job in core-seconds, without long-running tasks.
-func work(j *gauge.JobSpec) float64 {
+// estimatedWork is the estimated estimatedWork of a job in core-seconds, without long-running tasks.
+func estimatedWork(j *gauge.JobSpec) float64 {
 	sum := 0.0
 	for i := range j.Steps {
 		st := &j.Steps[i]
 		if !st.Lasts {
-			sum += float64(st.Room().MilliCPU) / milli * st.Estimate.Seconds() * float64(st.Count)
+			sum += float64(st.Room().MilliCPU) / milliPerCore * st.Estimate.Seconds() * float64(st.Count)
 		}
 	}
 	return sum * float64(j.Occurrences())
@@ -80,17 +80,17 @@
 
 // overrunShare is the share of its time so far that a run is expected to go on for once it has
 // taken longer than estimated. Estimates are off by half.
-const overrun = 0.25
+const overrunShare = 0.25
 
 // busyFor is how much longer the runs on the worker go on by estimates, without long-running ones.
-func (w *worker) busy(now time.Duration) time.Duration {
+func (w *worker) busyFor(now time.Duration) time.Duration {
 	var most time.Duration
 	for r := range w.runs {
 		if r.task.stage.spec.Lasts {
 			continue
 		}
-		passed := now - r.sent
-		left := max(r.task.stage.spec.Estimate-passed, time.Duration(float64(passed)*overrun))
+		passed := now - r.orderedAt
+		left := max(r.task.stage.spec.Estimate-passed, time.Duration(float64(passed)*overrunShare))
 		most = max(most, left)
 	}
 	return most
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -21,19 +21,19 @@
 
 // Order is one call to a worker. Its outcome goes to Answered.
 type Order struct {
-	Kind   OrderKind
-	Worker gauge.Worker
-	Start  gauge.StartCall
-	Stop   gauge.StopCall
-	Pace   gauge.PaceCall
-	Look   gauge.HoldCall
-	Step   string   // that the query is about
-	About  []string // workers that the query is about
-	lives  []gauge.Life
-	stage  *stage
-	valid  time.Duration
-	run    *run
-	odd    *oddRun
+	Kind         OrderKind
+	Worker       gauge.Worker
+	Start        gauge.StartCall
+	Stop         gauge.StopCall
+	Pace         gauge.PaceCall
+	Look         gauge.HoldCall
+	Step         string   // that the query is about
+	About        []string // workers that the query is about
+	incarnations []gauge.Life
+	stage        *stage
+	validity     time.Duration
+	run          *run
+	orphan       *orphanRun
 }
 
 // Fence is the fencing token that the order was sent with.
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -7,7 +7,7 @@
 )
 
 // orphanKey identifies a run on a worker.
-type oddKey struct {
+type orphanKey struct {
 	task gauge.TaskID
 	run  int
 }
@@ -16,11 +16,11 @@
 // has failed, and a start, possibly by a previous owner, was carried out late. It is stopped until
 // the worker no longer lists it: a stop may be lost, and there may be no further report while the
 // run goes on.
-type oddRun struct {
-	worker *worker
-	key    oddKey
-	asked  bool          // a stop is in flight
-	again  time.Duration // no stop is sent before
+type orphanRun struct {
+	worker       *worker
+	key          orphanKey
+	stopInFlight bool          // a stop is in flight
+	nextStopAt   time.Duration // no stop is sent before
 }
 
 const (
@@ -28,117 +28,117 @@
 	// get no answer. Short orders may get through when the answers to heartbeats, which list up to
 	// 500 end reports, don't. To a worker that is really dead each stop is a connection attempt
 	// that has to time out.
-	stopSilent = 500 * time.Millisecond
+	stopPauseSilent = 500 * time.Millisecond
 	// stopConfirmSpan is how long after an answered stop a run that is still listed is stopped
 	// again. A stop takes 400 ms at most, as the users specify, and its report some more.
-	stopSettles = time.Second
+	stopConfirmSpan = time.Second
 )
 
 // stopPause is the least time between two stops of one run on the worker.
 func (w *worker) stopPause() time.Duration {
 	if w.silent {
-		return stopSilent
+		return stopPauseSilent
 	}
-	return stopAgain
+	return stopRetryPause
 }
 
 // isCertainlyOver reports whether no task of a job may run any more. While jobs are missing, an
 // unknown job may be open.
-func (p *Pool) surelyOver(job string) bool {
-	_, cancelled := p.cancels[job]
-	return !p.partial || p.Knows(job) || cancelled
+func (p *Pool) isCertainlyOver(job string) bool {
+	_, cancelled := p.earlyCancels[job]
+	return !p.jobsMissing || p.Knows(job) || cancelled
 }
 
 // addOrphan has a run stopped that belongs to no open job.
-func (p *Pool) noteOdd(w *worker, rr gauge.RunReport) {
-	if !p.surelyOver(rr.Task.Job) {
+func (p *Pool) addOrphan(w *worker, rr gauge.RunReport) {
+	if !p.isCertainlyOver(rr.Task.Job) {
 		return
 	}
-	k := oddKey{rr.Task, rr.Run}
-	if w.odds[k] != nil {
+	k := orphanKey{rr.Task, rr.Run}
+	if w.orphans[k] != nil {
 		return
 	}
-	if w.odds == nil {
-		w.odds = make(map[oddKey]*oddRun)
+	if w.orphans == nil {
+		w.orphans = make(map[orphanKey]*orphanRun)
 	}
-	o := &oddRun{worker: w, key: k}
-	w.odds[k], p.odds[o] = o, true
+	o := &orphanRun{worker: w, key: k}
+	w.orphans[k], p.orphans[o] = o, true
 	p.conf.Count(EventOdd)
 	p.conf.Logs.Info("run of no open job", "job", rr.Task.Job, "task", rr.Task.String(), "run", rr.Run, "worker", w.info.ID)
 }
 
 // pruneOrphans forgets the orphan runs of a worker that a report no longer lists.
-func (p *Pool) keepOdds(w *worker, running []gauge.RunReport) {
-	if len(w.odds) == 0 {
+func (p *Pool) pruneOrphans(w *worker, running []gauge.RunReport) {
+	if len(w.orphans) == 0 {
 		return
 	}
-	there := make(map[oddKey]bool, len(running))
+	there := make(map[orphanKey]bool, len(running))
 	for _, rr := range running {
-		there[oddKey{rr.Task, rr.Run}] = true
+		there[orphanKey{rr.Task, rr.Run}] = true
 	}
-	for k, o := range w.odds {
+	for k, o := range w.orphans {
 		// A run whose job has been read since is known as the job's.
 		if !there[k] || w.knowsRun(p, k) {
-			p.forgetOdd(o)
+			p.forgetOrphan(o)
 		}
 	}
 }
 
 // knowsRun reports whether an orphan run belongs to a known job by now.
-func (w *worker) knowsRun(p *Pool, k oddKey) bool {
+func (w *worker) knowsRun(p *Pool, k orphanKey) bool {
 	j := p.jobs[k.task.Job]
-	if j == nil || j.occs[k.task.Occurrence] == nil {
+	if j == nil || j.occurrences[k.task.Occurrence] == nil {
 		return false
 	}
 	t := j.task(k.task, 0)
-	return t != nil && w.find(t, k.run) != nil
+	return t != nil && w.findRun(t, k.run) != nil
 }
 
-func (p *Pool) forgetOdd(o *oddRun) {
-	delete(o.worker.odds, o.key)
-	delete(p.odds, o)
+func (p *Pool) forgetOrphan(o *orphanRun) {
+	delete(o.worker.orphans, o.key)
+	delete(p.orphans, o)
 }
 
 // forgetOrphans is called for a worker that is dead or on which nothing runs any more.
-func (p *Pool) forgetOdds(w *worker) {
-	for _, o := range w.odds {
-		p.forgetOdd(o)
+func (p *Pool) forgetOrphans(w *worker) {
+	for _, o := range w.orphans {
+		p.forgetOrphan(o)
 	}
 }
 
 // stopOrphans orders stops of orphan runs.
-func (p *Pool) stopOdds(now time.Duration) {
-	for o := range p.odds {
-		if o.asked || now < o.again {
+func (p *Pool) stopOrphans(now time.Duration) {
+	for o := range p.orphans {
+		if o.stopInFlight || now < o.nextStopAt {
 			continue
 		}
-		o.asked, o.again = true, now+o.worker.stopPause()
+		o.stopInFlight, o.nextStopAt = true, now+o.worker.stopPause()
 		p.orders = append(p.orders, Order{
-			Kind: OrderStop, Worker: o.worker.info, odd: o,
+			Kind: OrderStop, Worker: o.worker.info, orphan: o,
 			Stop: gauge.StopCall{Fence: p.fence(o.worker), Task: o.key.task, Run: o.key.run},
 		})
 	}
 }
 
 // orphanAnswered handles the outcome of such a stop.
-func (p *Pool) oddAnswered(o *oddRun, clock time.Duration, err error, now time.Duration) {
-	o.asked = false
-	o.worker.read(clock, now)
+func (p *Pool) orphanAnswered(o *orphanRun, clock time.Duration, err error, now time.Duration) {
+	o.stopInFlight = false
+	o.worker.readClock(clock, now)
 	if err == nil {
-		o.again = now + stopSettles
+		o.nextStopAt = now + stopConfirmSpan
 		return
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.over(o.worker, "another life answers at its address", now)
+		p.retireWorker(o.worker, "another life answers at its address", now)
 	}
 	p.conf.Logs.Info("order failed", "order", OrderStop, "job", o.key.task.Job, "task", o.key.task.String(), "run", o.key.run,
 		"worker", o.worker.info.ID, "kind", gauge.KindOf(err), "error", err.Error())
 }
 
 // earlyCancel is the cancellation of a job that isn't known here.
-type cancelled struct {
-	version int64 // of the job's row
-	told    time.Duration
+type earlyCancel struct {
+	version    int64 // of the job's row
+	receivedAt time.Duration
 }
 
 // rememberCancel keeps the cancellation of a job that hasn't been read yet, or whose submission
@@ -148,25 +148,25 @@
 	if p.Knows(id) {
 		return
 	}
-	p.cancels[id] = cancelled{version: max(version, p.cancels[id].version), told: p.ticked}
+	p.earlyCancels[id] = earlyCancel{version: max(version, p.earlyCancels[id].version), receivedAt: p.lastTick}
 }
 
 // forgetCancels drops cancellations of jobs that can't arrive any more.
 func (p *Pool) forgetCancels(now time.Duration) {
-	for id, c := range p.cancels {
-		if !p.partial && now > c.told+pastFor {
-			delete(p.cancels, id)
+	for id, c := range p.earlyCancels {
+		if !p.jobsMissing && now > c.receivedAt+endedRetention {
+			delete(p.earlyCancels, id)
 		}
 	}
 }
 
 // cancelEarly cancels a job that was just adopted if its cancellation came first.
 func (p *Pool) cancelEarly(j *job) {
-	c, ok := p.cancels[j.id]
+	c, ok := p.earlyCancels[j.id]
 	if !ok {
 		return
 	}
-	delete(p.cancels, j.id)
+	delete(p.earlyCancels, j.id)
 	j.version = max(j.version, c.version)
 	j.cancel()
 	p.conf.Logs.Info("job cancelled", "job", j.id, "pool", p.conf.Name, "version", c.version, "seen", "before the job")
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -7,62 +7,62 @@
 )
 
 // placementRound holds the workers that take starts, for one round of starts.
-type rooms struct {
-	workers  []*worker
-	without  gauge.Without
-	most     gauge.Resources             // no worker has more of any resource free
-	promised map[*worker]gauge.Resources // for tasks that are to move here from other workers
-	kept     map[*worker]bool            // only for long-running tasks
+type placementRound struct {
+	workers         []*worker
+	disabled        gauge.Without
+	maxFree         gauge.Resources             // no worker has more of any resource free
+	promised        map[*worker]gauge.Resources // for tasks that are to move here from other workers
+	longRunningOnly map[*worker]bool            // only for long-running tasks
 }
 
-func (p *Pool) rooms(now time.Duration) *rooms {
-	r := &rooms{workers: p.taking[:0], without: p.conf.Without}
-	for _, w := range p.byID() {
-		if !w.takes(now) || w.setAside(now) {
+func (p *Pool) newRound(now time.Duration) *placementRound {
+	r := &placementRound{workers: p.roundBuf[:0], disabled: p.conf.Without}
+	for _, w := range p.workersByID() {
+		if !w.takesStarts(now) || w.isSetAside(now) {
 			continue
 		}
 		r.workers = append(r.workers, w)
-		w.soon = now < w.soonUntil
-		if now < w.keptUntil {
-			r.keep(w)
+		w.drainSoon = now < w.drainSoonUntil
+		if now < w.longRunningOnlyUntil {
+			r.keepForLongRunning(w)
 		}
 	}
-	p.taking = r.workers
-	r.measure()
+	p.roundBuf = r.workers
+	r.updateMaxFree()
 	return r
 }
 
-func (r *rooms) keep(w *worker) {
-	if r.kept == nil {
-		r.kept = make(map[*worker]bool)
+func (r *placementRound) keepForLongRunning(w *worker) {
+	if r.longRunningOnly == nil {
+		r.longRunningOnly = make(map[*worker]bool)
 	}
-	r.kept[w] = true
+	r.longRunningOnly[w] = true
 }
 
 // updateMaxFree computes what is free at most: what doesn't fit into that needn't be tried on each
 // worker.
-func (r *rooms) measure() {
-	r.most = gauge.Resources{}
+func (r *placementRound) updateMaxFree() {
+	r.maxFree = gauge.Resources{}
 	for _, w := range r.workers {
 		f := w.free()
-		r.most.MilliCPU = max(r.most.MilliCPU, f.MilliCPU)
-		r.most.MemoryMB = max(r.most.MemoryMB, f.MemoryMB)
-		r.most.Accels = max(r.most.Accels, f.Accels)
+		r.maxFree.MilliCPU = max(r.maxFree.MilliCPU, f.MilliCPU)
+		r.maxFree.MemoryMB = max(r.maxFree.MemoryMB, f.MemoryMB)
+		r.maxFree.Accels = max(r.maxFree.Accels, f.Accels)
 	}
 }
 
 // place picks the worker for one task of a stage; nil if none has room. On counts the stage's runs
 // by worker, taken is what this round has reserved already, and allowed reports on which workers
 // the stage may run.
-func (r *rooms) place(st *stage, on spread, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
+func (r *placementRound) place(st *stage, on workerCounts, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
 	var best *worker
 	var bestScore float64
 	need := st.spec.Room()
 	for _, w := range r.workers {
-		if !st.fits(w, need, taken[w], on[w]) || !allowed(w) || r.kept[w] && !st.spec.Lasts {
+		if !st.fits(w, need, taken[w], on[w]) || !allowed(w) || r.longRunningOnly[w] && !st.spec.Lasts {
 			continue
 		}
-		if s := w.score(st, on[w], r.without); best == nil || s > bestScore {
+		if s := w.score(st, on[w], r.disabled); best == nil || s > bestScore {
 			best, bestScore = w, s
 		}
 	}
@@ -79,7 +79,7 @@
 
 // allowedWorkers returns a filter of the workers on which the stage may run according to its
 // queue's advice.
-func (t *turn) allows(now time.Duration) func(*worker) bool {
+func (t *candidate) allowedWorkers(now time.Duration) func(*worker) bool {
 	return func(w *worker) bool {
 		_, ok := t.ticketFor(w, now)
 		return ok
@@ -89,9 +89,9 @@
 func anyWorker(*worker) bool { return true }
 
 // workerCounts counts a stage's runs by worker; nil if they aren't needed.
-type spread map[*worker]int
+type workerCounts map[*worker]int
 
-func (s spread) add(w *worker) {
+func (s workerCounts) add(w *worker) {
 	if s != nil {
 		s[w]++
 	}
@@ -99,17 +99,17 @@
 
 // countByWorker counts the stage's runs by worker, including reservations of its suspects; nil if
 // their distribution doesn't matter.
-func (st *stage) perWorker() spread {
+func (st *stage) countByWorker() workerCounts {
 	if st.spec.PerWorker == 0 && !st.spec.Lasts {
 		return nil
 	}
-	on := make(spread)
+	on := make(workerCounts)
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
 			on.add(r.worker)
 		}
-		if t.place != nil {
-			for _, w := range t.place.workers {
+		if t.reservation != nil {
+			for _, w := range t.reservation.workers {
 				on.add(w)
 			}
 		}
@@ -125,10 +125,10 @@
 	scoreSpread = 100.0
 	// scoreGather puts long-running tasks of different steps on few workers, so that the others can
 	// move to another pool or have their maintenance at once.
-	scoreTogether = 5.0
+	scoreGather = 5.0
 	// scoreInterference keeps best-effort tasks away from tasks with a bound on their tail latency,
 	// which they disturb.
-	scoreApart = 10.0
+	scoreInterference = 10.0
 	// scoreSoon keeps long-running tasks off workers that are to be drained soon, where they would
 	// have to leave again. It outweighs scoreGather and any free capacity.
 	scoreSoon = 8.0
@@ -148,12 +148,12 @@
 		if !without.Has(gauge.MechanismScatter) {
 			score -= scoreSpread * float64(on)
 		}
-		score -= scoreApart * float64(w.disturbers(st.spec.Fills))
-		if w.soon && !without.Has(gauge.MechanismSoon) {
+		score -= scoreInterference * float64(w.interfering(st.spec.Fills))
+		if w.drainSoon && !without.Has(gauge.MechanismSoon) {
 			score -= scoreSoon
 		}
-		if w.lasting > 0 && !without.Has(gauge.MechanismGather) {
-			score += scoreTogether
+		if w.longRunning > 0 && !without.Has(gauge.MechanismGather) {
+			score += scoreGather
 		}
 	}
 	return score
@@ -161,9 +161,9 @@
 
 // interfering counts the runs that a task would disturb or be disturbed by: for a best-effort task
 // those that serve, and vice versa.
-func (w *worker) disturbers(fills bool) int {
+func (w *worker) interfering(fills bool) int {
 	if fills {
-		return w.lasting - w.lastingFills
+		return w.longRunning - w.longRunningBestEffort
 	}
-	return w.lastingFills
+	return w.longRunningBestEffort
 }
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -8,36 +8,36 @@
 
 // Plan returns the orders that follow from all events so far.
 func (p *Pool) Plan(now time.Duration) []Order {
-	p.stops(now)
-	p.stopOdds(now)
+	p.orderStops(now)
+	p.stopOrphans(now)
 	p.evacuate(now)
-	p.starts(now)
-	p.pace(now)
+	p.orderStarts(now)
+	p.adjustPaces(now)
 	out := p.orders
 	p.orders = nil
 	return out
 }
 
-// orderStops orders stops of runs that are to end. A stop without an answer is repeated, as it is
+// orderStops orders orderStops of runs that are to end. A stop without an answer is repeated, as it is
 // idempotent.
-func (p *Pool) stops(now time.Duration) {
-	for r := range p.halts {
-		if r.worker.gone || r.asked || r.phase == phaseStopping || r.phase == phaseSent {
+func (p *Pool) orderStops(now time.Duration) {
+	for r := range p.toStop {
+		if r.worker.dead || r.stopInFlight || r.phase == phaseStopping || r.phase == phaseSent {
 			continue
 		}
-		if now < r.again {
+		if now < r.nextStopAt {
 			continue
 		}
-		r.again = now + r.worker.stopPause()
-		p.stop(r)
+		r.nextStopAt = now + r.worker.stopPause()
+		p.orderStop(r)
 	}
 }
 
 // stopRetryPause is the least time between two stops of one run.
-const stopAgain = 200 * time.Millisecond
+const stopRetryPause = 200 * time.Millisecond
 
-func (p *Pool) stop(r *run) {
-	r.asked = true
+func (p *Pool) orderStop(r *run) {
+	r.stopInFlight = true
 	p.conf.Logs.Info("run stops", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID)
 	p.orders = append(p.orders, Order{
 		Kind: OrderStop, Worker: r.worker.info, run: r,
@@ -49,22 +49,22 @@
 // more of a step are moved at once than may be unavailable, and only where there is room: a task
 // that is stopped without a new place is unavailable until one is found.
 func (p *Pool) evacuate(now time.Duration) {
-	var room *rooms
-	for _, w := range p.byID() {
-		if now >= w.emptyUntil && !w.info.Draining || w.silent || w.gone || !w.heard {
+	var room *placementRound
+	for _, w := range p.workersByID() {
+		if now >= w.drainUntil && !w.info.Draining || w.silent || w.dead || !w.reported {
 			continue
 		}
 		for r := range w.runs {
-			if r.stop || r.phase != phaseLive {
+			if r.toStop || r.phase != phaseLive {
 				continue
 			}
 			if room == nil {
-				room = p.rooms(now)
+				room = p.newRound(now)
 			}
-			if p.mayLeave(w, r, room, now) {
-				p.halt(r)
-				r.again = now + stopAgain
-				p.stop(r)
+			if p.mayEvacuate(w, r, room, now) {
+				p.requestStop(r)
+				r.nextStopAt = now + stopRetryPause
+				p.orderStop(r)
 			}
 		}
 	}
@@ -76,28 +76,28 @@
 // stop costs the work since the checkpoint, the restore, and a second wait for room, and frees the
 // machine a second or two sooner at best. On a day with steady demand every tenth run was stopped,
 // and of the largest jobs, whose slack is three seconds, two in five were late.
-func (p *Pool) mayLeave(w *worker, r *run, room *rooms, now time.Duration) bool {
+func (p *Pool) mayEvacuate(w *worker, r *run, room *placementRound, now time.Duration) bool {
 	st := r.task.stage.spec
-	if r.tried && r.task.fewLeft() && !w.force {
+	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
 		return false // the start would prove nothing
 	}
 	if !st.Lasts {
-		return w.force || st.Checkpoints && (p.conf.Without.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
+		return w.forceDrain || st.Checkpoints && (p.conf.Without.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
 	}
-	to := room.place(r.task.stage, r.task.stage.perWorker(), room.promised, anyWorker)
+	to := room.place(r.task.stage, r.task.stage.countByWorker(), room.promised, anyWorker)
 	if to == nil {
-		p.makeRoom(r, room, now)
+		p.keepRoom(r, room, now)
 		return false
 	}
-	if !w.info.Draining && st.MaxAway > 0 && r.task.stage.away(r.task, now) >= st.MaxAway {
-		p.lookAtAway(r.task.stage, now)
+	if !w.info.Draining && st.MaxAway > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxAway {
+		p.pollStarting(r.task.stage, now)
 		return false
 	}
 	if room.promised == nil {
 		room.promised = make(map[*worker]gauge.Resources)
 	}
-	room.promised[to] = room.promised[to].Plus(r.room)
-	to.keptUntil = max(to.keptUntil, now+keepPlace)
+	room.promised[to] = room.promised[to].Plus(r.resources)
+	to.longRunningOnlyUntil = max(to.longRunningOnlyUntil, now+keepTargetSpan)
 	return true
 }
 
@@ -105,49 +105,49 @@
 // leave its own worker. In a pool at its peak, any free room is taken at once, so that a machine
 // with a long-running task wasn't empty in time for its maintenance: waves missed their end by the
 // length of a peak.
-func (p *Pool) makeRoom(r *run, room *rooms, now time.Duration) {
-	st, need := r.task.stage, r.room
-	on := st.perWorker()
+func (p *Pool) keepRoom(r *run, room *placementRound, now time.Duration) {
+	st, need := r.task.stage, r.resources
+	on := st.countByWorker()
 	var best *worker
 	for _, w := range room.workers {
 		switch {
-		case now < w.keptUntil:
+		case now < w.longRunningOnlyUntil:
 			return // one at a time
-		case !w.info.Capacity.Minus(w.lastingRoom()).Holds(need) || !w.info.HasLabel(st.spec.Label):
+		case !w.info.Capacity.Minus(w.longRunningRoom()).Holds(need) || !w.info.HasLabel(st.spec.Label):
 		case st.spec.PerWorker > 0 && on[w] >= st.spec.PerWorker:
 		case best == nil || w.free().MilliCPU > best.free().MilliCPU:
 			best = w
 		}
 	}
 	if best != nil {
-		best.keptUntil = now + keepRoom
+		best.longRunningOnlyUntil = now + keepRoomSpan
 		p.conf.Logs.Info("room kept", "pool", p.conf.Name, "worker", best.info.ID, "job", r.task.id.Job, "task", r.task.id.String(), "free", best.free().MilliCPU)
 	}
 }
 
 // keepRoomSpan is how long a worker is kept for a long-running task: its runs end within about two
 // seconds, and a few ends are enough.
-const keepRoom = 2 * time.Second
+const keepRoomSpan = 2 * time.Second
 
 // keepTargetSpan is how long the room found for a long-running task is kept while the task is
 // stopped on its old worker: a stop takes 0.4 s at most, and its end is reported within 0.1 s. If
 // other work took the room meanwhile, the task would be unavailable until some run ends.
-const keepPlace = 700 * time.Millisecond
+const keepTargetSpan = 700 * time.Millisecond
 
 // leavesBefore reports whether a leaving worker is gone before a run there has ended, by estimates.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
 	}
-	left := r.task.stage.spec.Estimate * time.Duration(atFull-min(r.progress, atFull)) / atFull
-	return now+left > w.leaves
+	left := r.task.stage.spec.Estimate * time.Duration(fullProgress-min(r.progress, fullProgress)) / fullProgress
+	return now+left > w.leavesAt
 }
 
 // unavailable counts the other tasks of a long-running stage that aren't certainly serving.
-func (st *stage) away(except *task, now time.Duration) int {
+func (st *stage) unavailable(except *task, now time.Duration) int {
 	n := 0
 	for _, t := range st.tasks {
-		if t != except && !t.atWork(now) {
+		if t != except && !t.isServing(now) {
 			n++
 		}
 	}
@@ -156,19 +156,19 @@
 
 // pollPause is the least time between two polls of a worker for a task that others wait for: a
 // quarter of the second that a long-running task takes to start.
-const lookAgain = 250 * time.Millisecond
+const pollPause = 250 * time.Millisecond
 
 // pollStarting polls the workers on which tasks of a stage are starting up, while other tasks can't
 // leave their workers until these serve. A heartbeat without an end takes up to a second. If
 // progress came by heartbeats alone, each further task would leave a second later, and a wave lasts
 // as long as its longest chain of them.
-func (p *Pool) lookAtAway(st *stage, now time.Duration) {
+func (p *Pool) pollStarting(st *stage, now time.Duration) {
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
 			w := r.worker
-			if r.phase == phaseLive && !r.stop && r.progress < atFull && !w.silent && now-w.lookedAt >= lookAgain {
-				w.lookedAt = now
-				p.look(w)
+			if r.phase == phaseLive && !r.toStop && r.progress < fullProgress && !w.silent && now-w.polledAt >= pollPause {
+				w.polledAt = now
+				p.poll(w)
 			}
 		}
 	}
@@ -178,16 +178,16 @@
 // counts as serving. That owner may have stopped it just before, and then its worker lists it until
 // the stop is complete, a second at most as the users specify. If another task were stopped
 // meanwhile, one too many would be unavailable.
-const foundFor = 3 * time.Second
+const foundRunDelay = 3 * time.Second
 
 // isServing reports whether a long-running task certainly serves its users now: its worker has
 // reported that it does.
-func (t *task) atWork(now time.Duration) bool {
+func (t *task) isServing(now time.Duration) bool {
 	for _, r := range t.runs {
-		if r.found && now-r.sent <= foundFor {
+		if r.inherited && now-r.orderedAt <= foundRunDelay {
 			continue
 		}
-		if r.phase == phaseLive && !r.stop && !r.worker.silent && !r.worker.info.Draining && r.progress == atFull {
+		if r.phase == phaseLive && !r.toStop && !r.worker.silent && !r.worker.info.Draining && r.progress == fullProgress {
 			return true
 		}
 	}
@@ -195,24 +195,24 @@
 }
 
 // orderStarts places the waiting tasks in order of rank.
-func (p *Pool) starts(now time.Duration) {
+func (p *Pool) orderStarts(now time.Duration) {
 	if now >= p.limit {
 		return // another owner may have taken over
 	}
-	if p.full() {
+	if p.isWindowFull() {
 		return
 	}
-	p.doubts = p.doubtful(now)
+	p.inheritedWait = p.mayHaveUnreportedRuns(now)
 	p.startSuspects(now)
-	room := p.rooms(now)
+	room := p.newRound(now)
 	if len(room.workers) == 0 {
 		return
 	}
-	turns := p.turns(room.most, now)
+	turns := p.candidates(room.maxFree, now)
 	// Free room only shrinks within a plan: once the smallest task doesn't fit, none does.
-	for len(turns) > 0 && room.most.Holds(p.counts.least) && !p.full() {
+	for len(turns) > 0 && room.maxFree.Holds(p.index.minNeed) && !p.isWindowFull() {
 		t := turns.next()
-		if !room.most.Holds(t.stage.spec.Room()) {
+		if !room.maxFree.Holds(t.stage.spec.Room()) {
 			continue
 		}
 		if t.stage.spec.Gang {
@@ -221,50 +221,50 @@
 		}
 		p.startEach(t, room, now)
 	}
-	clear(p.turned) // otherwise it would keep ended jobs in memory
+	clear(p.candidateBuf) // otherwise it would keep ended jobs in memory
 }
 
 // startEach starts as many tasks of a stage as there is room for.
-func (p *Pool) startEach(t turn, room *rooms, now time.Duration) {
-	on := t.stage.perWorker()
+func (p *Pool) startEach(t candidate, room *placementRound, now time.Duration) {
+	on := t.stage.countByWorker()
 	began := false
 	for _, k := range t.stage.tasks {
-		if k.done || len(k.runs) > 0 || k.waitsApart(now) || p.unknownYet(k) {
+		if k.done || len(k.runs) > 0 || k.needsIsolation(now) || p.mayHaveUnreportedRun(k) {
 			continue
 		}
-		if p.full() {
+		if p.isWindowFull() {
 			break
 		}
-		w := room.place(t.stage, on, nil, p.bounded(t.allows(now)))
+		w := room.place(t.stage, on, nil, p.withinWorkerWindow(t.allowedWorkers(now)))
 		if w == nil {
-			p.ask(&t, room, now)
+			p.askAdvice(&t, room, now)
 			break // none of the others fits either
 		}
-		p.start(&t, k, w, k.lastRun+1, now)
+		p.orderStart(&t, k, w, k.lastRun+1, now)
 		on.add(w)
 		began = true
 	}
 	if began {
-		room.measure()
+		room.updateMaxFree()
 	}
 }
 
 // startGang starts all tasks of a stage or none.
-func (p *Pool) startGang(t turn, room *rooms, now time.Duration) {
+func (p *Pool) startGang(t candidate, room *placementRound, now time.Duration) {
 	number := 0
 	for _, k := range t.stage.tasks {
-		if len(k.runs) > 0 || k.waitsApart(now) || p.unknownYet(k) {
+		if len(k.runs) > 0 || k.needsIsolation(now) || p.mayHaveUnreportedRun(k) {
 			return
 		}
 		number = max(number, k.lastRun)
 	}
 	taken := make(map[*worker]gauge.Resources)
-	on := t.stage.perWorker()
+	on := t.stage.countByWorker()
 	var places []*worker
 	for range t.stage.tasks {
-		w := room.place(t.stage, on, taken, t.allows(now))
+		w := room.place(t.stage, on, taken, t.allowedWorkers(now))
 		if w == nil {
-			p.ask(&t, room, now)
+			p.askAdvice(&t, room, now)
 			return
 		}
 		on.add(w)
@@ -272,19 +272,19 @@
 		places = append(places, w)
 	}
 	for i, k := range t.stage.tasks {
-		p.start(&t, k, places[i], number+1, now)
+		p.orderStart(&t, k, places[i], number+1, now)
 	}
-	room.measure()
+	room.updateMaxFree()
 }
 
 // servingProgress is the progress of a long-running task that serves its users.
-const atFull = 100
+const fullProgress = 100
 
 // fullSpeed is the percentage of its speed that a run starts with.
 const fullSpeed = 100
 
-// start orders a run; nil if the worker can't be given a deadline.
-func (p *Pool) start(of *turn, t *task, w *worker, number int, now time.Duration) *run {
+// orderStart orders a run; nil if the worker can't be given a deadline.
+func (p *Pool) orderStart(of *candidate, t *task, w *worker, number int, now time.Duration) *run {
 	until := w.grant(now, min(p.conf.Start, p.limit-now))
 	if until == 0 {
 		return nil
@@ -292,17 +292,17 @@
 	text, _ := of.ticketFor(w, now)
 	t.lastRun = number
 	r := &run{
-		task: t, worker: w, number: number, phase: phaseSent, room: t.stage.spec.Room(),
-		sent: now, until: until, paced: fullSpeed,
+		task: t, worker: w, number: number, phase: phaseSent, resources: t.stage.spec.Room(),
+		orderedAt: now, startDeadline: until, pace: fullSpeed,
 	}
 	t.attach(r)
-	w.add(r)
-	p.fly(r)
+	w.addRun(r)
+	p.addInFlight(r)
 	if p.mayHaveCrashed(t) {
-		p.noteRoutine(r)
+		p.recordRoutineRun(r)
 	}
-	if !t.job.begun {
-		t.job.begun = true
+	if !t.job.startOrdered {
+		t.job.startOrdered = true
 		if t.job.row.State == gauge.JobPending {
 			t.job.row.State = gauge.JobRunning
 			t.job.touch(false)
@@ -313,7 +313,7 @@
 	p.orders = append(p.orders, Order{
 		Kind: OrderStart, Worker: w.info, run: r,
 		Start: gauge.StartCall{
-			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Saved: t.saved, Ticket: text,
+			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Saved: t.checkpoint, Ticket: text,
 		},
 	})
 	return r
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -12,41 +12,41 @@
 
 // probation is how long a run of the task has to live, given what is known of its other runs.
 func (t *task) probation(run int) time.Duration {
-	return proof.Case{Trials: t.trials().Without(run)}.Probation()
+	return proof.Case{Trials: t.suspectRuns().Without(run)}.Probation()
 }
 
 // checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
 // it has lived long enough.
-func (p *Pool) survived(r *run) {
-	if r.tried && !r.outlived && r.lived() >= proof.Soon {
+func (p *Pool) checkProbation(r *run) {
+	if r.onProbation && !r.survivalRecorded && r.lived() >= proof.Soon {
 		// If it is lost from now on, the start wasn't the cause, for the successor either.
-		r.outlived = true
-		p.outlive(r)
+		r.survivalRecorded = true
+		p.recordLived(r)
 	}
-	if r.tried && r.lived() >= r.task.probation(r.number) {
-		r.tried = false
+	if r.onProbation && r.lived() >= r.task.probation(r.number) {
+		r.onProbation = false
 		p.conf.Logs.Info("task survived", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID, "lived", r.lived())
-		p.endTrial(r)
-		r.task.forget()
-		p.acquit(r.task, r.number)
+		p.endIsolation(r)
+		r.task.forgetUnattributed()
+		p.dropUnconfirmed(r.task, r.number)
 	}
 	if r.lived() >= proof.Calm {
-		p.clear(r.task)
+		p.clearSuspicion(r.task)
 	}
 }
 
 // inheritProbation continues the probation of a run that a previous owner started in isolation.
-func (p *Pool) inheritTrial(r *run) {
+func (p *Pool) inheritProbation(r *run) {
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
 	// while, and most runs of other tasks have lived for as long.
-	r.credit = proof.Soon
-	for _, tr := range r.task.trials() {
+	r.livedBefore = proof.Soon
+	for _, tr := range r.task.suspectRuns() {
 		if tr.Run != r.number || tr.Crashed {
 			continue
 		}
-		r.tried, r.credit = true, tr.Lived
-		if r.task.apartOnly() {
-			r.closeWorker(r.task.trialTask())
+		r.onProbation, r.livedBefore = true, tr.Lived
+		if r.task.isolatedOnly() {
+			r.closeWorker(r.task.leadTask())
 		}
 		return
 	}
@@ -54,31 +54,31 @@
 
 // closeWorker keeps other jobs' tasks off a run's worker, for the suspect that it is a run of.
 func (r *run) closeWorker(t *task) {
-	if r.worker.trials == nil {
-		r.worker.trials = make(map[*task]int)
+	if r.worker.isolated == nil {
+		r.worker.isolated = make(map[*task]int)
 	}
-	r.trial = t
-	r.worker.trials[t]++
+	r.isolatedFor = t
+	r.worker.isolated[t]++
 }
 
 // endIsolation removes a run from the isolated ones on its worker.
-func (p *Pool) endTrial(r *run) {
-	if r.trial == nil {
+func (p *Pool) endIsolation(r *run) {
+	if r.isolatedFor == nil {
 		return
 	}
-	if r.worker.trials[r.trial]--; r.worker.trials[r.trial] <= 0 {
-		delete(r.worker.trials, r.trial)
+	if r.worker.isolated[r.isolatedFor]--; r.worker.isolated[r.isolatedFor] <= 0 {
+		delete(r.worker.isolated, r.isolatedFor)
 	}
-	r.trial = nil
+	r.isolatedFor = nil
 }
 
 // recordLived records how long a run on probation has lived so far.
-func (p *Pool) outlive(r *run) {
-	ts := slices.Clone(r.task.trials())
+func (p *Pool) recordLived(r *run) {
+	ts := slices.Clone(r.task.suspectRuns())
 	for i := range ts {
 		if ts[i].Run == r.number && !ts[i].Crashed {
 			ts[i].Lived = r.lived()
 		}
 	}
-	r.task.setTrials(ts, false)
+	r.task.setSuspectRuns(ts, false)
 }
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -14,94 +14,94 @@
 		return false
 	}
 	id := w.info.ID
-	if w.follows && !w.unfenced && call.Fence >= w.fence {
+	if w.restarted && !w.fencePending && call.Fence >= w.fence {
 		// From now on no call that was meant for the previous incarnation is carried out. Until now
 		// one may have extended the lease.
-		w.follows = false
-		w.expiry = max(w.expiry, now+p.conf.Longest)
+		w.restarted = false
+		w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
 	}
 	if w.silent {
-		p.unwatch(w)
+		p.clearAtRisk(w)
 		p.conf.Logs.Info("worker back", "pool", p.conf.Name, "worker", id, "born", rep.Born, "runs", len(w.runs),
-			"running", len(rep.Running), "clock", rep.Clock, "before", w.clock, "kept", w.kept)
+			"running", len(rep.Running), "clock", rep.Clock, "before", w.clock, "kept", w.lastStoredEnd)
 	}
-	if !w.heard {
+	if !w.reported {
 		p.conf.Logs.Info("worker heard", "pool", p.conf.Name, "worker", id, "born", rep.Born, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
-	w.silent, w.mute, w.heard, w.heardAt = false, false, true, now
+	w.silent, w.startUnanswered, w.reported, w.answeredAt = false, false, true, now
 	// It is compared only with earlier reports: answers to orders overtake reports all the time at
 	// a busy worker, and what they say is recorded with each run.
-	newest := rep.Clock >= w.pictured
-	w.read(rep.Clock, now)
-	held := len(rep.Ended) >= endsAtOnce // there may be more
+	newest := rep.Clock >= w.reportClock
+	w.readClock(rep.Clock, now)
+	held := len(rep.Ended) >= maxEndsListed // there may be more
 	for _, e := range rep.Ended {
-		if e.Number > w.ends {
-			if p.partial && !p.Knows(e.Task.Job) {
+		if e.Number > w.lastEnd {
+			if p.jobsMissing && !p.Knows(e.Task.Job) {
 				held = true
 				break
 			}
-			p.ended(w, e, now)
-			w.take(e.Number, p.jobs[e.Task.Job])
+			p.handleEnd(w, e, now)
+			w.recordEnd(e.Number, p.jobs[e.Task.Job])
 		}
 	}
 	if !newest {
-		p.conf.Logs.Info("report overtaken", "pool", p.conf.Name, "worker", id, "born", rep.Born, "clock", rep.Clock, "newest", w.pictured,
+		p.conf.Logs.Info("report overtaken", "pool", p.conf.Name, "worker", id, "born", rep.Born, "clock", rep.Clock, "newest", w.reportClock,
 			"running", len(rep.Running))
 	}
 	if newest {
 		// An older report may list runs that have ended since.
-		w.pictured, w.held = rep.Clock, held
-		p.running(w, rep, held, now)
+		w.reportClock, w.endsPending = rep.Clock, held
+		p.compareRuns(w, rep, held, now)
 	}
 	if newest && !held {
-		p.heard(id) // it has reported everything about previous owners' runs
+		p.markReported(id) // it has reported everything about previous owners' runs
 	}
 	return true
 }
 
 // maxEndsListed is how many end reports a worker lists at most, as the users specify.
-const endsAtOnce = 500
+const maxEndsListed = 500
 
 // compareRuns compares the runs that a worker lists with those that it should have. If held, there
 // are end reports that haven't been received. A run that isn't listed may have one of these: if it
 // were taken for lost, its task would start again although it is done.
-func (p *Pool) running(w *worker, rep *gauge.WorkerReport, held bool, now time.Duration) {
-	w.reports++
-	w.odd = 0
+func (p *Pool) compareRuns(w *worker, rep *gauge.WorkerReport, held bool, now time.Duration) {
+	w.reportCount++
+	w.orphanCount = 0
 	for _, rr := range rep.Running {
-		r := p.reported(w, rr, rep.Clock, now)
+		r := p.listedRun(w, rr, rep.Clock, now)
 		if r == nil {
-			w.odd++
-			p.noteOdd(w, rr)
+			w.orphanCount++
+			p.addOrphan(w, rr)
 			continue
 		}
-		r.listed, r.toldAt = w.reports, now
-		p.arrive(r)
-		r.task.job.told()
+		r.lastReport, r.reportedAt = w.reportCount, now
+		p.confirmListed(r)
+		r.task.job.markStarted()
 		r.load, r.progress = rr.Load, rr.Progress
 		if r.phase != phaseStopping {
 			r.phase = phaseLive
 		}
-		r.known = max(r.known, rep.Clock)
+		r.confirmedAt = max(r.confirmedAt, rep.Clock)
 		if rr.Saved != "" {
-			r.task.saved = rr.Saved
+			r.task.checkpoint = rr.Saved
 		}
-		p.survived(r)
+		p.checkProbation(r)
 	}
-	p.keepOdds(w, rep.Running)
+	p.pruneOrphans(w, rep.Running)
 	for r := range w.runs {
-		there := r.listed == w.reports
+		there := r.lastReport == w.reportCount
 		if !there && r.phase == phaseUnsure {
 			// Once a stop is answered the start can't be carried out any more, which is known
 			// sooner than that its own deadline has passed.
-			p.halt(r)
+			p.requestStop(r)
 		}
 		if !there && !held && r.overBy(rep.Clock) {
 			if r.phase == phaseLive {
 				p.conf.Count(EventVanished)
 				p.conf.Logs.Info("run vanished", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", w.info.ID)
 			}
-			p.end(r, now)
+			p.endRun(r, now)
 		}
 	}
 }
@@ -111,16 +111,16 @@
 func (r *run) overBy(clock time.Duration) bool {
 	switch r.phase {
 	case phaseLive, phaseStopping:
-		return clock > r.known
+		return clock > r.confirmedAt
 	default:
 		// The order may still arrive, but is refused after its own deadline.
-		return clock > r.until
+		return clock > r.startDeadline
 	}
 }
 
 // listedRun returns the run that a worker lists, or adds one that a previous owner started. It is
 // nil if the run belongs to no known job.
-func (p *Pool) reported(w *worker, rr gauge.RunReport, clock, now time.Duration) *run {
+func (p *Pool) listedRun(w *worker, rr gauge.RunReport, clock, now time.Duration) *run {
 	j := p.jobs[rr.Task.Job]
 	if j == nil {
 		return nil
@@ -130,28 +130,28 @@
 		return nil
 	}
 	t.lastRun = max(t.lastRun, rr.Run)
-	if r := w.find(t, rr.Run); r != nil {
+	if r := w.findRun(t, rr.Run); r != nil {
 		return r
 	}
 	r := &run{
-		task: t, worker: w, number: rr.Run, phase: phaseLive, room: t.stage.spec.Room(),
-		sent: now, found: true, known: clock, progress: rr.Progress, paced: fullSpeed,
+		task: t, worker: w, number: rr.Run, phase: phaseLive, resources: t.stage.spec.Room(),
+		orderedAt: now, inherited: true, confirmedAt: clock, progress: rr.Progress, pace: fullSpeed,
 	}
 	p.conf.Logs.Info("run found", "job", j.id, "task", rr.Task.String(), "run", rr.Run, "worker", w.info.ID, "others", len(t.runs))
-	surplus := t.done || len(t.runs) > 0 || !j.open()
+	surplus := t.done || len(t.runs) > 0 || !j.isOpen()
 	t.attach(r)
-	w.add(r)
-	p.inheritTrial(r)
+	w.addRun(r)
+	p.inheritProbation(r)
 	if surplus {
 		p.conf.Count(EventSurplus)
-		p.halt(r)
+		p.requestStop(r)
 	}
-	j.begun = true
+	j.startOrdered = true
 	return r
 }
 
 // handleEnd handles the end report of a run.
-func (p *Pool) ended(w *worker, e gauge.EndReport, now time.Duration) {
+func (p *Pool) handleEnd(w *worker, e gauge.EndReport, now time.Duration) {
 	j := p.jobs[e.Task.Job]
 	if j == nil {
 		return
@@ -160,33 +160,33 @@
 	if t == nil {
 		return
 	}
-	j.told()
+	j.markStarted()
 	t.lastRun = max(t.lastRun, e.Run)
-	r := w.find(t, e.Run)
+	r := w.findRun(t, e.Run)
 	var took time.Duration
 	if r != nil {
-		took = now - r.sent
-		p.spare(r)
-		p.end(r, now)
+		took = now - r.orderedAt
+		p.markNotLost(r)
+		p.endRun(r, now)
 	}
 	p.conf.Count("run " + string(e.How))
 	p.conf.Logs.Info("run ended", "job", j.id, "task", e.Task.String(), "run", e.Run, "worker", w.info.ID,
 		"end", e.How, "number", e.Number, "known", r != nil, "took", took)
 	if e.Saved != "" && t.stage.spec.Checkpoints && !t.done {
-		t.saved = e.Saved
-		j.save(t, e.Saved)
+		t.checkpoint = e.Saved
+		j.saveCheckpoint(t, e.Saved)
 	}
-	if r != nil && r.tried && t == t.trialTask() && (e.How == gauge.EndStopped || e.How == gauge.EndAlone) && t.fewLeft() {
-		p.countRun(t, e.Run, true)
-		p.giveUp(t)
+	if r != nil && r.onProbation && t == t.leadTask() && (e.How == gauge.EndStopped || e.How == gauge.EndAlone) && t.fewLeft() {
+		p.countStart(t, e.Run, true)
+		p.failIfCause(t)
 	}
-	p.judge(w, j.id, e.How, now)
+	p.recordOutcome(w, j.id, e.How, now)
 	switch {
 	case t.stage.spec.Lasts || t.done:
 	case e.How == gauge.EndDone:
-		p.done(j, t, now)
+		p.handleDone(j, t, now)
 	case e.How == gauge.EndFailed:
-		p.failed(j, t, e.Run)
+		p.handleFailure(j, t, e.Run)
 	}
 	if t.stage.spec.Gang {
 		p.endGang(t, e)
@@ -194,7 +194,7 @@
 }
 
 // saveCheckpoint keeps the checkpoint of a task that isn't running.
-func (j *job) save(t *task, saved string) {
+func (j *job) saveCheckpoint(t *task, saved string) {
 	if j.row.Saved == nil {
 		j.row.Saved = make(map[string]string)
 	}
@@ -202,7 +202,7 @@
 	j.touch(false)
 }
 
-func (p *Pool) done(j *job, t *task, now time.Duration) {
+func (p *Pool) handleDone(j *job, t *task, now time.Duration) {
 	if t.stage.spec.Gang {
 		// One end report stands for all members.
 		for _, m := range t.stage.tasks {
@@ -214,7 +214,7 @@
 		j.finish(t, now)
 	}
 	for _, r := range t.runs {
-		p.halt(r)
+		p.requestStop(r)
 	}
 	if j.row.State == gauge.JobCompleted {
 		p.conf.Count(EventDone)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (p *Pool) failed(j *job, t *task, number int) {
+func (p *Pool) handleFailure(j *job, t *task, number int) {
 	if j.row.Failures == nil {
 		j.row.Failures = make(map[string][]int)
 	}
@@ -235,11 +235,11 @@
 	}
 	j.row.Failures[t.key()] = append(j.row.Failures[t.key()], number)
 	j.touch(false)
-	if t.failures() >= p.attempts(j) {
+	if t.failureCount() >= p.maxAttempts(j) {
 		p.conf.Count(EventFailed)
-		p.conf.Logs.Info("job failed", "job", j.id, "task", t.id.String(), "failures", t.failures(), "bound", p.attempts(j))
+		p.conf.Logs.Info("job failed", "job", j.id, "task", t.id.String(), "failures", t.failureCount(), "bound", p.maxAttempts(j))
 		j.fail()
-		p.haltJob(j)
+		p.requestJobStop(j)
 	}
 }
 
@@ -248,7 +248,7 @@
 	for _, m := range t.stage.tasks {
 		for _, r := range m.runs {
 			if r.number == e.Run {
-				p.halt(r)
+				p.requestStop(r)
 			}
 		}
 	}
@@ -256,6 +256,6 @@
 		return
 	}
 	for _, m := range t.stage.tasks {
-		m.saved = e.Saved
+		m.checkpoint = e.Saved
 	}
 }
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -7,66 +7,68 @@
 )
 
 // setAsideSpan is how long a worker is kept free for a suspect. Most work ends in that time.
-const asideSpan = 2 * time.Second
+const setAsideSpan = 2 * time.Second
 
 // setAside keeps a worker without long-running tasks free for a suspect: the one that will be free
 // soonest.
 func (p *Pool) setAside(t *task, now time.Duration) {
-	if !p.fewAside(now) {
+	if !p.maySetAside(now) {
 		return
 	}
 	var best *worker
-	for _, w := range p.byID() {
-		if !w.takes(now) || w.setAside(now) || w.lasting > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Holds(t.stage.spec.Room()) {
+	for _, w := range p.workersByID() {
+		if !w.takesStarts(now) || w.isSetAside(now) || w.longRunning > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Holds(t.stage.spec.Room()) {
 			continue
 		}
-		if best == nil || w.busy(now) < best.busy(now) {
+		if best == nil || w.busyFor(now) < best.busyFor(now) {
 			best = w
 		}
 	}
 	if best == nil {
 		return
 	}
-	best.asideUntil = now + asideSpan
+	best.setAsideUntil = now + setAsideSpan
 	p.conf.Logs.Info("worker set aside", "pool", p.conf.Name, "worker", best.info.ID, "runs", len(best.runs), "job", t.job.id, "task", t.id.String())
 }
 
 // maySetAside reports whether one more worker may be kept from other work: one in any case, and at
 // most a quarter of the workers.
-func (p *Pool) fewAside(now time.Duration) bool {
+func (p *Pool) maySetAside(now time.Duration) bool {
 	aside, all := 0, 0
 	for _, w := range p.workers {
-		if !w.listed || w.gone {
+		if !w.listed || w.dead {
 			continue
 		}
 		all++
-		aside += count(w.setAside(now))
+		aside += boolToInt(w.isSetAside(now))
 	}
-	return aside == 0 || fewOf*(aside+1) <= all
+	return aside == 0 || fewDivisor*(aside+1) <= all
 }
 
 // isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
 // reservation, or is to get one.
-func (w *worker) setAside(now time.Duration) bool { return w.tries() > 0 || now < w.asideUntil }
+func (w *worker) isSetAside(now time.Duration) bool {
+	return w.isolatedCount() > 0 || now < w.setAsideUntil
+}
 
 // isolatedCount counts the suspects that run in isolation or have a reservation on a worker.
-func (w *worker) tries() int { return len(w.trials) + len(w.places) }
+func (w *worker) isolatedCount() int { return len(w.isolated) + len(w.reservations) }
 
 // hasOnlyJob reports whether no other job has a task on a worker.
-func (w *worker) onlyOf(j *job) bool {
+func (w *worker) hasOnlyJob(j *job) bool {
 	for r := range w.runs {
 		if r.task.job != j {
 			return false
 		}
 	}
-	return w.triesOnly(j)
+	return w.isolatesOnlyJob(j)
 }
 
 // rackIsolatesOther reports whether another job's suspect is isolated on another worker of the
 // rack: if both workers were lost at once, that couldn't be told from a loss of the rack.
-func (p *Pool) rackTries(w *worker, j *job) bool {
+func (p *Pool) rackIsolatesOther(w *worker, j *job) bool {
 	for _, o := range p.workers {
-		if o != w && o.tries() > 0 && o.info.Rack() == w.info.Rack() && !o.triesOnly(j) {
+		if o != w && o.isolatedCount() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
 			return true
 		}
 	}
@@ -75,13 +77,13 @@
 
 // isolatesOnlyJob reports whether no other job's suspect is isolated on a worker or has a
 // reservation there.
-func (w *worker) triesOnly(j *job) bool {
-	for t := range w.trials {
+func (w *worker) isolatesOnlyJob(j *job) bool {
+	for t := range w.isolated {
 		if t.job != j {
 			return false
 		}
 	}
-	for t := range w.places {
+	for t := range w.reservations {
 		if t.job != j {
 			return false
 		}
@@ -90,17 +92,17 @@
 }
 
 // addReservation reserves room for one of a suspect's tasks.
-func (w *worker) reserve(t *task) {
-	if w.places == nil {
-		w.places = make(map[*task]int)
+func (w *worker) addReservation(t *task) {
+	if w.reservations == nil {
+		w.reservations = make(map[*task]int)
 	}
-	w.places[t]++
+	w.reservations[t]++
 }
 
-// reservedRoom is the capacity that is reserved on a worker for suspects.
-func (w *worker) reserved() gauge.Resources {
+// reservedRoom is the capacity that is reservedRoom on a worker for suspects.
+func (w *worker) reservedRoom() gauge.Resources {
 	var sum gauge.Resources
-	for t, n := range w.places {
+	for t, n := range w.reservations {
 		for range n {
 			sum = sum.Plus(t.stage.spec.Room())
 		}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -52,41 +52,41 @@
 
 // Pool is the owner's state of one pool. It is not safe for concurrent use.
 type Pool struct {
-	conf    Config
-	site    *gauge.Site
-	limit   time.Duration // no grant reaches beyond this
-	jobs    map[string]*job
-	past    map[string]past       // jobs that have ended here
-	workers map[string]*worker    // by id: there is one incarnation at a time
-	earlier map[string]gauge.Life // workers of the previous owner that haven't reported yet
-	unheld  []gauge.Worker        // incarnations without heartbeats yet
-	written gauge.Fence           // version of the newest write of the lease row
+	conf            Config
+	site            *gauge.Site
+	limit           time.Duration // no grant reaches beyond this
+	jobs            map[string]*job
+	endedJobs       map[string]endedJob   // jobs that have ended here
+	workers         map[string]*worker    // by id: there is one incarnation at a time
+	unreported      map[string]gauge.Life // workers of the previous owner that haven't reported yet
+	newIncarnations []gauge.Worker        // incarnations without heartbeats yet
+	leaseRowVersion gauge.Fence           // version of the newest write of the lease row
 	// barriers are the open report barriers; newestBarrier is the latest of them.
-	hearings []*hearing
-	newest   *hearing
-	partial  bool // jobs may be missing: some could not be read yet
-	orders   []Order
-	halts    map[*run]bool // runs that are to end
-	odds     map[*oddRun]bool
-	suspects map[*task]bool       // tasks that may crash their workers
-	losses   []*loss              // workers lost recently
-	replaced []gauge.Life         // ended before they reported to this owner, and not among the losses yet
-	tried    map[gauge.Life]bool  // workers on which previous owners isolated suspects
-	cancels  map[string]cancelled // cancellations of unknown jobs
-	ticked   time.Duration        // time of the last tick
-	resumed  time.Duration        // time of the last tick that followed a pause of this process
-	arrived  float64              // core-seconds of all jobs adopted so far
-	came     int                  // number of jobs adopted so far
-	doubts   bool                 // inherited tasks have to wait, in this round of starts
-	flying   int                  // starts that have no answer yet
-	counts   counts
-	swept    time.Duration // when ended jobs were last forgotten
+	barriers           []*reportBarrier
+	newestBarrier      *reportBarrier
+	jobsMissing        bool // jobs may be missing: some could not be read yet
+	orders             []Order
+	toStop             map[*run]bool // runs that are to end
+	orphans            map[*orphanRun]bool
+	suspects           map[*task]bool         // tasks that may crash their workers
+	losses             []*loss                // workers lost recently
+	replacedUnreported []gauge.Life           // ended before they reported to this owner, and not among the losses yet
+	isolatedBefore     map[gauge.Life]bool    // workers on which previous owners isolated suspects
+	earlyCancels       map[string]earlyCancel // cancellations of unknown jobs
+	lastTick           time.Duration          // time of the last tick
+	resumedAt          time.Duration          // time of the last tick that followed a pause of this process
+	adoptedWork        float64                // core-seconds of all jobs adopted so far
+	adoptedJobs        int                    // number of jobs adopted so far
+	inheritedWait      bool                   // inherited tasks have to wait, in this round of starts
+	startsInFlight     int                    // starts that have no answer yet
+	index              poolIndex
+	lastSweep          time.Duration // when ended jobs were last forgotten
 
-	lostBefore bool // workers were lost before they reported to this owner
+	lostUnreported bool // workers were lost before they reported to this owner
 
-	sorted []*worker // workers by id; nil: to be sorted again
-	taking []*worker // reused by the next plan for its workers ...
-	turned turns     // ... and for its candidates
+	sortedWorkers []*worker     // workers by id; nil: to be sorted again
+	roundBuf      []*worker     // reused by the next plan for its workers ...
+	candidateBuf  candidateHeap // ... and for its candidates
 }
 
 // New returns a Pool without jobs and workers.
@@ -95,13 +95,13 @@
 		c.Count = func(string) {}
 	}
 	p := &Pool{
-		conf: c, jobs: make(map[string]*job), past: make(map[string]past), halts: make(map[*run]bool), workers: make(map[string]*worker),
-		earlier: make(map[string]gauge.Life), site: &gauge.Site{}, counts: newCounts(), odds: make(map[*oddRun]bool), cancels: make(map[string]cancelled),
-		suspects: make(map[*task]bool), tried: make(map[gauge.Life]bool),
+		conf: c, jobs: make(map[string]*job), endedJobs: make(map[string]endedJob), toStop: make(map[*run]bool), workers: make(map[string]*worker),
+		unreported: make(map[string]gauge.Life), site: &gauge.Site{}, index: newPoolIndex(), orphans: make(map[*orphanRun]bool), earlyCancels: make(map[string]earlyCancel),
+		suspects: make(map[*task]bool), isolatedBefore: make(map[gauge.Life]bool),
 	}
 	for _, l := range c.Earlier {
-		if !l.Before(p.earlier[l.Worker]) {
-			p.earlier[l.Worker] = l
+		if !l.Before(p.unreported[l.Worker]) {
+			p.unreported[l.Worker] = l
 		}
 	}
 	return p
@@ -119,7 +119,7 @@
 	seen := make(map[string]bool, len(list))
 	for _, info := range list {
 		if info.Pool != p.conf.Name {
-			p.elsewhere(info)
+			p.listedElsewhere(info)
 			continue
 		}
 		w := p.listedAs(info)
@@ -132,10 +132,10 @@
 		}
 		if info.Draining && !w.info.Draining {
 			p.conf.Logs.Info("worker drains", "pool", p.conf.Name, "worker", info.ID, "leaves", info.Leaves)
-			w.leaves = p.ticked + info.Leaves
+			w.leavesAt = p.lastTick + info.Leaves
 		}
 		w.info = info
-		w.listed, w.known = true, true
+		w.listed, w.listedHere = true, true
 	}
 	for id, w := range p.workers {
 		if w.listed && !seen[id] {
@@ -148,15 +148,15 @@
 // inheritedExpiry is when all grants of previous owners to a worker have certainly expired. A
 // worker has a single lease for all its runs, which never gets shorter, so their grants also cover
 // what this owner starts.
-func (p *Pool) inherited(l gauge.Life) time.Duration {
+func (p *Pool) inheritedExpiry(l gauge.Life) time.Duration {
 	if p.conf.Term == 0 {
 		return 0
 	}
-	return p.doubtedUntil(l)
+	return p.previousRunsEnd(l)
 }
 
 // previousRunsEnd is when everything that previous owners ordered on a worker has certainly ended.
-func (p *Pool) doubtedUntil(l gauge.Life) time.Duration {
+func (p *Pool) previousRunsEnd(l gauge.Life) time.Duration {
 	if over, ok := p.conf.Over[l]; ok {
 		return min(over, p.conf.Doubt)
 	}
@@ -166,12 +166,12 @@
 // Left returns how much longer anything may run on each worker that doesn't answer.
 func (p *Pool) Left(now time.Duration) map[gauge.Life]time.Duration {
 	left := make(map[gauge.Life]time.Duration)
-	for _, l := range p.earlier {
-		left[l] = max(0, p.doubtedUntil(l)-now)
+	for _, l := range p.unreported {
+		left[l] = max(0, p.previousRunsEnd(l)-now)
 	}
 	for _, w := range p.workers {
-		if l := w.info.Life(); w.silent && !w.gone {
-			left[l] = max(0, w.expiry-now, left[l])
+		if l := w.info.Life(); w.silent && !w.dead {
+			left[l] = max(0, w.leaseExpiry-now, left[l])
 		}
 	}
 	return left
@@ -187,25 +187,25 @@
 // wait seconds for them, with the whole pool's work.
 func (p *Pool) Name() []gauge.Life {
 	lives := make([]gauge.Life, 0, len(p.workers))
-	awaited := p.awaited()
-	for _, w := range p.byID() {
-		if w.done() && !awaited[w.info.ID] {
-			w.noted = false
+	awaited := p.awaitedWorkers()
+	for _, w := range p.workersByID() {
+		if w.omittable() && !awaited[w.info.ID] {
+			w.inLeaseRow = false
 			continue
 		}
 		lives = append(lives, w.info.Life())
 	}
 	for id := range awaited {
 		if p.workers[id] == nil {
-			lives = append(lives, p.earlierLife(id))
+			lives = append(lives, p.earlierIncarnation(id))
 		}
 	}
 	return lives
 }
 
 // earlierIncarnation is the incarnation of an unlisted worker as previous owners knew it.
-func (p *Pool) earlierLife(id string) gauge.Life {
-	if l, ok := p.earlier[id]; ok {
+func (p *Pool) earlierIncarnation(id string) gauge.Life {
+	if l, ok := p.unreported[id]; ok {
 		return l
 	}
 	return gauge.Life{Worker: id}
@@ -214,16 +214,16 @@
 // Noted records that the lease row in the table names these incarnations, as of a version of the
 // row.
 func (p *Pool) Noted(lives []gauge.Life, version int64) {
-	p.written = max(p.written, gauge.Fence(version))
+	p.leaseRowVersion = max(p.leaseRowVersion, gauge.Fence(version))
 	for _, w := range p.workers {
-		if w.unfenced {
-			p.raise(w)
+		if w.fencePending {
+			p.raiseFence(w)
 		}
 	}
 	for _, l := range lives {
 		w := p.current(l)
 		if w != nil {
-			w.noted = true
+			w.inLeaseRow = true
 		}
 	}
 }
@@ -231,14 +231,14 @@
 // Holding returns the next heartbeat for an incarnation of a worker; false if it is dead.
 func (p *Pool) Holding(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
 	w := p.current(l)
-	if w == nil || w.gone {
+	if w == nil || w.dead {
 		return gauge.Worker{}, gauge.HoldCall{}, false
 	}
 	c := gauge.HoldCall{Fence: p.fence(w)}
-	if !w.silent && w.heard {
+	if !w.silent && w.reported {
 		// A worker that doesn't answer may have restarted. It would discard its own end reports by
 		// the numbers of its previous incarnation.
-		c.LastSeen = w.kept
+		c.LastSeen = w.lastStoredEnd
 		// A worker that doesn't answer gets no extension: its runs have to expire some time, so
 		// that their tasks can start elsewhere.
 		c.Until = w.grant(now, min(p.conf.Hold, p.limit-now))
@@ -254,20 +254,20 @@
 		return
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.over(w, "another life answers at its address", now)
+		p.retireWorker(w, "another life answers at its address", now)
 		return
 	}
 	if !w.silent {
 		p.conf.Logs.Info("worker silent", "pool", p.conf.Name, "worker", l.Worker, "born", l.Born, "runs", len(w.runs),
-			"expires", w.expiry-now, "error", err.Error())
-		w.silentAt = now
+			"expires", w.leaseExpiry-now, "error", err.Error())
+		w.silentSince = now
 	} else {
-		p.watch(w) // from the second failure on: often only the answer was lost
+		p.recordAtRisk(w) // from the second failure on: often only the answer was lost
 	}
 	w.silent = true
-	p.raise(w)
+	p.raiseFence(w)
 	for r := range w.runs {
-		p.land(r)
+		p.removeInFlight(r)
 	}
 }
 
@@ -280,38 +280,38 @@
 
 // retireWorker ends an incarnation when no other one of the same worker answers at its address:
 // nothing runs there.
-func (p *Pool) over(w *worker, why string, now time.Duration) {
-	if w.gone {
+func (p *Pool) retireWorker(w *worker, why string, now time.Duration) {
+	if w.dead {
 		return
 	}
-	p.die(w, why, now)
-	p.heard(w.info.ID)
+	p.markDead(w, why, now)
+	p.markReported(w.info.ID)
 }
 
 // markDead ends an incarnation of a worker, and its runs with it.
-func (p *Pool) die(w *worker, why string, now time.Duration) {
-	if w.gone {
+func (p *Pool) markDead(w *worker, why string, now time.Duration) {
+	if w.dead {
 		return
 	}
-	w.gone = true
+	w.dead = true
 	p.conf.Logs.Info("worker over", "pool", p.conf.Name, "worker", w.info.ID, "born", w.info.Born, "runs", len(w.runs), "reason", why)
 	lost := len(w.runs)
 	for r := range w.runs {
 		p.lose(r, why, lost-1, now)
 	}
-	p.fell(w, now)
-	p.forgetOdds(w)
+	p.recordLoss(w, now)
+	p.forgetOrphans(w)
 }
 
-// end removes a run that is over and can't begin any more.
-func (p *Pool) end(r *run, now time.Duration) {
-	r.worker.remove(r)
-	p.land(r)
-	p.endTrial(r)
+// endRun removes a run that is over and can't begin any more.
+func (p *Pool) endRun(r *run, now time.Duration) {
+	r.worker.removeRun(r)
+	p.removeInFlight(r)
+	p.endIsolation(r)
 	if !r.lost {
-		p.acquit(r.task, r.number) // the run has ended before its worker
+		p.dropUnconfirmed(r.task, r.number) // the run has ended before its worker
 	}
-	delete(p.halts, r)
+	delete(p.toStop, r)
 	r.task.detach(r)
 	r.task.readyAt = now
 	if len(r.task.runs) == 0 {
@@ -321,78 +321,78 @@
 
 // Tick handles the passing of time: leases that expire and occurrences that become due.
 func (p *Pool) Tick(now time.Duration, wall time.Time) {
-	if p.ticked > 0 && now-p.ticked > pausedSpan {
-		p.resumed = now
+	if p.lastTick > 0 && now-p.lastTick > pauseThreshold {
+		p.resumedAt = now
 	}
-	p.ticked = now
+	p.lastTick = now
 	p.forgetCancels(now)
 	for id, w := range p.workers {
-		if w.silent && now > max(w.expiry, p.conf.Doubt) {
-			p.forgetOdds(w) // whoever ordered them, their leases have expired
+		if w.silent && now > max(w.leaseExpiry, p.conf.Doubt) {
+			p.forgetOrphans(w) // whoever ordered them, their leases have expired
 		}
-		if now > w.expiry && (w.silent || !w.listed) {
-			p.lapsed(w, now)
+		if now > w.leaseExpiry && (w.silent || !w.listed) {
+			p.expireRuns(w, now)
 		}
-		if len(w.lost) > 0 && w.silent && !w.listed {
-			p.fell(w, now) // no entry of the platform's list says any more that it is alive
+		if len(w.lostRuns) > 0 && w.silent && !w.listed {
+			p.recordLoss(w, now) // no entry of the platform's list says any more that it is alive
 		}
-		if !w.listed && now > w.expiry && len(w.runs) == 0 && (w.gone || w.silent && w.kept == w.ends) {
-			p.forgetOdds(w)
+		if !w.listed && now > w.leaseExpiry && len(w.runs) == 0 && (w.dead || w.silent && w.lastStoredEnd == w.lastEnd) {
+			p.forgetOrphans(w)
 			delete(p.workers, id)
-			p.sorted = nil
+			p.sortedWorkers = nil
 		}
 	}
-	p.counts.occur(wall, now)
-	p.lapse(now)
-	p.judgeLosses(now)
-	p.forget(now)
+	p.index.createDue(wall, now)
+	p.expireAwaited(now)
+	p.attributeLosses(now)
+	p.forgetEndedJobs(now)
 }
 
 // sweepGap is the pause between two searches for ended jobs to forget: a large pool ends some ten
 // thousand in a minute.
 const sweepGap = time.Second
 
-// forget drops what is remembered of jobs that ended long ago.
-func (p *Pool) forget(now time.Duration) {
-	if now < p.swept+sweepGap {
+// forgetEndedJobs drops what is remembered of jobs that ended long ago.
+func (p *Pool) forgetEndedJobs(now time.Duration) {
+	if now < p.lastSweep+sweepGap {
 		return
 	}
-	p.swept = now
-	for id, j := range p.past {
-		if now > j.ended+pastFor {
-			delete(p.past, id)
+	p.lastSweep = now
+	for id, j := range p.endedJobs {
+		if now > j.endedAt+endedRetention {
+			delete(p.endedJobs, id)
 		}
 	}
 }
 
-// byID returns the workers in a fixed order.
-func (p *Pool) byID() []*worker {
-	if p.sorted == nil {
-		p.sorted = slices.SortedFunc(maps.Values(p.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
+// workersByID returns the workers in a fixed order.
+func (p *Pool) workersByID() []*worker {
+	if p.sortedWorkers == nil {
+		p.sortedWorkers = slices.SortedFunc(maps.Values(p.workers), func(a, b *worker) int { return cmp.Compare(a.info.ID, b.info.ID) })
 	}
-	return p.sorted
+	return p.sortedWorkers
 }
 
 // createDue creates the occurrences that are due.
-func (j *job) occur(wall time.Time, now time.Duration) {
-	if !j.spec.Timed() || !j.open() {
+func (j *job) createDue(wall time.Time, now time.Duration) {
+	if !j.spec.Timed() || !j.isOpen() {
 		return
 	}
-	for j.next < j.spec.Occurrences() && !wall.Before(j.spec.DueAt(j.next)) {
-		j.occurrence(j.next, now)
-		j.next++
+	for j.nextOccurrence < j.spec.Occurrences() && !wall.Before(j.spec.DueAt(j.nextOccurrence)) {
+		j.occurrence(j.nextOccurrence, now)
+		j.nextOccurrence++
 	}
 }
 
 // mayHaveUnreportedRuns reports whether runs or end reports may exist that this owner hasn't
 // received: the previous owner may have started a task on a worker that hasn't answered yet, or
 // that has more end reports to deliver.
-func (p *Pool) doubtful(now time.Duration) bool {
-	if len(p.earlier) > 0 {
+func (p *Pool) mayHaveUnreportedRuns(now time.Duration) bool {
+	if len(p.unreported) > 0 {
 		return true
 	}
 	for _, w := range p.workers {
-		if w.held && !w.gone && (!w.silent || now <= w.expiry) {
+		if w.endsPending && !w.dead && (!w.silent || now <= w.leaseExpiry) {
 			return true
 		}
 	}
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -17,7 +17,7 @@
 // their tasks.
 
 // leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
-func (t *task) trialTask() *task {
+func (t *task) leadTask() *task {
 	if t.stage.spec.Gang {
 		return t.stage.tasks[0]
 	}
@@ -25,50 +25,50 @@
 }
 
 // suspectRuns are the task's runs that may have crashed their workers.
-func (t *task) trials() gauge.Trials {
+func (t *task) suspectRuns() gauge.Trials {
 	if len(t.job.row.Trials) == 0 {
 		return nil
 	}
-	return t.job.row.Trials[t.trialTask().key()]
+	return t.job.row.Trials[t.leadTask().key()]
 }
 
-func (t *task) setTrials(ts gauge.Trials, urgent bool) {
+func (t *task) setSuspectRuns(ts gauge.Trials, urgent bool) {
 	j := t.job
 	if j.row.Trials == nil {
 		j.row.Trials = make(map[string]gauge.Trials)
 	}
 	if len(ts) == 0 {
-		delete(j.row.Trials, t.trialTask().key())
+		delete(j.row.Trials, t.leadTask().key())
 	} else {
-		j.row.Trials[t.trialTask().key()] = ts
+		j.row.Trials[t.leadTask().key()] = ts
 	}
 	j.touch(urgent)
-	t.trialTask().written = j.changes
+	t.leadTask().requiredChange = j.changes
 }
 
-// evidence is what is known against the task.
-func (t *task) known() proof.Case {
-	c := proof.Case{Trials: t.trials(), Excused: t.excused(), Lasts: t.stage.spec.Lasts}
+// evidence is what is evidence against the task.
+func (t *task) evidence() proof.Case {
+	c := proof.Case{Trials: t.suspectRuns(), Excused: t.unattributed(), Lasts: t.stage.spec.Lasts}
 	if c.Excused > 0 {
-		c.Lone = t.job.row.Lone[t.trialTask().key()]
+		c.Lone = t.job.row.Lone[t.leadTask().key()]
 	}
 	return c
 }
 
 // unattributed counts the starts of the task that ended before it had shown that it survives, and
 // aren't held against it.
-func (t *task) excused() int {
+func (t *task) unattributed() int {
 	if len(t.job.row.Excused) == 0 {
 		return 0
 	}
-	return t.job.row.Excused[t.trialTask().key()]
+	return t.job.row.Excused[t.leadTask().key()]
 }
 
 // countUnattributed counts one more start that proved nothing.
-func (t *task) countExcused() {
-	t.job.row.Excused = increment(t.job.row.Excused, t.trialTask().key())
+func (t *task) countUnattributed() {
+	t.job.row.Excused = increment(t.job.row.Excused, t.leadTask().key())
 	t.job.touch(true)
-	t.trialTask().written = t.job.changes
+	t.leadTask().requiredChange = t.job.changes
 }
 
 func increment(counts map[string]int, key string) map[string]int {
@@ -80,11 +80,11 @@
 }
 
 // forgetUnattributed drops the unattributed starts, as the task has shown that it survives.
-func (t *task) forget() {
-	if t.excused() == 0 {
+func (t *task) forgetUnattributed() {
+	if t.unattributed() == 0 {
 		return
 	}
-	key := t.trialTask().key()
+	key := t.leadTask().key()
 	delete(t.job.row.Excused, key)
 	delete(t.job.row.Guessed, key)
 	delete(t.job.row.Lone, key)
@@ -94,34 +94,34 @@
 // excuse records that a run was lost with its worker for another reason, as far as that can be
 // known.
 func (p *Pool) excuse(t *task, run int, lived time.Duration) {
-	alone := t.trials().Tried(run)
+	alone := t.suspectRuns().Tried(run)
 	if lived < proof.Soon || alone && lived < t.probation(run) {
-		p.countRun(t, run, alone)
+		p.countStart(t, run, alone)
 	}
-	p.acquit(t, run)
-	p.giveUp(t)
+	p.dropUnconfirmed(t, run)
+	p.failIfCause(t)
 }
 
 // countStart counts a run that ended before its task had shown that it survives. All members of a
 // gang report the same run. Alone: it ran in isolation.
-func (p *Pool) countRun(t *task, run int, alone bool) {
-	lead := t.trialTask()
-	if t.done || !t.job.open() || lead.countedRun == run {
+func (p *Pool) countStart(t *task, run int, alone bool) {
+	lead := t.leadTask()
+	if t.done || !t.job.isOpen() || lead.countedRun == run {
 		return
 	}
 	lead.countedRun = run
 	if alone {
 		t.job.row.Lone = increment(t.job.row.Lone, lead.key())
 	}
-	t.countExcused()
-	p.suspect(t)
-	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.known().Starts(), "excused", t.excused())
+	t.countUnattributed()
+	p.updateSuspect(t)
+	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.evidence().Starts(), "excused", t.unattributed())
 }
 
 // recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
-func (p *Pool) try(t *task, tr gauge.Trial) {
-	p.notice(t)
-	ts := slices.Clone(t.trials())
+func (p *Pool) recordSuspectRun(t *task, tr gauge.Trial) {
+	p.allowForUnrecorded(t)
+	ts := slices.Clone(t.suspectRuns())
 	at := slices.IndexFunc(ts, func(o gauge.Trial) bool { return o.Run == tr.Run && o.Life() == tr.Life() })
 	if at < 0 {
 		ts = append(ts, tr)
@@ -129,89 +129,89 @@
 		tr.Apart = tr.Apart || !tr.Crashed && ts[at].Apart
 		ts[at] = tr
 	}
-	t.setTrials(ts, true)
-	p.suspect(t)
+	t.setSuspectRuns(ts, true)
+	p.updateSuspect(t)
 }
 
 // dropUnconfirmed removes the record of a run that may have crashed its worker; confirmed crashes
 // stay.
-func (p *Pool) acquit(t *task, run int) {
-	ts := t.trials()
+func (p *Pool) dropUnconfirmed(t *task, run int) {
+	ts := t.suspectRuns()
 	left := slices.DeleteFunc(slices.Clone(ts), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
 	if len(left) == len(ts) {
 		return
 	}
-	t.setTrials(left, false)
-	if t.trialTask().suspect {
-		p.conf.Logs.Info("trial taken back", "job", t.job.id, "task", t.id.String(), "run", run, "left", len(left), "excused", t.excused())
+	t.setSuspectRuns(left, false)
+	if t.leadTask().isSuspect {
+		p.conf.Logs.Info("trial taken back", "job", t.job.id, "task", t.id.String(), "run", run, "left", len(left), "excused", t.unattributed())
 	}
-	p.suspect(t)
+	p.updateSuspect(t)
 }
 
 // clearSuspicion drops all records of a task that has shown that it doesn't crash its worker.
-func (p *Pool) clear(t *task) {
-	if len(t.trials()) == 0 && t.excused() == 0 {
+func (p *Pool) clearSuspicion(t *task) {
+	if len(t.suspectRuns()) == 0 && t.unattributed() == 0 {
 		return
 	}
-	t.setTrials(nil, false)
-	t.forget()
-	p.suspect(t)
+	t.setSuspectRuns(nil, false)
+	t.forgetUnattributed()
+	p.updateSuspect(t)
 }
 
-// updateSuspect updates whether a task is a suspect.
-func (p *Pool) suspect(t *task) {
-	lead := t.trialTask()
-	is := lead.known().Suspect()
-	if is && !lead.suspect {
-		ts := lead.trials()
-		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", lead.excused(),
+// updateSuspect updates whether a task is a updateSuspect.
+func (p *Pool) updateSuspect(t *task) {
+	lead := t.leadTask()
+	is := lead.evidence().Suspect()
+	if is && !lead.isSuspect {
+		ts := lead.suspectRuns()
+		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", lead.unattributed(),
 			"lived", ts.Longest())
 	}
-	lead.suspect = is
+	lead.isSuspect = is
 	if is {
 		p.suspects[lead] = true
 		return
 	}
 	delete(p.suspects, lead)
-	p.unreserve(lead)
+	p.releaseReservation(lead)
 }
 
 // failIfCause fails the job of a task that crashes its workers.
-func (p *Pool) giveUp(t *task) {
-	ts := t.trials()
-	if !t.known().Cause() || !t.job.open() {
+func (p *Pool) failIfCause(t *task) {
+	ts := t.suspectRuns()
+	if !t.evidence().Cause() || !t.job.isOpen() {
 		return
 	}
 	p.conf.Count(EventGivenUp)
-	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", t.excused(),
+	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", t.unattributed(),
 		"lived", ts.Longest(), "reason", "its workers crash")
 	t.job.fail()
-	p.haltJob(t.job)
+	p.requestJobStop(t.job)
 }
 
 // needsIsolation reports whether a task must not start beside others: it is a suspect, or may be
 // one.
-func (t *task) waitsApart(now time.Duration) bool {
-	return t.trialTask().suspect || t.waitsForJudgement(now)
+func (t *task) needsIsolation(now time.Duration) bool {
+	return t.leadTask().isSuspect || t.waitsForAttribution(now)
 }
 
 // attributionWait bounds how long a task waits for workers that don't answer, beyond their leases.
 // By then a crashed worker is no longer listed, or another incarnation answers. A worker that is
 // cut off may be so for minutes.
-const judgementWait = 3 * time.Second
+const attributionWait = 3 * time.Second
 
 // attributionThreshold is the number of lost workers from which a task waits for attribution.
-const judgedFrom = 2
+const attributionThreshold = 2
 
 // waitsForAttribution reports whether a task has lost one worker after the other and the last
 // losses aren't attributed yet. After the first loss it starts again at once.
-func (t *task) waitsForJudgement(now time.Duration) bool {
-	lost := t.awaits + t.adrift
+func (t *task) waitsForAttribution(now time.Duration) bool {
+	lost := t.unattributedLosses + t.undecidedRuns
 	if lost == 0 {
 		return false
 	}
-	if known := t.known(); lost+known.Trials.Crashes() < judgedFrom && !known.FewLeft(lost) {
+	if known := t.evidence(); lost+known.Trials.Crashes() < attributionThreshold && !known.FewLeft(lost) {
 		return false
 	}
-	return t.awaits > 0 || t.adrift > 0 && now < t.readyAt+judgementWait
+	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionWait
 }
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -6,29 +6,29 @@
 // few unreachable workers would hold up the starts on all others.
 
 // isWindowFull reports whether no more starts may be in flight.
-func (p *Pool) full() bool { return p.conf.Window > 0 && p.flying >= p.conf.Window }
+func (p *Pool) isWindowFull() bool { return p.conf.Window > 0 && p.startsInFlight >= p.conf.Window }
 
 // withinWorkerWindow excludes workers that have as many starts in flight as one may have.
-func (p *Pool) bounded(allowed func(*worker) bool) func(*worker) bool {
+func (p *Pool) withinWorkerWindow(allowed func(*worker) bool) func(*worker) bool {
 	if p.conf.Lane == 0 {
 		return allowed
 	}
-	return func(w *worker) bool { return w.flying < p.conf.Lane && allowed(w) }
+	return func(w *worker) bool { return w.startsInFlight < p.conf.Lane && allowed(w) }
 }
 
 // addInFlight counts a start that is sent.
-func (p *Pool) fly(r *run) {
-	r.flying = true
-	r.worker.flying++
-	p.flying++
+func (p *Pool) addInFlight(r *run) {
+	r.inFlight = true
+	r.worker.startsInFlight++
+	p.startsInFlight++
 }
 
 // removeInFlight no longer counts a start: it was answered, or nobody waits for its answer.
-func (p *Pool) land(r *run) {
-	if !r.flying {
+func (p *Pool) removeInFlight(r *run) {
+	if !r.inFlight {
 		return
 	}
-	r.flying = false
-	r.worker.flying--
-	p.flying--
+	r.inFlight = false
+	r.worker.startsInFlight--
+	p.startsInFlight--
 }
