--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -24,9 +24,9 @@
 	// maxAdviceWorkers is how many workers a query covers at most: the advice service takes time
 	// for each, and callers' objectives allow for one query about thirty.
 	maxAdviceWorkers = 30
-	// adviceRetryAfter is the least time between two queries about a worker: the policy for a step
+	// adviceRetryDelay is the least time between two queries about a worker: the policy for a step
 	// doesn't change, but tickets expire.
-	adviceRetryAfter = time.Second
+	adviceRetryDelay = time.Second
 	// ticketMargin is subtracted from a ticket's validity, for the time that the start takes to the
 	// worker.
 	ticketMargin = 200 * time.Millisecond
@@ -52,7 +52,7 @@
 	var about []*worker
 	for _, w := range room.workers {
 		asked, known := a.queriedAt[w.info.Life()]
-		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceRetryAfter, t.advice.Valid)) {
+		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceRetryDelay, t.advice.Valid)) {
 			about = append(about, w)
 		}
 	}
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -35,7 +35,7 @@
 			r.phase = phaseStopping
 			r.confirmedAt = max(r.confirmedAt, clock)
 			if r.unanswered {
-				p.poll(r.worker)
+				p.probe(r.worker)
 			}
 		}
 	case OrderPace:
@@ -102,7 +102,7 @@
 		r.phase, r.unanswered, r.startDeadline = phaseUnsure, true, math.MaxInt64
 		r.worker.startUnanswered = true
 	}
-	p.poll(r.worker)
+	p.probe(r.worker)
 	p.conf.Logs.Info("order answered by a later life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
 		"worker", o.Worker.ID, "born", o.Worker.Born)
 }
@@ -156,7 +156,7 @@
 	case gauge.KindUnknown, gauge.KindInternal:
 		r.phase, r.unanswered = phaseUnsure, true
 		r.worker.startUnanswered = true // otherwise it would be the first choice for the next start
-		p.poll(r.worker)
+		p.probe(r.worker)
 	case gauge.KindStale:
 		r.task.lastRun++
 		p.endRun(r, now)
@@ -178,9 +178,9 @@
 	}
 }
 
-// poll asks a worker at once for its runs: a run that never began there has no end that would end a
-// waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
-func (p *Pool) poll(w *worker) {
+// probe asks a worker at once for its runs: a run that never began there has no end that would end
+// a waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
+func (p *Pool) probe(w *worker) {
 	p.orders = append(p.orders, Order{
 		Kind: OrderLook, Worker: w.info, Look: gauge.HoldCall{Fence: p.fence(w)},
 	})
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-// entryCount is how many entryCount of a transaction the job's change takes.
+// entryCount is how many entries of a transaction the job's change takes.
 func (j *job) entryCount(final bool) int {
 	if final {
 		return jobEntries + endEntries
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -78,7 +78,7 @@
 	return x
 }
 
-// areCorrelated reports whether a worker was lost areCorrelated with others that no task can have
+// areCorrelated reports whether a worker was lost together with others that no task can have
 // crashed: then the cause was the rack, the power or a network partition. A single idle worker says
 // nothing unless the whole rack is gone, because machines move to other pools all the time and
 // their workers stay listed for seconds afterwards. Workers on which a task began recently say
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -13,12 +13,12 @@
 // work is lost with it, and only one task can be the cause.
 
 const (
-	// isolationWait is how long a task that has crashed two workers waits for a worker that is free
+	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is free
 	// of other work. It must not stand still for longer, even if no such worker is available.
-	isolationWait = 2 * time.Second
-	// lastStartsWait is the same once few of its starts are left: next to other tasks each start
+	isolationTimeout = 2 * time.Second
+	// lastStartsTimeout is the same once few of its starts are left: next to other tasks each start
 	// would prove nothing.
-	lastStartsWait = 6 * time.Second
+	lastStartsTimeout = 6 * time.Second
 	// reservationSpan is how long a reservation is kept until the table has the record of the
 	// isolated run. A write takes about 10 ms, and 60 times as long when the table is slow.
 	reservationSpan = 700 * time.Millisecond
@@ -110,13 +110,13 @@
 // fewLeft reports whether few starts are left until the task's job is failed.
 func (t *task) fewLeft() bool { return t.evidence().FewLeft(t.unattributedLosses + t.undecidedRuns) }
 
-// isolationTimeout is how long a suspect waits for a worker that is free of other work.
-func (t *task) isolationTimeout() time.Duration {
+// maxIsolationWait is how long a suspect waits for a worker that is free of other work.
+func (t *task) maxIsolationWait() time.Duration {
 	switch {
 	case t.fewLeft():
-		return lastStartsWait
+		return lastStartsTimeout
 	case t.isolatedOnly():
-		return isolationWait
+		return isolationTimeout
 	default:
 		return 0
 	}
@@ -133,7 +133,7 @@
 	if t.isolatedOnly() || p.maySetAside(now) {
 		at.workers, at.soleJob = p.pickIsolated(t, &of, now), true
 	}
-	if at.workers == nil && now-t.readyAt < t.isolationTimeout() {
+	if at.workers == nil && now-t.readyAt < t.maxIsolationWait() {
 		p.setAside(t, now)
 		return
 	}
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -85,7 +85,7 @@
 
 func (t *task) failureCount() int { return len(t.failedRuns()) }
 
-// failedRuns returns the numbers of the task's runs that failedRuns.
+// failedRuns returns the numbers of the task's runs that failed.
 func (t *task) failedRuns() []int {
 	if len(t.job.row.Failures) == 0 {
 		return nil
@@ -307,7 +307,7 @@
 	return longest
 }
 
-// longestChain is the estimated duration of the longestChain chain of a job's steps.
+// longestChain is the estimated duration of the longest chain of a job's steps.
 func longestChain(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// estimatedWork is the estimated estimatedWork of a job in core-seconds, without long-running tasks.
+// estimatedWork is the estimated work of a job in core-seconds, without long-running tasks.
 func estimatedWork(j *gauge.JobSpec) float64 {
 	sum := 0.0
 	for i := range j.Steps {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -194,7 +194,7 @@
 	p.losses = append(p.losses, l)
 }
 
-// isLeaving reports whether a worker was isLeaving, or being drained, when it stopped answering.
+// isLeaving reports whether a worker was leaving, or being drained, when it stopped answering.
 func (w *worker) isLeaving(at time.Duration) bool { return w.info.Draining || at < w.drainUntil }
 
 // attributeLosses finds the causes of losses, once they can be known.
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -24,22 +24,22 @@
 }
 
 const (
-	// stopPauseSilent is the least time between two stops of one run on a worker whose heartbeats
+	// silentStopRetryDelay is the least time between two stops of one run on a worker whose heartbeats
 	// get no answer. Short orders may get through when the answers to heartbeats, which list up to
 	// 500 end reports, don't. To a worker that is really dead each stop is a connection attempt
 	// that has to time out.
-	stopPauseSilent = 500 * time.Millisecond
+	silentStopRetryDelay = 500 * time.Millisecond
 	// stopConfirmSpan is how long after an answered stop a run that is still listed is stopped
 	// again. A stop takes 400 ms at most, as the users specify, and its report some more.
 	stopConfirmSpan = time.Second
 )
 
-// stopPause is the least time between two stops of one run on the worker.
-func (w *worker) stopPause() time.Duration {
+// stopDelay is the least time between two stops of one run on the worker.
+func (w *worker) stopDelay() time.Duration {
 	if w.silent {
-		return stopPauseSilent
+		return silentStopRetryDelay
 	}
-	return stopRetryPause
+	return stopRetryDelay
 }
 
 // isCertainlyOver reports whether no task of a job may run any more. While jobs are missing, an
@@ -112,7 +112,7 @@
 		if o.stopInFlight || now < o.nextStopAt {
 			continue
 		}
-		o.stopInFlight, o.nextStopAt = true, now+o.worker.stopPause()
+		o.stopInFlight, o.nextStopAt = true, now+o.worker.stopDelay()
 		p.orders = append(p.orders, Order{
 			Kind: OrderStop, Worker: o.worker.info, orphan: o,
 			Stop: gauge.StopCall{Fence: p.fence(o.worker), Task: o.key.task, Run: o.key.run},
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -18,7 +18,7 @@
 	return out
 }
 
-// orderStops orders orderStops of runs that are to end. A stop without an answer is repeated, as it is
+// orderStops orders stops of runs that are to end. A stop without an answer is repeated, as it is
 // idempotent.
 func (p *Pool) orderStops(now time.Duration) {
 	for r := range p.toStop {
@@ -28,13 +28,13 @@
 		if now < r.nextStopAt {
 			continue
 		}
-		r.nextStopAt = now + r.worker.stopPause()
+		r.nextStopAt = now + r.worker.stopDelay()
 		p.orderStop(r)
 	}
 }
 
-// stopRetryPause is the least time between two stops of one run.
-const stopRetryPause = 200 * time.Millisecond
+// stopRetryDelay is the least time between two stops of one run.
+const stopRetryDelay = 200 * time.Millisecond
 
 func (p *Pool) orderStop(r *run) {
 	r.stopInFlight = true
@@ -63,7 +63,7 @@
 			}
 			if p.mayEvacuate(w, r, room, now) {
 				p.requestStop(r)
-				r.nextStopAt = now + stopRetryPause
+				r.nextStopAt = now + stopRetryDelay
 				p.orderStop(r)
 			}
 		}
@@ -90,7 +90,7 @@
 		return false
 	}
 	if !w.info.Draining && st.MaxAway > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxAway {
-		p.pollStarting(r.task.stage, now)
+		p.probeStarting(r.task.stage, now)
 		return false
 	}
 	if room.promised == nil {
@@ -154,21 +154,21 @@
 	return n
 }
 
-// pollPause is the least time between two polls of a worker for a task that others wait for: a
-// quarter of the second that a long-running task takes to start.
-const pollPause = 250 * time.Millisecond
+// minProbeInterval is the least time between two probes of a worker for a task that others wait
+// for: a quarter of the second that a long-running task takes to start.
+const minProbeInterval = 250 * time.Millisecond
 
-// pollStarting polls the workers on which tasks of a stage are starting up, while other tasks can't
-// leave their workers until these serve. A heartbeat without an end takes up to a second. If
+// probeStarting probes the workers on which tasks of a stage are starting up, while other tasks
+// can't leave their workers until these serve. A heartbeat without an end takes up to a second. If
 // progress came by heartbeats alone, each further task would leave a second later, and a wave lasts
 // as long as its longest chain of them.
-func (p *Pool) pollStarting(st *stage, now time.Duration) {
+func (p *Pool) probeStarting(st *stage, now time.Duration) {
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
 			w := r.worker
-			if r.phase == phaseLive && !r.toStop && r.progress < fullProgress && !w.silent && now-w.polledAt >= pollPause {
-				w.polledAt = now
-				p.poll(w)
+			if r.phase == phaseLive && !r.toStop && r.progress < fullProgress && !w.silent && now-w.probedAt >= minProbeInterval {
+				w.probedAt = now
+				p.probe(w)
 			}
 		}
 	}
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -27,7 +27,7 @@
 	if best == nil {
 		return
 	}
-	best.setAsideUntil = now + setAsideSpan
+	best.asideUntil = now + setAsideSpan
 	p.conf.Logs.Info("worker set aside", "pool", p.conf.Name, "worker", best.info.ID, "runs", len(best.runs), "job", t.job.id, "task", t.id.String())
 }
 
@@ -48,11 +48,11 @@
 // isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
 // reservation, or is to get one.
 func (w *worker) isSetAside(now time.Duration) bool {
-	return w.isolatedCount() > 0 || now < w.setAsideUntil
+	return w.suspectCount() > 0 || now < w.asideUntil
 }
 
-// isolatedCount counts the suspects that run in isolation or have a reservation on a worker.
-func (w *worker) isolatedCount() int { return len(w.isolated) + len(w.reservations) }
+// suspectCount counts the suspects that run in isolation or have a reservation on a worker.
+func (w *worker) suspectCount() int { return len(w.isolated) + len(w.reservations) }
 
 // hasOnlyJob reports whether no other job has a task on a worker.
 func (w *worker) hasOnlyJob(j *job) bool {
@@ -68,7 +68,7 @@
 // rack: if both workers were lost at once, that couldn't be told from a loss of the rack.
 func (p *Pool) rackIsolatesOther(w *worker, j *job) bool {
 	for _, o := range p.workers {
-		if o != w && o.isolatedCount() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
+		if o != w && o.suspectCount() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
 			return true
 		}
 	}
@@ -99,7 +99,7 @@
 	w.reservations[t]++
 }
 
-// reservedRoom is the capacity that is reservedRoom on a worker for suspects.
+// reservedRoom is the capacity that is reserved on a worker for suspects.
 func (w *worker) reservedRoom() gauge.Resources {
 	var sum gauge.Resources
 	for t, n := range w.reservations {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -348,13 +348,13 @@
 	p.forgetEndedJobs(now)
 }
 
-// sweepGap is the pause between two searches for ended jobs to forget: a large pool ends some ten
+// minSweepInterval is the pause between two searches for ended jobs to forget: a large pool ends some ten
 // thousand in a minute.
-const sweepGap = time.Second
+const minSweepInterval = time.Second
 
 // forgetEndedJobs drops what is remembered of jobs that ended long ago.
 func (p *Pool) forgetEndedJobs(now time.Duration) {
-	if now < p.lastSweep+sweepGap {
+	if now < p.lastSweep+minSweepInterval {
 		return
 	}
 	p.lastSweep = now
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -46,7 +46,7 @@
 	t.leadTask().requiredChange = j.changes
 }
 
-// evidence is what is evidence against the task.
+// evidence is what is known against the task.
 func (t *task) evidence() proof.Case {
 	c := proof.Case{Trials: t.suspectRuns(), Excused: t.unattributed(), Lasts: t.stage.spec.Lasts}
 	if c.Excused > 0 {
@@ -158,7 +158,7 @@
 	p.updateSuspect(t)
 }
 
-// updateSuspect updates whether a task is a updateSuspect.
+// updateSuspect updates whether a task is a suspect.
 func (p *Pool) updateSuspect(t *task) {
 	lead := t.leadTask()
 	is := lead.evidence().Suspect()
@@ -195,10 +195,10 @@
 	return t.leadTask().isSuspect || t.waitsForAttribution(now)
 }
 
-// attributionWait bounds how long a task waits for workers that don't answer, beyond their leases.
+// attributionTimeout bounds how long a task waits for workers that don't answer, beyond their leases.
 // By then a crashed worker is no longer listed, or another incarnation answers. A worker that is
 // cut off may be so for minutes.
-const attributionWait = 3 * time.Second
+const attributionTimeout = 3 * time.Second
 
 // attributionThreshold is the number of lost workers from which a task waits for attribution.
 const attributionThreshold = 2
@@ -213,5 +213,5 @@
 	if known := t.evidence(); lost+known.Trials.Crashes() < attributionThreshold && !known.FewLeft(lost) {
 		return false
 	}
-	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionWait
+	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -80,7 +80,7 @@
 	leavesAt       time.Duration // it stays at least until then while it is draining
 	leaseExpiry    time.Duration // local time until which this owner's grants reach
 	answeredAt     time.Duration
-	polledAt       time.Duration // when it was last polled, beside the heartbeats
+	probedAt       time.Duration // when it was last probed, beside the heartbeats
 	drainSoonUntil time.Duration // until then it is expected to be drained soon
 	drainSoon      bool          // the same for the current round of starts
 
@@ -98,7 +98,7 @@
 	lostRuns             []lostRun     // runs that ended with its lease: it may have crashed or be cut off
 	isolated             map[*task]int // suspects that run here in isolation: number of runs
 	reservations         map[*task]int // suspects with a reservation here: number of tasks
-	setAsideUntil        time.Duration // until then it is kept free for a suspect
+	asideUntil           time.Duration // until then it is kept free for a suspect
 	failures             int           // consecutive failures, of different jobs
 	lastFailedJob        string        // job of the last failure
 }
