--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -78,8 +78,8 @@
 
 // Knows reports whether a job has been adopted, also if it has ended since.
 func (p *Pool) Knows(id string) bool {
-	_, past := p.endedJobs[id]
-	return past || p.jobs[id] != nil
+	_, ended := p.endedJobs[id]
+	return ended || p.jobs[id] != nil
 }
 
 // endedJob is what is remembered of a job that has ended and whose end is in the table.
@@ -123,8 +123,8 @@
 
 // State returns the state of a job in a queue, false if the job isn't known here.
 func (p *Pool) State(queue, id string) (gauge.JobState, bool) {
-	if old, ok := p.endedJobs[id]; ok && old.queue == queue {
-		return old.state, true
+	if ended, ok := p.endedJobs[id]; ok && ended.queue == queue {
+		return ended.state, true
 	}
 	j := p.jobs[id]
 	if j == nil || j.queue != queue {
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -34,25 +34,25 @@
 
 // ticketFor returns the stage's ticket for a worker; false: the stage must not start there. A queue
 // without advice needs none.
-func (t *candidate) ticketFor(w *worker, now time.Duration) (string, bool) {
-	if t.advice == nil {
+func (c *candidate) ticketFor(w *worker, now time.Duration) (string, bool) {
+	if c.advice == nil {
 		return "", true
 	}
-	k, ok := t.stage.advice.tickets[w.info.Life()]
-	return k.text, ok && now < k.expiresAt-ticketMargin
+	found, ok := c.stage.advice.tickets[w.info.Life()]
+	return found.text, ok && now < found.expiresAt-ticketMargin
 }
 
 // askAdvice orders a query about the workers that have room for the stage and for which no answer
 // is known, unless a query is in flight.
-func (p *Pool) askAdvice(t *candidate, room *placementRound, now time.Duration) {
-	a := &t.stage.advice
-	if t.advice == nil || a.queryInFlight {
+func (p *Pool) askAdvice(c *candidate, round *placementRound, now time.Duration) {
+	a := &c.stage.advice
+	if c.advice == nil || a.queryInFlight {
 		return
 	}
 	var about []*worker
-	for _, w := range room.workers {
+	for _, w := range round.workers {
 		asked, known := a.queriedAt[w.info.Life()]
-		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceRetryDelay, t.advice.Valid)) {
+		if w.free().Holds(c.stage.spec.Room()) && (!known || now > asked+max(adviceRetryDelay, c.advice.Valid)) {
 			about = append(about, w)
 		}
 	}
@@ -61,7 +61,7 @@
 	}
 	slices.SortFunc(about, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
 	a.queryInFlight = true
-	order := Order{Kind: OrderAdvise, stage: t.stage, Step: t.stage.tasks[0].id.StepName(), validity: t.advice.Valid}
+	order := Order{Kind: OrderAdvise, stage: c.stage, Step: c.stage.tasks[0].id.StepName(), validity: c.advice.Valid}
 	for _, w := range about[:min(len(about), maxAdviceWorkers)] {
 		order.About = append(order.About, w.info.ID)
 		order.incarnations = append(order.incarnations, w.info.Life())
@@ -70,7 +70,7 @@
 }
 
 // Advised handles the answer to a query. The tickets are valid from the time of the query.
-func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, asked time.Duration) {
+func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, queriedAt time.Duration) {
 	a := &o.stage.advice
 	a.queryInFlight = false
 	if err != nil {
@@ -83,13 +83,13 @@
 	if a.tickets == nil {
 		a.tickets, a.queriedAt = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
 	}
-	lives := make(map[string]gauge.Life, len(o.incarnations))
+	byWorker := make(map[string]gauge.Life, len(o.incarnations))
 	for _, l := range o.incarnations {
-		a.queriedAt[l], lives[l.Worker] = asked, l
+		a.queriedAt[l], byWorker[l.Worker] = queriedAt, l
 		delete(a.tickets, l)
 	}
 	for _, t := range tickets {
-		a.tickets[lives[t.Worker]] = ticket{text: t.Text, expiresAt: asked + valid}
+		a.tickets[byWorker[t.Worker]] = ticket{text: t.Text, expiresAt: queriedAt + valid}
 	}
 	p.conf.Logs.Info("advice", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "good", len(tickets), "valid", valid)
 }
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -45,7 +45,7 @@
 		}
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.retireWorker(r.worker, "another life answers at its address", now)
+		p.retireWorker(r.worker, "another incarnation answers at its address", now)
 	}
 	if err != nil {
 		p.conf.Logs.Info("order failed", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
@@ -88,8 +88,8 @@
 
 // clockRegressed reports whether the clock in an answer to an order can't be this incarnation's: it
 // shows less than when the run was ordered, so that a later incarnation has answered.
-func (w *worker) clockRegressed(clock, sent time.Duration) bool {
-	return w.clock > 0 && clock < w.minClockAt(sent)-clockSlack
+func (w *worker) clockRegressed(clock, orderedAt time.Duration) bool {
+	return w.clock > 0 && clock < w.minClockAt(orderedAt)-clockSlack
 }
 
 // answeredByAnother handles an order that a later incarnation than the known one has carried out.
@@ -103,7 +103,7 @@
 		r.worker.startUnanswered = true
 	}
 	p.probe(r.worker)
-	p.conf.Logs.Info("order answered by a later life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
+	p.conf.Logs.Info("order answered by a later incarnation", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
 		"worker", o.Worker.ID, "born", o.Worker.Born)
 }
 
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -32,7 +32,7 @@
 		if w.failures >= failuresBeforeBackoff && p.mayBackOff(now) && !p.conf.Without.Has(gauge.MechanismRest) {
 			w.backoffUntil = now + failureBackoff
 			w.failures = failuresBeforeBackoff - 1
-			p.conf.Logs.Info("worker rests", "pool", p.conf.Name, "worker", w.info.ID, "reason", "failures in a row")
+			p.conf.Logs.Info("worker rests", "pool", p.conf.Name, "worker", w.info.ID, "reason", "consecutive failures")
 		}
 	}
 }
@@ -40,15 +40,15 @@
 // mayBackOff reports whether one more worker may get no starts: at least three in four stay in use,
 // so that a burst of failures with another cause doesn't stop the pool.
 func (p *Pool) mayBackOff(now time.Duration) bool {
-	resting, all := 0, 0
+	backingOff, all := 0, 0
 	for _, w := range p.workers {
 		if !w.listed || w.dead {
 			continue
 		}
 		all++
 		if now < w.backoffUntil {
-			resting++
+			backingOff++
 		}
 	}
-	return 4*(resting+1) <= all
+	return 4*(backingOff+1) <= all
 }
--- a/internal/sched/barrier.go
+++ b/internal/sched/barrier.go
@@ -14,7 +14,7 @@
 }
 
 // isOpen reports whether some workers still have to report.
-func (h *reportBarrier) isOpen() bool { return h != nil && len(h.missing) > 0 }
+func (b *reportBarrier) isOpen() bool { return b != nil && len(b.missing) > 0 }
 
 // Rehear makes inherited tasks that are adopted from now on wait until every worker has reported
 // anew or can run nothing any more: what workers have reported so far about jobs that are to be
@@ -23,14 +23,14 @@
 	if p.newestBarrier != nil && !p.newestBarrier.reported && len(p.newestBarrier.missing) == p.liveWorkers() {
 		return // no worker has reported since
 	}
-	h := &reportBarrier{missing: make(map[string]bool)}
+	b := &reportBarrier{missing: make(map[string]bool)}
 	for id, w := range p.workers {
 		if !w.dead {
-			h.missing[id] = true
+			b.missing[id] = true
 		}
 	}
-	p.newestBarrier = h
-	p.barriers = append(p.barriers, h)
+	p.newestBarrier = b
+	p.barriers = append(p.barriers, b)
 }
 
 // liveWorkers counts the workers that aren't dead.
@@ -52,13 +52,13 @@
 		p.lostUnreported = p.lostUnreported || w == nil || !w.reported
 	}
 	closed := false
-	for _, h := range p.barriers {
-		h.reported = h.reported || h.missing[id]
-		delete(h.missing, id)
-		closed = closed || !h.isOpen()
+	for _, b := range p.barriers {
+		b.reported = b.reported || b.missing[id]
+		delete(b.missing, id)
+		closed = closed || !b.isOpen()
 	}
 	if closed {
-		p.barriers = slices.DeleteFunc(p.barriers, func(h *reportBarrier) bool { return !h.isOpen() })
+		p.barriers = slices.DeleteFunc(p.barriers, func(b *reportBarrier) bool { return !b.isOpen() })
 	}
 }
 
@@ -72,8 +72,8 @@
 			p.loseUnreported(l, now)
 		}
 	}
-	for _, h := range slices.Clone(p.barriers) {
-		for id := range h.missing {
+	for _, b := range slices.Clone(p.barriers) {
+		for id := range b.missing {
 			if w := p.workers[id]; w == nil || now > w.leaseExpiry {
 				p.markReported(id)
 			}
@@ -87,8 +87,8 @@
 	for id := range p.unreported {
 		ids[id] = true
 	}
-	for _, h := range p.barriers {
-		maps.Copy(ids, h.missing)
+	for _, b := range p.barriers {
+		maps.Copy(ids, b.missing)
 	}
 	return ids
 }
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -26,8 +26,8 @@
 
 // before reports whether the candidate comes before another. It is called some thousand times a
 // plan, so it compares the deciding fields first and stops at the first difference.
-func (t *candidate) before(o *candidate) bool {
-	a, b := &t.rank, &o.rank
+func (c *candidate) before(o *candidate) bool {
+	a, b := &c.rank, &o.rank
 	switch {
 	case a.class != b.class:
 		return a.class < b.class
@@ -38,7 +38,7 @@
 	case a.due != b.due:
 		return a.due < b.due
 	default:
-		return t.job.id < o.job.id
+		return c.job.id < o.job.id
 	}
 }
 
@@ -46,34 +46,34 @@
 // for which there is room are put in order.
 type candidateHeap []candidate
 
-func (t candidateHeap) Len() int           { return len(t) }
-func (t candidateHeap) Less(i, k int) bool { return t[i].before(&t[k]) }
-func (t candidateHeap) Swap(i, k int)      { t[i], t[k] = t[k], t[i] }
+func (h candidateHeap) Len() int           { return len(h) }
+func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
 // Push implements heap.Interface; nothing is added later.
-func (t *candidateHeap) Push(any) {}
+func (h *candidateHeap) Push(any) {}
 
 // Pop implements heap.Interface. What it returns has been read already.
-func (t *candidateHeap) Pop() any {
-	*t = (*t)[:len(*t)-1]
+func (h *candidateHeap) Pop() any {
+	*h = (*h)[:len(*h)-1]
 	return nil
 }
 
 // next removes and returns the first candidate.
-func (t *candidateHeap) next() candidate {
-	first := (*t)[0]
-	heap.Pop(t)
+func (h *candidateHeap) next() candidate {
+	first := (*h)[0]
+	heap.Pop(h)
 	return first
 }
 
 // candidates ranks the waiting stages that the worker with the most room could take.
-func (p *Pool) candidates(most gauge.Resources, now time.Duration) candidateHeap {
-	if len(p.index.waiting) == 0 || !most.Holds(p.index.minNeed) {
+func (p *Pool) candidates(maxFree gauge.Resources, now time.Duration) candidateHeap {
+	if len(p.index.waiting) == 0 || !maxFree.Holds(p.index.minNeed) {
 		return nil
 	}
 	list := p.candidateBuf[:0]
 	p.index.pruneWaiting(func(st *stage, need gauge.Resources) {
-		if most.Holds(need) {
+		if maxFree.Holds(need) {
 			list = append(list, candidate{job: st.job, stage: st, rank: p.rank(st.job, st.occ, st, now), advice: p.advice(st.job)})
 		}
 	})
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -48,34 +48,34 @@
 }
 
 // add counts a lost worker.
-func (x *correlatedLosses) add(mate, busy, innocent bool) {
-	x.lost++
-	x.ruledOut = x.ruledOut || innocent
-	x.idle += boolToInt(!busy)
-	x.rackIdle += boolToInt(mate && !busy)
-	x.rackBusy += boolToInt(mate && busy)
+func (c *correlatedLosses) add(sameRack, busy, ruledOut bool) {
+	c.lost++
+	c.ruledOut = c.ruledOut || ruledOut
+	c.idle += boolToInt(!busy)
+	c.rackIdle += boolToInt(sameRack && !busy)
+	c.rackBusy += boolToInt(sameRack && busy)
 }
 
 func (p *Pool) correlatedLosses(l *loss, now time.Duration) correlatedLosses {
-	x := correlatedLosses{}
+	c := correlatedLosses{}
 	for _, w := range p.workers {
 		if !w.reported || w.dead || w.info.ID == l.life.Worker || w.knownSince >= l.noticedAt || w.silent && w.isLeaving(w.silentSince) {
 			continue
 		}
-		mate := l.rack != "" && w.info.Rack() == l.rack
+		sameRack := l.rack != "" && w.info.Rack() == l.rack
 		if p.lostWith(w, l, now) && !w.sharesTask(l) {
-			x.add(mate, len(w.runs)+len(w.lostRuns) > 0, w.tasksRuledOut())
+			c.add(sameRack, len(w.runs)+len(w.lostRuns) > 0, w.tasksRuledOut())
 			continue
 		}
-		x.alive += boolToInt(w.listed)
-		x.rackAlive += boolToInt(mate && w.listed)
+		c.alive += boolToInt(w.listed)
+		c.rackAlive += boolToInt(sameRack && w.listed)
 	}
 	for _, o := range p.losses {
 		if o.isCorrelatedWith(l) {
-			x.add(l.rack != "" && o.rack == l.rack, len(o.runs) > 0, o.tasksRuledOut)
+			c.add(l.rack != "" && o.rack == l.rack, len(o.runs) > 0, o.tasksRuledOut)
 		}
 	}
-	return x
+	return c
 }
 
 // areCorrelated reports whether a worker was lost together with others that no task can have
@@ -83,8 +83,8 @@
 // nothing unless the whole rack is gone, because machines move to other pools all the time and
 // their workers stay listed for seconds afterwards. Workers on which a task began recently say
 // nothing, either: several tasks that crash their workers may come at once.
-func (x correlatedLosses) areCorrelated() bool {
-	return x.ruledOut || x.idle > 1 || x.rackIdle > 0 && x.rackAlive == 0 || x.isMassLoss()
+func (c correlatedLosses) areCorrelated() bool {
+	return c.ruledOut || c.idle > 1 || c.rackIdle > 0 && c.rackAlive == 0 || c.isMassLoss()
 }
 
 // massLosses other workers lost at one moment, or one fewer on the same rack, are more than tasks
@@ -94,15 +94,15 @@
 // isMassLoss reports whether all of a rack, or nearly all workers, were lost at one moment: then
 // the cause was the rack or the power. Several tasks may crash their workers at once, but are then
 // started one by one in isolation.
-func (x correlatedLosses) isMassLoss() bool {
-	rack := x.rackIdle + x.rackBusy
-	return rack >= massLosses-1 && x.rackAlive == 0 || x.lost >= massLosses && fewDivisor*x.alive <= x.lost
+func (c correlatedLosses) isMassLoss() bool {
+	rack := c.rackIdle + c.rackBusy
+	return rack >= massLosses-1 && c.rackAlive == 0 || c.lost >= massLosses && fewDivisor*c.alive <= c.lost
 }
 
 // isAmbiguous reports whether other workers were lost that may have the same cause: those with
 // tasks on the rack, or most of the workers, as in a power failure. Then a crash proves nothing,
 // but it counts, since several tasks that crash their workers may come at once.
-func (x correlatedLosses) isAmbiguous() bool { return x.rackBusy > 0 || x.lost > x.alive }
+func (c correlatedLosses) isAmbiguous() bool { return c.rackBusy > 0 || c.lost > c.alive }
 
 func boolToInt(holds bool) int {
 	if holds {
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -34,16 +34,16 @@
 			w.addJob(p, j, now)
 		}
 	}
-	for id, k := range p.workers {
-		w.Urgent = w.Urgent || k.lastEnd > k.lastStoredEnd && !k.dead || k.waitsForLeaseRow()
-		if k.listed && !k.dead {
+	for id, worker := range p.workers {
+		w.Urgent = w.Urgent || worker.lastEnd > worker.lastStoredEnd && !worker.dead || worker.waitsForLeaseRow()
+		if worker.listed && !worker.dead {
 			lasting := 0
-			for r := range k.runs {
+			for r := range worker.runs {
 				if r.task.stage.spec.Lasts {
 					lasting++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(k.runs), Lasting: lasting, Takes: k.takesStarts(now), Busy: k.busyFor(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), Lasting: lasting, Takes: worker.takesStarts(now), Busy: worker.busyFor(now)})
 		}
 	}
 	slices.Sort(w.Changed)
@@ -57,10 +57,10 @@
 			w.Stale = append(w.Stale, fmt.Sprintf("%s.%d", j.id, o.number))
 		}
 		for i, st := range o.steps {
-			idle, left := 0, 0
+			idle, remaining := 0, 0
 			for _, t := range st.tasks {
 				if !t.done {
-					left++
+					remaining++
 				}
 				if !t.done && len(t.runs) == 0 {
 					idle++
@@ -69,18 +69,18 @@
 			if idle > 0 && o.isReady(st) {
 				w.Waiting = append(w.Waiting, fmt.Sprintf("%s.%d.%d", j.id, o.number, i))
 			}
-			if left > 0 {
-				into := &w.Load.Timely
+			if remaining > 0 {
+				demand := &w.Load.Timely
 				if p.rank(j, o, st, now).lateness > 0 {
-					into = &w.Load.Late
+					demand = &w.Load.Late
 				}
-				w.addStage(into, st, o.isReady(st), idle, now)
+				w.addStage(demand, st, o.isReady(st), idle, now)
 			}
 		}
 	}
 }
 
-func (w *Walked) addStage(into *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
+func (w *Walked) addStage(demand *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
 	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
 	if st.spec.Lasts {
 		w.Load.Lasting += cores * float64(len(st.tasks))
@@ -94,9 +94,9 @@
 		switch {
 		case t.done:
 		case len(t.runs) > 0:
-			into.Busy += cores
+			demand.Busy += cores
 		case ready:
-			into.Waiting += cores
+			demand.Waiting += cores
 			w.Load.Oldest = max(w.Load.Oldest, now-t.readyAt)
 		}
 	}
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -45,23 +45,23 @@
 	if w == nil || info.Life().Before(w.info.Life()) || w.listedHere && info.Life() == w.info.Life() {
 		return
 	}
-	p.retireWorker(w, "it has started again in another pool", p.lastTick)
+	p.retireWorker(w, "restarted in another pool", p.lastTick)
 }
 
 // answering returns the worker whose incarnation has answered a call; nil if it is dead or no
 // longer the newest.
-func (p *Pool) answering(asked gauge.Life, born int64, now time.Duration) *worker {
-	w := p.workers[asked.Worker]
+func (p *Pool) answering(incarnation gauge.Life, born int64, now time.Duration) *worker {
+	w := p.workers[incarnation.Worker]
 	if w == nil {
 		return nil
 	}
-	of := gauge.Life{Worker: asked.Worker, Born: born}
+	answered := gauge.Life{Worker: incarnation.Worker, Born: born}
 	switch known := w.info.Life(); {
-	case known.Before(of):
+	case known.Before(answered):
 		// What it is and has is known only from its own entry in the list.
 		return p.succeed(w, gauge.Worker{ID: w.info.ID, Born: born, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
-	case of.Before(known):
-		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", asked.Worker, "born", born, "newest", known.Born)
+	case answered.Before(known):
+		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", born, "newest", known.Born)
 		return nil
 	case w.dead:
 		return nil
@@ -77,9 +77,9 @@
 	}
 	w.info.Draining = false // handled with its entry in the platform's list
 	p.raiseFence(w)
-	before, awaited := p.unreported[info.ID]
-	if w.restarted = awaited && before != info.Life(); w.restarted {
-		p.replacedUnreported = append(p.replacedUnreported, before)
+	previous, awaited := p.unreported[info.ID]
+	if w.restarted = awaited && previous != info.Life(); w.restarted {
+		p.replacedUnreported = append(p.replacedUnreported, previous)
 		p.lostUnreported = true
 	}
 	p.workers[info.ID] = w
@@ -103,24 +103,24 @@
 	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", old.info.Born,
 		"runs", len(old.runs), "kept", old.lastStoredEnd, "ends", old.lastEnd)
 	p.passOn(old, w)
-	p.markDead(old, "it has started again", now)
+	p.markDead(old, "restarted", now)
 	return w
 }
 
 // passOn lets the next incarnation settle orders to the previous one whose runs it never listed.
 // Such an order may reach the next incarnation, and its deadline means nothing on another clock.
-func (p *Pool) passOn(old, next *worker) {
-	if old.dead {
+func (p *Pool) passOn(previous, next *worker) {
+	if previous.dead {
 		return
 	}
-	for r := range old.runs {
+	for r := range previous.runs {
 		if r.lastReport > 0 {
 			continue
 		}
 		p.removeInFlight(r)
 		p.endIsolation(r)
-		old.removeRun(r)
-		old.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0, passedOn: r})
+		previous.removeRun(r)
+		previous.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0, passedOn: r})
 		r.lost = true
 		r.worker, r.phase, r.unanswered, r.startDeadline, r.confirmedAt = next, phaseUnsure, true, math.MaxInt64, 0
 		next.addRun(r)
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -103,7 +103,7 @@
 
 // pruneWaiting drops the stages that no longer wait, passes the others to visit, and updates
 // minNeed.
-func (c *poolIndex) pruneWaiting(show func(st *stage, need gauge.Resources)) {
+func (c *poolIndex) pruneWaiting(visit func(st *stage, need gauge.Resources)) {
 	keep := c.waiting[:0]
 	for _, st := range c.waiting {
 		if st.idle == 0 || !st.job.isOpen() {
@@ -116,7 +116,7 @@
 		}
 		c.minNeed = minResources(c.minNeed, need)
 		keep = append(keep, st)
-		show(st, need)
+		visit(st, need)
 	}
 	clear(c.waiting[len(keep):])
 	c.waiting = keep
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -128,52 +128,52 @@
 // known, since the successor allows for one more.
 func (p *Pool) reserve(t *task, now time.Duration) {
 	p.allowForUnrecorded(t)
-	of := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
-	at := &reservation{number: t.nextRun(), expiresAt: now + reservationSpan}
+	c := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
+	res := &reservation{number: t.nextRun(), expiresAt: now + reservationSpan}
 	if t.isolatedOnly() || p.maySetAside(now) {
-		at.workers, at.soleJob = p.pickIsolated(t, &of, now), true
+		res.workers, res.soleJob = p.pickIsolated(t, &c, now), true
 	}
-	if at.workers == nil && now-t.readyAt < t.maxIsolationWait() {
+	if res.workers == nil && now-t.readyAt < t.maxIsolationWait() {
 		p.setAside(t, now)
 		return
 	}
-	if at.workers == nil {
-		at.workers, at.soleJob = p.pickShared(t, &of, now), false
+	if res.workers == nil {
+		res.workers, res.soleJob = p.pickShared(t, &c, now), false
 	}
-	if at.workers == nil {
-		p.askAdvice(&of, p.isolationRound(now), now)
+	if res.workers == nil {
+		p.askAdvice(&c, p.isolationRound(now), now)
 		return
 	}
 	// A worker that others use is closed to them only for a task that is likely the cause.
-	at.closed = at.soleJob || t.isolatedOnly()
-	t.reservation = at
-	told := make(map[*worker]bool)
-	for _, w := range at.workers {
-		if at.closed {
+	res.closed = res.soleJob || t.isolatedOnly()
+	t.reservation = res
+	recorded := make(map[*worker]bool)
+	for _, w := range res.workers {
+		if res.closed {
 			w.addReservation(t)
 		}
-		if !told[w] {
-			told[w] = true
-			p.recordSuspectRun(t, gauge.Trial{Run: at.number, Worker: w.info.ID, Born: w.info.Born, Alone: at.soleJob, Apart: at.soleJob})
+		if !recorded[w] {
+			recorded[w] = true
+			p.recordSuspectRun(t, gauge.Trial{Run: res.number, Worker: w.info.ID, Born: w.info.Born, Alone: res.soleJob, Apart: res.soleJob})
 		}
 	}
 }
 
 // pickIsolated picks workers without other jobs' tasks, preferably on racks without other isolated
 // runs, and only there once few starts are left.
-func (p *Pool) pickIsolated(t *task, of *candidate, now time.Duration) []*worker {
-	workers := p.pickWorkers(t, of, now, func(w *worker) bool { return w.hasOnlyJob(t.job) && !p.rackIsolatesOther(w, t.job) })
+func (p *Pool) pickIsolated(t *task, c *candidate, now time.Duration) []*worker {
+	workers := p.pickWorkers(t, c, now, func(w *worker) bool { return w.hasOnlyJob(t.job) && !p.rackIsolatesOther(w, t.job) })
 	if workers == nil && !t.fewLeft() {
-		workers = p.pickWorkers(t, of, now, func(w *worker) bool { return w.hasOnlyJob(t.job) })
+		workers = p.pickWorkers(t, c, now, func(w *worker) bool { return w.hasOnlyJob(t.job) })
 	}
 	return workers
 }
 
 // pickShared picks workers that other jobs use, preferably without long-running tasks.
-func (p *Pool) pickShared(t *task, of *candidate, now time.Duration) []*worker {
-	workers := p.pickWorkers(t, of, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) && w.longRunning == 0 })
+func (p *Pool) pickShared(t *task, c *candidate, now time.Duration) []*worker {
+	workers := p.pickWorkers(t, c, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) && w.longRunning == 0 })
 	if workers == nil {
-		workers = p.pickWorkers(t, of, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) })
+		workers = p.pickWorkers(t, c, now, func(w *worker) bool { return w.isolatesOnlyJob(t.job) })
 	}
 	return workers
 }
@@ -188,21 +188,21 @@
 }
 
 // pickWorkers picks workers for a suspect among the suitable ones; nil if there are too few.
-func (p *Pool) pickWorkers(t *task, of *candidate, now time.Duration, suits func(w *worker) bool) []*worker {
-	room := p.isolationRound(now)
-	allowed := p.withinWorkerWindow(of.allowedWorkers(now))
-	on := t.stage.countByWorker()
+func (p *Pool) pickWorkers(t *task, c *candidate, now time.Duration, suitable func(w *worker) bool) []*worker {
+	round := p.isolationRound(now)
+	allowed := p.withinWorkerWindow(c.allowedWorkers(now))
+	perWorker := t.stage.countByWorker()
 	taken := make(map[*worker]gauge.Resources)
-	for _, w := range room.workers {
+	for _, w := range round.workers {
 		taken[w] = w.reservedRoom()
 	}
 	var picked []*worker
 	for range t.members() {
-		w := room.place(t.stage, on, taken, func(w *worker) bool { return suits(w) && allowed(w) })
+		w := round.place(t.stage, perWorker, taken, func(w *worker) bool { return suitable(w) && allowed(w) })
 		if w == nil {
 			return nil
 		}
-		on.add(w)
+		perWorker.add(w)
 		taken[w] = taken[w].Plus(t.stage.spec.Room())
 		picked = append(picked, w)
 	}
@@ -211,16 +211,16 @@
 
 // startReserved starts a suspect on its reserved workers, once the table has the record of it.
 func (p *Pool) startReserved(t *task, now time.Duration) {
-	at := t.reservation
-	of := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
-	allowed := p.withinWorkerWindow(of.allowedWorkers(now))
-	for _, w := range at.workers {
-		if !w.takesStarts(now) || !allowed(w) || at.soleJob && !w.hasOnlyJob(t.job) {
+	res := t.reservation
+	c := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
+	allowed := p.withinWorkerWindow(c.allowedWorkers(now))
+	for _, w := range res.workers {
+		if !w.takesStarts(now) || !allowed(w) || res.soleJob && !w.hasOnlyJob(t.job) {
 			p.cancelReservation(t)
 			return
 		}
 	}
-	if now >= at.expiresAt || at.number != t.nextRun() || !t.reservationFits() {
+	if now >= res.expiresAt || res.number != t.nextRun() || !t.reservationFits() {
 		p.cancelReservation(t)
 		return
 	}
@@ -229,9 +229,9 @@
 	}
 	p.releaseReservation(t)
 	for i, m := range t.members() {
-		if r := p.orderStart(&of, m, at.workers[i], at.number, now); r != nil {
+		if r := p.orderStart(&c, m, res.workers[i], res.number, now); r != nil {
 			r.onProbation = true
-			if at.closed {
+			if res.closed {
 				r.closeWorker(t)
 			}
 		}
@@ -242,10 +242,10 @@
 // free capacity may have shrunk, and other tasks of the step may have started there.
 func (t *task) reservationFits() bool {
 	st := t.stage
-	on := st.countByWorker() // counts the reservation itself
+	perWorker := st.countByWorker() // counts the reservation itself
 	taken := make(map[*worker]gauge.Resources)
 	for _, w := range t.reservation.workers {
-		if !st.fits(w, st.spec.Room(), taken[w], on[w]-1) {
+		if !st.fits(w, st.spec.Room(), taken[w], perWorker[w]-1) {
 			return false
 		}
 		taken[w] = taken[w].Plus(st.spec.Room())
@@ -262,13 +262,13 @@
 
 // isolationRound returns the workers on which a suspect may start.
 func (p *Pool) isolationRound(now time.Duration) *placementRound {
-	r := &placementRound{disabled: p.conf.Without}
+	round := &placementRound{disabled: p.conf.Without}
 	for _, w := range p.workersByID() {
 		if w.takesStarts(now) {
-			r.workers = append(r.workers, w)
+			round.workers = append(round.workers, w)
 		}
 	}
-	return r
+	return round
 }
 
 // releaseReservation removes a suspect's reservation.
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -19,12 +19,12 @@
 			if o.remaining == 0 {
 				continue
 			}
-			into := &l.Timely
+			demand := &l.Timely
 			if p.rank(j, o, o.steps[0], now).lateness > 0 { // the same for all steps
-				into = &l.Late
+				demand = &l.Late
 			}
 			for _, st := range o.steps {
-				st.addLoad(&l, into, o.isReady(st), now)
+				st.addLoad(&l, demand, o.isReady(st), now)
 			}
 		}
 	}
@@ -38,7 +38,7 @@
 }
 
 // addLoad adds the demand of a stage.
-func (st *stage) addLoad(l *gauge.PoolLoad, into *gauge.Demand, ready bool, now time.Duration) {
+func (st *stage) addLoad(l *gauge.PoolLoad, demand *gauge.Demand, ready bool, now time.Duration) {
 	if st.remaining == 0 {
 		return
 	}
@@ -51,11 +51,11 @@
 		}
 		return
 	}
-	into.Busy += cores * float64(st.remaining-st.idle)
+	demand.Busy += cores * float64(st.remaining-st.idle)
 	if !ready {
 		return
 	}
-	into.Waiting += cores * float64(st.idle)
+	demand.Waiting += cores * float64(st.idle)
 	if now-st.earliestReady <= l.Oldest {
 		return // none of its tasks has waited longer
 	}
@@ -84,14 +84,14 @@
 
 // busyFor is how much longer the runs on the worker go on by estimates, without long-running ones.
 func (w *worker) busyFor(now time.Duration) time.Duration {
-	var most time.Duration
+	var longest time.Duration
 	for r := range w.runs {
 		if r.task.stage.spec.Lasts {
 			continue
 		}
 		passed := now - r.orderedAt
 		left := max(r.task.stage.spec.Estimate-passed, time.Duration(float64(passed)*overrunShare))
-		most = max(most, left)
+		longest = max(longest, left)
 	}
-	return most
+	return longest
 }
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -50,10 +50,10 @@
 // lose ends a run together with its worker. The log line says how long the run lived at least and
 // how many others were lost with it: a task that crashes its workers shows as runs that are lost
 // soon after their starts, on one worker after the other.
-func (p *Pool) lose(r *run, why string, with int, now time.Duration) {
+func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
 	p.conf.Count(EventLost)
 	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
-		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", with, "reason", why)
+		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", others, "reason", reason)
 	r.worker.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0})
 	r.lost = true
 	p.endRun(r, now)
@@ -80,7 +80,7 @@
 	p.conf.Count(EventLapsed)
 	p.conf.Logs.Info("worker lapsed", "pool", p.conf.Name, "worker", w.info.ID, "runs", len(lost), "unsure", len(w.runs)-len(lost), "listed", w.listed)
 	for _, r := range lost {
-		p.lose(r, "its worker's lease has run out", len(lost)-1, now)
+		p.lose(r, "its worker's lease expired", len(lost)-1, now)
 	}
 }
 
@@ -139,20 +139,20 @@
 
 // runsSingleJob reports whether only tasks of one job run on a worker.
 func (w *worker) runsSingleJob() bool {
-	var one *job
+	var only *job
 	for r := range w.runs {
-		if one != nil && r.task.job != one {
+		if only != nil && r.task.job != only {
 			return false
 		}
-		one = r.task.job
+		only = r.task.job
 	}
 	for _, l := range w.lostRuns {
-		if one != nil && l.task.job != one {
+		if only != nil && l.task.job != only {
 			return false
 		}
-		one = l.task.job
+		only = l.task.job
 	}
-	return one != nil && w.orphanCount == 0
+	return only != nil && w.orphanCount == 0
 }
 
 // tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
@@ -209,21 +209,21 @@
 }
 
 func (p *Pool) attributeLoss(l *loss, now time.Duration) {
-	toll := p.correlatedLosses(l, now)
-	together := toll.areCorrelated()
+	others := p.correlatedLosses(l, now)
+	correlated := others.areCorrelated()
 	if len(l.runs) > 0 {
 		p.conf.Count(EventCrashed)
 		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.life.Worker, "born", l.life.Born, "runs", len(l.runs), "alone", l.singleJob,
-			"together", together, "planned", l.planned, "age", now-l.noticedAt)
+			"together", correlated, "planned", l.planned, "age", now-l.noticedAt)
 	}
-	beside := l.tasksWithLikelierCause()
+	likelierCause := l.tasksWithLikelierCause()
 	for _, r := range l.runs {
 		r.task.unattributedLosses--
 		if r.isNotLost() {
 			p.dropUnconfirmed(r.task, r.number)
 			continue
 		}
-		if together || l.planned {
+		if correlated || l.planned {
 			p.excuse(r.task, r.number, r.lived)
 			continue
 		}
@@ -231,8 +231,8 @@
 			continue
 		}
 		p.recordSuspectRun(r.task, gauge.Trial{
-			Run: r.number, Worker: l.life.Worker, Born: l.life.Born, Crashed: true, Alone: !toll.isAmbiguous() && l.provesCrash(r),
-			Apart: !toll.isAmbiguous() && r.task.suspectRuns().Tried(r.number), Beside: beside[r.task], Lived: r.lived,
+			Run: r.number, Worker: l.life.Worker, Born: l.life.Born, Crashed: true, Alone: !others.isAmbiguous() && l.provesCrash(r),
+			Apart: !others.isAmbiguous() && r.task.suspectRuns().Tried(r.number), Beside: likelierCause[r.task], Lived: r.lived,
 		})
 		p.failIfCause(r.task)
 	}
@@ -245,13 +245,13 @@
 }
 
 // lossOf is the loss of a worker that never reported to this owner.
-func (p *Pool) lossOf(of gauge.Life, now time.Duration) *loss {
+func (p *Pool) lossOf(incarnation gauge.Life, now time.Duration) *loss {
 	for _, l := range p.losses {
-		if l.life == of {
+		if l.life == incarnation {
 			return l
 		}
 	}
-	return &loss{life: of, earliest: now, noticedAt: now, unreported: true}
+	return &loss{life: incarnation, earliest: now, noticedAt: now, unreported: true}
 }
 
 // loseUnreported records that a worker of a previous owner, which has never reported to this one,
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -72,13 +72,13 @@
 	if len(w.orphans) == 0 {
 		return
 	}
-	there := make(map[orphanKey]bool, len(running))
+	listed := make(map[orphanKey]bool, len(running))
 	for _, rr := range running {
-		there[orphanKey{rr.Task, rr.Run}] = true
+		listed[orphanKey{rr.Task, rr.Run}] = true
 	}
 	for k, o := range w.orphans {
 		// A run whose job has been read since is known as the job's.
-		if !there[k] || w.knowsRun(p, k) {
+		if !listed[k] || w.knowsRun(p, k) {
 			p.forgetOrphan(o)
 		}
 	}
@@ -129,7 +129,7 @@
 		return
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.retireWorker(o.worker, "another life answers at its address", now)
+		p.retireWorker(o.worker, "another incarnation answers at its address", now)
 	}
 	p.conf.Logs.Info("order failed", "order", OrderStop, "job", o.key.task.Job, "task", o.key.task.String(), "run", o.key.run,
 		"worker", o.worker.info.ID, "kind", gauge.KindOf(err), "error", err.Error())
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -54,15 +54,15 @@
 // place picks the worker for one task of a stage; nil if none has room. On counts the stage's runs
 // by worker, taken is what this round has reserved already, and allowed reports on which workers
 // the stage may run.
-func (r *placementRound) place(st *stage, on workerCounts, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
+func (r *placementRound) place(st *stage, perWorker workerCounts, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
 	var best *worker
 	var bestScore float64
 	need := st.spec.Room()
 	for _, w := range r.workers {
-		if !st.fits(w, need, taken[w], on[w]) || !allowed(w) || r.longRunningOnly[w] && !st.spec.Lasts {
+		if !st.fits(w, need, taken[w], perWorker[w]) || !allowed(w) || r.longRunningOnly[w] && !st.spec.Lasts {
 			continue
 		}
-		if s := w.score(st, on[w], r.disabled); best == nil || s > bestScore {
+		if s := w.score(st, perWorker[w], r.disabled); best == nil || s > bestScore {
 			best, bestScore = w, s
 		}
 	}
@@ -71,17 +71,17 @@
 
 // fits reports whether a worker has what a task of a stage needs, in addition to what is taken
 // there: room, the label, and no more tasks of the stage than the bound per worker allows.
-func (st *stage) fits(w *worker, need, taken gauge.Resources, on int) bool {
+func (st *stage) fits(w *worker, need, taken gauge.Resources, onWorker int) bool {
 	// The cheap checks that exclude most workers come first.
 	return w.free().Holds(need) && w.info.HasLabel(st.spec.Label) && w.free().Minus(taken).Holds(need) &&
-		(st.spec.PerWorker == 0 || on < st.spec.PerWorker)
+		(st.spec.PerWorker == 0 || onWorker < st.spec.PerWorker)
 }
 
 // allowedWorkers returns a filter of the workers on which the stage may run according to its
 // queue's advice.
-func (t *candidate) allowedWorkers(now time.Duration) func(*worker) bool {
+func (c *candidate) allowedWorkers(now time.Duration) func(*worker) bool {
 	return func(w *worker) bool {
-		_, ok := t.ticketFor(w, now)
+		_, ok := c.ticketFor(w, now)
 		return ok
 	}
 }
@@ -103,18 +103,18 @@
 	if st.spec.PerWorker == 0 && !st.spec.Lasts {
 		return nil
 	}
-	on := make(workerCounts)
+	counts := make(workerCounts)
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
-			on.add(r.worker)
+			counts.add(r.worker)
 		}
 		if t.reservation != nil {
 			for _, w := range t.reservation.workers {
-				on.add(w)
+				counts.add(w)
 			}
 		}
 	}
-	return on
+	return counts
 }
 
 const (
@@ -136,7 +136,7 @@
 
 // score rates how well a worker suits; larger is better. The fullest worker with room is the best,
 // so that others stay empty and can move to another pool.
-func (w *worker) score(st *stage, on int, without gauge.Without) float64 {
+func (w *worker) score(st *stage, onWorker int, without gauge.Without) float64 {
 	score := 0.0
 	if w.info.Capacity.MilliCPU > 0 && !without.Has(gauge.MechanismPack) {
 		score = -float64(w.free().MilliCPU) / float64(w.info.Capacity.MilliCPU)
@@ -146,7 +146,7 @@
 	}
 	if st.spec.Lasts {
 		if !without.Has(gauge.MechanismScatter) {
-			score -= scoreSpread * float64(on)
+			score -= scoreSpread * float64(onWorker)
 		}
 		score -= scoreInterference * float64(w.interfering(st.spec.Fills))
 		if w.drainSoon && !without.Has(gauge.MechanismSoon) {
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -49,7 +49,7 @@
 // more of a step are moved at once than may be unavailable, and only where there is room: a task
 // that is stopped without a new place is unavailable until one is found.
 func (p *Pool) evacuate(now time.Duration) {
-	var room *placementRound
+	var round *placementRound
 	for _, w := range p.workersByID() {
 		if now >= w.drainUntil && !w.info.Draining || w.silent || w.dead || !w.reported {
 			continue
@@ -58,10 +58,10 @@
 			if r.toStop || r.phase != phaseLive {
 				continue
 			}
-			if room == nil {
-				room = p.newRound(now)
+			if round == nil {
+				round = p.newRound(now)
 			}
-			if p.mayEvacuate(w, r, room, now) {
+			if p.mayEvacuate(w, r, round, now) {
 				p.requestStop(r)
 				r.nextStopAt = now + stopRetryDelay
 				p.orderStop(r)
@@ -76,7 +76,7 @@
 // stop costs the work since the checkpoint, the restore, and a second wait for room, and frees the
 // machine a second or two sooner at best. On a day with steady demand every tenth run was stopped,
 // and of the largest jobs, whose slack is three seconds, two in five were late.
-func (p *Pool) mayEvacuate(w *worker, r *run, room *placementRound, now time.Duration) bool {
+func (p *Pool) mayEvacuate(w *worker, r *run, round *placementRound, now time.Duration) bool {
 	st := r.task.stage.spec
 	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
 		return false // the start would prove nothing
@@ -84,20 +84,20 @@
 	if !st.Lasts {
 		return w.forceDrain || st.Checkpoints && (p.conf.Without.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
 	}
-	to := room.place(r.task.stage, r.task.stage.countByWorker(), room.promised, anyWorker)
-	if to == nil {
-		p.keepRoom(r, room, now)
+	target := round.place(r.task.stage, r.task.stage.countByWorker(), round.promised, anyWorker)
+	if target == nil {
+		p.keepRoom(r, round, now)
 		return false
 	}
 	if !w.info.Draining && st.MaxAway > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxAway {
 		p.probeStarting(r.task.stage, now)
 		return false
 	}
-	if room.promised == nil {
-		room.promised = make(map[*worker]gauge.Resources)
+	if round.promised == nil {
+		round.promised = make(map[*worker]gauge.Resources)
 	}
-	room.promised[to] = room.promised[to].Plus(r.resources)
-	to.longRunningOnlyUntil = max(to.longRunningOnlyUntil, now+keepTargetSpan)
+	round.promised[target] = round.promised[target].Plus(r.resources)
+	target.longRunningOnlyUntil = max(target.longRunningOnlyUntil, now+keepTargetSpan)
 	return true
 }
 
@@ -105,16 +105,16 @@
 // leave its own worker. In a pool at its peak, any free room is taken at once, so that a machine
 // with a long-running task wasn't empty in time for its maintenance: waves missed their end by the
 // length of a peak.
-func (p *Pool) keepRoom(r *run, room *placementRound, now time.Duration) {
+func (p *Pool) keepRoom(r *run, round *placementRound, now time.Duration) {
 	st, need := r.task.stage, r.resources
-	on := st.countByWorker()
+	perWorker := st.countByWorker()
 	var best *worker
-	for _, w := range room.workers {
+	for _, w := range round.workers {
 		switch {
 		case now < w.longRunningOnlyUntil:
 			return // one at a time
 		case !w.info.Capacity.Minus(w.longRunningRoom()).Holds(need) || !w.info.HasLabel(st.spec.Label):
-		case st.spec.PerWorker > 0 && on[w] >= st.spec.PerWorker:
+		case st.spec.PerWorker > 0 && perWorker[w] >= st.spec.PerWorker:
 		case best == nil || w.free().MilliCPU > best.free().MilliCPU:
 			best = w
 		}
@@ -204,77 +204,77 @@
 	}
 	p.inheritedWait = p.mayHaveUnreportedRuns(now)
 	p.startSuspects(now)
-	room := p.newRound(now)
-	if len(room.workers) == 0 {
+	round := p.newRound(now)
+	if len(round.workers) == 0 {
 		return
 	}
-	turns := p.candidates(room.maxFree, now)
+	candidates := p.candidates(round.maxFree, now)
 	// Free room only shrinks within a plan: once the smallest task doesn't fit, none does.
-	for len(turns) > 0 && room.maxFree.Holds(p.index.minNeed) && !p.isWindowFull() {
-		t := turns.next()
-		if !room.maxFree.Holds(t.stage.spec.Room()) {
+	for len(candidates) > 0 && round.maxFree.Holds(p.index.minNeed) && !p.isWindowFull() {
+		c := candidates.next()
+		if !round.maxFree.Holds(c.stage.spec.Room()) {
 			continue
 		}
-		if t.stage.spec.Gang {
-			p.startGang(t, room, now)
+		if c.stage.spec.Gang {
+			p.startGang(c, round, now)
 			continue
 		}
-		p.startEach(t, room, now)
+		p.startEach(c, round, now)
 	}
 	clear(p.candidateBuf) // otherwise it would keep ended jobs in memory
 }
 
 // startEach starts as many tasks of a stage as there is room for.
-func (p *Pool) startEach(t candidate, room *placementRound, now time.Duration) {
-	on := t.stage.countByWorker()
-	began := false
-	for _, k := range t.stage.tasks {
-		if k.done || len(k.runs) > 0 || k.needsIsolation(now) || p.mayHaveUnreportedRun(k) {
+func (p *Pool) startEach(c candidate, round *placementRound, now time.Duration) {
+	perWorker := c.stage.countByWorker()
+	started := false
+	for _, t := range c.stage.tasks {
+		if t.done || len(t.runs) > 0 || t.needsIsolation(now) || p.mayHaveUnreportedRun(t) {
 			continue
 		}
 		if p.isWindowFull() {
 			break
 		}
-		w := room.place(t.stage, on, nil, p.withinWorkerWindow(t.allowedWorkers(now)))
+		w := round.place(c.stage, perWorker, nil, p.withinWorkerWindow(c.allowedWorkers(now)))
 		if w == nil {
-			p.askAdvice(&t, room, now)
+			p.askAdvice(&c, round, now)
 			break // none of the others fits either
 		}
-		p.orderStart(&t, k, w, k.lastRun+1, now)
-		on.add(w)
-		began = true
+		p.orderStart(&c, t, w, t.lastRun+1, now)
+		perWorker.add(w)
+		started = true
 	}
-	if began {
-		room.updateMaxFree()
+	if started {
+		round.updateMaxFree()
 	}
 }
 
 // startGang starts all tasks of a stage or none.
-func (p *Pool) startGang(t candidate, room *placementRound, now time.Duration) {
+func (p *Pool) startGang(c candidate, round *placementRound, now time.Duration) {
 	number := 0
-	for _, k := range t.stage.tasks {
-		if len(k.runs) > 0 || k.needsIsolation(now) || p.mayHaveUnreportedRun(k) {
+	for _, t := range c.stage.tasks {
+		if len(t.runs) > 0 || t.needsIsolation(now) || p.mayHaveUnreportedRun(t) {
 			return
 		}
-		number = max(number, k.lastRun)
+		number = max(number, t.lastRun)
 	}
 	taken := make(map[*worker]gauge.Resources)
-	on := t.stage.countByWorker()
+	perWorker := c.stage.countByWorker()
 	var places []*worker
-	for range t.stage.tasks {
-		w := room.place(t.stage, on, taken, t.allowedWorkers(now))
+	for range c.stage.tasks {
+		w := round.place(c.stage, perWorker, taken, c.allowedWorkers(now))
 		if w == nil {
-			p.askAdvice(&t, room, now)
+			p.askAdvice(&c, round, now)
 			return
 		}
-		on.add(w)
-		taken[w] = taken[w].Plus(t.stage.spec.Room())
+		perWorker.add(w)
+		taken[w] = taken[w].Plus(c.stage.spec.Room())
 		places = append(places, w)
 	}
-	for i, k := range t.stage.tasks {
-		p.orderStart(&t, k, places[i], number+1, now)
+	for i, t := range c.stage.tasks {
+		p.orderStart(&c, t, places[i], number+1, now)
 	}
-	room.updateMaxFree()
+	round.updateMaxFree()
 }
 
 // servingProgress is the progress of a long-running task that serves its users.
@@ -284,12 +284,12 @@
 const fullSpeed = 100
 
 // orderStart orders a run; nil if the worker can't be given a deadline.
-func (p *Pool) orderStart(of *candidate, t *task, w *worker, number int, now time.Duration) *run {
+func (p *Pool) orderStart(c *candidate, t *task, w *worker, number int, now time.Duration) *run {
 	until := w.grant(now, min(p.conf.Start, p.limit-now))
 	if until == 0 {
 		return nil
 	}
-	text, _ := of.ticketFor(w, now)
+	ticketText, _ := c.ticketFor(w, now)
 	t.lastRun = number
 	r := &run{
 		task: t, worker: w, number: number, phase: phaseSent, resources: t.stage.spec.Room(),
@@ -313,7 +313,7 @@
 	p.orders = append(p.orders, Order{
 		Kind: OrderStart, Worker: w.info, run: r,
 		Start: gauge.StartCall{
-			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Saved: t.checkpoint, Ticket: text,
+			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Saved: t.checkpoint, Ticket: ticketText,
 		},
 	})
 	return r
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -53,32 +53,32 @@
 
 // recordRoutineRun records a run that is about to start, for the successor only.
 func (p *Pool) recordRoutineRun(r *run) {
-	tr := gauge.Trial{Run: r.number, Worker: r.worker.info.ID, Born: r.worker.info.Born, Routine: true}
-	r.task.setSuspectRuns(append(slices.Clone(r.task.suspectRuns()), tr), false)
+	record := gauge.Trial{Run: r.number, Worker: r.worker.info.ID, Born: r.worker.info.Born, Routine: true}
+	r.task.setSuspectRuns(append(slices.Clone(r.task.suspectRuns()), record), false)
 	r.onProbation = true
 }
 
 // inheritSuspectRuns takes over what previous owners recorded of a job's runs.
 func (p *Pool) inheritSuspectRuns(j *job, now time.Duration) {
 	for _, key := range j.row.Tried() {
-		ts := j.row.Trials[key]
+		records := j.row.Trials[key]
 		id, err := gauge.ParseTaskID(j.id + "." + key)
 		if err != nil {
-			p.conf.Logs.Error(err, "trial not read", "job", j.id, "task", key)
+			p.conf.Logs.Error(err, "invalid task ID of suspect run", "job", j.id, "task", key)
 			continue
 		}
 		t := j.task(id, now)
 		if t == nil || t.done {
 			continue
 		}
-		t.unrecordedAllowed = len(ts) >= maxPresumed
-		t.recordedBefore = len(ts) > 0
-		for _, tr := range ts {
-			t.lastRun = max(t.lastRun, tr.Run)
-			if !tr.Crashed {
+		t.unrecordedAllowed = len(records) >= maxPresumed
+		t.recordedBefore = len(records) > 0
+		for _, record := range records {
+			t.lastRun = max(t.lastRun, record.Run)
+			if !record.Crashed {
 				t.hasUnsettledRuns = true
-				if !tr.Routine {
-					p.isolatedBefore[tr.Life()] = true
+				if !record.Routine {
+					p.isolatedBefore[record.Life()] = true
 				}
 			}
 		}
@@ -94,37 +94,37 @@
 		return
 	}
 	t.hasUnsettledRuns = false
-	for _, tr := range t.suspectRuns() {
-		if tr.Crashed {
+	for _, record := range t.suspectRuns() {
+		if record.Crashed {
 			continue
 		}
-		w := p.workers[tr.Worker]
+		w := p.workers[record.Worker]
 		switch {
-		case w == nil || w.dead || tr.Life().Before(w.info.Life()):
-			p.recordPriorCrash(t, tr, now)
+		case w == nil || w.dead || record.Life().Before(w.info.Life()):
+			p.recordPriorCrash(t, record, now)
 		case w.reported && !w.silent:
-			p.dropUnconfirmed(t, tr.Run) // it is alive and doesn't have the run
+			p.dropUnconfirmed(t, record.Run) // it is alive and doesn't have the run
 		default:
-			w.addLost(lostRun{task: t, number: tr.Run, lived: tr.Lived, reported: true})
+			w.addLost(lostRun{task: t, number: record.Run, lived: record.Lived, reported: true})
 		}
 	}
 }
 
 // recordPriorCrash records that a worker was dead before it reported to this owner.
-func (p *Pool) recordPriorCrash(t *task, tr gauge.Trial, now time.Duration) {
-	if others := p.unreportedWith(p.lossOf(tr.Life(), now)) > 1; others {
+func (p *Pool) recordPriorCrash(t *task, record gauge.Trial, now time.Duration) {
+	if others := p.unreportedWith(p.lossOf(record.Life(), now)) > 1; others {
 		// Why these were lost isn't known. That excuses no task that has already lost two workers,
 		// but it proves nothing, either.
 		if !t.evidence().Strong() {
-			p.excuse(t, tr.Run, tr.Lived)
+			p.excuse(t, record.Run, record.Lived)
 			return
 		}
-		tr.Alone, tr.Apart = false, false
+		record.Alone, record.Apart = false, false
 	}
-	tr.Crashed = true
-	p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", tr.Worker, "born", tr.Born, "job", t.job.id, "task", t.id.String(), "run", tr.Run,
-		"alone", tr.Alone, "lived", tr.Lived, "seen", "by an owner before")
-	p.recordSuspectRun(t, tr)
+	record.Crashed = true
+	p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", record.Worker, "born", record.Born, "job", t.job.id, "task", t.id.String(), "run", record.Run,
+		"alone", record.Alone, "lived", record.Lived, "seen", "by a previous owner")
+	p.recordSuspectRun(t, record)
 	p.failIfCause(t)
 }
 
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -40,11 +40,11 @@
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
 	// while, and most runs of other tasks have lived for as long.
 	r.livedBefore = proof.Soon
-	for _, tr := range r.task.suspectRuns() {
-		if tr.Run != r.number || tr.Crashed {
+	for _, record := range r.task.suspectRuns() {
+		if record.Run != r.number || record.Crashed {
 			continue
 		}
-		r.onProbation, r.livedBefore = true, tr.Lived
+		r.onProbation, r.livedBefore = true, record.Lived
 		if r.task.isolatedOnly() {
 			r.closeWorker(r.task.leadTask())
 		}
@@ -74,11 +74,11 @@
 
 // recordLived records how long a run on probation has lived so far.
 func (p *Pool) recordLived(r *run) {
-	ts := slices.Clone(r.task.suspectRuns())
-	for i := range ts {
-		if ts[i].Run == r.number && !ts[i].Crashed {
-			ts[i].Lived = r.lived()
+	records := slices.Clone(r.task.suspectRuns())
+	for i := range records {
+		if records[i].Run == r.number && !records[i].Crashed {
+			records[i].Lived = r.lived()
 		}
 	}
-	r.task.setSuspectRuns(ts, false)
+	r.task.setSuspectRuns(records, false)
 }
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -8,8 +8,8 @@
 
 // Report handles the answer to a heartbeat to an incarnation of a worker; false if the incarnation
 // no longer counts.
-func (p *Pool) Report(asked gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport, now time.Duration) bool {
-	w := p.answering(asked, rep.Born, now)
+func (p *Pool) Report(incarnation gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport, now time.Duration) bool {
+	w := p.answering(incarnation, rep.Born, now)
 	if w == nil {
 		return false
 	}
@@ -26,18 +26,18 @@
 			"running", len(rep.Running), "clock", rep.Clock, "before", w.clock, "kept", w.lastStoredEnd)
 	}
 	if !w.reported {
-		p.conf.Logs.Info("worker heard", "pool", p.conf.Name, "worker", id, "born", rep.Born, "running", len(rep.Running), "ended", len(rep.Ended))
+		p.conf.Logs.Info("first report of worker", "pool", p.conf.Name, "worker", id, "born", rep.Born, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
 	w.silent, w.startUnanswered, w.reported, w.answeredAt = false, false, true, now
 	// It is compared only with earlier reports: answers to orders overtake reports all the time at
 	// a busy worker, and what they say is recorded with each run.
 	newest := rep.Clock >= w.reportClock
 	w.readClock(rep.Clock, now)
-	held := len(rep.Ended) >= maxEndsListed // there may be more
+	endsPending := len(rep.Ended) >= maxEndsListed // there may be more
 	for _, e := range rep.Ended {
 		if e.Number > w.lastEnd {
 			if p.jobsMissing && !p.Knows(e.Task.Job) {
-				held = true
+				endsPending = true
 				break
 			}
 			p.handleEnd(w, e, now)
@@ -50,10 +50,10 @@
 	}
 	if newest {
 		// An older report may list runs that have ended since.
-		w.reportClock, w.endsPending = rep.Clock, held
-		p.compareRuns(w, rep, held, now)
+		w.reportClock, w.endsPending = rep.Clock, endsPending
+		p.compareRuns(w, rep, endsPending, now)
 	}
-	if newest && !held {
+	if newest && !endsPending {
 		p.markReported(id) // it has reported everything about previous owners' runs
 	}
 	return true
@@ -65,7 +65,7 @@
 // compareRuns compares the runs that a worker lists with those that it should have. If held, there
 // are end reports that haven't been received. A run that isn't listed may have one of these: if it
 // were taken for lost, its task would start again although it is done.
-func (p *Pool) compareRuns(w *worker, rep *gauge.WorkerReport, held bool, now time.Duration) {
+func (p *Pool) compareRuns(w *worker, rep *gauge.WorkerReport, endsPending bool, now time.Duration) {
 	w.reportCount++
 	w.orphanCount = 0
 	for _, rr := range rep.Running {
@@ -90,13 +90,13 @@
 	}
 	p.pruneOrphans(w, rep.Running)
 	for r := range w.runs {
-		there := r.lastReport == w.reportCount
-		if !there && r.phase == phaseUnsure {
+		listed := r.lastReport == w.reportCount
+		if !listed && r.phase == phaseUnsure {
 			// Once a stop is answered the start can't be carried out any more, which is known
 			// sooner than that its own deadline has passed.
 			p.requestStop(r)
 		}
-		if !there && !held && r.overBy(rep.Clock) {
+		if !listed && !endsPending && r.overBy(rep.Clock) {
 			if r.phase == phaseLive {
 				p.conf.Count(EventVanished)
 				p.conf.Logs.Info("run vanished", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", w.info.ID)
@@ -224,16 +224,16 @@
 	}
 }
 
-func (p *Pool) handleFailure(j *job, t *task, number int) {
+func (p *Pool) handleFailure(j *job, t *task, run int) {
 	if j.row.Failures == nil {
 		j.row.Failures = make(map[string][]int)
 	}
 	for _, n := range j.row.Failures[t.key()] {
-		if n == number {
+		if n == run {
 			return
 		}
 	}
-	j.row.Failures[t.key()] = append(j.row.Failures[t.key()], number)
+	j.row.Failures[t.key()] = append(j.row.Failures[t.key()], run)
 	j.touch(false)
 	if t.failureCount() >= p.maxAttempts(j) {
 		p.conf.Count(EventFailed)
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -34,25 +34,23 @@
 // maySetAside reports whether one more worker may be kept from other work: one in any case, and at
 // most a quarter of the workers.
 func (p *Pool) maySetAside(now time.Duration) bool {
-	aside, all := 0, 0
+	setAside, all := 0, 0
 	for _, w := range p.workers {
 		if !w.listed || w.dead {
 			continue
 		}
 		all++
-		aside += boolToInt(w.isSetAside(now))
+		setAside += boolToInt(w.isSetAside(now))
 	}
-	return aside == 0 || fewDivisor*(aside+1) <= all
+	return setAside == 0 || fewDivisor*(setAside+1) <= all
 }
 
 // isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
 // reservation, or is to get one.
-func (w *worker) isSetAside(now time.Duration) bool {
-	return w.suspectCount() > 0 || now < w.asideUntil
-}
+func (w *worker) isSetAside(now time.Duration) bool { return w.numSuspects() > 0 || now < w.asideUntil }
 
-// suspectCount counts the suspects that run in isolation or have a reservation on a worker.
-func (w *worker) suspectCount() int { return len(w.isolated) + len(w.reservations) }
+// numSuspects counts the suspects that run in isolation or have a reservation on a worker.
+func (w *worker) numSuspects() int { return len(w.isolated) + len(w.reservations) }
 
 // hasOnlyJob reports whether no other job has a task on a worker.
 func (w *worker) hasOnlyJob(j *job) bool {
@@ -68,7 +66,7 @@
 // rack: if both workers were lost at once, that couldn't be told from a loss of the rack.
 func (p *Pool) rackIsolatesOther(w *worker, j *job) bool {
 	for _, o := range p.workers {
-		if o != w && o.suspectCount() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
+		if o != w && o.numSuspects() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
 			return true
 		}
 	}
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -131,7 +131,7 @@
 			p.conf.Logs.Info("worker listed", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "addr", info.Addr)
 		}
 		if info.Draining && !w.info.Draining {
-			p.conf.Logs.Info("worker drains", "pool", p.conf.Name, "worker", info.ID, "leaves", info.Leaves)
+			p.conf.Logs.Info("worker draining", "pool", p.conf.Name, "worker", info.ID, "leaves", info.Leaves)
 			w.leavesAt = p.lastTick + info.Leaves
 		}
 		w.info = info
@@ -157,8 +157,8 @@
 
 // previousRunsEnd is when everything that previous owners ordered on a worker has certainly ended.
 func (p *Pool) previousRunsEnd(l gauge.Life) time.Duration {
-	if over, ok := p.conf.Over[l]; ok {
-		return min(over, p.conf.Doubt)
+	if end, ok := p.conf.Over[l]; ok {
+		return min(end, p.conf.Doubt)
 	}
 	return p.conf.Doubt
 }
@@ -186,21 +186,21 @@
 // If workers of machines that have left stayed listed until their leases expire, a successor would
 // wait seconds for them, with the whole pool's work.
 func (p *Pool) Name() []gauge.Life {
-	lives := make([]gauge.Life, 0, len(p.workers))
+	incarnations := make([]gauge.Life, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
 	for _, w := range p.workersByID() {
 		if w.omittable() && !awaited[w.info.ID] {
 			w.inLeaseRow = false
 			continue
 		}
-		lives = append(lives, w.info.Life())
+		incarnations = append(incarnations, w.info.Life())
 	}
 	for id := range awaited {
 		if p.workers[id] == nil {
-			lives = append(lives, p.earlierIncarnation(id))
+			incarnations = append(incarnations, p.earlierIncarnation(id))
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // earlierIncarnation is the incarnation of an unlisted worker as previous owners knew it.
@@ -213,14 +213,14 @@
 
 // Noted records that the lease row in the table names these incarnations, as of a version of the
 // row.
-func (p *Pool) Noted(lives []gauge.Life, version int64) {
+func (p *Pool) Noted(incarnations []gauge.Life, version int64) {
 	p.leaseRowVersion = max(p.leaseRowVersion, gauge.Fence(version))
 	for _, w := range p.workers {
 		if w.fencePending {
 			p.raiseFence(w)
 		}
 	}
-	for _, l := range lives {
+	for _, l := range incarnations {
 		w := p.current(l)
 		if w != nil {
 			w.inLeaseRow = true
@@ -254,7 +254,7 @@
 		return
 	}
 	if gauge.Is(err, gauge.KindReplaced) {
-		p.retireWorker(w, "another life answers at its address", now)
+		p.retireWorker(w, "another incarnation answers at its address", now)
 		return
 	}
 	if !w.silent {
@@ -280,24 +280,24 @@
 
 // retireWorker ends an incarnation when no other one of the same worker answers at its address:
 // nothing runs there.
-func (p *Pool) retireWorker(w *worker, why string, now time.Duration) {
+func (p *Pool) retireWorker(w *worker, reason string, now time.Duration) {
 	if w.dead {
 		return
 	}
-	p.markDead(w, why, now)
+	p.markDead(w, reason, now)
 	p.markReported(w.info.ID)
 }
 
 // markDead ends an incarnation of a worker, and its runs with it.
-func (p *Pool) markDead(w *worker, why string, now time.Duration) {
+func (p *Pool) markDead(w *worker, reason string, now time.Duration) {
 	if w.dead {
 		return
 	}
 	w.dead = true
-	p.conf.Logs.Info("worker over", "pool", p.conf.Name, "worker", w.info.ID, "born", w.info.Born, "runs", len(w.runs), "reason", why)
+	p.conf.Logs.Info("worker over", "pool", p.conf.Name, "worker", w.info.ID, "born", w.info.Born, "runs", len(w.runs), "reason", reason)
 	lost := len(w.runs)
 	for r := range w.runs {
-		p.lose(r, why, lost-1, now)
+		p.lose(r, reason, lost-1, now)
 	}
 	p.recordLoss(w, now)
 	p.forgetOrphans(w)
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -32,15 +32,15 @@
 	return t.job.row.Trials[t.leadTask().key()]
 }
 
-func (t *task) setSuspectRuns(ts gauge.Trials, urgent bool) {
+func (t *task) setSuspectRuns(records gauge.Trials, urgent bool) {
 	j := t.job
 	if j.row.Trials == nil {
 		j.row.Trials = make(map[string]gauge.Trials)
 	}
-	if len(ts) == 0 {
+	if len(records) == 0 {
 		delete(j.row.Trials, t.leadTask().key())
 	} else {
-		j.row.Trials[t.leadTask().key()] = ts
+		j.row.Trials[t.leadTask().key()] = records
 	}
 	j.touch(urgent)
 	t.leadTask().requiredChange = j.changes
@@ -119,31 +119,31 @@
 }
 
 // recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
-func (p *Pool) recordSuspectRun(t *task, tr gauge.Trial) {
+func (p *Pool) recordSuspectRun(t *task, record gauge.Trial) {
 	p.allowForUnrecorded(t)
-	ts := slices.Clone(t.suspectRuns())
-	at := slices.IndexFunc(ts, func(o gauge.Trial) bool { return o.Run == tr.Run && o.Life() == tr.Life() })
-	if at < 0 {
-		ts = append(ts, tr)
+	records := slices.Clone(t.suspectRuns())
+	i := slices.IndexFunc(records, func(o gauge.Trial) bool { return o.Run == record.Run && o.Life() == record.Life() })
+	if i < 0 {
+		records = append(records, record)
 	} else {
-		tr.Apart = tr.Apart || !tr.Crashed && ts[at].Apart
-		ts[at] = tr
+		record.Apart = record.Apart || !record.Crashed && records[i].Apart
+		records[i] = record
 	}
-	t.setSuspectRuns(ts, true)
+	t.setSuspectRuns(records, true)
 	p.updateSuspect(t)
 }
 
 // dropUnconfirmed removes the record of a run that may have crashed its worker; confirmed crashes
 // stay.
 func (p *Pool) dropUnconfirmed(t *task, run int) {
-	ts := t.suspectRuns()
-	left := slices.DeleteFunc(slices.Clone(ts), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
-	if len(left) == len(ts) {
+	records := t.suspectRuns()
+	remaining := slices.DeleteFunc(slices.Clone(records), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
+	if len(remaining) == len(records) {
 		return
 	}
-	t.setSuspectRuns(left, false)
+	t.setSuspectRuns(remaining, false)
 	if t.leadTask().isSuspect {
-		p.conf.Logs.Info("trial taken back", "job", t.job.id, "task", t.id.String(), "run", run, "left", len(left), "excused", t.unattributed())
+		p.conf.Logs.Info("trial taken back", "job", t.job.id, "task", t.id.String(), "run", run, "left", len(remaining), "excused", t.unattributed())
 	}
 	p.updateSuspect(t)
 }
@@ -161,14 +161,14 @@
 // updateSuspect updates whether a task is a suspect.
 func (p *Pool) updateSuspect(t *task) {
 	lead := t.leadTask()
-	is := lead.evidence().Suspect()
-	if is && !lead.isSuspect {
-		ts := lead.suspectRuns()
-		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", lead.unattributed(),
-			"lived", ts.Longest())
-	}
-	lead.isSuspect = is
-	if is {
+	suspect := lead.evidence().Suspect()
+	if suspect && !lead.isSuspect {
+		records := lead.suspectRuns()
+		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", lead.unattributed(),
+			"lived", records.Longest())
+	}
+	lead.isSuspect = suspect
+	if suspect {
 		p.suspects[lead] = true
 		return
 	}
@@ -178,13 +178,13 @@
 
 // failIfCause fails the job of a task that crashes its workers.
 func (p *Pool) failIfCause(t *task) {
-	ts := t.suspectRuns()
+	records := t.suspectRuns()
 	if !t.evidence().Cause() || !t.job.isOpen() {
 		return
 	}
 	p.conf.Count(EventGivenUp)
-	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", ts.Crashes(), "alone", ts.Alone(), "excused", t.unattributed(),
-		"lived", ts.Longest(), "reason", "its workers crash")
+	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", t.unattributed(),
+		"lived", records.Longest(), "reason", "the task crashes its workers")
 	t.job.fail()
 	p.requestJobStop(t.job)
 }
@@ -210,7 +210,7 @@
 	if lost == 0 {
 		return false
 	}
-	if known := t.evidence(); lost+known.Trials.Crashes() < attributionThreshold && !known.FewLeft(lost) {
+	if evidence := t.evidence(); lost+evidence.Trials.Crashes() < attributionThreshold && !evidence.FewLeft(lost) {
 		return false
 	}
 	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
