--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -123,15 +123,15 @@
 // firstOf returns the first jobs of a queue in order of urgency, at most as many as given. In a
 // backlog thousands wait, of which a transaction takes some dozens, so most jobs take one
 // comparison and aren't sorted.
-func firstOf(jobs []*job, queue string, most int) []*job {
-	first := make([]*job, 0, most+1)
+func firstOf(jobs []*job, queue string, limit int) []*job {
+	first := make([]*job, 0, limit+1)
 	for _, j := range jobs {
-		if j.queue != queue || len(first) == most && byUrgency(first[most-1], j) <= 0 {
+		if j.queue != queue || len(first) == limit && byUrgency(first[limit-1], j) <= 0 {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(first, j, byUrgency)
-		if first = slices.Insert(first, at, j); len(first) > most {
-			first = first[:most]
+		if first = slices.Insert(first, at, j); len(first) > limit {
+			first = first[:limit]
 		}
 	}
 	return first
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -59,7 +59,7 @@
 func (p *Pool) correlatedLosses(l *loss, now time.Duration) correlatedLosses {
 	c := correlatedLosses{}
 	for _, w := range p.workers {
-		if !w.reported || w.dead || w.info.ID == l.life.Worker || w.knownSince >= l.noticedAt || w.silent && w.isLeaving(w.silentSince) {
+		if !w.reported || w.dead || w.info.ID == l.incarnation.Worker || w.knownSince >= l.noticedAt || w.silent && w.isLeaving(w.silentSince) {
 			continue
 		}
 		sameRack := l.rack != "" && w.info.Rack() == l.rack
@@ -128,7 +128,7 @@
 
 // isCorrelatedWith reports whether two workers were lost together.
 func (l *loss) isCorrelatedWith(o *loss) bool {
-	return l != o && l.life.Worker != o.life.Worker && !l.planned && l.unreported == o.unreported && l.overlaps(o.earliest, o.noticedAt) &&
+	return l != o && l.incarnation.Worker != o.incarnation.Worker && !l.planned && l.unreported == o.unreported && l.overlaps(o.earliest, o.noticedAt) &&
 		!slices.ContainsFunc(l.runs, func(r lostRun) bool { return o.lostTask(r.task) })
 }
 
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -106,8 +106,8 @@
 func (p *Pool) Waiting(now time.Duration) []string {
 	var names []string
 	large := gauge.Resources{MilliCPU: math.MaxInt, MemoryMB: math.MaxInt, Accels: math.MaxInt}
-	for _, t := range p.candidates(large, now) {
-		names = append(names, fmt.Sprintf("%s.%d.%d", t.job.id, t.stage.occ.number, t.stage.tasks[0].id.Step))
+	for _, c := range p.candidates(large, now) {
+		names = append(names, fmt.Sprintf("%s.%d.%d", c.job.id, c.stage.occ.number, c.stage.tasks[0].id.Step))
 	}
 	slices.Sort(names)
 	return names
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -91,19 +91,19 @@
 // succeed records that a worker has restarted: the previous incarnation is dead, and what is known
 // of it no longer applies. Only what concerns the worker in any incarnation goes on: it is to be
 // drained, for an order to its machine.
-func (p *Pool) succeed(old *worker, info gauge.Worker, now time.Duration) *worker {
+func (p *Pool) succeed(previous *worker, info gauge.Worker, now time.Duration) *worker {
 	w := p.begin(info)
 	w.restarted = true
 	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
-	w.drainUntil, w.forceDrain, w.drainSoonUntil = old.drainUntil, old.forceDrain, old.drainSoonUntil
-	w.fence, w.fencePending = p.fence(old), old.fencePending
-	if !old.silent || old.fencePending {
+	w.drainUntil, w.forceDrain, w.drainSoonUntil = previous.drainUntil, previous.forceDrain, previous.drainSoonUntil
+	w.fence, w.fencePending = p.fence(previous), previous.fencePending
+	if !previous.silent || previous.fencePending {
 		p.raiseFence(w)
 	}
-	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", old.info.Born,
-		"runs", len(old.runs), "kept", old.lastStoredEnd, "ends", old.lastEnd)
-	p.passOn(old, w)
-	p.markDead(old, "restarted", now)
+	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", previous.info.Born,
+		"runs", len(previous.runs), "kept", previous.lastStoredEnd, "ends", previous.lastEnd)
+	p.passOn(previous, w)
+	p.markDead(previous, "restarted", now)
 	return w
 }
 
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -23,22 +23,22 @@
 }
 
 // add adds an adopted job.
-func (c *poolIndex) add(j *job) {
+func (x *poolIndex) add(j *job) {
 	if j.isOpen() && !j.started {
-		c.depths[j.queue]++
+		x.depths[j.queue]++
 	}
 	if j.spec.Timed() {
-		c.scheduled[j] = true
+		x.scheduled[j] = true
 	}
 	if !j.isOpen() {
-		c.changed[j] = true // its spec and marker are to be dropped
+		x.changed[j] = true // its spec and marker are to be dropped
 	}
 }
 
 // decrementDepth removes a job from its queue's depth.
-func (c *poolIndex) decrementDepth(queue string) {
-	if c.depths[queue]--; c.depths[queue] == 0 {
-		delete(c.depths, queue)
+func (x *poolIndex) decrementDepth(queue string) {
+	if x.depths[queue]--; x.depths[queue] == 0 {
+		delete(x.depths, queue)
 	}
 }
 
@@ -64,22 +64,22 @@
 func (p *Pool) Depths() map[string]int { return maps.Clone(p.index.depths) }
 
 // unwrittenJobs returns the jobs with something to write.
-func (c *poolIndex) unwrittenJobs() []*job {
+func (x *poolIndex) unwrittenJobs() []*job {
 	var some []*job
-	for j := range c.changed {
+	for j := range x.changed {
 		switch {
 		case !j.dropped && (j.isDirty() || j.isDroppable()):
 			some = append(some, j)
 		case j.dropped || j.isOpen():
-			delete(c.changed, j) // any other job becomes droppable when its last run has ended
+			delete(x.changed, j) // any other job becomes droppable when its last run has ended
 		}
 	}
 	return some
 }
 
 // hasUrgent reports whether a change justifies a write of its own.
-func (c *poolIndex) hasUrgent() bool {
-	for j := range c.changed {
+func (x *poolIndex) hasUrgent() bool {
+	for j := range x.changed {
 		if !j.dropped && j.isDirty() && j.urgent {
 			return true
 		}
@@ -88,38 +88,38 @@
 }
 
 // enqueue adds a stage to the waiting list if tasks of it may start.
-func (c *poolIndex) enqueue(st *stage) {
+func (x *poolIndex) enqueue(st *stage) {
 	if st.waiting || st.idle == 0 || !st.job.isOpen() || !st.occ.isReady(st) {
 		return
 	}
 	need := st.spec.Room()
-	if len(c.waiting) == 0 {
-		c.minNeed = need
+	if len(x.waiting) == 0 {
+		x.minNeed = need
 	}
 	st.waiting = true
-	c.waiting = append(c.waiting, st)
-	c.minNeed = minResources(c.minNeed, need)
+	x.waiting = append(x.waiting, st)
+	x.minNeed = minResources(x.minNeed, need)
 }
 
 // pruneWaiting drops the stages that no longer wait, passes the others to visit, and updates
 // minNeed.
-func (c *poolIndex) pruneWaiting(visit func(st *stage, need gauge.Resources)) {
-	keep := c.waiting[:0]
-	for _, st := range c.waiting {
+func (x *poolIndex) pruneWaiting(visit func(st *stage, need gauge.Resources)) {
+	keep := x.waiting[:0]
+	for _, st := range x.waiting {
 		if st.idle == 0 || !st.job.isOpen() {
 			st.waiting = false
 			continue
 		}
 		need := st.spec.Room()
 		if len(keep) == 0 {
-			c.minNeed = need
+			x.minNeed = need
 		}
-		c.minNeed = minResources(c.minNeed, need)
+		x.minNeed = minResources(x.minNeed, need)
 		keep = append(keep, st)
 		visit(st, need)
 	}
-	clear(c.waiting[len(keep):])
-	c.waiting = keep
+	clear(x.waiting[len(keep):])
+	x.waiting = keep
 }
 
 // minResources returns the smaller amount of each resource.
@@ -130,11 +130,11 @@
 }
 
 // createDue creates the occurrences that are due.
-func (c *poolIndex) createDue(wall time.Time, now time.Duration) {
-	for j := range c.scheduled {
+func (x *poolIndex) createDue(wall time.Time, now time.Duration) {
+	for j := range x.scheduled {
 		j.createDue(wall, now)
 		if !j.isOpen() || j.nextOccurrence >= j.spec.Occurrences() {
-			delete(c.scheduled, j)
+			delete(x.scheduled, j)
 		}
 	}
 }
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -13,8 +13,8 @@
 // work is lost with it, and only one task can be the cause.
 
 const (
-	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is free
-	// of other work. It must not stand still for longer, even if no such worker is available.
+	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is
+	// free of other work. It must not stand still for longer, even if no such worker is available.
 	isolationTimeout = 2 * time.Second
 	// lastStartsTimeout is the same once few of its starts are left: next to other tasks each start
 	// would prove nothing.
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -70,7 +70,7 @@
 	lastRun    int
 	checkpoint string
 	readyAt    time.Duration // when it last became ready to start
-	awaySince  time.Duration // long-running tasks: since when it has no run
+	noRunSince time.Duration // long-running tasks: since when it has no run
 
 	isSuspect          bool         // it may crash the worker that starts it
 	recordedBefore     bool         // previous owners recorded a run of it
@@ -140,7 +140,7 @@
 		for k := range st.spec.Count {
 			t := &task{
 				id:  gauge.TaskID{Job: j.id, Occurrence: number, Step: i, Index: k},
-				job: j, stage: st, readyAt: now, awaySince: now,
+				job: j, stage: st, readyAt: now, noRunSince: now,
 			}
 			t.done = i < len(done) && hasBit(done[i], k)
 			if len(j.row.Saved) > 0 {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -33,11 +33,11 @@
 
 // loss is a worker whose incarnation is dead.
 type loss struct {
-	life      gauge.Life
-	rack      string
-	earliest  time.Duration // last time that it answered ...
-	noticedAt time.Duration // ... and when it no longer did: it was lost in between
-	runs      []lostRun
+	incarnation gauge.Life
+	rack        string
+	earliest    time.Duration // last time that it answered ...
+	noticedAt   time.Duration // ... and when it no longer did: it was lost in between
+	runs        []lostRun
 	// tasksRuledOut: it had runs, and none of them can be the cause.
 	tasksRuledOut bool
 	planned       bool // it was leaving, or being drained
@@ -95,10 +95,10 @@
 		return
 	}
 	w.atRiskRecorded = true
-	alone := w.runsSingleJob()
+	singleJob := w.runsSingleJob()
 	for r := range w.runs {
 		if r.isolatedFor == nil && r.task.job.isOpen() {
-			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: w.info.ID, Born: w.info.Born, Alone: alone && r.reportedAt > 0, Lived: r.lived()})
+			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: w.info.ID, Born: w.info.Born, Alone: singleJob && r.reportedAt > 0, Lived: r.lived()})
 		}
 	}
 }
@@ -174,7 +174,7 @@
 // attributed a little later.
 func (p *Pool) recordLoss(w *worker, now time.Duration) {
 	l := &loss{
-		life: w.info.Life(), rack: w.info.Rack(), earliest: w.earliestLoss(p.conf.Wait), noticedAt: w.silentSince, runs: w.lostRuns, tasksRuledOut: w.tasksRuledOut(),
+		incarnation: w.info.Life(), rack: w.info.Rack(), earliest: w.earliestLoss(p.conf.Wait), noticedAt: w.silentSince, runs: w.lostRuns, tasksRuledOut: w.tasksRuledOut(),
 		singleJob: w.runsSingleJob(),
 	}
 	if !w.silent {
@@ -187,7 +187,7 @@
 		r.task.unattributedLosses++
 		if !l.planned && !r.task.done && r.task.job.isOpen() {
 			// The successor has to know, should this owner not get to attribute the loss.
-			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: l.life.Worker, Born: l.life.Born, Alone: l.singleJob && r.reported, Lived: r.lived})
+			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Alone: l.singleJob && r.reported, Lived: r.lived})
 		}
 	}
 	w.lostRuns = nil
@@ -213,7 +213,7 @@
 	correlated := others.areCorrelated()
 	if len(l.runs) > 0 {
 		p.conf.Count(EventCrashed)
-		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.life.Worker, "born", l.life.Born, "runs", len(l.runs), "alone", l.singleJob,
+		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.Born, "runs", len(l.runs), "alone", l.singleJob,
 			"together", correlated, "planned", l.planned, "age", now-l.noticedAt)
 	}
 	likelierCause := l.tasksWithLikelierCause()
@@ -231,7 +231,7 @@
 			continue
 		}
 		p.recordSuspectRun(r.task, gauge.Trial{
-			Run: r.number, Worker: l.life.Worker, Born: l.life.Born, Crashed: true, Alone: !others.isAmbiguous() && l.provesCrash(r),
+			Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Crashed: true, Alone: !others.isAmbiguous() && l.provesCrash(r),
 			Apart: !others.isAmbiguous() && r.task.suspectRuns().Tried(r.number), Beside: likelierCause[r.task], Lived: r.lived,
 		})
 		p.failIfCause(r.task)
@@ -247,11 +247,11 @@
 // lossOf is the loss of a worker that never reported to this owner.
 func (p *Pool) lossOf(incarnation gauge.Life, now time.Duration) *loss {
 	for _, l := range p.losses {
-		if l.life == incarnation {
+		if l.incarnation == incarnation {
 			return l
 		}
 	}
-	return &loss{life: incarnation, earliest: now, noticedAt: now, unreported: true}
+	return &loss{incarnation: incarnation, earliest: now, noticedAt: now, unreported: true}
 }
 
 // loseUnreported records that a worker of a previous owner, which has never reported to this one,
@@ -259,7 +259,7 @@
 func (p *Pool) loseUnreported(l gauge.Life, now time.Duration) {
 	p.lostUnreported = true
 	if p.workers[l.Worker] == nil {
-		p.losses = append(p.losses, &loss{life: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 }
 
@@ -267,7 +267,7 @@
 // owner. Why they were lost isn't known.
 func (p *Pool) loseReplaced(now time.Duration) {
 	for _, l := range p.replacedUnreported {
-		p.losses = append(p.losses, &loss{life: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 	p.replacedUnreported = nil
 }
@@ -277,7 +277,7 @@
 func (p *Pool) unreportedWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
-		n += boolToInt(o.isCorrelatedWith(l) && !p.isolatedBefore[o.life])
+		n += boolToInt(o.isCorrelatedWith(l) && !p.isolatedBefore[o.incarnation])
 	}
 	return n
 }
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -24,10 +24,10 @@
 }
 
 const (
-	// silentStopRetryDelay is the least time between two stops of one run on a worker whose heartbeats
-	// get no answer. Short orders may get through when the answers to heartbeats, which list up to
-	// 500 end reports, don't. To a worker that is really dead each stop is a connection attempt
-	// that has to time out.
+	// silentStopRetryDelay is the least time between two stops of one run on a worker whose
+	// heartbeats get no answer. Short orders may get through when the answers to heartbeats, which
+	// list up to 500 end reports, don't. To a worker that is really dead each stop is a connection
+	// attempt that has to time out.
 	silentStopRetryDelay = 500 * time.Millisecond
 	// stopConfirmSpan is how long after an answered stop a run that is still listed is stopped
 	// again. A stop takes 400 ms at most, as the users specify, and its report some more.
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -17,8 +17,8 @@
 	paceUnknown = -1
 )
 
-// adjustPaces slows best-effort tasks down where a serving task beside them is near its latency target,
-// and speeds them up where it is far from it.
+// adjustPaces slows best-effort tasks down where a serving task beside them is near its latency
+// target, and speeds them up where it is far from it.
 func (p *Pool) adjustPaces(now time.Duration) {
 	for _, w := range p.workersByID() {
 		if w.dead || w.silent || w.bestEffort == 0 {
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -277,7 +277,8 @@
 	round.updateMaxFree()
 }
 
-// servingProgress is the progress of a long-running task that serves its users.
+// fullProgress is the progress of a long-running task that serves its users, and of any run whose
+// work is done.
 const fullProgress = 100
 
 // fullSpeed is the percentage of its speed that a run starts with.
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -35,11 +35,11 @@
 	if !t.job.inherited {
 		return
 	}
-	unnoted := p.conf.Unnoted
+	unrecorded := p.conf.Unnoted
 	if !lead.recordedBefore {
-		unnoted += boolToInt(p.lostUnreported)
+		unrecorded += boolToInt(p.lostUnreported)
 	}
-	for range unnoted {
+	for range unrecorded {
 		t.presumeCrash()
 	}
 }
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -62,9 +62,9 @@
 // maxEndsListed is how many end reports a worker lists at most, as the users specify.
 const maxEndsListed = 500
 
-// compareRuns compares the runs that a worker lists with those that it should have. If held, there
-// are end reports that haven't been received. A run that isn't listed may have one of these: if it
-// were taken for lost, its task would start again although it is done.
+// compareRuns compares the runs that a worker lists with those that it should have. If endsPending,
+// there are end reports that haven't been received. A run that isn't listed may have one of these:
+// if it were taken for lost, its task would start again although it is done.
 func (p *Pool) compareRuns(w *worker, rep *gauge.WorkerReport, endsPending bool, now time.Duration) {
 	w.reportCount++
 	w.orphanCount = 0
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -77,7 +77,7 @@
 	resumedAt          time.Duration          // time of the last tick that followed a pause of this process
 	adoptedWork        float64                // core-seconds of all jobs adopted so far
 	adoptedJobs        int                    // number of jobs adopted so far
-	inheritedWait      bool                   // inherited tasks have to wait, in this round of starts
+	inheritedWait      bool                   // inherited tasks have to wait for reports, in this round of starts
 	startsInFlight     int                    // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
@@ -315,7 +315,7 @@
 	r.task.detach(r)
 	r.task.readyAt = now
 	if len(r.task.runs) == 0 {
-		r.task.awaySince = now
+		r.task.noRunSince = now
 	}
 }
 
@@ -348,8 +348,8 @@
 	p.forgetEndedJobs(now)
 }
 
-// minSweepInterval is the pause between two searches for ended jobs to forget: a large pool ends some ten
-// thousand in a minute.
+// minSweepInterval is the pause between two searches for ended jobs to forget: a large pool ends
+// some ten thousand in a minute.
 const minSweepInterval = time.Second
 
 // forgetEndedJobs drops what is remembered of jobs that ended long ago.
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -94,23 +94,23 @@
 // excuse records that a run was lost with its worker for another reason, as far as that can be
 // known.
 func (p *Pool) excuse(t *task, run int, lived time.Duration) {
-	alone := t.suspectRuns().Tried(run)
-	if lived < proof.Soon || alone && lived < t.probation(run) {
-		p.countStart(t, run, alone)
+	isolated := t.suspectRuns().Tried(run)
+	if lived < proof.Soon || isolated && lived < t.probation(run) {
+		p.countStart(t, run, isolated)
 	}
 	p.dropUnconfirmed(t, run)
 	p.failIfCause(t)
 }
 
-// countStart counts a run that ended before its task had shown that it survives. All members of a
-// gang report the same run. Alone: it ran in isolation.
-func (p *Pool) countStart(t *task, run int, alone bool) {
+// countStart counts a run that ended before its task had shown that it survives, and whether it was
+// isolated. All members of a gang report the same run.
+func (p *Pool) countStart(t *task, run int, isolated bool) {
 	lead := t.leadTask()
 	if t.done || !t.job.isOpen() || lead.countedRun == run {
 		return
 	}
 	lead.countedRun = run
-	if alone {
+	if isolated {
 		t.job.row.Lone = increment(t.job.row.Lone, lead.key())
 	}
 	t.countUnattributed()
@@ -195,9 +195,9 @@
 	return t.leadTask().isSuspect || t.waitsForAttribution(now)
 }
 
-// attributionTimeout bounds how long a task waits for workers that don't answer, beyond their leases.
-// By then a crashed worker is no longer listed, or another incarnation answers. A worker that is
-// cut off may be so for minutes.
+// attributionTimeout bounds how long a task waits for workers that don't answer, beyond their
+// leases. By then a crashed worker is no longer listed, or another incarnation answers. A worker
+// that is cut off may be so for minutes.
 const attributionTimeout = 3 * time.Second
 
 // attributionThreshold is the number of lost workers from which a task waits for attribution.
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -23,7 +23,8 @@
 	p.startsInFlight++
 }
 
-// removeInFlight no longer counts a start: it was answered, or nobody waits for its answer.
+// removeInFlight stops counting a start as in flight: it was answered, or nobody waits for its
+// answer.
 func (p *Pool) removeInFlight(r *run) {
 	if !r.inFlight {
 		return
