--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -51,9 +51,9 @@
 	}
 }
 
-// place picks the worker for one task of a stage; nil if none has room. On counts the stage's runs
-// by worker, taken is what this round has reserved already, and allowed reports on which workers
-// the stage may run.
+// place picks the worker for one task of a stage; nil if none has room. PerWorker counts the
+// stage's runs by worker, taken is what this round has reserved already, and allowed reports on
+// which workers the stage may run.
 func (r *placementRound) place(st *stage, perWorker workerCounts, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
 	var best *worker
 	var bestScore float64
@@ -136,23 +136,23 @@
 
 // score rates how well a worker suits; larger is better. The fullest worker with room is the best,
 // so that others stay empty and can move to another pool.
-func (w *worker) score(st *stage, onWorker int, without gauge.Without) float64 {
+func (w *worker) score(st *stage, onWorker int, disabled gauge.Without) float64 {
 	score := 0.0
-	if w.info.Capacity.MilliCPU > 0 && !without.Has(gauge.MechanismPack) {
+	if w.info.Capacity.MilliCPU > 0 && !disabled.Has(gauge.MechanismPack) {
 		score = -float64(w.free().MilliCPU) / float64(w.info.Capacity.MilliCPU)
 	}
 	if st.spec.DataRack != "" && w.info.HasLabel(st.spec.DataRack) {
 		score += scoreRack
 	}
 	if st.spec.Lasts {
-		if !without.Has(gauge.MechanismScatter) {
+		if !disabled.Has(gauge.MechanismScatter) {
 			score -= scoreSpread * float64(onWorker)
 		}
 		score -= scoreInterference * float64(w.interfering(st.spec.Fills))
-		if w.drainSoon && !without.Has(gauge.MechanismSoon) {
+		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
 			score -= scoreSoon
 		}
-		if w.longRunning > 0 && !without.Has(gauge.MechanismGather) {
+		if w.longRunning > 0 && !disabled.Has(gauge.MechanismGather) {
 			score += scoreGather
 		}
 	}
