--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -114,7 +114,7 @@
 // it.
 func (p *Pool) Limit(t time.Duration) { p.limit = t }
 
-// Workers takes the platform's list of workers.
+// Workers updates the workers from the platform's list.
 func (p *Pool) Workers(list []gauge.Worker) {
 	seen := make(map[string]bool, len(list))
 	for _, info := range list {
