--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -17,55 +17,53 @@
 	Inherited bool          // it was there before this owner took over, so that runs of it may exist
 }
 
-// Adopt takes in a job. One that is known already is left as it is.
+// Adopt adds a job; a known one is left as it is.
 //
-// A notice of a job may come late: after the job has ended here, or from before
-// this owner took over, when the job is one that was read from the table or has
-// ended. Taken in then, the job would run a second time.
+// A notification of a job may come late: after the job has ended here, or from before this owner
+// took over, when the job was read from the table already or has ended. If it were adopted then, it
+// would run a second time.
 func (p *Pool) Adopt(a Accepted, now time.Duration) {
 	if p.Knows(a.ID) || (!a.Inherited && a.Version <= int64(p.conf.Fence)) {
 		return
 	}
 	j := &job{
 		id: a.ID, queue: a.Queue, spec: a.Spec, row: *a.Row, version: a.Version, arrived: a.Arrived, inherited: a.Inherited,
-		occs: make(map[int]*occurrence), next: a.Row.Over, chain: longest(a.Spec), counts: &p.counts,
+		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.Over, longestChain: longestChain(a.Spec), index: &p.index,
 	}
 	p.jobs[a.ID] = j
-	p.arrived += work(a.Spec)
-	p.came++
+	p.adoptedWork += estimatedWork(a.Spec)
+	p.adoptedJobs++
 	if a.Inherited {
-		j.begun = len(a.Row.Done) > 0 || a.Row.Over > 0
-		j.started = j.begun || len(a.Row.Failures) > 0 || len(a.Row.Saved) > 0
+		j.startOrdered = len(a.Row.Done) > 0 || a.Row.Over > 0
+		j.started = j.startOrdered || len(a.Row.Failures) > 0 || len(a.Row.Saved) > 0
 	}
-	p.counts.enter(j)
+	p.index.add(j)
 	if !a.Spec.Timed() {
 		j.occurrence(0, now)
-		j.next = 1
+		j.nextOccurrence = 1
 	}
 	p.cancelEarly(j)
-	if a.Inherited && p.partial {
-		// Runs of it that were told of so far were left aside, also those told of while
-		// it was being read.
+	if a.Inherited && p.jobsMissing {
+		// Reports about its runs were ignored so far, also those that came while it was being read.
 		p.Rehear()
 	}
 	if a.Inherited {
-		j.hearing = p.newest
+		j.barrier = p.newestBarrier
 	}
 	if a.Inherited && p.conf.Term > 0 {
 		j.skipNumbers(p.conf.Term)
 	}
-	p.inheritTrials(j, now)
+	p.inheritSuspectRuns(j, now)
 	p.conf.Logs.Info("job adopted", "job", a.ID, "queue", a.Queue, "pool", p.conf.Name, "version", a.Version,
 		"state", a.Row.State, "inherited", a.Inherited, "age", now-a.Arrived)
 }
 
-// numbersPerTerm is how many run numbers each owner has to itself for jobs that
-// it inherits, so that a run of an earlier owner that nobody heard of is never
-// mistaken for one of this owner's.
+// numbersPerTerm is how many run numbers each owner has to itself for the jobs that it inherits, so
+// that an unreported run of a previous owner is never mistaken for one of this owner's.
 const numbersPerTerm = 1000
 
 func (j *job) skipNumbers(term int) {
-	for _, o := range j.occs {
+	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
 				t.lastRun = max(t.lastRun, term*numbersPerTerm)
@@ -74,30 +72,28 @@
 	}
 }
 
-// Partial tells that jobs may be missing, as some of the table can't be read. What
-// runs of jobs that aren't known is left alone until they are, and ends of theirs
-// stay with the workers.
-func (p *Pool) Partial(missing bool) { p.partial = missing }
+// Partial sets whether jobs may be missing because some of the table can't be read. Runs of unknown
+// jobs are left alone until the jobs are known, and their end reports stay with the workers.
+func (p *Pool) Partial(missing bool) { p.jobsMissing = missing }
 
-// Knows tells whether a job has been adopted, also if it has ended since.
+// Knows reports whether a job has been adopted, also if it has ended since.
 func (p *Pool) Knows(id string) bool {
-	_, past := p.past[id]
-	return past || p.jobs[id] != nil
+	_, ended := p.endedJobs[id]
+	return ended || p.jobs[id] != nil
 }
 
-// past is what is remembered of a job that has ended and is in the table so.
-type past struct {
-	queue string
-	state gauge.JobState
-	ended time.Duration
+// endedJob is what is remembered of a job that has ended and whose end is in the table.
+type endedJob struct {
+	queue   string
+	state   gauge.JobState
+	endedAt time.Duration
 }
 
-// pastFor is how long it is remembered that a job has ended here: well beyond
-// the last try to deliver a notice of it, and any reading of the table that was
-// under way.
-const pastFor = time.Minute
+// endedRetention is how long a job that has ended here is remembered: well beyond the last attempt
+// to deliver a notification of it, and beyond any read of the table that was under way.
+const endedRetention = time.Minute
 
-// Cancel takes in that a job's row says it is cancelled, as of a version.
+// Cancel records that a job's row says it is cancelled, as of a version of the row.
 func (p *Pool) Cancel(id string, version int64) {
 	j := p.jobs[id]
 	if j == nil {
@@ -109,47 +105,47 @@
 	}
 	p.conf.Logs.Info("job cancelled", "job", id, "pool", p.conf.Name, "version", version)
 	j.cancel()
-	p.haltJob(j)
+	p.requestJobStop(j)
 }
 
-// halt has a run end.
-func (p *Pool) halt(r *run) {
-	r.stop = true
-	p.halts[r] = true
+// requestStop marks a run to be stopped.
+func (p *Pool) requestStop(r *run) {
+	r.toStop = true
+	p.toStop[r] = true
 }
 
-// haltJob has all runs of a job end that is over.
-func (p *Pool) haltJob(j *job) {
-	for _, r := range j.live() {
-		p.halt(r)
+// requestJobStop stops all runs of a job that is over.
+func (p *Pool) requestJobStop(j *job) {
+	for _, r := range j.liveRuns() {
+		p.requestStop(r)
 	}
 }
 
-// State tells how far a job of a queue is; false if it isn't known here.
+// State returns the state of a job in a queue, false if the job isn't known here.
 func (p *Pool) State(queue, id string) (gauge.JobState, bool) {
-	if old, ok := p.past[id]; ok && old.queue == queue {
-		return old.state, true
+	if ended, ok := p.endedJobs[id]; ok && ended.queue == queue {
+		return ended.state, true
 	}
 	j := p.jobs[id]
 	if j == nil || j.queue != queue {
 		return "", false
 	}
-	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.dirty() {
-		return gauge.JobRunning, true // not told before the table has it; a cancel it has
+	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.isDirty() {
+		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
 	}
-	if j.begun && !j.row.State.Final() {
+	if j.startOrdered && !j.row.State.Final() {
 		return gauge.JobRunning, true
 	}
 	return j.row.State, true
 }
 
-// attempts is how often a task of the job may fail.
-func (p *Pool) attempts(j *job) int {
+// maxAttempts is how often a task of the job may fail.
+func (p *Pool) maxAttempts(j *job) int {
 	if q := p.policy(j); q != nil && q.MaxAttempts > 0 {
 		return q.MaxAttempts
 	}
 	return defaultAttempts
 }
 
-// defaultAttempts is used for a queue that the configuration no longer has.
+// defaultAttempts is used for a queue that is no longer configured.
 const defaultAttempts = 2
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -8,51 +8,51 @@
 	gauge "sapphiregauge"
 )
 
-// advised are the tickets that a stage has for workers, where its queue asks for
-// them.
-type advised struct {
-	asking  bool
-	tickets map[gauge.Life]ticket        // each holds for one life of a worker
-	asked   map[gauge.Life]time.Duration // those that were asked about, and when
+// stageAdvice holds the tickets that a stage has for workers, if its queue requires advice.
+type stageAdvice struct {
+	queryInFlight bool
+	tickets       map[gauge.Life]ticket        // each holds for one incarnation of a worker
+	queriedAt     map[gauge.Life]time.Duration // when each worker was last asked about
 }
 
 type ticket struct {
-	text  string
-	until time.Duration
+	text      string
+	expiresAt time.Duration
 }
 
 const (
-	// adviceMost workers are asked about at a time: the service takes time for
-	// each, and callers' objectives count one question about thirty.
-	adviceMost = 30
-	// adviceAgain is how long an answer about a worker stands: the policy of a
-	// step doesn't change, but tickets run out.
-	adviceAgain = time.Second
-	// ticketMargin is kept from a ticket's end, for the way of the start.
+	// maxAdviceWorkers is how many workers a query covers at most: the advice service takes time
+	// for each, and callers' objectives allow for one query about thirty.
+	maxAdviceWorkers = 30
+	// adviceRetryDelay is the least time between two queries about a worker: the policy for a step
+	// doesn't change, but tickets expire.
+	adviceRetryDelay = time.Second
+	// ticketMargin is subtracted from a ticket's validity, for the time that the start takes to the
+	// worker.
 	ticketMargin = 200 * time.Millisecond
 )
 
-// ticketFor returns the stage's ticket for a worker; false: it must not start
-// there. A queue without advice needs none.
-func (t *turn) ticketFor(w *worker, now time.Duration) (string, bool) {
-	if t.advice == nil {
+// ticketFor returns the stage's ticket for a worker; false: the stage must not start there. A queue
+// without advice needs none.
+func (c *candidate) ticketFor(w *worker, now time.Duration) (string, bool) {
+	if c.advice == nil {
 		return "", true
 	}
-	k, ok := t.stage.advised.tickets[w.info.Life()]
-	return k.text, ok && now < k.until-ticketMargin
+	found, ok := c.stage.advice.tickets[w.info.Life()]
+	return found.text, ok && now < found.expiresAt-ticketMargin
 }
 
-// ask orders a question about the workers that have room for the stage and about
-// which nothing is known, unless one is under way.
-func (p *Pool) ask(t *turn, room *rooms, now time.Duration) {
-	a := &t.stage.advised
-	if t.advice == nil || a.asking {
+// askAdvice orders a query about the workers that have room for the stage and for which no answer
+// is known, unless a query is in flight.
+func (p *Pool) askAdvice(c *candidate, round *placementRound, now time.Duration) {
+	a := &c.stage.advice
+	if c.advice == nil || a.queryInFlight {
 		return
 	}
 	var about []*worker
-	for _, w := range room.workers {
-		asked, known := a.asked[w.info.Life()]
-		if w.free().Holds(t.stage.spec.Room()) && (!known || now > asked+max(adviceAgain, t.advice.Valid)) {
+	for _, w := range round.workers {
+		asked, known := a.queriedAt[w.info.Life()]
+		if w.free().Holds(c.stage.spec.Room()) && (!known || now > asked+max(adviceRetryDelay, c.advice.Valid)) {
 			about = append(about, w)
 		}
 	}
@@ -60,37 +60,36 @@
 		return
 	}
 	slices.SortFunc(about, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
-	a.asking = true
-	order := Order{Kind: OrderAdvise, stage: t.stage, Step: t.stage.tasks[0].id.StepName(), valid: t.advice.Valid}
-	for _, w := range about[:min(len(about), adviceMost)] {
+	a.queryInFlight = true
+	order := Order{Kind: OrderAdvise, stage: c.stage, Step: c.stage.tasks[0].id.StepName(), validity: c.advice.Valid}
+	for _, w := range about[:min(len(about), maxAdviceWorkers)] {
 		order.About = append(order.About, w.info.ID)
-		order.lives = append(order.lives, w.info.Life())
+		order.incarnations = append(order.incarnations, w.info.Life())
 	}
 	p.orders = append(p.orders, order)
 }
 
-// Advised takes in the answer to a question. The tickets hold from when it was
-// asked.
-func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, asked time.Duration) {
-	a := &o.stage.advised
-	a.asking = false
+// Advised handles the answer to a query. The tickets are valid from the time of the query.
+func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, queriedAt time.Duration) {
+	a := &o.stage.advice
+	a.queryInFlight = false
 	if err != nil {
 		p.conf.Logs.Info("advice failed", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "error", err.Error())
 		return
 	}
 	if valid == 0 {
-		valid = o.valid // the service doesn't say: as configured
+		valid = o.validity // the service doesn't say: as configured
 	}
 	if a.tickets == nil {
-		a.tickets, a.asked = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
+		a.tickets, a.queriedAt = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
 	}
-	lives := make(map[string]gauge.Life, len(o.lives))
-	for _, l := range o.lives {
-		a.asked[l], lives[l.Worker] = asked, l
+	byWorker := make(map[string]gauge.Life, len(o.incarnations))
+	for _, l := range o.incarnations {
+		a.queriedAt[l], byWorker[l.Worker] = queriedAt, l
 		delete(a.tickets, l)
 	}
 	for _, t := range tickets {
-		a.tickets[lives[t.Worker]] = ticket{text: t.Text, until: asked + valid}
+		a.tickets[byWorker[t.Worker]] = ticket{text: t.Text, expiresAt: queriedAt + valid}
 	}
 	p.conf.Logs.Info("advice", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "good", len(tickets), "valid", valid)
 }
--- /dev/null
+++ b/internal/sched/batch.go
@@ -0,0 +1,183 @@
+package sched
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	gauge "sapphiregauge"
+)
+
+// Change is one job's row as it is to be written.
+type Change struct {
+	Job     string
+	Queue   string
+	Row     []byte
+	Version int64 // that the table is expected to have
+	Final   bool  // nothing runs any more: spec and marker can be dropped
+	changes int
+}
+
+// Batch is a set of changes for one transaction.
+type Batch struct {
+	Queue   string // of all changes
+	Changes []Change
+	More    bool // more changes wait than fit into the transaction, in queues that aren't avoided
+}
+
+const (
+	// jobEntries is how many entries of a transaction a job's change takes: its check and its
+	// write. endEntries is how many more it takes to drop spec and marker.
+	jobEntries = 2
+	endEntries = 2
+	// batchBytes bounds the rows of a batch. A transaction may have 1 MB in all, and rows grow by a
+	// third when encoded, but over an entry's slow link this much takes 0.3 s.
+	batchBytes = 256 << 10
+)
+
+// Batch returns changes of one queue that the table doesn't have yet, urgent ones first, as many as
+// fit into a transaction with the given number of entries. Queues to avoid are left out: their
+// partition doesn't answer, and would delay the others. Now is the table's clock in milliseconds.
+// It fails if a row can't be encoded.
+func (p *Pool) Batch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
+	b := Batch{}
+	waiting := p.writable(avoid)
+	if len(waiting) == 0 {
+		return b, nil
+	}
+	b.Queue = slices.MinFunc(waiting, byUrgency).queue
+	due, left, size := 0, entries, 0
+	for _, j := range waiting {
+		due += j.entryCount(j.row.State.Final())
+	}
+	b.More = due > entries
+	for _, j := range firstOf(waiting, b.Queue, max(1, entries/jobEntries)) {
+		c, err := j.change(now)
+		if err != nil {
+			return b, err
+		}
+		left -= j.entryCount(c.Final)
+		size += len(c.Row)
+		if len(b.Changes) > 0 && (left < 0 || size > batchBytes) {
+			b.More = true
+			break
+		}
+		b.Changes = append(b.Changes, c)
+	}
+	return b, nil
+}
+
+// entryCount is how many entries of a transaction the job's change takes.
+func (j *job) entryCount(final bool) int {
+	if final {
+		return jobEntries + endEntries
+	}
+	return jobEntries
+}
+
+// change returns the job's row as it is to be written.
+func (j *job) change(now int64) (Change, error) {
+	if j.row.State.Final() && j.row.Ended == 0 {
+		j.row.Ended = now
+	}
+	row, err := j.row.Encode()
+	if err != nil {
+		return Change{}, err
+	}
+	return Change{
+		Job: j.id, Queue: j.queue, Row: row, Version: j.version,
+		Final: j.row.State.Final() && len(j.liveRuns()) == 0, changes: j.changes,
+	}, nil
+}
+
+// Urgent reports whether a change waits that justifies a write of its own.
+func (p *Pool) Urgent() bool {
+	if p.index.hasUrgent() {
+		return true
+	}
+	for _, w := range p.workersByID() {
+		if w.lastEnd > w.lastStoredEnd && !w.dead || w.waitsForLeaseRow() {
+			return true
+		}
+	}
+	return false
+}
+
+// writable returns the jobs with changes to write, except those of queues to avoid.
+func (p *Pool) writable(avoid func(queue string) bool) []*job {
+	dirty := slices.DeleteFunc(p.index.unwrittenJobs(), func(j *job) bool { return avoid(j.queue) })
+	return dirty
+}
+
+// byUrgency compares jobs by which is to be written first.
+func byUrgency(a, b *job) int {
+	if a.urgent != b.urgent {
+		if a.urgent {
+			return -1
+		}
+		return 1
+	}
+	return cmp.Compare(a.arrived, b.arrived)
+}
+
+// firstOf returns the first jobs of a queue in order of urgency, at most as many as given. In a
+// backlog thousands wait, of which a transaction takes some dozens, so most jobs take one
+// comparison and aren't sorted.
+func firstOf(jobs []*job, queue string, limit int) []*job {
+	first := make([]*job, 0, limit+1)
+	for _, j := range jobs {
+		if j.queue != queue || len(first) == limit && byUrgency(first[limit-1], j) <= 0 {
+			continue
+		}
+		at, _ := slices.BinarySearchFunc(first, j, byUrgency)
+		if first = slices.Insert(first, at, j); len(first) > limit {
+			first = first[:limit]
+		}
+	}
+	return first
+}
+
+// isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
+// table.
+func (j *job) isDroppable() bool {
+	return j.row.State.Final() && !j.dropped && len(j.liveRuns()) == 0
+}
+
+// Written records that a batch is in the table, as of a version.
+func (p *Pool) Written(b Batch, version int64, now time.Duration) {
+	for _, c := range b.Changes {
+		j := p.jobs[c.Job]
+		if j == nil {
+			continue
+		}
+		j.version = version
+		j.savedChanges = max(j.savedChanges, c.changes)
+		if !j.isDirty() {
+			j.urgent = false
+		}
+		if c.Final {
+			j.dropped = true
+			delete(p.jobs, c.Job)
+			p.endedJobs[c.Job] = endedJob{queue: j.queue, state: j.row.State, endedAt: now}
+		}
+	}
+	for _, w := range p.workers {
+		w.updateStored()
+	}
+}
+
+// Conflicted handles a row as the table has it, after a batch was refused. A row that a caller's
+// cancellation has changed ends the job here. A row that was changed by an earlier batch without an
+// answer is merely newer.
+func (p *Pool) Conflicted(id string, row *gauge.JobRow, version int64) {
+	j := p.jobs[id]
+	if j == nil || version <= j.version {
+		return
+	}
+	j.version = version
+	if row.State == gauge.JobCancelled && j.isOpen() {
+		p.conf.Logs.Info("job cancelled", "job", id, "pool", p.conf.Name, "version", version, "seen", "at a write")
+		j.cancel()
+		p.requestJobStop(j)
+	}
+}
--- /dev/null
+++ b/internal/sched/candidate.go
@@ -0,0 +1,139 @@
+package sched
+
+import (
+	"container/heap"
+	"time"
+
+	gauge "sapphiregauge"
+)
+
+// candidate is a stage with tasks that may start, and its rank.
+type candidate struct {
+	job   *job
+	stage *stage
+	rank  rank
+	// advice policy of its queue, nil if it has none
+	advice *gauge.Advice
+}
+
+// rank orders candidates: the lower one starts first.
+type rank struct {
+	class    int // 0: long-running tasks, which are few and whose value accrues all the time
+	priority int
+	lateness int // 0: it can meet its objective; 1: it can't; 2: long past it
+	due      time.Duration
+}
+
+// before reports whether the candidate comes before another. It is called some thousand times a
+// plan, so it compares the deciding fields first and stops at the first difference.
+func (c *candidate) before(o *candidate) bool {
+	a, b := &c.rank, &o.rank
+	switch {
+	case a.class != b.class:
+		return a.class < b.class
+	case a.priority != b.priority:
+		return a.priority < b.priority
+	case a.lateness != b.lateness:
+		return a.lateness < b.lateness
+	case a.due != b.due:
+		return a.due < b.due
+	default:
+		return c.job.id < o.job.id
+	}
+}
+
+// candidateHeap is a heap with the first candidate on top. Of a thousand candidates only the few
+// for which there is room are put in order.
+type candidateHeap []candidate
+
+func (h candidateHeap) Len() int           { return len(h) }
+func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
+
+// Push implements heap.Interface; nothing is added later.
+func (h *candidateHeap) Push(any) {}
+
+// Pop implements heap.Interface. What it returns has been read already.
+func (h *candidateHeap) Pop() any {
+	*h = (*h)[:len(*h)-1]
+	return nil
+}
+
+// next removes and returns the first candidate.
+func (h *candidateHeap) next() candidate {
+	first := (*h)[0]
+	heap.Pop(h)
+	return first
+}
+
+// candidates ranks the waiting stages that the worker with the most room could take.
+func (p *Pool) candidates(maxFree gauge.Resources, now time.Duration) candidateHeap {
+	if len(p.index.waiting) == 0 || !maxFree.Holds(p.index.minNeed) {
+		return nil
+	}
+	list := p.candidateBuf[:0]
+	p.index.pruneWaiting(func(st *stage, need gauge.Resources) {
+		if maxFree.Holds(need) {
+			list = append(list, candidate{job: st.job, stage: st, rank: p.rank(st.job, st.occ, st, now), advice: p.advice(st.job)})
+		}
+	})
+	p.candidateBuf = list
+	heap.Init(&list)
+	return list
+}
+
+// policy is the configuration of a job's queue, nil if the queue has none. It is looked up once per
+// configuration.
+func (p *Pool) policy(j *job) *gauge.Queue {
+	if j.site == p.site {
+		return j.policy
+	}
+	j.site, j.policy = p.site, p.site.QueueByName(j.queue)
+	stretch, target := float64(defaultStretch), time.Duration(0)
+	if j.policy != nil {
+		stretch, target = j.policy.Stretch, j.policy.Target
+	}
+	j.objective = time.Duration(stretch*float64(j.longestChain)) + target
+	return j.policy
+}
+
+// advice is the advice policy of a job's queue, nil if the queue has none.
+func (p *Pool) advice(j *job) *gauge.Advice {
+	if q := p.policy(j); q != nil {
+		return q.Advice
+	}
+	return nil
+}
+
+// defaultStretch is used for a queue that is no longer configured.
+const defaultStretch = 2
+
+// lateFactor is the multiple of its objective up to which a late job is still worth something to
+// its caller.
+const lateFactor = 3
+
+func (p *Pool) rank(j *job, o *occurrence, st *stage, now time.Duration) rank {
+	r := rank{class: 1}
+	if st.spec.Lasts {
+		r.class = 0
+		if st.spec.Fills {
+			r.class = 1
+		}
+	}
+	if q := p.policy(j); q != nil {
+		r.priority = q.Priority
+	}
+	r.due = j.arrived + j.objective
+	left := r.due - now
+	if p.conf.Without.Has(gauge.MechanismDeadline) {
+		r.due = j.arrived
+	}
+	switch {
+	case p.conf.Without.Has(gauge.MechanismTimely):
+	case left < -j.objective*(lateFactor-1):
+		r.lateness = 2
+	case left < o.chain()/2:
+		r.lateness = 1
+	}
+	return r
+}
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -9,41 +9,41 @@
 	gauge "sapphiregauge"
 )
 
-// Walked is what the pool keeps count of, found by a walk over all jobs instead.
+// Walked holds what the pool tracks incrementally, computed by a walk over all jobs instead.
 type Walked struct {
 	Depths  map[string]int
 	Urgent  bool
-	Changed []string // jobs that a write is to take along
+	Changed []string // jobs that are to be written
 	Waiting []string // steps with tasks that may start
-	Stale   []string // occurrences of which the chain of steps that is left isn't known rightly
+	Stale   []string // occurrences whose cached chain of remaining steps is wrong
 	Load    gauge.PoolLoad
 }
 
 // Walk goes over all jobs and workers.
 func (p *Pool) Walk(now time.Duration) Walked {
-	w := Walked{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.arrived, Jobs: p.came}}
+	w := Walked{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.adoptedWork, Jobs: p.adoptedJobs}}
 	for _, j := range p.jobs {
-		if !j.started && j.open() {
+		if !j.started && j.isOpen() {
 			w.Depths[j.queue]++
 		}
-		w.Urgent = w.Urgent || j.dirty() && j.urgent
-		if j.dirty() || j.leaves() {
+		w.Urgent = w.Urgent || j.isDirty() && j.urgent
+		if j.isDirty() || j.isDroppable() {
 			w.Changed = append(w.Changed, j.id)
 		}
-		if j.open() {
-			w.walkJob(p, j, now)
+		if j.isOpen() {
+			w.addJob(p, j, now)
 		}
 	}
-	for id, k := range p.workers {
-		w.Urgent = w.Urgent || k.ends > k.kept && !k.gone || k.waits()
-		if k.listed && !k.gone {
+	for id, worker := range p.workers {
+		w.Urgent = w.Urgent || worker.lastEnd > worker.lastStoredEnd && !worker.dead || worker.waitsForLeaseRow()
+		if worker.listed && !worker.dead {
 			lasting := 0
-			for r := range k.runs {
+			for r := range worker.runs {
 				if r.task.stage.spec.Lasts {
 					lasting++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(k.runs), Lasting: lasting, Takes: k.takes(now), Busy: k.busy(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), Lasting: lasting, Takes: worker.takesStarts(now), Busy: worker.busyFor(now)})
 		}
 	}
 	slices.Sort(w.Changed)
@@ -51,37 +51,37 @@
 	return w
 }
 
-func (w *Walked) walkJob(p *Pool, j *job, now time.Duration) {
-	for _, o := range j.occs {
-		if known := o.chain(); known != o.anew() {
+func (w *Walked) addJob(p *Pool, j *job, now time.Duration) {
+	for _, o := range j.occurrences {
+		if known := o.chain(); known != o.uncachedChain() {
 			w.Stale = append(w.Stale, fmt.Sprintf("%s.%d", j.id, o.number))
 		}
 		for i, st := range o.steps {
-			idle, left := 0, 0
+			idle, remaining := 0, 0
 			for _, t := range st.tasks {
 				if !t.done {
-					left++
+					remaining++
 				}
 				if !t.done && len(t.runs) == 0 {
 					idle++
 				}
 			}
-			if idle > 0 && o.ready(st) {
+			if idle > 0 && o.isReady(st) {
 				w.Waiting = append(w.Waiting, fmt.Sprintf("%s.%d.%d", j.id, o.number, i))
 			}
-			if left > 0 {
-				into := &w.Load.Timely
-				if p.rank(j, o, st, now).late > 0 {
-					into = &w.Load.Late
+			if remaining > 0 {
+				demand := &w.Load.Timely
+				if p.rank(j, o, st, now).lateness > 0 {
+					demand = &w.Load.Late
 				}
-				w.walkStage(into, st, o.ready(st), idle, now)
+				w.addStage(demand, st, o.isReady(st), idle, now)
 			}
 		}
 	}
 }
 
-func (w *Walked) walkStage(into *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
-	cores := float64(st.spec.Room().MilliCPU) / milli
+func (w *Walked) addStage(demand *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
+	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
 	if st.spec.Lasts {
 		w.Load.Lasting += cores * float64(len(st.tasks))
 		w.Load.Away += idle
@@ -94,37 +94,36 @@
 		switch {
 		case t.done:
 		case len(t.runs) > 0:
-			into.Busy += cores
+			demand.Busy += cores
 		case ready:
-			into.Waiting += cores
+			demand.Waiting += cores
 			w.Load.Oldest = max(w.Load.Oldest, now-t.readyAt)
 		}
 	}
 }
 
-// Waiting names the steps with tasks that may start, as a plan finds them when any
-// task fits.
+// Waiting returns the steps with tasks that may start, as a plan finds them when any task fits.
 func (p *Pool) Waiting(now time.Duration) []string {
 	var names []string
 	large := gauge.Resources{MilliCPU: math.MaxInt, MemoryMB: math.MaxInt, Accels: math.MaxInt}
-	for _, t := range p.turns(large, now) {
-		names = append(names, fmt.Sprintf("%s.%d.%d", t.job.id, t.stage.occ.number, t.stage.tasks[0].id.Step))
+	for _, c := range p.candidates(large, now) {
+		names = append(names, fmt.Sprintf("%s.%d.%d", c.job.id, c.stage.occ.number, c.stage.tasks[0].id.Step))
 	}
 	slices.Sort(names)
 	return names
 }
 
-// Changed names the jobs that a write is to take along.
+// Changed returns the jobs that are to be written.
 func (p *Pool) Changed() []string {
 	var names []string
-	for _, j := range p.counts.unwritten() {
+	for _, j := range p.index.unwrittenJobs() {
 		names = append(names, j.id)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// anew works the chain out without a look at what is known of it.
-func (o *occurrence) anew() time.Duration {
-	return (&occurrence{number: o.number, steps: o.steps, left: o.left, stale: true}).chain()
+// uncachedChain computes the chain without its cached value.
+func (o *occurrence) uncachedChain() time.Duration {
+	return (&occurrence{number: o.number, steps: o.steps, remaining: o.remaining, chainStale: true}).chain()
 }
--- /dev/null
+++ b/internal/sched/incarnation.go
@@ -0,0 +1,160 @@
+package sched
+
+import (
+	"math"
+	"time"
+
+	gauge "sapphiregauge"
+)
+
+// A worker is identified by its incarnation. Whatever names a worker to this package (an entry of
+// the platform's list, an answer, a row of a previous owner) goes through this file, which decides
+// which incarnation is meant, so that what is known of one is never applied to another. The newest
+// known incarnation counts; anything from an earlier one is too late.
+
+// current returns the worker of an incarnation; nil if that incarnation isn't known or isn't the
+// newest.
+func (p *Pool) current(l gauge.Life) *worker {
+	w := p.workers[l.Worker]
+	if w == nil || w.info.Life() != l {
+		return nil
+	}
+	return w
+}
+
+// listedAs returns the worker that an entry of the platform's list names; nil if the entry is of an
+// earlier incarnation than is known, or doesn't say of which, so that it names no usable worker.
+func (p *Pool) listedAs(info gauge.Worker) *worker {
+	w := p.workers[info.ID]
+	switch {
+	case w == nil:
+		return p.begin(info)
+	case w.info.Life().Before(info.Life()):
+		return p.succeed(w, info, p.lastTick)
+	case info.Life().Before(w.info.Life()):
+		return nil
+	default:
+		return w
+	}
+}
+
+// listedElsewhere handles a worker that is listed in another pool. An incarnation that began there
+// isn't this owner's, even if it has answered a heartbeat that was meant for the previous one.
+func (p *Pool) listedElsewhere(info gauge.Worker) {
+	w := p.workers[info.ID]
+	if w == nil || info.Life().Before(w.info.Life()) || w.listedHere && info.Life() == w.info.Life() {
+		return
+	}
+	p.retireWorker(w, "restarted in another pool", p.lastTick)
+}
+
+// answering returns the worker whose incarnation has answered a call; nil if it is dead or no
+// longer the newest.
+func (p *Pool) answering(incarnation gauge.Life, born int64, now time.Duration) *worker {
+	w := p.workers[incarnation.Worker]
+	if w == nil {
+		return nil
+	}
+	answered := gauge.Life{Worker: incarnation.Worker, Born: born}
+	switch known := w.info.Life(); {
+	case known.Before(answered):
+		// What it is and has is known only from its own entry in the list.
+		return p.succeed(w, gauge.Worker{ID: w.info.ID, Born: born, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
+	case answered.Before(known):
+		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", born, "newest", known.Born)
+		return nil
+	case w.dead:
+		return nil
+	default:
+		return w
+	}
+}
+
+// begin adds an incarnation of a worker.
+func (p *Pool) begin(info gauge.Worker) *worker {
+	w := &worker{
+		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Life()), knownSince: p.lastTick, drainUntil: p.conf.Emptied[info.ID],
+	}
+	w.info.Draining = false // handled with its entry in the platform's list
+	p.raiseFence(w)
+	previous, awaited := p.unreported[info.ID]
+	if w.restarted = awaited && previous != info.Life(); w.restarted {
+		p.replacedUnreported = append(p.replacedUnreported, previous)
+		p.lostUnreported = true
+	}
+	p.workers[info.ID] = w
+	p.sortedWorkers = nil
+	p.newIncarnations = append(p.newIncarnations, info)
+	return w
+}
+
+// succeed records that a worker has restarted: the previous incarnation is dead, and what is known
+// of it no longer applies. Only what concerns the worker in any incarnation goes on: it is to be
+// drained, for an order to its machine.
+func (p *Pool) succeed(previous *worker, info gauge.Worker, now time.Duration) *worker {
+	w := p.begin(info)
+	w.restarted = true
+	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
+	w.drainUntil, w.forceDrain, w.drainSoonUntil = previous.drainUntil, previous.forceDrain, previous.drainSoonUntil
+	w.fence, w.fencePending = p.fence(previous), previous.fencePending
+	if !previous.silent || previous.fencePending {
+		p.raiseFence(w)
+	}
+	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", previous.info.Born,
+		"runs", len(previous.runs), "kept", previous.lastStoredEnd, "ends", previous.lastEnd)
+	p.passOn(previous, w)
+	p.markDead(previous, "restarted", now)
+	return w
+}
+
+// passOn lets the next incarnation settle orders to the previous one whose runs it never listed.
+// Such an order may reach the next incarnation, and its deadline means nothing on another clock.
+func (p *Pool) passOn(previous, next *worker) {
+	if previous.dead {
+		return
+	}
+	for r := range previous.runs {
+		if r.lastReport > 0 {
+			continue
+		}
+		p.removeInFlight(r)
+		p.endIsolation(r)
+		previous.removeRun(r)
+		previous.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0, passedOn: r})
+		r.lost = true
+		r.worker, r.phase, r.unanswered, r.startDeadline, r.confirmedAt = next, phaseUnsure, true, math.MaxInt64, 0
+		next.addRun(r)
+		p.requestStop(r)
+	}
+}
+
+// fence is the fencing token for calls to a worker: the version of one of this owner's writes. It
+// rises with each incarnation and whenever the worker doesn't answer, because a worker that
+// restarts knows of no token and would carry out calls for its previous incarnation up to seconds
+// later. It never reaches the successor's token, as a successor takes the lease by a later write.
+func (p *Pool) fence(w *worker) gauge.Fence { return max(p.conf.Fence, w.fence) }
+
+// raiseFence gives a worker a higher token, so that earlier calls are refused once the worker has
+// answered. Without a write since the last time it waits for the next one.
+func (p *Pool) raiseFence(w *worker) {
+	w.fencePending = p.leaseRowVersion <= p.fence(w)
+	if !w.fencePending {
+		w.fence = p.leaseRowVersion
+	}
+}
+
+// Outdated reports whether a call's fencing token is an earlier one of this owner's own, or whether
+// the call was for an incarnation that is dead or has never reported to this owner. The refusal of
+// such a call doesn't show that this pool has another owner. An incarnation that has never reported
+// may have been called by the owner of another pool, which had its previous incarnation.
+func (p *Pool) Outdated(l gauge.Life, sent gauge.Fence) bool {
+	w := p.current(l)
+	return w == nil || !w.reported || sent < p.fence(w)
+}
+
+// Unheld returns the incarnations that began since the last call; each needs heartbeats.
+func (p *Pool) Unheld() []gauge.Worker {
+	list := p.newIncarnations
+	p.newIncarnations = nil
+	return list
+}
--- /dev/null
+++ b/internal/sched/loss.go
@@ -0,0 +1,283 @@
+package sched
+
+import (
+	"slices"
+	"time"
+
+	gauge "sapphiregauge"
+	"sapphiregauge/internal/proof"
+)
+
+const (
+	// attributionDelay is the time after a worker's loss until others that were lost with it are
+	// known. Before, the loss can't be attributed, and the lost tasks wait.
+	attributionDelay = time.Second
+	// pauseThreshold without a tick, of which there are ten a second, means that this process stood
+	// still and noticed no losses meanwhile.
+	pauseThreshold = 500 * time.Millisecond
+	// lossRetention is how long a loss is remembered, to be compared with others.
+	lossRetention = 10 * time.Second
+)
+
+// lostRun is a run that ended with its worker's incarnation or lease.
+type lostRun struct {
+	task     *task
+	number   int
+	lived    time.Duration
+	reported bool // its worker has reported it
+	passedOn *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
+}
+
+// isNotLost reports whether the run turned out not to be lost.
+func (l lostRun) isNotLost() bool { return l.passedOn != nil && l.passedOn.notLost }
+
+// loss is a worker whose incarnation is dead.
+type loss struct {
+	incarnation gauge.Life
+	rack        string
+	earliest    time.Duration // last time that it answered ...
+	noticedAt   time.Duration // ... and when it no longer did: it was lost in between
+	runs        []lostRun
+	// tasksRuledOut: it had runs, and none of them can be the cause.
+	tasksRuledOut bool
+	planned       bool // it was leaving, or being drained
+	singleJob     bool // only tasks of one job ran there
+	attributed    bool
+	// unreported: it never reported to this owner, so the time of its loss isn't known.
+	unreported bool
+}
+
+// lose ends a run together with its worker. The log line says how long the run lived at least and
+// how many others were lost with it: a task that crashes its workers shows as runs that are lost
+// soon after their starts, on one worker after the other.
+func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
+	p.conf.Count(EventLost)
+	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
+		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", others, "reason", reason)
+	r.worker.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0})
+	r.lost = true
+	p.endRun(r, now)
+}
+
+// addLost keeps a lost run until it is known what became of the worker.
+func (w *worker) addLost(l lostRun) {
+	l.task.undecidedRuns++
+	w.lostRuns = append(w.lostRuns, l)
+}
+
+// expireRuns handles the expiry of a worker's lease: all runs that are known to have been there
+// have ended.
+func (p *Pool) expireRuns(w *worker, now time.Duration) {
+	var lost []*run
+	for r := range w.runs {
+		if !r.mayStillStart(now) {
+			lost = append(lost, r)
+		}
+	}
+	if len(lost) == 0 {
+		return
+	}
+	p.conf.Count(EventLapsed)
+	p.conf.Logs.Info("worker lapsed", "pool", p.conf.Name, "worker", w.info.ID, "runs", len(lost), "unsure", len(w.runs)-len(lost), "listed", w.listed)
+	for _, r := range lost {
+		p.lose(r, "its worker's lease expired", len(lost)-1, now)
+	}
+}
+
+// lived is how long the run has lived at least, up to its worker's last report of it.
+func (r *run) lived() time.Duration { return r.livedBefore + max(0, r.reportedAt-r.orderedAt) }
+
+// recordAtRisk records the runs on a worker that has stopped answering. Otherwise a successor would
+// start their tasks again without knowing that the worker has crashed: an owner learns that only by
+// the answer of the worker's next incarnation, seconds later.
+func (p *Pool) recordAtRisk(w *worker) {
+	if w.atRiskRecorded || len(w.runs) == 0 || !p.fewSilent() {
+		return
+	}
+	w.atRiskRecorded = true
+	singleJob := w.runsSingleJob()
+	for r := range w.runs {
+		if r.isolatedFor == nil && r.task.job.isOpen() {
+			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: w.info.ID, Born: w.info.Born, Alone: singleJob && r.reportedAt > 0, Lived: r.lived()})
+		}
+	}
+}
+
+// fewSilent reports whether only some workers don't answer. If most don't, the cause is this
+// owner's network or the workers' power, and not a task.
+func (p *Pool) fewSilent() bool {
+	silent, all := 0, 0
+	for _, w := range p.workers {
+		if w.listed && !w.dead {
+			all++
+			if w.silent {
+				silent++
+			}
+		}
+	}
+	return silent <= 1 || fewDivisor*silent <= all
+}
+
+// fewDivisor: at most a quarter of the workers count as few.
+const fewDivisor = 4
+
+// clearAtRisk takes back what was recorded for a worker that answers again: it hasn't crashed.
+func (p *Pool) clearAtRisk(w *worker) {
+	if w.atRiskRecorded {
+		for r := range w.runs {
+			if r.isolatedFor == nil {
+				p.dropUnconfirmed(r.task, r.number)
+			}
+		}
+	}
+	for _, l := range w.lostRuns {
+		l.task.undecidedRuns--
+		p.dropUnconfirmed(l.task, l.number)
+	}
+	w.atRiskRecorded, w.lostRuns = false, nil
+}
+
+// runsSingleJob reports whether only tasks of one job run on a worker.
+func (w *worker) runsSingleJob() bool {
+	var only *job
+	for r := range w.runs {
+		if only != nil && r.task.job != only {
+			return false
+		}
+		only = r.task.job
+	}
+	for _, l := range w.lostRuns {
+		if only != nil && l.task.job != only {
+			return false
+		}
+		only = l.task.job
+	}
+	return only != nil && w.orphanCount == 0
+}
+
+// tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
+func (w *worker) tasksRuledOut() bool {
+	for r := range w.runs {
+		if r.lived() < proof.Soon || r.isolatedFor != nil || r.task.leadTask().isSuspect {
+			return false
+		}
+	}
+	for _, l := range w.lostRuns {
+		if l.lived < proof.Soon || l.task.leadTask().isSuspect {
+			return false
+		}
+	}
+	return len(w.runs)+len(w.lostRuns) > 0
+}
+
+// recordLoss records that a worker is dead, with the runs that were lost there. The loss is
+// attributed a little later.
+func (p *Pool) recordLoss(w *worker, now time.Duration) {
+	l := &loss{
+		incarnation: w.info.Life(), rack: w.info.Rack(), earliest: w.earliestLoss(p.conf.Wait), noticedAt: w.silentSince, runs: w.lostRuns, tasksRuledOut: w.tasksRuledOut(),
+		singleJob: w.runsSingleJob(),
+	}
+	if !w.silent {
+		l.noticedAt = now
+	}
+	// Machines are ordered to leave only when they are empty.
+	l.planned = w.info.Draining || len(l.runs) == 0 && w.isLeaving(l.noticedAt)
+	for _, r := range l.runs {
+		r.task.undecidedRuns--
+		r.task.unattributedLosses++
+		if !l.planned && !r.task.done && r.task.job.isOpen() {
+			// The successor has to know, should this owner not get to attribute the loss.
+			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Alone: l.singleJob && r.reported, Lived: r.lived})
+		}
+	}
+	w.lostRuns = nil
+	p.losses = append(p.losses, l)
+}
+
+// isLeaving reports whether a worker was leaving, or being drained, when it stopped answering.
+func (w *worker) isLeaving(at time.Duration) bool { return w.info.Draining || at < w.drainUntil }
+
+// attributeLosses finds the causes of losses, once they can be known.
+func (p *Pool) attributeLosses(now time.Duration) {
+	for _, l := range p.losses {
+		if !l.attributed && now >= max(l.noticedAt, p.resumedAt)+attributionDelay {
+			l.attributed = true
+			p.attributeLoss(l, now)
+		}
+	}
+	p.losses = slices.DeleteFunc(p.losses, func(l *loss) bool { return l.attributed && now > l.noticedAt+lossRetention })
+}
+
+func (p *Pool) attributeLoss(l *loss, now time.Duration) {
+	others := p.correlatedLosses(l, now)
+	correlated := others.areCorrelated()
+	if len(l.runs) > 0 {
+		p.conf.Count(EventCrashed)
+		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.Born, "runs", len(l.runs), "alone", l.singleJob,
+			"together", correlated, "planned", l.planned, "age", now-l.noticedAt)
+	}
+	likelierCause := l.tasksWithLikelierCause()
+	for _, r := range l.runs {
+		r.task.unattributedLosses--
+		if r.isNotLost() {
+			p.dropUnconfirmed(r.task, r.number)
+			continue
+		}
+		if correlated || l.planned {
+			p.excuse(r.task, r.number, r.lived)
+			continue
+		}
+		if r.task.done || !r.task.job.isOpen() {
+			continue
+		}
+		p.recordSuspectRun(r.task, gauge.Trial{
+			Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Crashed: true, Alone: !others.isAmbiguous() && l.provesCrash(r),
+			Apart: !others.isAmbiguous() && r.task.suspectRuns().Tried(r.number), Beside: likelierCause[r.task], Lived: r.lived,
+		})
+		p.failIfCause(r.task)
+	}
+}
+
+// provesCrash reports whether nothing but the task can have crashed its worker: the run ended as
+// soon after its start as those before, and no other job's task was there.
+func (l *loss) provesCrash(r lostRun) bool {
+	return l.singleJob && r.reported && r.lived < r.task.probation(r.number)
+}
+
+// lossOf is the loss of a worker that never reported to this owner.
+func (p *Pool) lossOf(incarnation gauge.Life, now time.Duration) *loss {
+	for _, l := range p.losses {
+		if l.incarnation == incarnation {
+			return l
+		}
+	}
+	return &loss{incarnation: incarnation, earliest: now, noticedAt: now, unreported: true}
+}
+
+// loseUnreported records that a worker of a previous owner, which has never reported to this one,
+// can't run anything any more.
+func (p *Pool) loseUnreported(l gauge.Life, now time.Duration) {
+	p.lostUnreported = true
+	if p.workers[l.Worker] == nil {
+		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	}
+}
+
+// loseReplaced records the loss of incarnations that were replaced before they reported to this
+// owner. Why they were lost isn't known.
+func (p *Pool) loseReplaced(now time.Duration) {
+	for _, l := range p.replacedUnreported {
+		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	}
+	p.replacedUnreported = nil
+}
+
+// unreportedWith counts the workers without a suspect that didn't report either: one may have left
+// the pool meanwhile, several are a rack.
+func (p *Pool) unreportedWith(l *loss) int {
+	n := 0
+	for _, o := range p.losses {
+		n += boolToInt(o.isCorrelatedWith(l) && !p.isolatedBefore[o.incarnation])
+	}
+	return n
+}
--- /dev/null
+++ b/internal/sched/predecessor.go
@@ -0,0 +1,144 @@
+package sched
+
+import (
+	"slices"
+	"time"
+
+	gauge "sapphiregauge"
+)
+
+// What an owner knew of crashes and couldn't write is lost with it. So owners tell their successor
+// in the lease row that there may be some, and the successor allows for them by presuming crashes.
+// It also finds out what became of the runs that previous owners recorded.
+
+// maxPresumed bounds how many unseen crashes of a task an owner may presume.
+const maxPresumed = 2
+
+// presumeCrash counts a crash that previous owners may have failed to record.
+func (t *task) presumeCrash() {
+	key := t.leadTask().key()
+	if t.job.row.Guessed[key] >= maxPresumed {
+		return
+	}
+	t.job.row.Guessed = increment(t.job.row.Guessed, key)
+	t.countUnattributed()
+}
+
+// allowForUnrecorded allows for crashes that previous owners may have failed to record, once a
+// crash of the task is known.
+func (p *Pool) allowForUnrecorded(t *task) {
+	lead := t.leadTask()
+	if lead.unrecordedAllowed {
+		return
+	}
+	lead.unrecordedAllowed = true
+	if !t.job.inherited {
+		return
+	}
+	unrecorded := p.conf.Unnoted
+	if !lead.recordedBefore {
+		unrecorded += boolToInt(p.lostUnreported)
+	}
+	for range unrecorded {
+		t.presumeCrash()
+	}
+}
+
+// mayHaveCrashed reports whether several previous owners in a row may have lost runs of a task of
+// which nothing is known. From then on its starts are recorded. Otherwise owners that are replaced
+// one after the other, each before it notices a crash, would start the task again without limit.
+func (p *Pool) mayHaveCrashed(t *task) bool {
+	return t.job.inherited && !t.leadTask().isSuspect && p.conf.Unnoted > 0
+}
+
+// recordRoutineRun records a run that is about to start, for the successor only.
+func (p *Pool) recordRoutineRun(r *run) {
+	record := gauge.Trial{Run: r.number, Worker: r.worker.info.ID, Born: r.worker.info.Born, Routine: true}
+	r.task.setSuspectRuns(append(slices.Clone(r.task.suspectRuns()), record), false)
+	r.onProbation = true
+}
+
+// inheritSuspectRuns takes over what previous owners recorded of a job's runs.
+func (p *Pool) inheritSuspectRuns(j *job, now time.Duration) {
+	for _, key := range j.row.Tried() {
+		records := j.row.Trials[key]
+		id, err := gauge.ParseTaskID(j.id + "." + key)
+		if err != nil {
+			p.conf.Logs.Error(err, "invalid task ID of suspect run", "job", j.id, "task", key)
+			continue
+		}
+		t := j.task(id, now)
+		if t == nil || t.done {
+			continue
+		}
+		t.unrecordedAllowed = len(records) >= maxPresumed
+		t.recordedBefore = len(records) > 0
+		for _, record := range records {
+			t.lastRun = max(t.lastRun, record.Run)
+			if !record.Crashed {
+				t.hasUnsettledRuns = true
+				if !record.Routine {
+					p.isolatedBefore[record.Life()] = true
+				}
+			}
+		}
+		p.updateSuspect(t)
+		p.failIfCause(t)
+	}
+}
+
+// settleSuspectRuns finds out what became of runs that previous owners recorded. It is called once
+// all workers that may have them have reported or can't run anything any more.
+func (p *Pool) settleSuspectRuns(t *task, now time.Duration) {
+	if !t.hasUnsettledRuns {
+		return
+	}
+	t.hasUnsettledRuns = false
+	for _, record := range t.suspectRuns() {
+		if record.Crashed {
+			continue
+		}
+		w := p.workers[record.Worker]
+		switch {
+		case w == nil || w.dead || record.Life().Before(w.info.Life()):
+			p.recordPriorCrash(t, record, now)
+		case w.reported && !w.silent:
+			p.dropUnconfirmed(t, record.Run) // it is alive and doesn't have the run
+		default:
+			w.addLost(lostRun{task: t, number: record.Run, lived: record.Lived, reported: true})
+		}
+	}
+}
+
+// recordPriorCrash records that a worker was dead before it reported to this owner.
+func (p *Pool) recordPriorCrash(t *task, record gauge.Trial, now time.Duration) {
+	if others := p.unreportedWith(p.lossOf(record.Life(), now)) > 1; others {
+		// Why these were lost isn't known. That excuses no task that has already lost two workers,
+		// but it proves nothing, either.
+		if !t.evidence().Strong() {
+			p.excuse(t, record.Run, record.Lived)
+			return
+		}
+		record.Alone, record.Apart = false, false
+	}
+	record.Crashed = true
+	p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", record.Worker, "born", record.Born, "job", t.job.id, "task", t.id.String(), "run", record.Run,
+		"alone", record.Alone, "lived", record.Lived, "seen", "by a previous owner")
+	p.recordSuspectRun(t, record)
+	p.failIfCause(t)
+}
+
+// Unnoted reports whether crashes are known that the table doesn't have: a successor has to know
+// that there may be more than it reads.
+func (p *Pool) Unnoted() bool {
+	for t := range p.suspects {
+		if !t.isRecorded() {
+			return true
+		}
+	}
+	return false
+}
+
+// LostBefore reports whether workers were lost before they reported to this owner: previous owners
+// may have failed to record why.
+func (p *Pool) LostBefore() bool { return p.lostUnreported }
--- /dev/null
+++ b/internal/sched/probation.go
@@ -0,0 +1,84 @@
+package sched
+
+import (
+	"slices"
+	"time"
+
+	"sapphiregauge/internal/proof"
+)
+
+// A run of a suspect is on probation: its worker is closed to other jobs until the run has lived
+// for longer than one that crashes its worker would.
+
+// probation is how long a run of the task has to live, given what is known of its other runs.
+func (t *task) probation(run int) time.Duration {
+	return proof.Case{Trials: t.suspectRuns().Without(run)}.Probation()
+}
+
+// checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
+// it has lived long enough.
+func (p *Pool) checkProbation(r *run) {
+	if r.onProbation && !r.survivalRecorded && r.lived() >= proof.Soon {
+		// If it is lost from now on, the start wasn't the cause, for the successor either.
+		r.survivalRecorded = true
+		p.recordLived(r)
+	}
+	if r.onProbation && r.lived() >= r.task.probation(r.number) {
+		r.onProbation = false
+		p.conf.Logs.Info("task survived", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID, "lived", r.lived())
+		p.endIsolation(r)
+		r.task.forgetUnattributed()
+		p.dropUnconfirmed(r.task, r.number)
+	}
+	if r.lived() >= proof.Calm {
+		p.clearSuspicion(r.task)
+	}
+}
+
+// inheritProbation continues the probation of a run that a previous owner started in isolation.
+func (p *Pool) inheritProbation(r *run) {
+	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
+	// while, and most runs of other tasks have lived for as long.
+	r.livedBefore = proof.Soon
+	for _, record := range r.task.suspectRuns() {
+		if record.Run != r.number || record.Crashed {
+			continue
+		}
+		r.onProbation, r.livedBefore = true, record.Lived
+		if r.task.isolatedOnly() {
+			r.closeWorker(r.task.leadTask())
+		}
+		return
+	}
+}
+
+// closeWorker keeps other jobs' tasks off a run's worker, for the suspect that it is a run of.
+func (r *run) closeWorker(t *task) {
+	if r.worker.isolated == nil {
+		r.worker.isolated = make(map[*task]int)
+	}
+	r.isolatedFor = t
+	r.worker.isolated[t]++
+}
+
+// endIsolation removes a run from the isolated ones on its worker.
+func (p *Pool) endIsolation(r *run) {
+	if r.isolatedFor == nil {
+		return
+	}
+	if r.worker.isolated[r.isolatedFor]--; r.worker.isolated[r.isolatedFor] <= 0 {
+		delete(r.worker.isolated, r.isolatedFor)
+	}
+	r.isolatedFor = nil
+}
+
+// recordLived records how long a run on probation has lived so far.
+func (p *Pool) recordLived(r *run) {
+	records := slices.Clone(r.task.suspectRuns())
+	for i := range records {
+		if records[i].Run == r.number && !records[i].Crashed {
+			records[i].Lived = r.lived()
+		}
+	}
+	r.task.setSuspectRuns(records, false)
+}
--- /dev/null
+++ b/internal/sched/suspect.go
@@ -0,0 +1,217 @@
+package sched
+
+import (
+	"slices"
+	"time"
+
+	gauge "sapphiregauge"
+	"sapphiregauge/internal/proof"
+)
+
+// A task may crash each worker that starts it, and with it all that runs there. No end report comes
+// of such a crash, so the task would start again on the next worker without limit, and take other
+// callers' work with it each time. So runs that were lost with a worker are recorded in the job's
+// row. A task that may be the cause is a suspect: it starts in isolation, which tells it from tasks
+// that merely ran beside it, and its job is failed when it must be the cause. Workers that are lost
+// together, or with no recently begun runs, were lost for another reason, which isn't held against
+// their tasks.
+
+// leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
+func (t *task) leadTask() *task {
+	if t.stage.spec.Gang {
+		return t.stage.tasks[0]
+	}
+	return t
+}
+
+// suspectRuns are the task's runs that may have crashed their workers.
+func (t *task) suspectRuns() gauge.Trials {
+	if len(t.job.row.Trials) == 0 {
+		return nil
+	}
+	return t.job.row.Trials[t.leadTask().key()]
+}
+
+func (t *task) setSuspectRuns(records gauge.Trials, urgent bool) {
+	j := t.job
+	if j.row.Trials == nil {
+		j.row.Trials = make(map[string]gauge.Trials)
+	}
+	if len(records) == 0 {
+		delete(j.row.Trials, t.leadTask().key())
+	} else {
+		j.row.Trials[t.leadTask().key()] = records
+	}
+	j.touch(urgent)
+	t.leadTask().requiredChange = j.changes
+}
+
+// evidence is what is known against the task.
+func (t *task) evidence() proof.Case {
+	c := proof.Case{Trials: t.suspectRuns(), Excused: t.unattributed(), Lasts: t.stage.spec.Lasts}
+	if c.Excused > 0 {
+		c.Lone = t.job.row.Lone[t.leadTask().key()]
+	}
+	return c
+}
+
+// unattributed counts the starts of the task that ended before it had shown that it survives, and
+// aren't held against it.
+func (t *task) unattributed() int {
+	if len(t.job.row.Excused) == 0 {
+		return 0
+	}
+	return t.job.row.Excused[t.leadTask().key()]
+}
+
+// countUnattributed counts one more start that proved nothing.
+func (t *task) countUnattributed() {
+	t.job.row.Excused = increment(t.job.row.Excused, t.leadTask().key())
+	t.job.touch(true)
+	t.leadTask().requiredChange = t.job.changes
+}
+
+func increment(counts map[string]int, key string) map[string]int {
+	if counts == nil {
+		counts = make(map[string]int)
+	}
+	counts[key]++
+	return counts
+}
+
+// forgetUnattributed drops the unattributed starts, as the task has shown that it survives.
+func (t *task) forgetUnattributed() {
+	if t.unattributed() == 0 {
+		return
+	}
+	key := t.leadTask().key()
+	delete(t.job.row.Excused, key)
+	delete(t.job.row.Guessed, key)
+	delete(t.job.row.Lone, key)
+	t.job.touch(false)
+}
+
+// excuse records that a run was lost with its worker for another reason, as far as that can be
+// known.
+func (p *Pool) excuse(t *task, run int, lived time.Duration) {
+	isolated := t.suspectRuns().Tried(run)
+	if lived < proof.Soon || isolated && lived < t.probation(run) {
+		p.countStart(t, run, isolated)
+	}
+	p.dropUnconfirmed(t, run)
+	p.failIfCause(t)
+}
+
+// countStart counts a run that ended before its task had shown that it survives, and whether it was
+// isolated. All members of a gang report the same run.
+func (p *Pool) countStart(t *task, run int, isolated bool) {
+	lead := t.leadTask()
+	if t.done || !t.job.isOpen() || lead.countedRun == run {
+		return
+	}
+	lead.countedRun = run
+	if isolated {
+		t.job.row.Lone = increment(t.job.row.Lone, lead.key())
+	}
+	t.countUnattributed()
+	p.updateSuspect(t)
+	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.evidence().Starts(), "excused", t.unattributed())
+}
+
+// recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
+func (p *Pool) recordSuspectRun(t *task, record gauge.Trial) {
+	p.allowForUnrecorded(t)
+	records := slices.Clone(t.suspectRuns())
+	i := slices.IndexFunc(records, func(o gauge.Trial) bool { return o.Run == record.Run && o.Life() == record.Life() })
+	if i < 0 {
+		records = append(records, record)
+	} else {
+		record.Apart = record.Apart || !record.Crashed && records[i].Apart
+		records[i] = record
+	}
+	t.setSuspectRuns(records, true)
+	p.updateSuspect(t)
+}
+
+// dropUnconfirmed removes the record of a run that may have crashed its worker; confirmed crashes
+// stay.
+func (p *Pool) dropUnconfirmed(t *task, run int) {
+	records := t.suspectRuns()
+	remaining := slices.DeleteFunc(slices.Clone(records), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
+	if len(remaining) == len(records) {
+		return
+	}
+	t.setSuspectRuns(remaining, false)
+	if t.leadTask().isSuspect {
+		p.conf.Logs.Info("trial taken back", "job", t.job.id, "task", t.id.String(), "run", run, "left", len(remaining), "excused", t.unattributed())
+	}
+	p.updateSuspect(t)
+}
+
+// clearSuspicion drops all records of a task that has shown that it doesn't crash its worker.
+func (p *Pool) clearSuspicion(t *task) {
+	if len(t.suspectRuns()) == 0 && t.unattributed() == 0 {
+		return
+	}
+	t.setSuspectRuns(nil, false)
+	t.forgetUnattributed()
+	p.updateSuspect(t)
+}
+
+// updateSuspect updates whether a task is a suspect.
+func (p *Pool) updateSuspect(t *task) {
+	lead := t.leadTask()
+	suspect := lead.evidence().Suspect()
+	if suspect && !lead.isSuspect {
+		records := lead.suspectRuns()
+		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", lead.unattributed(),
+			"lived", records.Longest())
+	}
+	lead.isSuspect = suspect
+	if suspect {
+		p.suspects[lead] = true
+		return
+	}
+	delete(p.suspects, lead)
+	p.releaseReservation(lead)
+}
+
+// failIfCause fails the job of a task that crashes its workers.
+func (p *Pool) failIfCause(t *task) {
+	records := t.suspectRuns()
+	if !t.evidence().Cause() || !t.job.isOpen() {
+		return
+	}
+	p.conf.Count(EventGivenUp)
+	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", t.unattributed(),
+		"lived", records.Longest(), "reason", "the task crashes its workers")
+	t.job.fail()
+	p.requestJobStop(t.job)
+}
+
+// needsIsolation reports whether a task must not start beside others: it is a suspect, or may be
+// one.
+func (t *task) needsIsolation(now time.Duration) bool {
+	return t.leadTask().isSuspect || t.waitsForAttribution(now)
+}
+
+// attributionTimeout bounds how long a task waits for workers that don't answer, beyond their
+// leases. By then a crashed worker is no longer listed, or another incarnation answers. A worker
+// that is cut off may be so for minutes.
+const attributionTimeout = 3 * time.Second
+
+// attributionThreshold is the number of lost workers from which a task waits for attribution.
+const attributionThreshold = 2
+
+// waitsForAttribution reports whether a task has lost one worker after the other and the last
+// losses aren't attributed yet. After the first loss it starts again at once.
+func (t *task) waitsForAttribution(now time.Duration) bool {
+	lost := t.unattributedLosses + t.undecidedRuns
+	if lost == 0 {
+		return false
+	}
+	if evidence := t.evidence(); lost+evidence.Trials.Crashes() < attributionThreshold && !evidence.FewLeft(lost) {
+		return false
+	}
+	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
+}
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -1,34 +1,35 @@
 package sched
 
-// Each start carries its job's text: sent at once for all that wait, starts would fill a
-// thin link for longer than answers are waited for, with holds and the lease's renewal
-// behind them. So those without an answer are bounded, in all and at each worker: a few
-// workers that are cut off would otherwise hold up the starts at all others.
+// Each start carries its job's payload. If all waiting starts were sent at once, they would fill a
+// slow link for longer than the time limit for answers, with heartbeats and the lease's renewal
+// queued behind them. So the starts in flight are bounded, in all and for each worker: otherwise a
+// few unreachable workers would hold up the starts on all others.
 
-// full tells whether as many starts as may be are without an answer.
-func (p *Pool) full() bool { return p.conf.Window > 0 && p.flying >= p.conf.Window }
+// isWindowFull reports whether no more starts may be in flight.
+func (p *Pool) isWindowFull() bool { return p.conf.Window > 0 && p.startsInFlight >= p.conf.Window }
 
-// bounded leaves out workers with as many starts without an answer as one may have.
-func (p *Pool) bounded(allowed func(*worker) bool) func(*worker) bool {
+// withinWorkerWindow excludes workers that have as many starts in flight as one may have.
+func (p *Pool) withinWorkerWindow(allowed func(*worker) bool) func(*worker) bool {
 	if p.conf.Lane == 0 {
 		return allowed
 	}
-	return func(w *worker) bool { return w.flying < p.conf.Lane && allowed(w) }
+	return func(w *worker) bool { return w.startsInFlight < p.conf.Lane && allowed(w) }
 }
 
-// fly counts a start that is sent.
-func (p *Pool) fly(r *run) {
-	r.flying = true
-	r.worker.flying++
-	p.flying++
+// addInFlight counts a start that is sent.
+func (p *Pool) addInFlight(r *run) {
+	r.inFlight = true
+	r.worker.startsInFlight++
+	p.startsInFlight++
 }
 
-// land counts a start no more: it was answered, or nobody waits for its answer.
-func (p *Pool) land(r *run) {
-	if !r.flying {
+// removeInFlight stops counting a start as in flight: it was answered, or nobody waits for its
+// answer.
+func (p *Pool) removeInFlight(r *run) {
+	if !r.inFlight {
 		return
 	}
-	r.flying = false
-	r.worker.flying--
-	p.flying--
+	r.inFlight = false
+	r.worker.startsInFlight--
+	p.startsInFlight--
 }
