--- a/internal/sched/behind_test.go
+++ b/internal/sched/behind_test.go
@@ -9,38 +9,39 @@
 	gauge "sapphiregauge"
 )
 
-// What waits at an owner is told with its age, and is gone once it is settled.
-func TestBacklogTellsWhatWaitsAndForHowLong(t *testing.T) {
+// Pending changes, starts and ends are reported with their age, and no longer once they are
+// settled.
+func TestBacklogReportsPendingWorkAndItsAge(t *testing.T) {
 	const ms = time.Millisecond
-	g := newRig(t)
-	g.list("w1", "w2")
-	g.hear("w1", nil)
-	g.hear("w2", nil)
-	g.adopt(1, false, step(1))
-	g.adopt(2, false, step(1))
-	starts := g.starts()
+	g := newHarness(t)
+	g.listWorkers("w1", "w2")
+	g.report("w1", nil)
+	g.report("w2", nil)
+	g.adopt(1, false, newStep(1))
+	g.adopt(2, false, newStep(1))
+	starts := g.planStarts()
 	b := g.pool.Backlog(g.now)
 	assert.DeepEqual(t, b, gauge.Backlog{Changes: 2, Starts: 2, Workers: 2})
 
-	g.pass(300 * ms)
-	g.ok(starts[:1])
+	g.advance(300 * ms)
+	g.confirm(starts[:1])
 	b = g.pool.Backlog(g.now)
 	assert.DeepEqual(t, b, gauge.Backlog{Changes: 2, ChangeAge: 300 * ms, Starts: 1, StartAge: 300 * ms, Workers: 2})
-	g.ok(starts[1:])
+	g.confirm(starts[1:])
 
-	// A change that comes after the write isn't as old as those before it.
-	g.save(500)
+	// A change after a write isn't as old as those that were written.
+	g.writeAll(500)
 	on := starts[0].Worker.ID
-	g.hear(on, nil, g.end(on, starts[0].Start.Task, 1, gauge.EndDone))
-	g.silent(on)
+	g.report(on, nil, g.endReport(on, starts[0].Start.Task, 1, gauge.EndDone))
+	g.failHeartbeat(on)
 	b = g.pool.Backlog(g.now)
 	assert.DeepEqual(t, b, gauge.Backlog{Changes: 1, Ends: 1, Workers: 2, Silent: 1})
-	g.pass(700 * ms)
+	g.advance(700 * ms)
 	b = g.pool.Backlog(g.now)
 	assert.DeepEqual(t, b, gauge.Backlog{Changes: 1, ChangeAge: 700 * ms, Ends: 1, EndAge: 700 * ms, Workers: 2, Silent: 1})
 	assert.Equal(t, b.Oldest(), 700*ms)
 
-	g.save(501)
+	g.writeAll(501)
 	b = g.pool.Backlog(g.now)
 	assert.DeepEqual(t, b, gauge.Backlog{Workers: 2, Silent: 1})
 }
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -11,9 +11,9 @@
 	"sapphiregauge/internal/sched"
 )
 
-// full makes a pool whose workers are full and whose other jobs wait, which is
-// when a plan costs most.
-func full(b *testing.B, workers, jobs int) *sched.Pool {
+// newFullPool returns a pool whose workers are newFullPool and whose other jobs wait, which is when a plan
+// costs most.
+func newFullPool(b *testing.B, workers, jobs int) *sched.Pool {
 	b.Helper()
 	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: logr.Discard()})
 	p.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: poolName, Stretch: 2}}})
@@ -21,28 +21,28 @@
 	var list []gauge.Worker
 	var ids []string
 	for i := range workers {
-		w := worker(fmt.Sprintf("w%d", i))
+		w := newWorker(fmt.Sprintf("w%d", i))
 		list, ids = append(list, w), append(ids, w.ID)
 	}
 	p.Workers(list)
-	p.Noted(livesOf(ids...), fence)
+	p.Noted(incarnations(ids...), fence)
 	for _, id := range ids {
-		p.Report(life(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+		p.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	}
 	for i := range workers/2 + jobs {
-		spec := &gauge.JobSpec{Steps: []gauge.Step{step(8)}}
+		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(8)}}
 		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
 	}
 	p.Plan(0)
 	return p
 }
 
-// BenchmarkPlan is one plan in which nothing fits: µs by workers and waiting jobs.
+// BenchmarkPlan measures one plan in which nothing fits, by the number of workers and waiting jobs.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{10, 50, 200} {
 		for _, jobs := range []int{10, 100, 300} {
 			b.Run(fmt.Sprintf("workers=%d/waiting=%d", workers, jobs), func(b *testing.B) {
-				p := full(b, workers, jobs)
+				p := newFullPool(b, workers, jobs)
 				for b.Loop() {
 					p.Plan(time.Millisecond)
 				}
@@ -51,11 +51,11 @@
 	}
 }
 
-// BenchmarkLoad is one answer to the fleet's holder.
+// BenchmarkLoad measures one answer to the fleet lease holder.
 func BenchmarkLoad(b *testing.B) {
 	for _, workers := range []int{10, 50, 200} {
 		b.Run(fmt.Sprintf("workers=%d/waiting=100", workers), func(b *testing.B) {
-			p := full(b, workers, 100)
+			p := newFullPool(b, workers, 100)
 			for b.Loop() {
 				p.Load(time.Millisecond)
 			}
@@ -63,17 +63,17 @@
 	}
 }
 
-// BenchmarkBatch is one transaction's worth of changes and taking in that it is
-// written: µs by how many jobs have ended, and per change.
+// BenchmarkBatch measures packing one transaction's changes and recording that they were written,
+// by the number of ended jobs, in total and per change.
 func BenchmarkBatch(b *testing.B) {
 	for _, jobs := range []int{10, 100, 1000, 3000} {
 		b.Run(fmt.Sprintf("ended=%d", jobs), func(b *testing.B) {
 			changes := 0
 			for b.Loop() {
 				b.StopTimer()
-				p := ended(jobs)
+				p := newPoolWithEndedJobs(jobs)
 				b.StartTimer()
-				batch, err := p.Batch(batchSize, 1, nobody)
+				batch, err := p.Batch(batchEntries, 1, skipNone)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -85,36 +85,37 @@
 	}
 }
 
-// batchSize is what an owner asks for: entries, of which a job that has ended takes four.
-const batchSize = 98
+// batchEntries is the size of the batches that an owner asks for, in entries. A job that has ended
+// takes four.
+const batchEntries = 98
 
-// ended makes a pool with jobs that have just ended, and are to be written.
-func ended(jobs int) *sched.Pool {
+// newPoolWithEndedJobs returns a pool with jobs that have just newPoolWithEndedJobs and must be written.
+func newPoolWithEndedJobs(jobs int) *sched.Pool {
 	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: logr.Discard()})
 	p.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: poolName, Stretch: 2}}})
 	const workers = 40
 	list := make([]gauge.Worker, workers)
 	for i := range list {
-		list[i] = worker(fmt.Sprintf("w%d", i))
+		list[i] = newWorker(fmt.Sprintf("w%d", i))
 	}
 	p.Workers(list)
 	reports := make([]gauge.WorkerReport, workers)
 	for i := range jobs {
-		spec := &gauge.JobSpec{Steps: []gauge.Step{step(1)}}
+		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}
 		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobRunning}, Version: fence + 1, Arrived: time.Duration(i * 7919 % jobs)}, 0)
 		r := &reports[i%workers]
 		r.Ended = append(r.Ended, gauge.EndReport{Number: int64(len(r.Ended) + 1), Task: gauge.TaskID{Job: jobID(i)}, Run: 1, How: gauge.EndDone})
 	}
 	for i := range reports {
 		reports[i].Clock = time.Hour
-		p.Report(life(list[i].ID), gauge.HoldCall{}, &reports[i], 0)
+		p.Report(incarnation(list[i].ID), gauge.HoldCall{}, &reports[i], 0)
 	}
 	return p
 }
 
-// BenchmarkBacklog is one look at what waits; there are four a second.
+// BenchmarkBacklog measures one reading of the backlog; an owner takes four a second.
 func BenchmarkBacklog(b *testing.B) {
-	p := full(b, 140, 1300)
+	p := newFullPool(b, 140, 1300)
 	now := time.Millisecond
 	for b.Loop() {
 		p.Backlog(now)
--- a/internal/sched/bound_test.go
+++ b/internal/sched/bound_test.go
@@ -10,67 +10,69 @@
 	"sapphiregauge/internal/sched"
 )
 
-// Suspects of one step that start on one worker, beyond the bound of their step.
-func TestSuspectsKeepTheBoundOfTheirStep(t *testing.T) {
-	for _, crashes := range []int{1, 2} { // after the second their places wait for the table
-		g := newRig(t)
-		bounded := gauge.Step{Count: 3, Needs: gauge.Resources{MilliCPU: 500, MemoryMB: 10}, Lasts: true, PerWorker: 2}
-		job := g.adopt(1, false, bounded)
+// Guards against several suspects of one step that start on one worker, beyond the step's limit of
+// tasks on a worker.
+func TestSuspectsKeepToThePerWorkerLimit(t *testing.T) {
+	for _, crashes := range []int{1, 2} { // after the second crash their reserved room waits for a write to the table
+		g := newHarness(t)
+		limited := gauge.Step{Count: 3, Needs: gauge.Resources{MilliCPU: 500, MemoryMB: 10}, Lasts: true, PerWorker: 2}
+		job := g.adopt(1, false, limited)
 		for n := range crashes {
-			g.crashUnder(n)
+			g.crashWorkersAfterStarts(n)
 		}
-		g.rows(900, row("last", 1))
+		g.listRows(900, workerRow("last", 1))
 		var runs []sched.Order
 		for range 40 {
-			g.pass(100 * time.Millisecond)
-			g.answer(lifeOf("last", 1), 1, time.Hour+g.now, reports(runs, "last"))
-			orders := g.starts()
-			g.ok(orders)
+			g.advance(100 * time.Millisecond)
+			g.answerHeartbeat(incarnationAt("last", 1), 1, time.Hour+g.now, runReportsOn(runs, "last"))
+			orders := g.planStarts()
+			g.confirm(orders)
 			runs = append(runs, orders...)
-			g.save(1000)
+			g.writeAll(1000)
 		}
 		assert.Equal(t, len(runs), 2, "tasks of %s on one worker, after %d crashes", job, crashes)
 	}
 }
 
-// crashUnder has two workers start what there is, and crash right after.
-func (g *rig) crashUnder(n int) {
+// crashWorkersAfterStarts has two workers start all waiting tasks, and crash right after.
+func (g *harness) crashWorkersAfterStarts(n int) {
 	g.t.Helper()
 	born := int64(n + 1)
-	g.rows(int64(200+10*n), row("w1", born), row("w2", born))
+	g.listRows(int64(200+10*n), workerRow("w1", born), workerRow("w2", born))
 	var runs []sched.Order
 	for range 30 {
-		g.pass(100 * time.Millisecond)
+		g.advance(100 * time.Millisecond)
 		for _, id := range []string{"w1", "w2"} {
-			g.answer(lifeOf(id, born), born, time.Hour+g.now, reports(runs, id))
+			g.answerHeartbeat(incarnationAt(id, born), born, time.Hour+g.now, runReportsOn(runs, id))
 		}
-		orders := g.starts()
-		g.ok(orders)
+		orders := g.planStarts()
+		g.confirm(orders)
 		runs = append(runs, orders...)
-		g.save(int64(201 + 10*n))
+		g.writeAll(int64(201 + 10*n))
 		if len(runs) == 3 {
 			break
 		}
 	}
 	assert.Equal(g.t, len(runs), 3)
 	for _, id := range []string{"w1", "w2"} {
-		g.answer(lifeOf(id, born), born, time.Hour+g.now, reports(runs, id))
-		g.noAnswer(lifeOf(id, born))
+		g.answerHeartbeat(incarnationAt(id, born), born, time.Hour+g.now, runReportsOn(runs, id))
+		g.failHeartbeatOf(incarnationAt(id, born))
 	}
 	g.pool.Workers(nil)
 	for _, id := range []string{"w1", "w2"} {
-		g.pool.HoldFailed(lifeOf(id, born), gauge.Fail(gauge.KindReplaced, "another worker"), g.now)
+		g.pool.HoldFailed(incarnationAt(id, born), gauge.Fail(gauge.KindReplaced, "another worker answers"), g.now)
 	}
 	for range 15 {
-		g.pass(100 * time.Millisecond)
+		g.advance(100 * time.Millisecond)
 	}
 }
 
-func reports(runs []sched.Order, id string) []gauge.RunReport {
+// runReportsOn returns what a worker runReportsOn of its runs.
+func runReportsOn(runs []sched.Order, id string) []gauge.RunReport {
 	var list []gauge.RunReport
 	for _, o := range runs {
 		if o.Worker.ID == id {
-			list = append(list, running(o))
+			list = append(list, runReport(o))
 		}
 	}
 	return list
--- a/internal/sched/calm_test.go
+++ b/internal/sched/calm_test.go
@@ -12,84 +12,85 @@
 )
 
 const (
-	// calmStep and calmSteps: with nothing lost for cancel_ms and stopTimeoutMs of
-	// the users, no run of a cancelled job may be left.
-	calmStep  = 100 * time.Millisecond
-	calmSteps = 34
-	// calmScan: each so many steps the cancels in the table are found by a scan.
-	calmScan = 15
+	// faultFreeStep times faultFreeSteps covers the users' cancel_ms and stopTimeoutMs: if no message
+	// is lost for that long, no run of a cancelled job may be left.
+	faultFreeStep  = 100 * time.Millisecond
+	faultFreeSteps = 34
+	// scanInterval is the number of steps between scans that find the cancels in the table.
+	scanInterval = 15
 )
 
-// hide has a new owner miss some of the jobs that the table has, as part of it
-// doesn't answer.
-func (w *world) hide() {
-	w.hidden, w.rehears = make(map[string]bool), false
+// hideJobs has a new owner miss some of the jobs that the table has, as if a partition of it didn't
+// answer.
+func (w *simulation) hideJobs() {
+	w.unread, w.rereading = make(map[string]bool), false
 	if rapid.IntRange(0, 2).Draw(w.t, "part missing") > 0 {
 		return
 	}
 	for i := range len(w.specs) {
 		if id := jobID(i); w.rows[id] != nil && i%2 == 0 {
-			w.hidden[id] = true
+			w.unread[id] = true
 		}
 	}
-	w.pool.Partial(len(w.hidden) > 0)
+	w.pool.Partial(len(w.unread) > 0)
 }
 
-// unhide has the owner begin to read what it missed, and, the next time, take it in.
-func (w *world) unhide() {
-	if len(w.hidden) == 0 {
+// readHiddenJobs has the owner begin to read the jobs that it missed, and with the next call adopt
+// them.
+func (w *simulation) readHiddenJobs() {
+	if len(w.unread) == 0 {
 		return
 	}
-	if !w.rehears {
-		w.rehears = true
+	if !w.rereading {
+		w.rereading = true
 		w.pool.Rehear()
 		return
 	}
 	for i := range len(w.specs) {
-		if id := jobID(i); w.hidden[id] {
-			w.inherit(id)
+		if id := jobID(i); w.unread[id] {
+			w.inheritJob(id)
 		}
 	}
-	w.hidden = make(map[string]bool)
+	w.unread = make(map[string]bool)
 	w.pool.Partial(false)
 	w.plan()
 }
 
-// inherit has the owner take in a job that was there before it.
-func (w *world) inherit(id string) {
+// inheritJob has the owner adopt a job that was accepted before it took over.
+func (w *simulation) inheritJob(id string) {
 	if w.rows[id] == nil {
 		return
 	}
 	row, err := gauge.DecodeJobRow(w.rows[id])
 	assert.NilError(w.t, err)
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.version[id], Arrived: w.now, Inherited: true}, w.now)
+	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.versions[id], Arrived: w.now, Inherited: true}, w.now)
 }
 
-// calm lets time pass with nothing lost, late or refused.
-func (w *world) calm() {
-	w.pass()
-	w.calming = true
-	w.unhide()
-	w.unhide()
-	for i := range calmSteps {
-		w.now += calmStep
-		w.expire()
+// runWithoutFaults lets time pass with nothing lost, late or refused.
+func (w *simulation) runWithoutFaults() {
+	w.advance()
+	w.faultFree = true
+	w.readHiddenJobs()
+	w.readHiddenJobs()
+	for i := range faultFreeSteps {
+		w.now += faultFreeStep
+		w.expireLeases()
 		w.pool.Tick(w.now, time.Unix(0, 0))
-		if i%calmScan == 0 {
-			w.scan()
+		if i%scanInterval == 0 {
+			w.scanCancels()
 		}
-		w.list()
-		w.holdAll()
+		w.listWorkers()
+		w.heartbeatAll()
 		w.plan()
 		for len(w.orders) > 0 {
-			w.carryOutAll()
+			w.executeAll()
 		}
-		w.save()
+		w.writeAll()
 	}
 }
 
-// scan tells the owner of the cancels that the table has.
-func (w *world) scan() {
+// scanCancels reports the cancels in the table to the owner.
+func (w *simulation) scanCancels() {
 	for i := range len(w.specs) {
 		if id := jobID(i); w.cancelled[id] && w.rows[id] != nil {
 			w.pool.Cancel(id, 0)
@@ -97,61 +98,60 @@
 	}
 }
 
-func (w *world) holdAll() {
-	for i := 1; i <= w.lives; i++ {
-		m := w.models[fmt.Sprintf("w%d", i)]
+func (w *simulation) heartbeatAll() {
+	for i := 1; i <= w.joined; i++ {
+		m := w.workers[fmt.Sprintf("w%d", i)]
 		switch {
 		case m == nil:
-		case !m.up:
+		case !m.alive:
 			w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 		default:
-			w.hold(m)
+			w.heartbeat(m)
 			if r, some := w.reports[m.id]; some {
 				delete(w.reports, m.id)
 				w.pool.Report(r.asked, r.call, r.rep, w.now)
-				w.hear()
+				w.startHeartbeats()
 			}
 		}
 	}
 }
 
-func (w *world) carryOutAll() {
+func (w *simulation) executeAll() {
 	orders := w.orders
 	w.orders = nil
 	for _, o := range orders {
-		err := w.carryOut(o)
+		err := w.executeOrder(o)
 		clock := time.Duration(0)
-		if m := w.models[o.Worker.ID]; m != nil {
-			clock = w.clock(m)
+		if m := w.workers[o.Worker.ID]; m != nil {
+			clock = w.workerClock(m)
 		}
 		w.pool.Answered(o, clock, err, w.now)
 	}
 	w.plan()
 }
 
-// save has the table take whatever it takes.
-func (w *world) save() {
-	b, err := w.pool.Batch(100, w.now.Milliseconds(), nobody)
+// writeAll has the table take as many changes as it takes at once.
+func (w *simulation) writeAll() {
+	b, err := w.pool.Batch(100, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
-	if !w.store(b) {
+	if !w.storeBatch(b) {
 		return
 	}
-	w.pool.Written(b, w.next, w.now)
-	w.renew()
+	w.pool.Written(b, w.lastVersion, w.now)
+	w.renewLease()
 }
 
-func (w *world) conflict(id string) {
+func (w *simulation) reportConflict(id string) {
 	row, err := gauge.DecodeJobRow(w.rows[id])
 	assert.NilError(w.t, err)
-	w.pool.Conflicted(id, row, w.version[id])
+	w.pool.Conflicted(id, row, w.versions[id])
 }
 
-// nothingUnasked fails the test if a cancelled job's task runs on a worker that
-// is up.
-func (w *world) nothingUnasked() {
-	for i := 1; i <= w.lives; i++ {
-		m := w.models[fmt.Sprintf("w%d", i)]
-		if m == nil || !m.up {
+// checkCancelledStopped fails the test if a cancelled job's task runs on a worker that is alive.
+func (w *simulation) checkCancelledStopped() {
+	for i := 1; i <= w.joined; i++ {
+		m := w.workers[fmt.Sprintf("w%d", i)]
+		if m == nil || !m.alive {
 			continue
 		}
 		for task := range m.runs {
--- a/internal/sched/cost_bench_test.go
+++ b/internal/sched/cost_bench_test.go
@@ -14,69 +14,69 @@
 	"sapphiregauge/internal/sched"
 )
 
-// A large pool: so many workers with four places each, so many jobs that wait, and
-// so many queues.
+// The size of a large pool: its workers, the tasks that each has room for, its waiting jobs and its
+// queues.
 const (
-	largeWorkers = 140
-	largeJobs    = 1300
-	largeQueues  = 24
-	places       = 4
+	largeWorkers   = 140
+	largeJobs      = 1300
+	largeQueues    = 24
+	tasksPerWorker = 4
 )
 
-// crowd makes a pool with jobs of 8 tasks and then 5 more, and starts what there
-// is room for.
-func crowd(tb testing.TB, workers, jobs int, log logr.Logger) *sched.Pool {
+// newLargePool returns a pool with jobs of 8 tasks followed by 5 more. The number of jobs is that
+// which waits once the workers are full.
+func newLargePool(tb testing.TB, workers, jobs int, log logr.Logger) *sched.Pool {
 	tb.Helper()
 	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: log})
 	site := &gauge.Site{}
 	for i := range largeQueues {
-		site.Queues = append(site.Queues, gauge.Queue{Name: queueOf(i), Pool: poolName, Stretch: 2, Priority: i % 3})
+		site.Queues = append(site.Queues, gauge.Queue{Name: queueNameOf(i), Pool: poolName, Stretch: 2, Priority: i % 3})
 	}
 	p.Configure(site)
 	p.Limit(time.Hour)
 	var list []gauge.Worker
 	var ids []string
 	for i := range workers {
-		w := worker(fmt.Sprintf("w%d", i))
+		w := newWorker(fmt.Sprintf("w%d", i))
 		list, ids = append(list, w), append(ids, w.ID)
 	}
 	p.Workers(list)
-	p.Noted(livesOf(ids...), fence)
+	p.Noted(incarnations(ids...), fence)
 	for _, id := range ids {
-		p.Report(life(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+		p.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	}
-	for i := range jobs + (workers*places+7)/8 {
-		second := step(5)
+	for i := range jobs + (workers*tasksPerWorker+7)/8 {
+		second := newStep(5)
 		second.After = []int{0}
-		spec := &gauge.JobSpec{Steps: []gauge.Step{step(8), second}}
-		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueOf(i % largeQueues), Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1}, 0)
+		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(8), second}}
+		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueNameOf(i % largeQueues), Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1}, 0)
 	}
 	return p
 }
 
-func queueOf(i int) string { return fmt.Sprintf("%s-%d", queueName, i) }
+func queueNameOf(i int) string { return fmt.Sprintf("%s-%d", queueName, i) }
 
-// clogged is such a pool in which nothing is free.
-func clogged(tb testing.TB, workers, jobs int) *sched.Pool {
-	p := crowd(tb, workers, jobs, logr.Discard())
-	assert.Equal(tb, len(p.Plan(0)), workers*places)
+// newFullLargePool returns such a pool in which no worker has room.
+func newFullLargePool(tb testing.TB, workers, jobs int) *sched.Pool {
+	p := newLargePool(tb, workers, jobs, logr.Discard())
+	assert.Equal(tb, len(p.Plan(0)), workers*tasksPerWorker)
 	return p
 }
 
-// BenchmarkPlanOfALargePool is one plan of a pool in which nothing is free, and one
-// in which ten tasks find a place.
-func BenchmarkPlanOfALargePool(b *testing.B) {
+// BenchmarkPlanLargePool measures one plan of a pool in which no worker has room, and one in which
+// ten tasks find room.
+func BenchmarkPlanLargePool(b *testing.B) {
 	b.Run("free=0", func(b *testing.B) {
-		p := clogged(b, largeWorkers, largeJobs)
+		p := newFullLargePool(b, largeWorkers, largeJobs)
 		b.ReportAllocs()
 		for b.Loop() {
 			p.Plan(time.Millisecond)
 		}
 	})
 	b.Run("free=10", func(b *testing.B) {
-		p := crowd(b, largeWorkers, largeJobs, logr.Discard())
+		p := newLargePool(b, largeWorkers, largeJobs, logr.Discard())
 		started := p.Plan(0)[:10]
-		late := lateStart()
+		late := errLateStart()
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
@@ -90,30 +90,31 @@
 	})
 }
 
-// BenchmarkReport is the answer to a hold of a worker on which 10 tasks run and 20
-// have ended, without and with its lines of log.
+// BenchmarkReport measures processing the report of a worker on which 10 tasks run and 20 have
+// ended, without and with log lines.
 func BenchmarkReport(b *testing.B) {
 	for name, log := range map[string]logr.Logger{"logs=none": logr.Discard(), "logs=json": logs.New(io.Discard, false)} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				p, rep := busy(b, log)
+				p, rep := newPoolWithBusyWorker(b, log)
 				b.StartTimer()
-				p.Report(life("w0"), gauge.HoldCall{}, rep, time.Millisecond)
+				p.Report(incarnation("w0"), gauge.HoldCall{}, rep, time.Millisecond)
 			}
 		})
 	}
 }
 
-// busy makes a pool with one worker with 30 runs, and its report of them.
-func busy(b *testing.B, log logr.Logger) (*sched.Pool, *gauge.WorkerReport) {
-	p := crowd(b, 0, 4, log)
-	w := worker("w0")
+// newPoolWithBusyWorker returns a pool with one worker that was given 30 runs, and its report of
+// them.
+func newPoolWithBusyWorker(b *testing.B, log logr.Logger) (*sched.Pool, *gauge.WorkerReport) {
+	p := newLargePool(b, 0, 4, log)
+	w := newWorker("w0")
 	w.Capacity = gauge.Resources{MilliCPU: 30000, MemoryMB: 30000}
 	p.Workers([]gauge.Worker{w})
-	p.Noted(livesOf(w.ID), fence)
-	p.Report(life(w.ID), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+	p.Noted(incarnations(w.ID), fence)
+	p.Report(incarnation(w.ID), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	rep := &gauge.WorkerReport{Clock: time.Hour + time.Second}
 	for i, o := range p.Plan(0) {
 		p.Answered(o, time.Hour, nil, 0)
@@ -127,12 +128,12 @@
 	return p, rep
 }
 
-// BenchmarkPlansStarts is what ten starts cost with their lines of log.
-func BenchmarkPlansStarts(b *testing.B) {
+// BenchmarkPlanStarts measures a plan with ten starts, without and with log lines.
+func BenchmarkPlanStarts(b *testing.B) {
 	for name, log := range map[string]logr.Logger{"logs=none": logr.Discard(), "logs=json": logs.New(io.Discard, false)} {
 		b.Run(name, func(b *testing.B) {
-			p := crowd(b, 3, 2, log)
-			late := lateStart()
+			p := newLargePool(b, 3, 2, log)
+			late := errLateStart()
 			started := p.Plan(0)[:10]
 			b.ReportAllocs()
 			for b.Loop() {
@@ -147,14 +148,14 @@
 	}
 }
 
-// BenchmarkOfEachWrite is what is asked for each write, and for some at each event.
-func BenchmarkOfEachWrite(b *testing.B) {
-	p := clogged(b, largeWorkers, largeJobs)
+// BenchmarkWriteQueries measures what an owner reads for each write, some of it at each event.
+func BenchmarkWriteQueries(b *testing.B) {
+	p := newFullLargePool(b, largeWorkers, largeJobs)
 	for name, ask := range map[string]func(){
 		"urgent": func() { p.Urgent() },
 		"depths": func() { p.Depths() },
 		"name":   func() { p.Name() },
-		"batch":  func() { _, _ = p.Batch(24, 1, nobody) },
+		"batch":  func() { _, _ = p.Batch(24, 1, skipNone) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -165,26 +166,26 @@
 	}
 }
 
-// BenchmarkLoadOfALargePool is one answer to the fleet's holder.
-func BenchmarkLoadOfALargePool(b *testing.B) {
-	p := clogged(b, largeWorkers, largeJobs)
+// BenchmarkLoadLargePool measures one answer to the fleet lease holder.
+func BenchmarkLoadLargePool(b *testing.B) {
+	p := newFullLargePool(b, largeWorkers, largeJobs)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Load(time.Millisecond)
 	}
 }
 
-// BenchmarkTick is one look at the time, with a minute's ended jobs remembered.
+// BenchmarkTick measures one tick, with the jobs remembered that ended within a minute.
 func BenchmarkTick(b *testing.B) {
 	const ended = 17000
-	p := clogged(b, largeWorkers, largeJobs)
+	p := newFullLargePool(b, largeWorkers, largeJobs)
 	for i := range ended {
 		id := jobID(1<<20 + i)
 		row := &gauge.JobRow{State: gauge.JobCancelled}
-		p.Adopt(sched.Accepted{ID: id, Queue: queueOf(0), Spec: &gauge.JobSpec{Steps: []gauge.Step{step(1)}}, Row: row, Version: fence + 1}, 0)
+		p.Adopt(sched.Accepted{ID: id, Queue: queueNameOf(0), Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: fence + 1}, 0)
 	}
 	for done := 0; done < ended; {
-		batch, err := p.Batch(ended, 1, nobody)
+		batch, err := p.Batch(ended, 1, skipNone)
 		assert.NilError(b, err)
 		p.Written(batch, fence+2, 0)
 		done += len(batch.Changes)
@@ -196,5 +197,5 @@
 	}
 }
 
-// lateStart is the refusal after which a run is surely not there.
-func lateStart() error { return gauge.Fail(gauge.KindLate, "late") }
+// errLateStart is the refusal that shows that a run doesn't exist.
+func errLateStart() error { return gauge.Fail(gauge.KindLate, "deadline has passed") }
--- a/internal/sched/counts_test.go
+++ b/internal/sched/counts_test.go
@@ -15,32 +15,32 @@
 	"sapphiregauge/internal/sched"
 )
 
-// recur has a job accepted that runs three times.
-func (w *world) recur() {
+// adoptRecurring has a job accepted that runs three times.
+func (w *simulation) adoptRecurring() {
 	if len(w.specs) > 12 {
 		return
 	}
 	id := jobID(len(w.specs))
-	second := step(1)
+	second := newStep(1)
 	second.After = []int{0}
-	w.specs[id] = &gauge.JobSpec{Steps: []gauge.Step{step(2), second}, Repeats: 3, FirstAt: time.Unix(0, 0).Add(w.now), Every: time.Second}
+	w.specs[id] = &gauge.JobSpec{Steps: []gauge.Step{newStep(2), second}, Repeats: 3, FirstAt: time.Unix(0, 0).Add(w.now), Every: time.Second}
 	row := &gauge.JobRow{State: gauge.JobPending, Pool: poolName}
 	value, err := row.Encode()
 	assert.NilError(w.t, err)
-	w.next++
-	w.rows[id], w.version[id] = value, w.next
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.next, Arrived: w.now}, w.now)
+	w.lastVersion++
+	w.rows[id], w.versions[id] = value, w.lastVersion
+	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
 }
 
-// counted compares what the pool keeps count of with a walk over all jobs.
-func (w *world) counted() {
+// checkCounts compares the pool's counts with a walk over all jobs.
+func (w *simulation) checkCounts() {
 	walk := w.pool.Walk(w.now)
 	depths := w.pool.Depths()
 	assert.Assert(w.t, maps.Equal(depths, walk.Depths), "depths %v, want %v", depths, walk.Depths)
 	assert.Equal(w.t, w.pool.Urgent(), walk.Urgent)
 	assert.Equal(w.t, len(walk.Stale), 0, "%v", walk.Stale)
 	waiting := w.pool.Waiting(w.now)
-	assert.Assert(w.t, slices.Equal(waiting, walk.Waiting), "steps that wait %v, want %v", waiting, walk.Waiting)
+	assert.Assert(w.t, slices.Equal(waiting, walk.Waiting), "waiting steps %v, want %v", waiting, walk.Waiting)
 	changed := w.pool.Changed()
 	assert.Assert(w.t, slices.Equal(changed, walk.Changed), "changed %v, want %v", changed, walk.Changed)
 	load := w.pool.Load(w.now)
@@ -50,22 +50,21 @@
 	assert.Assert(w.t, reflect.DeepEqual(load, walk.Load), "load %v, want %v", load, walk.Load)
 }
 
-// Whatever happens in whatever order: the depths of the queues, the demand, the
-// steps that wait and the jobs that a write takes along are those that a walk over
-// all jobs finds.
-func TestCountsAreThoseOfAWalkOverAllJobs(t *testing.T) {
+// After any sequence of events, the queue depths, the demand, the waiting steps and the jobs that
+// the next write includes are those that a walk over all jobs finds.
+func TestCountsMatchAWalkOverAllJobs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		events := []func(){
-			w.adopt, w.adopt, w.recur, w.answer, w.answer, w.answer, w.ask, w.ask, w.tell, w.tell, w.write, w.write,
-			w.endSome, w.endSome, w.pass, w.cancel, w.crash,
+			w.adoptRandom, w.adoptRandom, w.adoptRecurring, w.resolveOrder, w.resolveOrder, w.resolveOrder, w.sendHeartbeat, w.sendHeartbeat, w.deliverReports, w.deliverReports, w.writeBatch, w.writeBatch,
+			w.endRandom, w.endRandom, w.advance, w.cancelRandom, w.crashWorker,
 			func() { w.pool.Tick(w.now, time.Unix(0, 0).Add(w.now)) },
-			func() { w.own(w.named) },
+			func() { w.startOwner(w.leaseWorkers) },
 			func() { w.pool.Rehear() },
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			rapid.SampledFrom(events).Draw(t, "event")()
-			w.counted()
+			w.checkCounts()
 		}
 	})
 }
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -11,268 +11,272 @@
 )
 
 const (
-	// crashesAllowed: after the third crash two more starts are allowed, which may crash, too.
-	crashesAllowed = 5
-	// crashesUsual are enough where a worker is free of other work.
-	crashesUsual = 3
+	// maxCrashes is the bound on a task's crashes: after the third, two more starts are allowed, which
+	// may crash as well.
+	maxCrashes = 5
+	// maxCrashesIsolated is the bound where the task can be started on a worker without other work.
+	maxCrashesIsolated = 3
 )
 
-func badTask(job string) gauge.TaskID { return gauge.TaskID{Job: job} }
+func firstTaskOf(job string) gauge.TaskID { return gauge.TaskID{Job: job} }
 
-func lasting(count int) gauge.Step {
-	s := step(count)
+func longRunningStep(count int) gauge.Step {
+	s := newStep(count)
 	s.Lasts, s.MaxAway = true, 1
 	return s
 }
 
-// A task that ends each worker that starts it, and starts again without an end.
-func TestTaskThatEndsItsWorkersIsGivenUp(t *testing.T) {
-	gang := step(3)
+// Guards against a task that crashes each worker that starts it, and is started again without end.
+func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+	gang := newStep(3)
 	gang.Gang = true
-	copies := step(2)
+	copies := newStep(2)
 	copies.Copies = true
 	for _, tt := range []struct {
-		name  string
-		step  gauge.Step
-		lives time.Duration
-		most  int
-		set   func(w *ward)
-		while func(w *ward)
+		name       string
+		step       gauge.Step
+		crashDelay time.Duration
+		maxCrashes int
+		setup      func(w *crashHarness)
+		each       func(w *crashHarness)
 	}{
-		{name: "at once", step: step(2), most: crashesUsual},
-		{name: "a second later", step: step(2), lives: time.Second, most: crashesAllowed},
-		{name: "four seconds later", step: step(2), lives: 4 * time.Second, most: crashesAllowed},
-		{name: "a task that lasts", step: lasting(2), lives: 2 * time.Second, most: crashesAllowed},
-		{name: "a gang", step: gang, most: crashesUsual},
-		{name: "a step with copies", step: copies, most: crashesUsual},
-		{name: "starts get no answer", step: step(2), most: crashesAllowed, set: func(w *ward) { w.dumb = true }},
-		{name: "another life at once", step: step(2), most: crashesAllowed, set: func(w *ward) { w.brings = wardStep }},
-		{name: "another life after the lease", step: step(2), most: crashesAllowed, set: func(w *ward) { w.brings = 9 * time.Second }},
-		{name: "a single worker", step: step(2), most: crashesAllowed, set: func(w *ward) { w.keep(1) }},
-		{name: "another owner all the while", step: step(2), most: crashesAllowed, while: func(w *ward) {
-			if w.now%(5*time.Second) < wardStep {
-				w.takeOver()
+		{name: "at once", step: newStep(2), maxCrashes: maxCrashesIsolated},
+		{name: "a second later", step: newStep(2), crashDelay: time.Second, maxCrashes: maxCrashes},
+		{name: "four seconds later", step: newStep(2), crashDelay: 4 * time.Second, maxCrashes: maxCrashes},
+		{name: "a long-running task", step: longRunningStep(2), crashDelay: 2 * time.Second, maxCrashes: maxCrashes},
+		{name: "a gang", step: gang, maxCrashes: maxCrashesIsolated},
+		{name: "a step with speculative copies", step: copies, maxCrashes: maxCrashesIsolated},
+		{name: "starts get no answer", step: newStep(2), maxCrashes: maxCrashes, setup: func(w *crashHarness) { w.startsUnanswered = true }},
+		{name: "worker restarts at once", step: newStep(2), maxCrashes: maxCrashes, setup: func(w *crashHarness) { w.restartDelay = crashStep }},
+		{name: "worker restarts after the lease", step: newStep(2), maxCrashes: maxCrashes, setup: func(w *crashHarness) { w.restartDelay = 9 * time.Second }},
+		{name: "a single worker", step: newStep(2), maxCrashes: maxCrashes, setup: func(w *crashHarness) { w.keepWorkers(1) }},
+		{name: "owner replaced every five seconds", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) {
+			if w.now%(5*time.Second) < crashStep {
+				w.replaceOwner()
 			}
 		}},
-		{name: "another owner after each crash", step: step(2), most: crashesAllowed, while: func() func(w *ward) {
+		{name: "owner replaced after each crash", step: newStep(2), maxCrashes: maxCrashes, each: func() func(w *crashHarness) {
 			seen := 0
-			return func(w *ward) {
+			return func(w *crashHarness) {
 				if w.crashes > seen {
 					seen = w.crashes
-					w.rig.pass(0)
-					w.pass(500 * time.Millisecond) // its silence is noted
-					w.takeOver()
+					w.harness.advance(0)
+					w.advance(500 * time.Millisecond) // the missing answers are recorded
+					w.replaceOwner()
 				}
 			}
 		}()},
-		{name: "the table away by turns", step: step(2), most: crashesAllowed, while: func(w *ward) { w.away = w.now%(6*time.Second) > 3*time.Second }},
-		{name: "workers full of other work", step: step(2), most: crashesAllowed, while: func(w *ward) {
-			if w.now%(200*time.Millisecond) < wardStep {
-				w.hand(1000+int(w.now/wardStep), step(8))
+		{name: "table unavailable every other three seconds", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) { w.tableDown = w.now%(6*time.Second) > 3*time.Second }},
+		{name: "workers full of other work", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) {
+			if w.now%(200*time.Millisecond) < crashStep {
+				w.submit(1000+int(w.now/crashStep), newStep(8))
 			}
 		}},
-		{name: "never alone, the table away from an owner that leaves", step: step(2), most: crashesAllowed, set: (*ward).company, while: func() func(w *ward) {
+		{name: "never isolated, table unavailable to an owner that leaves", step: newStep(2), maxCrashes: maxCrashes, setup: (*crashHarness).occupyAll, each: func() func(w *crashHarness) {
 			left := false
-			return func(w *ward) {
-				w.away = !left
+			return func(w *crashHarness) {
+				w.tableDown = !left
 				if !left && (w.crashes == 2 || w.now >= 10*time.Second) {
 					left = true
-					w.takeOver()
+					w.replaceOwner()
 				}
 			}
 		}()},
-		{name: "idle machines move all the while", step: step(2), most: crashesAllowed, while: func(w *ward) {
-			if w.now%(500*time.Millisecond) < wardStep {
-				w.moveOne(true)
+		{name: "idle machines keep moving", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) {
+			if w.now%(500*time.Millisecond) < crashStep {
+				w.moveIdleMachine(true)
 			}
 		}},
-		{name: "idle machines move, another owner all the while", step: step(2), most: crashesAllowed, while: func(w *ward) {
-			if w.now%(200*time.Millisecond) < wardStep {
-				w.moveOne(true)
+		{name: "idle machines keep moving, owner replaced every eight seconds", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) {
+			if w.now%(200*time.Millisecond) < crashStep {
+				w.moveIdleMachine(true)
 			}
-			if w.now%(8*time.Second) < wardStep {
-				w.moveOne(true)
-				w.moveOne(true)
-				w.takeOver()
+			if w.now%(8*time.Second) < crashStep {
+				w.moveIdleMachine(true)
+				w.moveIdleMachine(true)
+				w.replaceOwner()
 			}
 		}},
-		{name: "an idle machine is gone each three seconds", step: step(2), most: crashesAllowed, while: func(w *ward) {
-			if w.now%(3*time.Second) < wardStep {
-				w.moveOne(false)
+		{name: "an idle machine is lost every three seconds", step: newStep(2), maxCrashes: maxCrashes, each: func(w *crashHarness) {
+			if w.now%(3*time.Second) < crashStep {
+				w.moveIdleMachine(false)
 			}
 		}},
-		{name: "lasting tasks on all workers", step: step(2), most: crashesAllowed, set: (*ward).company},
+		{name: "long-running tasks on all workers", step: newStep(2), maxCrashes: maxCrashes, setup: (*crashHarness).occupyAll},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWard(t, 6)
-			w.lives = tt.lives
-			if tt.set != nil {
-				tt.set(w)
+			w := newCrashHarness(t, 6)
+			w.crashDelay = tt.crashDelay
+			if tt.setup != nil {
+				tt.setup(w)
 			}
-			id := w.hand(1, tt.step)
-			w.bad = badTask(id)
+			id := w.submit(1, tt.step)
+			w.badTask = firstTaskOf(id)
 			for w.now < 90*time.Second {
-				w.pass(wardStep)
-				if tt.while != nil {
-					tt.while(w)
+				w.advance(crashStep)
+				if tt.each != nil {
+					tt.each(w)
 				}
 			}
-			assert.Equal(t, w.state(id), gauge.JobFailed, "crashes %d, starts %d", w.crashes, w.starts[w.bad])
-			assert.Assert(t, w.crashes <= tt.most, "%d workers crashed", w.crashes)
+			assert.Equal(t, w.jobState(id), gauge.JobFailed, "crashes %d, starts %d", w.crashes, w.starts[w.badTask])
+			assert.Assert(t, w.crashes <= tt.maxCrashes, "%d workers crashed", w.crashes)
 		})
 	}
 }
 
-// Tasks that end workers at the same moment, each of which excuses the others.
-func TestTasksThatEndWorkersTogetherAreGivenUp(t *testing.T) {
+// Guards against tasks that crash workers at the same moment, so that each excuses the others.
+func TestTasksThatCrashWorkersTogetherAreGivenUp(t *testing.T) {
 	for _, count := range []int{2, 4} {
-		w := newWard(t, 6)
-		w.worse = make(map[gauge.TaskID]bool)
-		wide := step(1)
+		w := newCrashHarness(t, 6)
+		w.badTasks = make(map[gauge.TaskID]bool)
+		wide := newStep(1)
 		wide.Needs.MilliCPU = 3000 // one fits on a worker
 		for n := 1; n <= count; n++ {
-			w.worse[badTask(w.hand(n, wide))] = true
+			w.badTasks[firstTaskOf(w.submit(n, wide))] = true
 		}
-		w.pass(90 * time.Second)
-		for task := range w.worse {
-			assert.Equal(t, w.state(task.Job), gauge.JobFailed)
-			assert.Assert(t, w.starts[task] <= crashesAllowed, "%s started %d times", task, w.starts[task])
+		w.advance(90 * time.Second)
+		for task := range w.badTasks {
+			assert.Equal(t, w.jobState(task.Job), gauge.JobFailed)
+			assert.Assert(t, w.starts[task] <= maxCrashes, "%s started %d times", task, w.starts[task])
 		}
 	}
 }
 
-// What was lost with a worker, and starts on the next one together with the task that has ended it.
-func TestOthersWorkGoesWithOneCrashOnly(t *testing.T) {
-	w := newWard(t, 6)
-	others := []string{w.hand(2, step(1)), w.hand(3, lasting(2)), w.hand(4, step(1))}
-	id := w.hand(1, step(1))
-	w.bad = badTask(id)
+// Guards against tasks that were lost with a worker and start on the next one together with the
+// task that crashed it.
+func TestOtherTasksAreLostInOneCrashAtMost(t *testing.T) {
+	w := newCrashHarness(t, 6)
+	others := []string{w.submit(2, newStep(1)), w.submit(3, longRunningStep(2)), w.submit(4, newStep(1))}
+	id := w.submit(1, newStep(1))
+	w.badTask = firstTaskOf(id)
 	for range 200 {
-		w.pass(wardStep)
-		w.hand(100+int(w.now/wardStep), step(1))
+		w.advance(crashStep)
+		w.submit(100+int(w.now/crashStep), newStep(1))
 	}
-	w.pass(20 * time.Second)
-	assert.Equal(t, w.state(id), gauge.JobFailed)
+	w.advance(20 * time.Second)
+	assert.Equal(t, w.jobState(id), gauge.JobFailed)
 	for task, lost := range w.lost {
-		assert.Assert(t, task == w.bad || lost <= 1, "%s was lost %d times", task, lost)
+		assert.Assert(t, task == w.badTask || lost <= 1, "%s was lost %d times", task, lost)
 	}
-	assert.Equal(t, w.state(others[0]), gauge.JobCompleted)
-	assert.Equal(t, w.state(others[1]), gauge.JobRunning)
-	assert.Equal(t, w.state(others[2]), gauge.JobCompleted)
+	assert.Equal(t, w.jobState(others[0]), gauge.JobCompleted)
+	assert.Equal(t, w.jobState(others[1]), gauge.JobRunning)
+	assert.Equal(t, w.jobState(others[2]), gauge.JobCompleted)
 }
 
-// A sound job whose workers go again and again, with their racks or the power, right after its starts.
+// Guards against giving up a sound job whose workers are lost again and again right after its
+// starts: alone, with their rack, or with all other workers.
 func TestHealthyJobIsNotGivenUp(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		hit  func(w *ward, on string) // ends the worker that has a task
+		hit  func(w *crashHarness, on string) // crashes the worker that runs the task
 		gap  time.Duration
 	}{
-		{"its rack", func(w *ward, on string) {
-			rack := w.racks[on]
-			w.crashAll(func(id string) bool { return w.racks[id] == rack })
+		{"its rack", func(w *crashHarness, on string) {
+			rack := w.rackOfAlive[on]
+			w.crashAll(func(id string) bool { return w.rackOfAlive[id] == rack })
 		}, time.Second},
-		{"all workers", func(w *ward, _ string) { w.crashAll(func(string) bool { return true }) }, time.Second},
-		{"all workers, back at once", func(w *ward, _ string) {
-			w.brings = 100 * time.Millisecond
+		{"all workers", func(w *crashHarness, _ string) { w.crashAll(func(string) bool { return true }) }, time.Second},
+		{"all workers, restarted at once", func(w *crashHarness, _ string) {
+			w.restartDelay = 100 * time.Millisecond
 			w.crashAll(func(string) bool { return true })
 		}, time.Second},
-		{"its worker each half minute", func(w *ward, on string) { w.crash(on) }, 35 * time.Second},
+		{"its worker every half minute", func(w *crashHarness, on string) { w.crash(on) }, 35 * time.Second},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			for _, s := range []gauge.Step{lasting(2), step(2)} {
-				w := newWard(t, 9)
-				w.hand(7, lasting(1))
-				w.pass(2 * time.Second)
-				id := w.hand(1, s)
-				for hit := 0; hit < 8 && w.state(id) != gauge.JobCompleted && w.now < 10*time.Minute; {
-					w.pass(wardStep)
-					if on := w.where(id); on != "" {
-						w.pass(tt.gap - time.Second)
+			for _, s := range []gauge.Step{longRunningStep(2), newStep(2)} {
+				w := newCrashHarness(t, 9)
+				w.submit(7, longRunningStep(1))
+				w.advance(2 * time.Second)
+				id := w.submit(1, s)
+				for hit := 0; hit < 8 && w.jobState(id) != gauge.JobCompleted && w.now < 10*time.Minute; {
+					w.advance(crashStep)
+					if on := w.workerOf(id); on != "" {
+						w.advance(tt.gap - time.Second)
 						tt.hit(w, on)
 						hit++
 					}
 				}
-				w.pass(30 * time.Second)
+				w.advance(30 * time.Second)
 				want := gauge.JobCompleted
 				if s.Lasts {
 					want = gauge.JobRunning
 				}
-				assert.Equal(t, w.state(id), want)
+				assert.Equal(t, w.jobState(id), want)
 			}
 		})
 	}
 }
 
-// Workers that are cut off, one after the other, and are taken for ones that have crashed.
-func TestJobOnWorkersThatAreCutOffIsNotGivenUp(t *testing.T) {
-	g := newRig(t)
+// Guards against workers that become unreachable one after the other and are taken to have crashed.
+func TestJobOnUnreachableWorkersIsNotGivenUp(t *testing.T) {
+	g := newHarness(t)
 	ids := []string{"w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"}
-	g.list(ids...)
-	cut := make(map[string]bool)
-	g.adopt(1, false, lasting(1))
+	g.listWorkers(ids...)
+	unreachable := make(map[string]bool)
+	g.adopt(1, false, longRunningStep(1))
 	for range len(ids) - 1 {
 		for _, id := range ids {
-			if !cut[id] {
-				g.hear(id, nil)
+			if !unreachable[id] {
+				g.report(id, nil)
 			}
 		}
-		starts := g.restarts()
+		starts := g.startsAfterWrites()
 		assert.Equal(t, len(starts), 1)
-		g.ok(starts)
+		g.confirm(starts)
 		on := starts[0].Worker.ID
-		cut[on] = true
+		unreachable[on] = true
 		for range 60 {
-			g.pass(100 * time.Millisecond)
-			g.silent(on)
+			g.advance(100 * time.Millisecond)
+			g.failHeartbeat(on)
 			for _, id := range ids {
-				if !cut[id] {
-					g.hear(id, nil)
+				if !unreachable[id] {
+					g.report(id, nil)
 				}
 			}
-			g.save(int64(1000 + g.now/time.Millisecond))
+			g.writeAll(int64(1000 + g.now/time.Millisecond))
 		}
 	}
 	state, _ := g.pool.State(queueName, jobID(1))
 	assert.Equal(t, state, gauge.JobRunning)
 }
 
-// A crash that the table does not know of, and that the next owner would not count.
-func TestSuspectWaitsUntilTheTableKnows(t *testing.T) {
-	w := newWard(t, 6)
-	id := w.hand(1, step(1))
-	w.bad = badTask(id)
-	w.away = true
-	w.pass(30 * time.Second)
+// Guards against a crash that isn't in the table yet, and that the next owner would not count.
+func TestSuspectWaitsUntilItsCrashIsWritten(t *testing.T) {
+	w := newCrashHarness(t, 6)
+	id := w.submit(1, newStep(1))
+	w.badTask = firstTaskOf(id)
+	w.tableDown = true
+	w.advance(30 * time.Second)
 	assert.Equal(t, w.crashes, 1)
-	assert.Equal(t, w.starts[w.bad], 1)
-	w.away = false
-	w.pass(10 * time.Second)
-	assert.Equal(t, w.state(id), gauge.JobFailed)
+	assert.Equal(t, w.starts[w.badTask], 1)
+	w.tableDown = false
+	w.advance(10 * time.Second)
+	assert.Equal(t, w.jobState(id), gauge.JobFailed)
 }
 
-// A run that was noted before it started, and never did: the next owner takes the note for a crash.
-func TestTrialThatNeverBeganIsNoCrash(t *testing.T) {
+// Guards against a run that was recorded before its start and never started: the next owner would
+// take the record for a crash.
+func TestRecordedRunThatNeverStartedIsNoCrash(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
 		worker string
 		want   int
-	}{{"its worker lives", "w1", 1}, {"its worker is gone", "w9", 2}} {
+	}{{"its worker is alive", "w1", 1}, {"its worker is gone", "w9", 2}} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newRig(t, after("w1", tt.worker))
-			g.list("w1", "w2")
+			g := newHarness(t, withPredecessor("w1", tt.worker))
+			g.listWorkers("w1", "w2")
 			row := &gauge.JobRow{State: gauge.JobRunning, Pool: poolName, Trials: map[string]gauge.Trials{
 				"0.0.0": {{Run: 3, Worker: "w0", Crashed: true}, {Run: 4, Worker: tt.worker, Alone: true}},
 			}}
 			id := jobID(1)
-			g.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{step(1)}}, Row: row, Version: 2, Inherited: true}, g.now)
+			g.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 2, Inherited: true}, g.now)
 			for range 70 {
-				g.pass(100 * time.Millisecond)
-				g.hear("w1", nil)
-				g.hear("w2", nil)
-				g.starts()
+				g.advance(100 * time.Millisecond)
+				g.report("w1", nil)
+				g.report("w2", nil)
+				g.planStarts()
 			}
-			b := g.save(1000)
+			b := g.writeAll(1000)
 			assert.Equal(t, len(b.Changes), 1)
 			stored, err := gauge.DecodeJobRow(b.Changes[0].Row)
 			assert.NilError(t, err)
--- a/internal/sched/depths_test.go
+++ b/internal/sched/depths_test.go
@@ -8,38 +8,36 @@
 	gauge "sapphiregauge"
 )
 
-// Symptom: 0 jobs are said to wait where dozens have for seconds.
-// Sequence: starts of all of them are decided on; they wait to be sent, or are refused.
-// Cause: a job whose start was decided on counts as begun.
-func TestJobWaitsUntilATaskOfItHasStarted(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
+// Guards against a reported queue depth of 0 while dozens of jobs have waited for seconds: a job
+// whose starts were planned, but are not sent yet or were refused, must not count as started.
+func TestJobCountsAsWaitingUntilOneOfItsTasksHasStarted(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
 	for n := range 3 {
-		g.adopt(n+1, false, step(1))
+		g.adopt(n+1, false, newStep(1))
 	}
-	orders := g.starts()
+	orders := g.planStarts()
 	assert.Equal(t, len(orders), 3)
 	assert.Equal(t, g.pool.Depths()[queueName], 3, "not sent yet")
-	g.pool.Answered(orders[0], g.clock(), gauge.Fail(gauge.KindNoRoom, "no room"), g.now)
+	g.pool.Answered(orders[0], g.workerClock(), gauge.Fail(gauge.KindNoRoom, "no room"), g.now)
 	assert.Equal(t, g.pool.Depths()[queueName], 3, "refused")
-	g.pool.Answered(orders[1], g.clock(), nil, g.now)
+	g.pool.Answered(orders[1], g.workerClock(), nil, g.now)
 	assert.Equal(t, g.pool.Depths()[queueName], 2, "answered")
-	g.hear("w1", []gauge.RunReport{running(orders[1]), running(orders[2])})
+	g.report("w1", []gauge.RunReport{runReport(orders[1]), runReport(orders[2])})
 	assert.Equal(t, g.pool.Depths()[queueName], 1, "listed by the worker")
-	g.hear("w1", []gauge.RunReport{running(orders[2])}, g.end("w1", orders[1].Start.Task, 1, gauge.EndFailed))
-	assert.Equal(t, g.pool.Depths()[queueName], 1, "ended, to be tried again")
+	g.report("w1", []gauge.RunReport{runReport(orders[2])}, g.endReport("w1", orders[1].Start.Task, 1, gauge.EndFailed))
+	assert.Equal(t, g.pool.Depths()[queueName], 1, "ended, to be retried")
 }
 
-// Symptom: a job counts as waiting though a task of it has ended.
-// Sequence: a start gets no answer; its end is the first that is heard.
-// Cause: an end doesn't count as a start.
-func TestJobOfWhichAnEndIsHeardDoesNotWait(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
-	g.adopt(1, false, step(2))
-	orders := g.starts()
-	g.hear("w1", nil, g.end("w1", orders[0].Start.Task, 1, gauge.EndDone))
+// Guards against a job that counts as waiting though a task of it has ended: its start got no
+// answer, and its end is reported first.
+func TestJobWithAReportedEndDoesNotWait(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	g.adopt(1, false, newStep(2))
+	orders := g.planStarts()
+	g.report("w1", nil, g.endReport("w1", orders[0].Start.Task, 1, gauge.EndDone))
 	assert.Equal(t, g.pool.Depths()[queueName], 0)
 }
--- a/internal/sched/life_test.go
+++ b/internal/sched/life_test.go
@@ -10,158 +10,166 @@
 	"sapphiregauge/internal/sched"
 )
 
-func lifeOf(id string, born int64) gauge.Life { return gauge.Life{Worker: id, Born: born} }
+// incarnationAt is the incarnation of a worker that started at a given time.
+func incarnationAt(id string, born int64) gauge.Life { return gauge.Life{Worker: id, Born: born} }
 
-// row is the platform's row of a life of a worker.
-func row(id string, born int64) gauge.Worker {
-	w := worker(id)
+// workerRow is the platform's workerRow of an incarnation of a worker.
+func workerRow(id string, born int64) gauge.Worker {
+	w := newWorker(id)
 	w.Born = born
 	return w
 }
 
-// rows tells of lives of workers, and that the lease row names them, as of a version.
-func (g *rig) rows(version int64, rows ...gauge.Worker) {
+// listRows delivers the listRows of incarnations of workers, and that the lease row of a version names
+// them.
+func (g *harness) listRows(version int64, rows ...gauge.Worker) {
 	g.pool.Workers(rows)
 	g.pool.Noted(g.pool.Name(), version)
 }
 
-// answer has a life of a worker answer the hold that the owner keeps at another, or the same.
-func (g *rig) answer(asked gauge.Life, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
+// answerHeartbeat has an incarnation of a worker answerHeartbeat the heartbeat that the owner sent to
+// another one, or to the same.
+func (g *harness) answerHeartbeat(asked gauge.Life, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
 	_, call, _ := g.pool.Holding(asked, g.now)
 	return g.pool.Report(asked, call, &gauge.WorkerReport{Born: born, Clock: clock, Running: running, Ended: ended}, g.now)
 }
 
-// born1 is a rig with a worker in its first life that has one run of a lasting task, long enough
-// not to be suspected if the worker is lost.
-func born1(t *testing.T) (*rig, sched.Order) {
+// newHarnessWithRun is a harness with a worker in its first incarnation that has had a run of a
+// long-running task for so long that the task is no suspect if the worker is lost.
+func newHarnessWithRun(t *testing.T) (*harness, sched.Order) {
 	t.Helper()
-	return livedFor(t, 2*time.Second)
+	return newHarnessWithRunOf(t, 2*time.Second)
 }
 
-func livedFor(t *testing.T, lived time.Duration) (*rig, sched.Order) {
+// newHarnessWithRunOf is the same with a run that is as old as given.
+func newHarnessWithRunOf(t *testing.T, lived time.Duration) (*harness, sched.Order) {
 	t.Helper()
-	g := newRig(t, func(c *sched.Config) { c.Longest = longest })
-	g.rows(200, row("w1", 1))
-	g.answer(lifeOf("w1", 1), 1, time.Hour, nil)
-	s := step(1)
+	g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+	g.listRows(200, workerRow("w1", 1))
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
+	s := newStep(1)
 	s.Lasts = true
 	g.adopt(1, false, s)
-	start := g.starts()[0]
-	g.ok([]sched.Order{start})
+	start := g.planStarts()[0]
+	g.confirm([]sched.Order{start})
 	g.now += lived
-	g.answer(lifeOf("w1", 1), 1, time.Hour+lived, []gauge.RunReport{running(start)})
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+lived, []gauge.RunReport{runReport(start)})
 	return g, start
 }
 
-// Runs that went with a worker's life and are taken for at work in the next one, whose clock is
-// behind.
-func TestRunsOfALifeThatIsOverStartAgain(t *testing.T) {
+// Guards against runs that are taken to continue in a worker's next incarnation, whose clock is
+// behind that of the previous one.
+func TestRunsOfAnEndedIncarnationStartAgain(t *testing.T) {
 	for _, clock := range []time.Duration{time.Second, 9 * time.Hour} {
-		g, first := born1(t)
-		g.noAnswer(lifeOf("w1", 1))
-		assert.Assert(t, g.answer(lifeOf("w1", 1), 2, clock, nil))
-		g.rows(300, row("w1", 2))
-		g.answer(lifeOf("w1", 2), 2, clock+time.Millisecond, nil)
-		again := g.starts()
+		g, first := newHarnessWithRun(t)
+		g.failHeartbeatOf(incarnationAt("w1", 1))
+		assert.Assert(t, g.answerHeartbeat(incarnationAt("w1", 1), 2, clock, nil))
+		g.listRows(300, workerRow("w1", 2))
+		g.answerHeartbeat(incarnationAt("w1", 2), 2, clock+time.Millisecond, nil)
+		again := g.planStarts()
 		assert.Equal(t, len(again), 1)
 		assert.Equal(t, again[0].Start.Task, first.Start.Task)
 		assert.Equal(t, again[0].Worker.Born, int64(2))
-		assert.Assert(t, again[0].Start.Until < clock+2*time.Second, "a deadline on the clock of the life before")
+		assert.Assert(t, again[0].Start.Until < clock+2*time.Second, "the deadline must be on the clock of the new incarnation")
 	}
 }
 
-// noAnswer has a hold at a life of a worker fail.
-func (g *rig) noAnswer(l gauge.Life) {
+// failHeartbeatOf has a heartbeat to an incarnation of a worker get no answer.
+func (g *harness) failHeartbeatOf(l gauge.Life) {
 	g.pool.HoldFailed(l, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
 }
 
-// The first ends of a worker's next life, which are forgotten by the number of the last of the life before.
-func TestEndsOfTheNextLifeAreTakenInAndNotAcknowledgedBefore(t *testing.T) {
-	g, start := born1(t)
+// Guards against ends that are lost because a worker numbers them from 1 in each incarnation: the
+// first ends of the next incarnation would be acknowledged by the last number of the previous one.
+func TestEndsOfTheNextIncarnationAreNotAcknowledgedByOldNumbers(t *testing.T) {
+	g, start := newHarnessWithRun(t)
 	other := gauge.TaskID{Job: jobID(9)}
-	g.answer(lifeOf("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{running(start)},
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(start)},
 		gauge.EndReport{Number: 1, Task: other, Run: 1, How: gauge.EndDone}, gauge.EndReport{Number: 2, Task: other, Run: 2, How: gauge.EndDone})
-	_, call, _ := g.pool.Holding(lifeOf("w1", 1), g.now)
+	_, call, _ := g.pool.Holding(incarnationAt("w1", 1), g.now)
 	assert.Equal(t, call.LastSeen, int64(2))
-	g.noAnswer(lifeOf("w1", 1))
-	_, call, _ = g.pool.Holding(lifeOf("w1", 1), g.now)
-	assert.Equal(t, call.LastSeen, int64(0), "it may be another life by now")
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	_, call, _ = g.pool.Holding(incarnationAt("w1", 1), g.now)
+	assert.Equal(t, call.LastSeen, int64(0), "it may be another incarnation by now")
 
-	g.answer(lifeOf("w1", 1), 2, time.Second, nil)
-	g.rows(300, row("w1", 2))
-	_, call, _ = g.pool.Holding(lifeOf("w1", 2), g.now)
+	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
+	g.listRows(300, workerRow("w1", 2))
+	_, call, _ = g.pool.Holding(incarnationAt("w1", 2), g.now)
 	assert.Equal(t, call.LastSeen, int64(0))
-	id := g.adopt(2, false, step(1))
-	g.answer(lifeOf("w1", 2), 2, 2*time.Second, nil)
+	id := g.adopt(2, false, newStep(1))
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 2*time.Second, nil)
 	var order sched.Order
-	for _, o := range g.starts() {
+	for _, o := range g.planStarts() {
 		if o.Start.Task.Job == id {
 			order = o
 		}
 	}
 	g.pool.Answered(order, 2*time.Second, nil, g.now)
-	g.answer(lifeOf("w1", 2), 2, 3*time.Second, nil, gauge.EndReport{Number: 1, Task: order.Start.Task, Run: 1, How: gauge.EndDone})
-	g.save(400)
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 3*time.Second, nil, gauge.EndReport{Number: 1, Task: order.Start.Task, Run: 1, How: gauge.EndDone})
+	g.writeAll(400)
 	state, _ := g.pool.State(queueName, id)
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
-// A row or an answer of the life before that comes after the next one's.
-func TestWhatComesLateOfALifeThatIsOverCountsNoMore(t *testing.T) {
-	g, start := born1(t)
-	g.rows(300, row("w1", 2))
-	assert.Assert(t, !g.answer(lifeOf("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{running(start)}))
-	_, _, held := g.pool.Holding(lifeOf("w1", 1), g.now)
+// Guards against a row or an answer of the previous incarnation that arrives after one of the next.
+func TestLateRowsAndAnswersOfAnEndedIncarnationAreIgnored(t *testing.T) {
+	g, start := newHarnessWithRun(t)
+	g.listRows(300, workerRow("w1", 2))
+	assert.Assert(t, !g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(start)}))
+	_, _, held := g.pool.Holding(incarnationAt("w1", 1), g.now)
 	assert.Assert(t, !held)
-	g.answer(lifeOf("w1", 2), 2, time.Second, nil)
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 
-	g.rows(301, row("w1", 1))
-	assert.Equal(t, len(g.starts()), 0, "no row names the life that is there")
-	g.rows(302, row("w1", 0))
-	assert.Equal(t, len(g.starts()), 0, "nor one that doesn't tell its life")
-	g.rows(303, row("w1", 2))
-	g.answer(lifeOf("w1", 2), 2, 2*time.Second, nil)
-	assert.Equal(t, len(g.starts()), 1)
+	g.listRows(301, workerRow("w1", 1))
+	assert.Equal(t, len(g.planStarts()), 0, "no row names the current incarnation")
+	g.listRows(302, workerRow("w1", 0))
+	assert.Equal(t, len(g.planStarts()), 0, "a row without a start time doesn't name it either")
+	g.listRows(303, workerRow("w1", 2))
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 2*time.Second, nil)
+	assert.Equal(t, len(g.planStarts()), 1)
 }
 
-// What was sent before a worker started again, and is carried out after.
-func TestTokenRisesWithEachSilence(t *testing.T) {
-	g, start := born1(t)
+// Guards against calls that were sent before a worker started again and are executed after it: they
+// have a lower fencing token than the heartbeat that follows.
+func TestTokenRisesWithEachFailedHeartbeat(t *testing.T) {
+	g, start := newHarnessWithRun(t)
 	g.pool.Noted(g.pool.Name(), 250)
-	g.noAnswer(lifeOf("w1", 1))
-	_, call, _ := g.pool.Holding(lifeOf("w1", 1), g.now)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	_, call, _ := g.pool.Holding(incarnationAt("w1", 1), g.now)
 	assert.Assert(t, call.Fence > start.Start.Fence)
-	assert.Assert(t, g.pool.Outdated(lifeOf("w1", 1), start.Start.Fence), "its refusal tells of no other owner")
-	assert.Assert(t, !g.pool.Outdated(lifeOf("w1", 1), call.Fence))
+	assert.Assert(t, g.pool.Outdated(incarnationAt("w1", 1), start.Start.Fence), "its refusal doesn't mean that there is another owner")
+	assert.Assert(t, !g.pool.Outdated(incarnationAt("w1", 1), call.Fence))
 }
 
-// A worker whose machine is to be taken away, and that gets work since it has started again.
-func TestWorkerThatIsToBeEmptiedIsSoInItsNextLife(t *testing.T) {
-	g, _ := born1(t)
+// Guards against a worker that is drained, as its machine is to be moved, and gets new work once it
+// has started again.
+func TestDrainedWorkerStaysDrainedInItsNextIncarnation(t *testing.T) {
+	g, _ := newHarnessWithRun(t)
 	g.pool.Empty("w1", false, g.now)
-	g.noAnswer(lifeOf("w1", 1))
-	g.rows(300, row("w1", 2))
-	g.answer(lifeOf("w1", 2), 2, time.Second, nil)
-	assert.Equal(t, len(g.starts()), 0)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.listRows(300, workerRow("w1", 2))
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
+	assert.Equal(t, len(g.planStarts()), 0)
 	assert.Assert(t, g.pool.Empty("w1", false, g.now))
 }
 
-// A worker that drains, and is taken for leaving when it has started again.
-func TestNextLifeDoesNotDrainForTheLifeBefore(t *testing.T) {
-	g, _ := born1(t)
-	leaving := row("w1", 1)
+// Guards against a worker that announced that it drains, and is still taken to be leaving after it
+// has started again.
+func TestNextIncarnationDoesNotInheritDraining(t *testing.T) {
+	g, _ := newHarnessWithRun(t)
+	leaving := workerRow("w1", 1)
 	leaving.Draining = true
-	g.rows(250, leaving)
-	g.noAnswer(lifeOf("w1", 1))
-	g.rows(300, row("w1", 2))
-	g.answer(lifeOf("w1", 2), 2, time.Second, nil)
-	assert.Equal(t, len(g.starts()), 1)
+	g.listRows(250, leaving)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.listRows(300, workerRow("w1", 2))
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
+	assert.Equal(t, len(g.planStarts()), 1)
 }
 
-// changed is the one job's row that waits to be written.
-func (g *rig) changed() *gauge.JobRow {
+// onlyUnwrittenRow is the row of the one job whose change waits to be written.
+func (g *harness) onlyUnwrittenRow() *gauge.JobRow {
 	g.t.Helper()
-	batch, err := g.pool.Batch(100, 1, nobody)
+	batch, err := g.pool.Batch(100, 1, skipNone)
 	assert.NilError(g.t, err)
 	assert.Equal(g.t, len(batch.Changes), 1)
 	row, err := gauge.DecodeJobRow(batch.Changes[0].Row)
@@ -169,44 +177,46 @@
 	return row
 }
 
-// A task that crashes its workers, of whose crash the next owner doesn't know as the worker is back.
-func TestCrashCountsWhenTheNextOwnerHearsTheNextLife(t *testing.T) {
-	g, start := livedFor(t, time.Millisecond)
-	g.noAnswer(lifeOf("w1", 1))
-	g.noAnswer(lifeOf("w1", 1)) // it is noted that the worker may have crashed
-	noted := g.changed()
-	next := newRig(t, after("w1"))
-	next.rows(500, row("w1", 2))
-	s := step(1)
+// Guards against a crash that the next owner misses: by the time it takes over, the worker has
+// started again, so that no worker seems to be lost.
+func TestCrashCountsWhenTheNextOwnerFindsTheNextIncarnation(t *testing.T) {
+	g, start := newHarnessWithRunOf(t, time.Millisecond)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.failHeartbeatOf(incarnationAt("w1", 1)) // records that the worker may have crashed
+	noted := g.onlyUnwrittenRow()
+	next := newHarness(t, withPredecessor("w1"))
+	next.listRows(500, workerRow("w1", 2))
+	s := newStep(1)
 	s.Lasts = true
 	next.pool.Adopt(sched.Accepted{
 		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{s}}, Row: noted, Version: 400, Inherited: true,
 	}, 0)
-	next.answer(lifeOf("w1", 2), 2, time.Second, nil)
+	next.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 	next.plan()
-	noted = next.changed()
+	noted = next.onlyUnwrittenRow()
 	assert.Equal(t, noted.Trials["0.0.0"].Crashes(), 1)
 }
 
-// Workers that lost power together, of which an owner that stood still hears one by one.
-func TestOwnerThatStoodStillWaitsForOtherLosses(t *testing.T) {
-	g, start := born1(t)
-	g.rows(210, row("w1", 1), row("w2", 1), row("w3", 1))
+// Guards against a crash that is held against a task although several workers lost power together:
+// an owner whose process was suspended learns of the losses one by one.
+func TestResumedOwnerWaitsForFurtherLosses(t *testing.T) {
+	g, start := newHarnessWithRun(t)
+	g.listRows(210, workerRow("w1", 1), workerRow("w2", 1), workerRow("w3", 1))
 	for _, id := range []string{"w2", "w3"} {
-		g.answer(lifeOf(id, 1), 1, time.Hour, nil)
+		g.answerHeartbeat(incarnationAt(id, 1), 1, time.Hour, nil)
 	}
-	g.pass(50 * time.Millisecond)
-	g.noAnswer(lifeOf("w1", 1))
-	g.answer(lifeOf("w1", 1), 2, time.Second, nil)
-	g.pass(3 * time.Second) // stood still
+	g.advance(50 * time.Millisecond)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
+	g.advance(3 * time.Second) // the owner's process was suspended
 	for _, id := range []string{"w2", "w3"} {
-		g.noAnswer(lifeOf(id, 1))
-		g.answer(lifeOf(id, 1), 2, time.Second, nil)
+		g.failHeartbeatOf(incarnationAt(id, 1))
+		g.answerHeartbeat(incarnationAt(id, 1), 2, time.Second, nil)
 	}
 	for range 20 {
-		g.pass(100 * time.Millisecond)
+		g.advance(100 * time.Millisecond)
 	}
-	batch := g.save(400)
+	batch := g.writeAll(400)
 	for _, c := range batch.Changes {
 		noted, err := gauge.DecodeJobRow(c.Row)
 		assert.NilError(t, err)
@@ -216,131 +226,138 @@
 	}
 }
 
-// A lease that is longer than this owner knows: it was meant for the life before, by another clock.
-func TestNextLifeMayHaveTheLongestLease(t *testing.T) {
-	g, _ := born1(t)
-	g.noAnswer(lifeOf("w1", 1))
-	g.answer(lifeOf("w1", 1), 2, time.Second, nil)
-	g.noAnswer(lifeOf("w1", 2))
-	assert.Equal(t, g.pool.Left(g.now)[lifeOf("w1", 2)], longest)
+// Guards against a lease that is longer than the owner assumes: a grant meant for the previous
+// incarnation, by another clock, may have reached the next one.
+func TestNextIncarnationIsAssumedToHaveTheLongestLease(t *testing.T) {
+	g, _ := newHarnessWithRun(t)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
+	g.failHeartbeatOf(incarnationAt("w1", 2))
+	assert.Equal(t, g.pool.Left(g.now)[incarnationAt("w1", 2)], maxLease)
 
-	g.pass(3 * time.Second)
-	g.pool.Noted(g.pool.Name(), 300) // its token rises; till it answers to that it may be granted more
-	g.answer(lifeOf("w1", 2), 2, 4*time.Second, nil)
-	g.noAnswer(lifeOf("w1", 2))
-	assert.Equal(t, g.pool.Left(g.now)[lifeOf("w1", 2)], longest)
+	g.advance(3 * time.Second)
+	g.pool.Noted(g.pool.Name(), 300) // the token rises; until the worker has answered to it, older grants may reach it
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 4*time.Second, nil)
+	g.failHeartbeatOf(incarnationAt("w1", 2))
+	assert.Equal(t, g.pool.Left(g.now)[incarnationAt("w1", 2)], maxLease)
 }
 
-// A worker that drains when it is first heard of, and is taken for leaving at once.
-func TestWorkerThatDrainsFromTheStartStaysAsLongAsItSays(t *testing.T) {
-	g := newRig(t)
-	g.rows(200, row("w1", 1), row("w2", 1))
-	leaving := row("w1", 2)
+// Guards against a worker that drains when the owner first learns of it and is taken to leave at
+// once.
+func TestWorkerDrainingFromTheStartStaysAsLongAsAnnounced(t *testing.T) {
+	g := newHarness(t)
+	g.listRows(200, workerRow("w1", 1), workerRow("w2", 1))
+	leaving := workerRow("w1", 2)
 	leaving.Draining, leaving.Leaves = true, 20*time.Second
-	g.answer(lifeOf("w1", 1), 1, time.Hour, nil)
-	job := step(1)
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
+	job := newStep(1)
 	job.Checkpoints, job.Estimate = true, 5*time.Second
 	g.adopt(1, false, job)
-	start := g.starts()[0]
-	g.rows(300, leaving)
-	g.answer(lifeOf("w1", 2), 2, time.Second, []gauge.RunReport{running(start)})
-	assert.Equal(t, len(only(g.plan(), sched.OrderStop)), 0, "it ends before its worker leaves")
+	start := g.planStarts()[0]
+	g.listRows(300, leaving)
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, []gauge.RunReport{runReport(start)})
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 0, "the run ends before its worker leaves")
 }
 
-// A stop that the life before has answered, and that keeps the next one from nothing.
-func TestStopAnsweredByTheLifeBeforeIsSentAgain(t *testing.T) {
-	g, _ := born1(t)
-	id := g.adopt(2, false, step(1))
-	order := only(g.plan(), sched.OrderStart)[0]
+// Guards against a stop that only the previous incarnation has answered: it doesn't keep the next
+// one from executing the start.
+func TestStopAnsweredByThePreviousIncarnationIsSentAgain(t *testing.T) {
+	g, _ := newHarnessWithRun(t)
+	id := g.adopt(2, false, newStep(1))
+	order := ofKind(g.plan(), sched.OrderStart)[0]
 	g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
 	g.pool.Cancel(id, 500)
-	stops := only(g.plan(), sched.OrderStop)
+	stops := ofKind(g.plan(), sched.OrderStop)
 	assert.Equal(t, len(stops), 1)
-	g.rows(300, row("w1", 2))
+	g.listRows(300, workerRow("w1", 2))
 	g.pool.Answered(stops[0], time.Hour+3*time.Second, nil, g.now)
-	g.answer(lifeOf("w1", 2), 2, 3*time.Hour, nil)
-	g.pass(250 * time.Millisecond)
-	again := only(g.plan(), sched.OrderStop)
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 3*time.Hour, nil)
+	g.advance(250 * time.Millisecond)
+	again := ofKind(g.plan(), sched.OrderStop)
 	assert.Equal(t, len(again), 1)
 	assert.Equal(t, again[0].Worker.Born, int64(2))
 }
 
-// A sound task that counts as the cause of a crash, as the next owner hears of no worker that it is gone.
-func TestWorkersThatWereLostTogetherBeforeATakeoverExcuseTheirTasks(t *testing.T) {
-	g, start := livedFor(t, time.Millisecond)
-	g.noAnswer(lifeOf("w1", 1))
-	g.noAnswer(lifeOf("w1", 1))
-	noted := g.changed()
-	next := newRig(t, after("w1", "w2", "w3"), func(c *sched.Config) {
-		c.Earlier = []gauge.Life{lifeOf("w1", 1), lifeOf("w2", 1), lifeOf("w3", 1)}
+// Guards against a sound task that is taken for the cause of a crash: the next owner finds all
+// workers in new incarnations and learns of no loss.
+func TestWorkersLostTogetherBeforeATakeoverExcuseTheirTasks(t *testing.T) {
+	g, start := newHarnessWithRunOf(t, time.Millisecond)
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	g.failHeartbeatOf(incarnationAt("w1", 1))
+	noted := g.onlyUnwrittenRow()
+	next := newHarness(t, withPredecessor("w1", "w2", "w3"), func(c *sched.Config) {
+		c.Earlier = []gauge.Life{incarnationAt("w1", 1), incarnationAt("w2", 1), incarnationAt("w3", 1)}
 	})
-	next.rows(500, row("w1", 2), row("w2", 2), row("w3", 2))
+	next.listRows(500, workerRow("w1", 2), workerRow("w2", 2), workerRow("w3", 2))
 	next.pool.Adopt(sched.Accepted{
-		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{lasting(1)}}, Row: noted, Version: 400, Inherited: true,
+		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{longRunningStep(1)}}, Row: noted, Version: 400, Inherited: true,
 	}, 0)
 	for _, id := range []string{"w1", "w2", "w3"} {
-		next.answer(lifeOf(id, 2), 2, time.Second, nil)
+		next.answerHeartbeat(incarnationAt(id, 2), 2, time.Second, nil)
 	}
 	next.plan()
-	noted = next.changed()
+	noted = next.onlyUnwrittenRow()
 	assert.Equal(t, noted.Trials["0.0.0"].Crashes(), 0)
 }
 
-// A worker that has started again in another pool, and that two owners hold with tokens that shut
-// each other out.
-func TestLifeThatBeganInAnotherPoolIsNotHeld(t *testing.T) {
+// Guards against a worker that has started again in another pool and gets heartbeats from two
+// owners, whose fencing tokens lock each other out.
+func TestIncarnationInAnotherPoolGetsNoHeartbeat(t *testing.T) {
 	for _, answered := range []bool{true, false} {
-		g, _ := born1(t)
-		g.noAnswer(lifeOf("w1", 1))
+		g, _ := newHarnessWithRun(t)
+		g.failHeartbeatOf(incarnationAt("w1", 1))
 		if answered {
-			g.answer(lifeOf("w1", 1), 2, time.Second, nil)
+			g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
 		}
-		other := row("w1", 2)
+		other := workerRow("w1", 2)
 		other.Pool = "other"
-		g.rows(300, other)
+		g.listRows(300, other)
 		for born := range int64(3) {
-			_, _, held := g.pool.Holding(lifeOf("w1", born), g.now)
+			_, _, held := g.pool.Holding(incarnationAt("w1", born), g.now)
 			assert.Assert(t, !held)
 		}
-		g.rows(301, row("w2", 1))
-		g.answer(lifeOf("w2", 1), 1, time.Hour, nil)
-		assert.Equal(t, len(g.starts()), 1, "what ran there starts elsewhere")
+		g.listRows(301, workerRow("w2", 1))
+		g.answerHeartbeat(incarnationAt("w2", 1), 1, time.Hour, nil)
+		assert.Equal(t, len(g.planStarts()), 1, "its run starts on another worker")
 	}
 }
 
-// An owner that gives up its pool as a worker that it hears first has been called by another pool's.
-func TestTokenThatAWorkerNeverHeardRefusesTellsOfNoOtherOwner(t *testing.T) {
-	g := newRig(t)
-	g.rows(200, row("w1", 2))
-	_, call, _ := g.pool.Holding(lifeOf("w1", 2), g.now)
-	assert.Assert(t, g.pool.Outdated(lifeOf("w1", 2), call.Fence))
-	g.pool.HoldFailed(lifeOf("w1", 2), gauge.Fail(gauge.KindFenced, "fence"), g.now)
+// Guards against an owner that gives up its pool because a worker refuses its first heartbeat,
+// after the owner of another pool has called that worker with a higher fencing token.
+func TestRefusedFirstHeartbeatIsNoSignOfAnotherOwner(t *testing.T) {
+	g := newHarness(t)
+	g.listRows(200, workerRow("w1", 2))
+	_, call, _ := g.pool.Holding(incarnationAt("w1", 2), g.now)
+	assert.Assert(t, g.pool.Outdated(incarnationAt("w1", 2), call.Fence))
+	g.pool.HoldFailed(incarnationAt("w1", 2), gauge.Fail(gauge.KindFenced, "fence"), g.now)
 	g.pool.Noted(g.pool.Name(), 300)
-	_, again, _ := g.pool.Holding(lifeOf("w1", 2), g.now)
+	_, again, _ := g.pool.Holding(incarnationAt("w1", 2), g.now)
 	assert.Assert(t, again.Fence > call.Fence)
-	g.answer(lifeOf("w1", 2), 2, time.Second, nil)
-	assert.Assert(t, !g.pool.Outdated(lifeOf("w1", 2), again.Fence))
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
+	assert.Assert(t, !g.pool.Outdated(incarnationAt("w1", 2), again.Fence))
 }
 
-// A start that the next life has answered, and that a late report of the life before doesn't list.
-func TestStartAnsweredByALaterLifeIsNotTakenForVanished(t *testing.T) {
-	g, first := born1(t)
-	id := g.adopt(2, false, step(1))
-	order := only(g.plan(), sched.OrderStart)[0]
-	g.pool.Answered(order, time.Minute, nil, g.now) // a clock far behind
-	g.answer(lifeOf("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{running(first)})
-	assert.Assert(t, !starts(g.plan(), id), "it runs in the next life")
-	g.answer(lifeOf("w1", 1), 2, time.Minute+time.Second, []gauge.RunReport{running(order)})
-	assert.Assert(t, !starts(g.plan(), id))
+// Guards against a second run of a task: the next incarnation answered the start, and a late report
+// of the previous one doesn't list the run.
+func TestStartAnsweredByALaterIncarnationIsNotTakenForLost(t *testing.T) {
+	g, first := newHarnessWithRun(t)
+	id := g.adopt(2, false, newStep(1))
+	order := ofKind(g.plan(), sched.OrderStart)[0]
+	g.pool.Answered(order, time.Minute, nil, g.now) // a clock far behind that of the first incarnation
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(first)})
+	assert.Assert(t, !hasStart(g.plan(), id), "it runs in the next incarnation")
+	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Minute+time.Second, []gauge.RunReport{runReport(order)})
+	assert.Assert(t, !hasStart(g.plan(), id))
 }
 
-// Starts that are sent again and again to an address where nobody listens, till the next life does.
-func TestWorkerThatCannotBeConnectedToGetsNoStartBeforeItAnswers(t *testing.T) {
-	g, first := born1(t)
-	g.adopt(2, false, step(1))
-	order := only(g.plan(), sched.OrderStart)[0]
+// Guards against starts that are sent again and again to an address where no process listens, until
+// the next incarnation does.
+func TestUnreachableWorkerGetsNoStartBeforeItAnswers(t *testing.T) {
+	g, first := newHarnessWithRun(t)
+	g.adopt(2, false, newStep(1))
+	order := ofKind(g.plan(), sched.OrderStart)[0]
 	g.pool.Answered(order, 0, gauge.Fail(gauge.KindOutage, "connection refused"), g.now)
-	assert.Equal(t, len(g.starts()), 0)
-	g.answer(lifeOf("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{running(first)})
-	assert.Equal(t, len(g.starts()), 1)
+	assert.Equal(t, len(g.planStarts()), 0)
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(first)})
+	assert.Equal(t, len(g.planStarts()), 1)
 }
--- a/internal/sched/probation_test.go
+++ b/internal/sched/probation_test.go
@@ -9,20 +9,21 @@
 	gauge "sapphiregauge"
 )
 
-// A run that has to live three times as long as those before, as its own life is counted among theirs.
-func TestProbationIsByOtherRuns(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
-	id := g.inherit(lasting(1), &gauge.JobRow{
-		Trials: map[string]gauge.Trials{firstTask: {{Run: 1, Worker: "w0", Crashed: true, Lived: 100 * time.Millisecond}}},
+// Guards against a run that has to live three times as long as the earlier runs to pass its
+// probation, because its own duration is counted among theirs.
+func TestProbationDependsOnOtherRunsOnly(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	id := g.inheritJob(longRunningStep(1), &gauge.JobRow{
+		Trials: map[string]gauge.Trials{firstTaskKey: {{Run: 1, Worker: "w0", Crashed: true, Lived: 100 * time.Millisecond}}},
 	})
-	starts := g.restarts()
+	starts := g.startsAfterWrites()
 	assert.Equal(t, len(starts), 1)
-	g.ok(starts)
+	g.confirm(starts)
 	for range 14 {
-		g.pass(100 * time.Millisecond)
-		g.hear("w1", []gauge.RunReport{running(starts[0])})
+		g.advance(100 * time.Millisecond)
+		g.report("w1", []gauge.RunReport{runReport(starts[0])})
 	}
-	assert.Equal(t, len(g.rowOf(id).Trials[firstTask]), 1, "it is still on probation")
+	assert.Equal(t, len(g.unwrittenRow(id).Trials[firstTaskKey]), 1, "the run must have passed its probation")
 }
--- a/internal/sched/random_test.go
+++ b/internal/sched/random_test.go
@@ -12,15 +12,15 @@
 	"sapphiregauge/internal/sched"
 )
 
-// answer settles one order that is under way, one way or another.
-func (w *world) answer() {
+// resolveOrder settles one order that is under way, in one of several ways.
+func (w *simulation) resolveOrder() {
 	if len(w.orders) == 0 {
 		return
 	}
 	i := rapid.IntRange(0, len(w.orders)-1).Draw(w.t, "order")
 	o := w.orders[i]
 	w.orders = append(w.orders[:i:i], w.orders[i+1:]...)
-	if w.pool.Void(o, w.now) && rapid.IntRange(0, 3).Draw(w.t, "suspended after the look") > 0 {
+	if w.pool.Void(o, w.now) && rapid.IntRange(0, 3).Draw(w.t, "suspended after the check") > 0 {
 		w.pool.Answered(o, 0, gauge.Fail(gauge.KindLate, "not sent"), w.now)
 		w.plan()
 		return
@@ -29,76 +29,76 @@
 	switch rapid.IntRange(0, 4).Draw(w.t, "fate") {
 	case 0: // never arrives
 		w.pool.Answered(o, 0, lost, w.now)
-	case 1: // carried out, answer lost
-		_ = w.carryOut(o)
+	case 1: // executed, answer lost
+		_ = w.executeOrder(o)
 		w.pool.Answered(o, 0, lost, w.now)
-	case 2: // carried out later
-		w.late = append(w.late, o)
+	case 2: // executed later
+		w.delayedOrders = append(w.delayedOrders, o)
 		w.pool.Answered(o, 0, lost, w.now)
 	default:
-		err := w.carryOut(o)
+		err := w.executeOrder(o)
 		clock := time.Duration(0)
-		if m := w.models[o.Worker.ID]; m != nil {
-			clock = w.clock(m)
+		if m := w.workers[o.Worker.ID]; m != nil {
+			clock = w.workerClock(m)
 		}
 		w.pool.Answered(o, clock, err, w.now)
 	}
 	w.plan()
 }
 
-// ask makes a worker's report; tell delivers it, which may be later.
-func (w *world) ask() {
-	if m := w.some(); m != nil {
-		w.hold(m)
+// sendHeartbeat has a worker make a report, which deliverReports may deliver later.
+func (w *simulation) sendHeartbeat() {
+	if m := w.pickWorker(); m != nil {
+		w.heartbeat(m)
 	}
 }
 
-func (w *world) hold(m *model) {
-	asked := w.held[m.id]
+func (w *simulation) heartbeat(m *simWorker) {
+	asked := w.heartbeats[m.id]
 	_, call, ok := w.pool.Holding(asked, w.now)
 	if !ok {
 		return
 	}
 	if call.Fence < m.fence {
-		assert.Assert(w.t, w.pool.Outdated(asked, call.Fence), "taken for another owner's token: its own")
+		assert.Assert(w.t, w.pool.Outdated(asked, call.Fence), "the owner's own token is taken for another owner's")
 		return
 	}
-	if !w.calming && rapid.IntRange(0, 5).Draw(w.t, "late hold") == 0 {
-		w.lateFor = append(w.lateFor, lateHold{m.id, w.rests[m.id], call})
+	if !w.faultFree && rapid.IntRange(0, 5).Draw(w.t, "late hold") == 0 {
+		w.delayedHeartbeats = append(w.delayedHeartbeats, delayedHeartbeat{m.id, w.connectedTo[m.id], call})
 		return
 	}
-	w.takeHold(m, w.acknowledging(m, w.rests[m.id], call))
-	w.rests[m.id] = m.born
-	r := &gauge.WorkerReport{Born: m.born, Clock: w.clock(m), Ended: append([]gauge.EndReport(nil), m.ended...)}
+	w.applyHeartbeat(m, w.withAck(m, w.connectedTo[m.id], call))
+	w.connectedTo[m.id] = m.born
+	r := &gauge.WorkerReport{Born: m.born, Clock: w.workerClock(m), Ended: append([]gauge.EndReport(nil), m.ends...)}
 	for task, run := range m.runs {
 		r.Running = append(r.Running, gauge.RunReport{Task: task, Run: run})
 	}
-	w.reports[m.id] = told{asked, call, r}
+	w.reports[m.id] = heartbeatAnswer{asked, call, r}
 }
 
-// acknowledging is a hold as a life gets it: ends are acknowledged only on a connection on which
-// the same life has answered.
-func (w *world) acknowledging(m *model, born int64, call gauge.HoldCall) gauge.HoldCall {
+// withAck is a heartbeat as an incarnation receives it: ends are acknowledged only on a connection
+// on which the same incarnation has answered.
+func (w *simulation) withAck(m *simWorker, born int64, call gauge.HoldCall) gauge.HoldCall {
 	if born != m.born {
 		call.LastSeen = 0
 	}
 	return call
 }
 
-// takeHold has a worker do what a hold says.
-func (w *world) takeHold(m *model, call gauge.HoldCall) {
+// applyHeartbeat has a worker do what a heartbeat says.
+func (w *simulation) applyHeartbeat(m *simWorker, call gauge.HoldCall) {
 	if call.Fence < m.fence {
 		return
 	}
 	m.fence = call.Fence
-	m.until = max(m.until, min(call.Until, w.clock(m)+longest))
-	for len(m.ended) > 0 && m.ended[0].Number <= call.LastSeen {
-		m.ended = m.ended[1:]
+	m.leaseEnd = max(m.leaseEnd, min(call.Until, w.workerClock(m)+maxLease))
+	for len(m.ends) > 0 && m.ends[0].Number <= call.LastSeen {
+		m.ends = m.ends[1:]
 	}
 }
 
-func (w *world) tell() {
-	for i := 1; i <= w.lives; i++ {
+func (w *simulation) deliverReports() {
+	for i := 1; i <= w.joined; i++ {
 		id := fmt.Sprintf("w%d", i)
 		r, some := w.reports[id]
 		if !some || rapid.IntRange(0, 2).Draw(w.t, "arrives") == 0 {
@@ -106,22 +106,23 @@
 		}
 		delete(w.reports, id)
 		w.pool.Report(r.asked, r.call, r.rep, w.now)
-		w.hear()
+		w.startHeartbeats()
 	}
 	w.plan()
 }
 
-// store has the table take a batch; false: a row has changed meanwhile.
-func (w *world) store(b sched.Batch) bool {
+// storeBatch has the table take a batch and reports whether it did: it refuses one if a row has
+// changed meanwhile.
+func (w *simulation) storeBatch(b sched.Batch) bool {
 	for _, c := range b.Changes {
-		if w.version[c.Job] != c.Version {
-			w.conflict(c.Job)
+		if w.versions[c.Job] != c.Version {
+			w.reportConflict(c.Job)
 			return false
 		}
 	}
-	w.next++
+	w.lastVersion++
 	for _, c := range b.Changes {
-		w.rows[c.Job], w.version[c.Job] = c.Row, w.next
+		w.rows[c.Job], w.versions[c.Job] = c.Row, w.lastVersion
 		if c.Final {
 			delete(w.rows, c.Job)
 		}
@@ -129,19 +130,19 @@
 	return true
 }
 
-// write has the table take a batch, or the answer lost, or refuse it since a
-// caller has cancelled the job.
-func (w *world) write() {
-	b, err := w.pool.Batch(5, w.now.Milliseconds(), nobody)
+// writeBatch writes a batch to the table, which may refuse it because a caller has cancelled the
+// job, or whose answer may be lost.
+func (w *simulation) writeBatch() {
+	b, err := w.pool.Batch(5, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
-	if !w.store(b) {
+	if !w.storeBatch(b) {
 		return
 	}
 	names := w.pool.Name()
-	w.named = names
+	w.leaseWorkers = names
 	if rapid.IntRange(0, 4).Draw(w.t, "lost") > 0 || len(b.Changes) == 0 {
-		w.pool.Written(b, w.next, w.now)
-		w.pool.Noted(names, w.next)
+		w.pool.Written(b, w.lastVersion, w.now)
+		w.pool.Noted(names, w.lastVersion)
 		return
 	}
 	for _, c := range b.Changes {
@@ -152,16 +153,16 @@
 	}
 }
 
-func (w *world) adopt() {
+func (w *simulation) adoptRandom() {
 	if len(w.specs) > 12 {
 		return
 	}
-	steps := []gauge.Step{step(rapid.IntRange(1, 4).Draw(w.t, "count"))}
+	steps := []gauge.Step{newStep(rapid.IntRange(1, 4).Draw(w.t, "count"))}
 	steps[0].Lasts = rapid.IntRange(0, 3).Draw(w.t, "lasts") == 0
 	steps[0].Gang = !steps[0].Lasts && rapid.IntRange(0, 3).Draw(w.t, "gang") == 0
 	steps[0].PerWorker = rapid.IntRange(0, 2).Draw(w.t, "most on a worker")
 	if !steps[0].Lasts {
-		second := step(2)
+		second := newStep(2)
 		second.After = []int{0}
 		steps = append(steps, second)
 	}
@@ -170,13 +171,13 @@
 	row := &gauge.JobRow{State: gauge.JobPending, Pool: poolName}
 	value, err := row.Encode()
 	assert.NilError(w.t, err)
-	w.next++
-	w.rows[id], w.version[id] = value, w.next
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.next, Arrived: w.now}, w.now)
+	w.lastVersion++
+	w.rows[id], w.versions[id] = value, w.lastVersion
+	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
 	w.plan()
 }
 
-func (w *world) cancel() {
+func (w *simulation) cancelRandom() {
 	for i := range len(w.specs) {
 		id := jobID(i)
 		if w.rows[id] == nil || rapid.IntRange(0, 3).Draw(w.t, "cancel") > 0 {
@@ -190,177 +191,176 @@
 		row.State = gauge.JobCancelled
 		value, err := row.Encode()
 		assert.NilError(w.t, err)
-		w.next++
-		w.rows[id], w.version[id] = value, w.next
+		w.lastVersion++
+		w.rows[id], w.versions[id] = value, w.lastVersion
 		w.cancelled[id] = true
 		if rapid.Bool().Draw(w.t, "told") {
-			w.pool.Cancel(id, w.next)
+			w.pool.Cancel(id, w.lastVersion)
 		}
 		w.plan()
 		return
 	}
 }
 
-func (w *world) endSome() {
-	if m := w.some(); m != nil {
-		w.endOn(m)
+func (w *simulation) endRandom() {
+	if m := w.pickWorker(); m != nil {
+		w.endRunOn(m)
 	}
 }
 
-func (w *world) endOn(m *model) {
+func (w *simulation) endRunOn(m *simWorker) {
 	for task := range m.runs {
-		w.finish(m, task, rapid.SampledFrom([]gauge.Ending{gauge.EndDone, gauge.EndDone, gauge.EndFailed, gauge.EndStopped}).Draw(w.t, "how"))
+		w.endRun(m, task, rapid.SampledFrom([]gauge.Ending{gauge.EndDone, gauge.EndDone, gauge.EndFailed, gauge.EndStopped}).Draw(w.t, "how"))
 		return
 	}
 }
 
-func (w *world) crash() {
-	m := w.some()
+func (w *simulation) crashWorker() {
+	m := w.pickWorker()
 	if m == nil {
 		return
 	}
-	m.up = false
+	m.alive = false
 	for task := range m.runs {
-		w.ran[task]--
+		w.runCount[task]--
 	}
 	m.runs = make(map[gauge.TaskID]int)
-	w.unnoted(m) // nobody may have heard of its ends
+	w.discardEnds(m) // its ends may never have been reported
 	if rapid.Bool().Draw(w.t, "starts again under its id") {
-		w.again(m)
+		w.restartWorker(m)
 		return
 	}
-	w.gone(m)
+	w.reportDead(m)
 }
 
-// again has a worker start again under its id. The owner, whose hold has broken, asks whether it
-// is there before anything reaches it that was sent late; the answer may come late, or be lost.
-func (w *world) again(m *model) {
-	next := &model{
-		id: m.id, born: m.born + 1, before: m.born, up: true, began: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
-		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int), room: space{tasks: fullSpace},
-	}
-	w.pool.HoldFailed(w.held[m.id], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
-	w.models[m.id] = next
-	old, pending := w.reports[m.id]
-	if _, call, ok := w.pool.Holding(w.held[m.id], w.now); ok {
-		w.takeHold(next, w.acknowledging(next, w.rests[m.id], call))
-		w.rests[m.id] = next.born
-		w.reports[m.id] = told{w.held[m.id], call, &gauge.WorkerReport{Born: next.born, Clock: w.clock(next)}}
-	}
-	if pending && rapid.Bool().Draw(w.t, "answer of the life before") {
-		w.reports[m.id] = old
+// restartWorker has a worker start restartWorker under its id. The owner, whose heartbeat has failed, sends
+// another one before anything delayed reaches the worker; its answer may be late or lost.
+func (w *simulation) restartWorker(m *simWorker) {
+	next := &simWorker{
+		id: m.id, born: m.born + 1, previousBorn: m.born, alive: true, startedAt: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
+		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int), capacity: taskCapacity{tasks: fullCapacity},
+	}
+	w.pool.HoldFailed(w.heartbeats[m.id], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+	w.workers[m.id] = next
+	previous, pending := w.reports[m.id]
+	if _, call, ok := w.pool.Holding(w.heartbeats[m.id], w.now); ok {
+		w.applyHeartbeat(next, w.withAck(next, w.connectedTo[m.id], call))
+		w.connectedTo[m.id] = next.born
+		w.reports[m.id] = heartbeatAnswer{w.heartbeats[m.id], call, &gauge.WorkerReport{Born: next.born, Clock: w.workerClock(next)}}
+	}
+	if pending && rapid.Bool().Draw(w.t, "answer of the previous incarnation") {
+		w.reports[m.id] = previous
 	}
 }
 
-// resize has a worker's room shrink or grow, which its row tells at once.
-func (w *world) resize() {
-	if m := w.some(); m != nil {
-		m.room = space{tasks: rapid.IntRange(0, fullSpace).Draw(w.t, "room"), before: m.room.bound(w.now), counts: w.now + shrinkSpan}
-		w.list()
+// resizeWorker has a worker's capacity shrink or grow, which its row shows at once.
+func (w *simulation) resizeWorker() {
+	if m := w.pickWorker(); m != nil {
+		m.capacity = taskCapacity{tasks: rapid.IntRange(0, fullCapacity).Draw(w.t, "room"), previous: m.capacity.limit(w.now), knownBy: w.now + shrinkNotice}
+		w.listWorkers()
 		w.plan()
 	}
 }
 
-// gone tells the owner, one way or another, that a worker's life is over.
-func (w *world) gone(m *model) {
+// reportDead reports to the owner, in one of two ways, that a worker's incarnation has ended.
+func (w *simulation) reportDead(m *simWorker) {
 	if rapid.Bool().Draw(w.t, "replaced") {
-		w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindReplaced, "another life"), w.now)
+		w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindReplaced, "another incarnation"), w.now)
 	} else {
 		w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 	}
-	w.join()
+	w.addWorker()
 }
 
-// takeAway moves a machine, or has its upkeep begin, once the owner calls it empty.
-// The owner may be replaced soon after.
-func (w *world) takeAway() {
-	m := w.some()
+// drainWorker has a machine moved, or its maintenance begin, once the owner calls its worker
+// drained. The owner may be replaced soon after.
+func (w *simulation) drainWorker() {
+	m := w.pickWorker()
 	if m == nil || m.fence == 0 {
 		return
 	}
-	w.endOn(m)
-	w.hold(m)
-	w.tell()
+	w.endRunOn(m)
+	w.heartbeat(m)
+	w.deliverReports()
 	if !w.pool.Empty(m.id, rapid.Bool().Draw(w.t, "force"), w.now) {
 		return
 	}
-	assert.Equal(w.t, len(m.runs), 0, "%s isn't empty", m.id)
-	m.up = false
-	w.gone(m)
+	assert.Equal(w.t, len(m.runs), 0, "%s isn't drained", m.id)
+	m.alive = false
+	w.reportDead(m)
 	if rapid.Bool().Draw(w.t, "successor") {
-		w.own(w.named)
+		w.startOwner(w.leaseWorkers)
 	}
 }
 
-func (w *world) pass() {
+func (w *simulation) advance() {
 	w.now += time.Duration(rapid.IntRange(1, 1500).Draw(w.t, "ms")) * time.Millisecond
-	w.expire()
-	for _, o := range w.late {
-		_ = w.carryOut(o)
-	}
-	w.late = nil
-	for _, h := range w.lateFor {
-		if m := w.models[h.id]; m.up {
-			w.takeHold(m, w.acknowledging(m, h.born, h.call))
+	w.expireLeases()
+	for _, o := range w.delayedOrders {
+		_ = w.executeOrder(o)
+	}
+	w.delayedOrders = nil
+	for _, h := range w.delayedHeartbeats {
+		if m := w.workers[h.id]; m.alive {
+			w.applyHeartbeat(m, w.withAck(m, h.born, h.call))
 		}
 	}
-	w.lateFor = nil
+	w.delayedHeartbeats = nil
 	w.pool.Tick(w.now, time.Unix(0, 0))
 	w.plan()
 }
 
-// Whatever is lost, late, overtaken, crashed, cancelled or taken over, in any
-// order: no task has two runs at once, or starts after one has ended done (but for
-// ends that died with a worker that crashed), no worker has more than it holds, none
-// is called empty that isn't, nothing panics, and after a while without faults no task
-// of a cancelled job runs.
-func TestAnyOrderOfEventsKeepsThePromises(t *testing.T) {
+// Whatever is lost, late, overtaken, crashed, cancelled or taken over, in any order: no task has
+// two runs at once, or starts after one has ended done (except for ends that were lost with a
+// crashed worker), no worker has more than it holds, none is called drained that isn't, nothing
+// panics, and after a while without faults no task of a cancelled job runs.
+func TestInvariantsHoldInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		for range rapid.IntRange(1, 150).Draw(t, "events") {
 			switch rapid.IntRange(0, 15).Draw(t, "event") {
 			case 0, 1:
-				w.adopt()
+				w.adoptRandom()
 			case 2, 3, 4:
-				w.answer()
+				w.resolveOrder()
 			case 5, 6:
-				w.ask()
+				w.sendHeartbeat()
 			case 7, 8:
-				w.tell()
+				w.deliverReports()
 			case 9:
-				w.write()
+				w.writeBatch()
 			case 10:
-				w.takeAway()
+				w.drainWorker()
 			case 11:
-				w.endSome()
+				w.endRandom()
 			case 12:
-				w.pass()
+				w.advance()
 			case 13:
-				w.cancel()
+				w.cancelRandom()
 			case 14:
 				switch rapid.IntRange(0, 9).Draw(t, "rare") {
 				case 0:
-					w.crash()
+					w.crashWorker()
 				case 1:
-					w.own(w.named)
+					w.startOwner(w.leaseWorkers)
 				case 6, 7:
-					w.give()
+					w.handOver()
 				case 2:
-					w.pool.Empty(fmt.Sprintf("w%d", w.lives), true, w.now)
+					w.pool.Empty(fmt.Sprintf("w%d", w.joined), true, w.now)
 				case 4, 5:
-					w.unhide()
+					w.readHiddenJobs()
 				case 8, 9:
-					w.resize()
+					w.resizeWorker()
 				case 3:
-					w.pool.HoldFailed(w.held[fmt.Sprintf("w%d", w.lives)], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+					w.pool.HoldFailed(w.heartbeats[fmt.Sprintf("w%d", w.joined)], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 				}
 			case 15:
-				w.answer()
-				w.ask()
-				w.tell()
+				w.resolveOrder()
+				w.sendHeartbeat()
+				w.deliverReports()
 			}
 		}
-		w.calm()
-		w.nothingUnasked()
+		w.runWithoutFaults()
+		w.checkCancelledStopped()
 	})
 }
--- a/internal/sched/reach_test.go
+++ b/internal/sched/reach_test.go
@@ -10,38 +10,39 @@
 	"sapphiregauge/internal/sched"
 )
 
-// A start that got no answer and reached the next life: its task has two runs.
-func TestStartThatMayHaveReachedTheNextLifeIsSettledThere(t *testing.T) {
+// Guards against two runs of a task: a start got no answer and reached the worker's next
+// incarnation.
+func TestStartThatMayHaveReachedTheNextIncarnationIsSettledThere(t *testing.T) {
 	for _, reached := range []bool{true, false} {
-		g, _ := born1(t)
-		id := g.adopt(2, false, step(1))
-		order := only(g.plan(), sched.OrderStart)[0]
-		g.rows(300, row("w1", 2), row("w2", 1))
-		g.answer(lifeOf("w2", 1), 1, time.Hour, nil)
+		g, _ := newHarnessWithRun(t)
+		id := g.adopt(2, false, newStep(1))
+		order := ofKind(g.plan(), sched.OrderStart)[0]
+		g.listRows(300, workerRow("w1", 2), workerRow("w2", 1))
+		g.answerHeartbeat(incarnationAt("w2", 1), 1, time.Hour, nil)
 		g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
 		orders := g.plan()
-		assert.Assert(t, !starts(orders, id), "it may run in the next life of the worker")
+		assert.Assert(t, !hasStart(orders, id), "it may run in the next incarnation of the worker")
 		if reached {
-			g.answer(lifeOf("w1", 2), 2, time.Second, []gauge.RunReport{running(order)})
-			assert.Assert(t, !starts(g.plan(), id), "it runs there")
+			g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, []gauge.RunReport{runReport(order)})
+			assert.Assert(t, !hasStart(g.plan(), id), "it runs in the next incarnation")
 			continue
 		}
-		for _, o := range only(orders, sched.OrderStop) {
+		for _, o := range ofKind(orders, sched.OrderStop) {
 			assert.Equal(t, o.Worker.Born, int64(2))
 			g.pool.Answered(o, time.Second, nil, g.now)
 		}
-		g.answer(lifeOf("w1", 2), 2, 2*time.Second, nil)
-		for range 15 { // what its worker was lost for is judged first
-			g.pass(100 * time.Millisecond)
+		g.answerHeartbeat(incarnationAt("w1", 2), 2, 2*time.Second, nil)
+		for range 15 { // the cause of the worker's loss is decided first
+			g.advance(100 * time.Millisecond)
 		}
-		g.answer(lifeOf("w1", 2), 2, 4*time.Second, nil)
-		g.save(400)
-		assert.Assert(t, starts(g.restarts(), id))
+		g.answerHeartbeat(incarnationAt("w1", 2), 2, 4*time.Second, nil)
+		g.writeAll(400)
+		assert.Assert(t, hasStart(g.startsAfterWrites(), id))
 	}
 }
 
-func starts(orders []sched.Order, job string) bool {
-	for _, o := range only(orders, sched.OrderStart) {
+func hasStart(orders []sched.Order, job string) bool {
+	for _, o := range ofKind(orders, sched.OrderStart) {
 		if o.Start.Task.Job == job {
 			return true
 		}
@@ -49,46 +50,48 @@
 	return false
 }
 
-// A start that got no answer, and that a life may have that nobody has heard of: its task starts elsewhere
-// as the lease of the life before has run out.
-func TestStartThatMayStillComeOutlastsTheLease(t *testing.T) {
+// Guards against two runs of a task: a start got no answer and may have reached an incarnation that
+// the owner doesn't know yet. The task must not start elsewhere as soon as the lease of the known
+// incarnation has run out.
+func TestUnansweredStartMayReachAnUnknownIncarnation(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		next int64 // that answers; 0: none
+		next int64 // incarnation that answers; 0: none
 		runs bool
 		want int
-	}{{"the next life has it", 2, true, 0}, {"no life answers", 0, false, 1}} {
+	}{{"the next incarnation runs it", 2, true, 0}, {"no incarnation answers", 0, false, 1}} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newRig(t, func(c *sched.Config) { c.Longest = longest })
-			g.rows(200, row("w1", 1))
-			g.answer(lifeOf("w1", 1), 1, time.Hour, nil)
-			g.adopt(1, false, step(1))
-			order := g.starts()[0]
+			g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+			g.listRows(200, workerRow("w1", 1))
+			g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
+			g.adopt(1, false, newStep(1))
+			order := g.planStarts()[0]
 			g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
-			g.noAnswer(lifeOf("w1", 1))
-			g.rows(201, row("w1", 1), row("w2", 1))
-			g.pass(2 * time.Second) // its start's own deadline has passed, on the clock of its life
-			g.answer(lifeOf("w2", 1), 1, time.Hour, nil)
-			assert.Equal(t, len(g.restarts()), 0)
+			g.failHeartbeatOf(incarnationAt("w1", 1))
+			g.listRows(201, workerRow("w1", 1), workerRow("w2", 1))
+			g.advance(2 * time.Second) // the start's deadline has passed, on the clock of the known incarnation
+			g.answerHeartbeat(incarnationAt("w2", 1), 1, time.Hour, nil)
+			assert.Equal(t, len(g.startsAfterWrites()), 0)
 			if tt.next > 0 {
-				g.answer(lifeOf("w1", 1), tt.next, time.Second, []gauge.RunReport{running(order)})
+				g.answerHeartbeat(incarnationAt("w1", 1), tt.next, time.Second, []gauge.RunReport{runReport(order)})
 			}
-			g.pass(10 * time.Second)
-			g.answer(lifeOf("w2", 1), 1, time.Hour+12*time.Second, nil)
-			assert.Equal(t, len(g.restarts()), tt.want)
+			g.advance(10 * time.Second)
+			g.answerHeartbeat(incarnationAt("w2", 1), 1, time.Hour+12*time.Second, nil)
+			assert.Equal(t, len(g.startsAfterWrites()), tt.want)
 		})
 	}
 }
 
-// A start that the next life answers in its first moment, and that is taken for at work in the one before.
-func TestAnswerWithoutAClockIsNotOfTheLifeBefore(t *testing.T) {
-	g, _ := born1(t)
-	g.adopt(2, false, step(1))
-	order := g.starts()[0]
+// Guards against a start that the next incarnation answers in its first moment, when its clock
+// shows zero, and that is taken to run in the previous one.
+func TestAnswerWithoutAClockIsNotOfThePreviousIncarnation(t *testing.T) {
+	g, _ := newHarnessWithRun(t)
+	g.adopt(2, false, newStep(1))
+	order := g.planStarts()[0]
 	g.pool.Answered(order, 0, nil, g.now)
-	// Made before the next life began, and late.
-	g.answer(lifeOf("w1", 1), 1, time.Hour+2*time.Second+time.Millisecond, nil)
-	for _, o := range g.restarts() {
-		assert.Assert(t, o.Start.Task != order.Start.Task, "it may run in the next life of its worker")
+	// This report was made before the next incarnation began, and arrives late.
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+2*time.Second+time.Millisecond, nil)
+	for _, o := range g.startsAfterWrites() {
+		assert.Assert(t, o.Start.Task != order.Start.Task, "it may run in the next incarnation of its worker")
 	}
 }
--- a/internal/sched/rehear_test.go
+++ b/internal/sched/rehear_test.go
@@ -10,76 +10,72 @@
 	"sapphiregauge/internal/sched"
 )
 
-// Symptom: a task has two runs at once after a takeover.
-// Sequence: the new owner can't read one queue at first; while it reads it, a worker
-// lists a run of a job of that queue, which is left aside; then the job is taken in.
-// Cause: the worker counts as heard, though what it told was of no job known then.
-func TestTaskOfAJobReadLateWaitsForWorkersHeardWhileItWasRead(t *testing.T) {
-	g := newRig(t, after("w1", "w2"))
+// Guards against two runs of a task at once after a takeover. The new owner can't read one queue at
+// first; while it reads it, a worker reports a run of an unread job of that queue, which is
+// ignored; then the job is adopted. A report from before that must not count for this job.
+func TestTaskOfAJobReadLateWaitsForFreshReports(t *testing.T) {
+	g := newHarness(t, withPredecessor("w1", "w2"))
 	g.pool.Partial(true)
-	g.list("w1", "w2")
-	left := []gauge.RunReport{stray()}
-	g.hear("w1", left)
-	g.hear("w2", nil)
-	g.pass(7 * time.Second)
-	g.hear("w1", left)
-	g.hear("w2", nil)
+	g.listWorkers("w1", "w2")
+	left := []gauge.RunReport{unknownRun()}
+	g.report("w1", left)
+	g.report("w2", nil)
+	g.advance(7 * time.Second)
+	g.report("w1", left)
+	g.report("w2", nil)
 	g.pool.Rehear()
-	g.pass(100 * time.Millisecond) // the queue is being read
-	g.hear("w1", left)
-	g.hear("w2", nil)
-	g.adopt(9, true, step(1))
+	g.advance(100 * time.Millisecond) // the owner is reading the queue
+	g.report("w1", left)
+	g.report("w2", nil)
+	g.adopt(9, true, newStep(1))
 	g.pool.Partial(false)
-	assert.Equal(t, len(g.starts()), 0, "it runs on w1")
-	g.pass(100 * time.Millisecond)
-	g.hear("w2", nil)
-	g.hear("w1", left)
-	assert.Equal(t, len(g.starts()), 0)
+	assert.Equal(t, len(g.planStarts()), 0, "it runs on w1")
+	g.advance(100 * time.Millisecond)
+	g.report("w2", nil)
+	g.report("w1", left)
+	assert.Equal(t, len(g.planStarts()), 0)
 }
 
-// Symptom: a task that has failed isn't started again for a while.
-// Sequence: a look at a worker overtakes a hold's answer that was made before; the
-// look tells the run's end, the hold's answer lists it as running.
-// Cause: an older picture is taken for the newest.
-func TestOlderReportBringsNoRunBackThatHasEnded(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
-	g.adopt(1, false, step(1))
-	start := g.starts()[0]
-	g.ok([]sched.Order{start})
-	g.pass(100 * time.Millisecond)
-	before := g.clock()
-	g.pass(100 * time.Millisecond)
-	g.hear("w1", nil, g.end("w1", start.Start.Task, 1, gauge.EndFailed))
-	g.hearAt("w1", before, []gauge.RunReport{running(start)})
-	assert.Equal(t, len(g.starts()), 1)
+// Guards against a failed task that isn't started again for a while. The answer to a poll overtakes
+// an earlier answer to a heartbeat: the newer one reports the run's end, the older one lists it as
+// running.
+func TestOlderReportDoesNotReviveAnEndedRun(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	g.adopt(1, false, newStep(1))
+	start := g.planStarts()[0]
+	g.confirm([]sched.Order{start})
+	g.advance(100 * time.Millisecond)
+	madeAt := g.workerClock()
+	g.advance(100 * time.Millisecond)
+	g.report("w1", nil, g.endReport("w1", start.Start.Task, 1, gauge.EndFailed))
+	g.reportAt("w1", madeAt, []gauge.RunReport{runReport(start)})
+	assert.Equal(t, len(g.planStarts()), 1)
 }
 
-// Symptom: a task runs twice at once after a takeover with a queue that was read late.
-// Sequence: a worker lists a run of a job that isn't read yet and one of a job that is;
-// that one's stop is answered and overtakes an older answer to a hold; the queue is read;
-// the older answer comes.
-// Cause: a picture that is too old to be looked at was taken for all that the worker has
-// to tell.
-func TestOldReportDoesNotSettleWhatTheOwnerBeforeLeft(t *testing.T) {
-	g := newRig(t, after("w1", "w2"))
+// Guards against two runs of a task at once after a takeover with a queue that was read late. A
+// worker lists a run of an unread job and one of a known job; the answer to that one's stop
+// overtakes an older report; the queue is read, and then the older report arrives. It is too old to
+// be processed, and must not count as the worker's complete report either.
+func TestOldReportDoesNotCountAsAFreshOne(t *testing.T) {
+	g := newHarness(t, withPredecessor("w1", "w2"))
 	g.pool.Partial(true)
-	g.list("w1", "w2")
-	stopped := g.adopt(2, true, step(1))
+	g.listWorkers("w1", "w2")
+	stopped := g.adopt(2, true, newStep(1))
 	unread := gauge.RunReport{Task: gauge.TaskID{Job: jobID(9)}, Run: 7}
 	known := gauge.RunReport{Task: gauge.TaskID{Job: jobID(2)}, Run: 5}
-	g.hear("w1", []gauge.RunReport{unread, known})
-	g.hear("w2", nil)
+	g.report("w1", []gauge.RunReport{unread, known})
+	g.report("w2", nil)
 	g.pool.Cancel(stopped, 900)
-	stops := only(g.plan(), sched.OrderStop)
+	stops := ofKind(g.plan(), sched.OrderStop)
 	g.pool.Rehear()
 	g.pool.Partial(false)
-	g.adopt(9, true, step(1))
-	made := g.clock()
-	g.pass(20 * time.Millisecond)
-	g.ok(stops)
-	g.hearAt("w1", made, []gauge.RunReport{unread, known})
-	g.hear("w2", nil)
-	assert.Equal(t, len(g.starts()), 0)
+	g.adopt(9, true, newStep(1))
+	madeAt := g.workerClock()
+	g.advance(20 * time.Millisecond)
+	g.confirm(stops)
+	g.reportAt("w1", madeAt, []gauge.RunReport{unread, known})
+	g.report("w2", nil)
+	assert.Equal(t, len(g.planStarts()), 0)
 }
--- a/internal/sched/rig_test.go
+++ b/internal/sched/rig_test.go
@@ -12,12 +12,12 @@
 	"sapphiregauge/internal/sched"
 )
 
-// rig drives one pool by hand: what workers answer is the test's to say.
-type rig struct {
+// harness drives one pool by hand: the test decides what the workers answer.
+type harness struct {
 	t    *testing.T
 	pool *sched.Pool
 	now  time.Duration
-	ends map[string]int64
+	ends map[string]int64 // number of the last end that each worker reported
 }
 
 const (
@@ -28,88 +28,94 @@
 
 type option func(*sched.Config)
 
-func after(earlier ...string) option {
+// withPredecessor configures an owner that takes the pool over from another one, which may have
+// given orders to these workers.
+func withPredecessor(earlier ...string) option {
 	return func(c *sched.Config) {
 		c.Term = 1
-		c.Earlier = livesOf(earlier...)
+		c.Earlier = incarnations(earlier...)
 		c.Doubt = 6 * time.Second
 	}
 }
 
-func newRig(t *testing.T, options ...option) *rig {
+func newHarness(t *testing.T, options ...option) *harness {
 	c := sched.Config{
 		Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Wait: time.Second, Logs: logr.Discard(),
 	}
 	for _, o := range options {
 		o(&c)
 	}
-	g := &rig{t: t, pool: sched.New(c), ends: make(map[string]int64)}
+	g := &harness{t: t, pool: sched.New(c), ends: make(map[string]int64)}
 	g.pool.Configure(&gauge.Site{Version: 1, Queues: []gauge.Queue{{Name: queueName, Pool: poolName, MaxAttempts: 2, Stretch: 2}}})
 	return g
 }
 
-// life is the only one of a worker.
-func life(id string) gauge.Life { return gauge.Life{Worker: id} }
+// incarnation is the only incarnation of a worker, which reports no start time.
+func incarnation(id string) gauge.Life { return gauge.Life{Worker: id} }
 
-func livesOf(ids ...string) []gauge.Life {
+func incarnations(ids ...string) []gauge.Life {
 	var lives []gauge.Life
 	for _, id := range ids {
-		lives = append(lives, life(id))
+		lives = append(lives, incarnation(id))
 	}
 	return lives
 }
 
-func worker(id string) gauge.Worker {
+func newWorker(id string) gauge.Worker {
 	return gauge.Worker{
 		ID: id, Pool: poolName, Addr: "10.0.0.1:80", Labels: []string{"a", "r-" + id},
 		Capacity: gauge.Resources{MilliCPU: 4000, MemoryMB: 8000},
 	}
 }
 
-// list tells of workers, and that the lease row names them.
-func (g *rig) list(ids ...string) {
+// listWorkers delivers the platform's listWorkers of workers, and that the lease row names them.
+func (g *harness) listWorkers(ids ...string) {
 	var ws []gauge.Worker
 	for _, id := range ids {
-		ws = append(ws, worker(id))
+		ws = append(ws, newWorker(id))
 	}
 	g.pool.Workers(ws)
-	g.pool.Noted(livesOf(ids...), fence)
+	g.pool.Noted(incarnations(ids...), fence)
 }
 
-// clock is what a worker's clock shows: an hour more than ours.
-func (g *rig) clock() time.Duration { return g.now + time.Hour }
+// workerClock is what a worker's workerClock shows, one hour ahead of the owner's.
+func (g *harness) workerClock() time.Duration { return g.now + time.Hour }
 
-func (g *rig) hear(id string, running []gauge.RunReport, ended ...gauge.EndReport) {
-	g.hearAt(id, g.clock(), running, ended...)
+// report delivers a worker's report made now.
+func (g *harness) report(id string, running []gauge.RunReport, ended ...gauge.EndReport) {
+	g.reportAt(id, g.workerClock(), running, ended...)
 }
 
-func (g *rig) hearAt(id string, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) {
-	g.pool.Report(life(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: clock, Running: running, Ended: ended}, g.now)
+// reportAt delivers a report that was made when the worker's clock showed a given time.
+func (g *harness) reportAt(id string, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) {
+	g.pool.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: clock, Running: running, Ended: ended}, g.now)
 }
 
-func (g *rig) silent(id string) {
-	g.pool.HoldFailed(life(id), gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+// failHeartbeat has a heartbeat to a worker get no answer.
+func (g *harness) failHeartbeat(id string) {
+	g.pool.HoldFailed(incarnation(id), gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
 }
 
-func (g *rig) end(id string, task gauge.TaskID, run int, how gauge.Ending) gauge.EndReport {
+// endReport is the worker's next report of an ended run.
+func (g *harness) endReport(id string, task gauge.TaskID, run int, how gauge.Ending) gauge.EndReport {
 	g.ends[id]++
 	return gauge.EndReport{Number: g.ends[id], Task: task, Run: run, How: how}
 }
 
-func (g *rig) pass(d time.Duration) {
+func (g *harness) advance(d time.Duration) {
 	g.now += d
 	g.pool.Tick(g.now, time.Unix(1000, 0).Add(g.now))
 }
 
-// plan returns the orders, after telling how far grants may reach.
-func (g *rig) plan() []sched.Order {
+// plan sets how far grants may reach and returns the orders.
+func (g *harness) plan() []sched.Order {
 	g.pool.Limit(g.now + 9*time.Second)
 	return g.pool.Plan(g.now)
 }
 
-func (g *rig) starts() []sched.Order { return only(g.plan(), sched.OrderStart) }
+func (g *harness) planStarts() []sched.Order { return ofKind(g.plan(), sched.OrderStart) }
 
-func only(orders []sched.Order, kind sched.OrderKind) []sched.Order {
+func ofKind(orders []sched.Order, kind sched.OrderKind) []sched.Order {
 	var some []sched.Order
 	for _, o := range orders {
 		if o.Kind == kind {
@@ -119,47 +125,48 @@
 	return some
 }
 
-func (g *rig) ok(orders []sched.Order) {
+// confirm has workers answer orders with success.
+func (g *harness) confirm(orders []sched.Order) {
 	for _, o := range orders {
-		g.pool.Answered(o, g.clock(), nil, g.now)
+		g.pool.Answered(o, g.workerClock(), nil, g.now)
 	}
 }
 
-func step(count int) gauge.Step {
+func newStep(count int) gauge.Step {
 	return gauge.Step{Count: count, Needs: gauge.Resources{MilliCPU: 1000, MemoryMB: 100}, Estimate: time.Second}
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-func (g *rig) adopt(n int, inherited bool, steps ...gauge.Step) string {
+func (g *harness) adopt(n int, inherited bool, steps ...gauge.Step) string {
 	id := jobID(n)
 	version := int64(fence + n)
 	g.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}, Row: &gauge.JobRow{State: gauge.JobPending, Pool: poolName}, Version: version, Arrived: g.now, Inherited: inherited}, g.now)
 	return id
 }
 
-// save has the table take all changes.
-func (g *rig) save(version int64) sched.Batch {
-	b, err := g.pool.Batch(100, 1, nobody)
+// writeAll has the table take all changes.
+func (g *harness) writeAll(version int64) sched.Batch {
+	b, err := g.pool.Batch(100, 1, skipNone)
 	assert.NilError(g.t, err)
 	g.pool.Written(b, version, g.now)
 	return b
 }
 
-// restarts are the starts where the table takes all changes at once: a task that may have ended
-// its worker waits for that.
-func (g *rig) restarts() []sched.Order {
+// startsAfterWrites returns the starts of two plans, before each of which the table takes all
+// changes: a task that may have crashed its worker isn't started again before that.
+func (g *harness) startsAfterWrites() []sched.Order {
 	var starts []sched.Order
 	for range 2 {
-		g.save(int64(2*fence) + g.now.Milliseconds())
-		starts = append(starts, g.starts()...)
+		g.writeAll(int64(2*fence) + g.now.Milliseconds())
+		starts = append(starts, g.planStarts()...)
 	}
 	return starts
 }
 
-func running(o sched.Order) gauge.RunReport {
+func runReport(o sched.Order) gauge.RunReport {
 	return gauge.RunReport{Task: o.Start.Task, Run: o.Start.Run}
 }
 
-// nobody is avoided.
-func nobody(string) bool { return false }
+// skipNone is the Batch filter that skips no queue.
+func skipNone(string) bool { return false }
--- a/internal/sched/starts_test.go
+++ b/internal/sched/starts_test.go
@@ -10,10 +10,11 @@
 	"sapphiregauge/internal/sched"
 )
 
-// idleToo has two workers without runs crash together with the first few that the bad task ends.
-func idleToo(first int) func(w *ward) {
+// crashIdleWorkers has two idle workers crash together with each of the first few workers that the
+// bad task crashes.
+func crashIdleWorkers(first int) func(w *crashHarness) {
 	seen := 0
-	return func(w *ward) {
+	return func(w *crashHarness) {
 		if w.crashes == seen || w.crashes > first {
 			return
 		}
@@ -29,65 +30,65 @@
 	}
 }
 
-// takenOver has another owner take the pool whenever the bad task has ended a worker, before
-// this one has noticed.
-func takenOver() func(w *ward) {
+// replaceOwnerAfterCrash has another owner take the pool over whenever the bad task has crashed a
+// worker, before this owner has noticed.
+func replaceOwnerAfterCrash() func(w *crashHarness) {
 	seen := 0
-	return func(w *ward) {
+	return func(w *crashHarness) {
 		if w.crashes > seen {
 			seen = w.crashes
 			if w.pool.LostBefore() {
-				w.unnoted++
+				w.unrecorded++
 			}
-			w.takeOver()
+			w.replaceOwner()
 		}
 	}
 }
 
-// A task that goes on ending workers, as what was held against it were guesses at causes and not
-// its starts.
-func TestStartsOfATaskThatEndsWorkersAreBounded(t *testing.T) {
+// Guards against a task that goes on crashing workers because only suspected causes count against
+// it, and not its starts.
+func TestStartsOfATaskThatCrashesWorkersAreLimited(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
-		set   func(w *ward)
-		while func(w *ward)
+		setup func(w *crashHarness)
+		each  func(w *crashHarness)
 	}{
-		{name: "two idle workers go at the same moments, four times", while: idleToo(4)},
-		{name: "two idle workers go at the same moments, three times, and starts get no answer", while: idleToo(3), set: func(w *ward) { w.dumb = true }},
-		{name: "owners are killed right after its starts", while: takenOver()},
-		{name: "owners are killed right after its starts, which get no answer", while: takenOver(), set: func(w *ward) { w.dumb = true }},
-		{name: "owners are killed right after its starts, beside others", while: takenOver(), set: (*ward).company},
+		{name: "two idle workers crash at the same moments, four times", each: crashIdleWorkers(4)},
+		{name: "two idle workers crash at the same moments, three times, and starts get no answer", each: crashIdleWorkers(3), setup: func(w *crashHarness) { w.startsUnanswered = true }},
+		{name: "owners are killed right after its starts", each: replaceOwnerAfterCrash()},
+		{name: "owners are killed right after its starts, which get no answer", each: replaceOwnerAfterCrash(), setup: func(w *crashHarness) { w.startsUnanswered = true }},
+		{name: "owners are killed right after its starts, beside others", each: replaceOwnerAfterCrash(), setup: (*crashHarness).occupyAll},
 	} {
-		for _, s := range []gauge.Step{step(2), lasting(2)} {
+		for _, s := range []gauge.Step{newStep(2), longRunningStep(2)} {
 			t.Run(tt.name, func(t *testing.T) {
-				w := newWard(t, 6)
-				if tt.set != nil {
-					tt.set(w)
+				w := newCrashHarness(t, 6)
+				if tt.setup != nil {
+					tt.setup(w)
 				}
-				id := w.hand(1, s)
-				w.bad = badTask(id)
+				id := w.submit(1, s)
+				w.badTask = firstTaskOf(id)
 				for w.now < 90*time.Second {
-					w.pass(wardStep)
-					tt.while(w)
+					w.advance(crashStep)
+					tt.each(w)
 				}
-				assert.Equal(t, w.state(id), gauge.JobFailed, "crashes %d, starts %d", w.crashes, w.starts[w.bad])
-				assert.Assert(t, w.starts[w.bad] <= crashesAllowed, "started %d times", w.starts[w.bad])
+				assert.Equal(t, w.jobState(id), gauge.JobFailed, "crashes %d, starts %d", w.crashes, w.starts[w.badTask])
+				assert.Assert(t, w.starts[w.badTask] <= maxCrashes, "started %d times", w.starts[w.badTask])
 			})
 		}
 	}
 }
 
-// known is what the table has of a task: crashes, of which some were beside a likelier cause.
-func known(crashes, beside, excused int) *gauge.JobRow {
+// storedCrashes is a row with crashes of a task, some of them beside a likelier cause.
+func storedCrashes(crashes, beside, excused int) *gauge.JobRow {
 	var trials gauge.Trials
 	for run := range crashes {
 		trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run < beside})
 	}
-	return &gauge.JobRow{Trials: map[string]gauge.Trials{firstTask: trials}, Excused: map[string]int{firstTask: excused}}
+	return &gauge.JobRow{Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: excused}}
 }
 
-// A fifth start that ends its worker with nothing else there, after four of which each had another
-// cause that was likelier.
+// Guards against a task that is started again after its fifth start crashed its worker with nothing
+// else on it, because each of the first four crashes had a likelier cause.
 func TestFifthCrashIsTheLast(t *testing.T) {
 	for _, tt := range []struct {
 		name                     string
@@ -100,76 +101,77 @@
 		{"it is the fourth", 2, 2, 1, gauge.JobRunning},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newRig(t)
-			g.rows(210, row("w1", 1), row("w2", 1))
-			id := g.inherit(step(1), known(tt.crashes, tt.beside, tt.excused))
+			g := newHarness(t)
+			g.listRows(210, workerRow("w1", 1), workerRow("w2", 1))
+			id := g.inheritJob(newStep(1), storedCrashes(tt.crashes, tt.beside, tt.excused))
 			for _, on := range []string{"w1", "w2"} {
-				g.answer(lifeOf(on, 1), 1, time.Hour, nil)
+				g.answerHeartbeat(incarnationAt(on, 1), 1, time.Hour, nil)
 			}
-			starts := g.restarts()
+			starts := g.startsAfterWrites()
 			assert.Equal(t, len(starts), 1)
-			g.ok(starts)
-			g.pass(50 * time.Millisecond)
+			g.confirm(starts)
+			g.advance(50 * time.Millisecond)
 			l := starts[0].Worker.Life()
-			g.noAnswer(l)
-			g.answer(l, 2, time.Second, nil)
+			g.failHeartbeatOf(l)
+			g.answerHeartbeat(l, 2, time.Second, nil)
 			for range 15 {
-				g.pass(100 * time.Millisecond)
+				g.advance(100 * time.Millisecond)
 			}
-			g.save(400)
+			g.writeAll(400)
 			state, _ := g.pool.State(queueName, id)
 			assert.Equal(t, state, tt.want)
 		})
 	}
 }
 
-// Starts without an answer that reach the next life of their worker, and are stopped there.
-func TestStartsThatReachTheNextLifeAreCounted(t *testing.T) {
-	g := newRig(t, func(c *sched.Config) { c.Longest = longest })
-	g.rows(210, row("w1", 1))
-	g.answer(lifeOf("w1", 1), 1, time.Hour, nil)
-	id := g.inherit(step(1), known(3, 0, 0))
+// Guards against starts that get no answer, reach their worker's next incarnation, are stopped
+// there and never count.
+func TestStartsThatReachTheNextIncarnationAreCounted(t *testing.T) {
+	g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+	g.listRows(210, workerRow("w1", 1))
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
+	id := g.inheritJob(newStep(1), storedCrashes(3, 0, 0))
 	starts := 0
 	for born := int64(1); born < 6; born++ {
-		orders := g.restarts()
+		orders := g.startsAfterWrites()
 		starts += len(orders)
 		for _, o := range orders {
 			g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
-			g.noAnswer(lifeOf("w1", born))
-			g.answer(lifeOf("w1", born), born+1, time.Second, []gauge.RunReport{running(o)})
-			g.rows(300+born, row("w1", born+1))
-			g.ok(g.stops())
-			g.pass(50 * time.Millisecond)
-			g.answer(lifeOf("w1", born+1), born+1, 2*time.Second, nil, g.end("w1", o.Start.Task, o.Start.Run, gauge.EndStopped))
-			g.ends = make(map[string]int64) // the next life counts anew
+			g.failHeartbeatOf(incarnationAt("w1", born))
+			g.answerHeartbeat(incarnationAt("w1", born), born+1, time.Second, []gauge.RunReport{runReport(o)})
+			g.listRows(300+born, workerRow("w1", born+1))
+			g.confirm(g.planStops())
+			g.advance(50 * time.Millisecond)
+			g.answerHeartbeat(incarnationAt("w1", born+1), born+1, 2*time.Second, nil, g.endReport("w1", o.Start.Task, o.Start.Run, gauge.EndStopped))
+			g.ends = make(map[string]int64) // the next incarnation numbers its ends from 1
 		}
 		for range 40 {
-			g.pass(100 * time.Millisecond)
-			g.answer(lifeOf("w1", born+1), born+1, 3*time.Second+g.now, nil)
+			g.advance(100 * time.Millisecond)
+			g.answerHeartbeat(incarnationAt("w1", born+1), born+1, 3*time.Second+g.now, nil)
 		}
 	}
-	g.save(900)
+	g.writeAll(900)
 	state, _ := g.pool.State(queueName, id)
 	assert.Equal(t, state, gauge.JobFailed)
 	assert.Equal(t, starts, 2)
 }
 
-// A sound lasting job that is given up, as all workers lost power again and again while there were
-// tasks everywhere that had just begun.
-func TestSoundJobIsNotGivenUpForLossesOfPower(t *testing.T) {
-	w := newWard(t, 6)
-	w.brings = 300 * time.Millisecond
-	id := w.hand(1, lasting(2))
+// Guards against giving up a sound long-running job because all workers lost power again and again
+// while each of them had tasks that had just started.
+func TestSoundJobIsNotGivenUpForPowerLosses(t *testing.T) {
+	w := newCrashHarness(t, 6)
+	w.restartDelay = 300 * time.Millisecond
+	id := w.submit(1, longRunningStep(2))
 	for n := range 8 {
-		for until := w.now + 10*time.Second; w.where(id) == "" && w.now < until; {
-			w.pass(wardStep)
+		for until := w.now + 10*time.Second; w.workerOf(id) == "" && w.now < until; {
+			w.advance(crashStep)
 		}
 		for k := range 3 {
-			w.hand(100+10*n+k, step(8))
-			w.pass(wardStep)
+			w.submit(100+10*n+k, newStep(8))
+			w.advance(crashStep)
 		}
 		w.crashAll(func(string) bool { return true })
 	}
-	w.pass(10 * time.Second)
-	assert.Equal(t, w.state(id), gauge.JobRunning)
+	w.advance(10 * time.Second)
+	assert.Equal(t, w.jobState(id), gauge.JobRunning)
 }
--- a/internal/sched/unasked_test.go
+++ b/internal/sched/unasked_test.go
@@ -10,224 +10,210 @@
 	"sapphiregauge/internal/sched"
 )
 
-// stray is a run of a job that nobody here knows.
-func stray() gauge.RunReport {
+// unknownRun is a run of a job that the owner doesn't know.
+func unknownRun() gauge.RunReport {
 	return gauge.RunReport{Task: gauge.TaskID{Job: jobID(9)}, Run: 1}
 }
 
-func (g *rig) stops() []sched.Order { return only(g.plan(), sched.OrderStop) }
+func (g *harness) planStops() []sched.Order { return ofKind(g.plan(), sched.OrderStop) }
 
-func (g *rig) unanswered(orders []sched.Order) {
+// loseAnswers has the answers to orders lost.
+func (g *harness) loseAnswers(orders []sched.Order) {
 	for _, o := range orders {
 		g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
 	}
 }
 
-// cancelled has a job of one task run on w1, and cancels it.
-func (g *rig) cancelled() gauge.RunReport {
-	g.list("w1")
-	g.hear("w1", nil)
-	id := g.adopt(1, false, step(1))
-	starts := g.starts()
-	g.ok(starts)
+// cancelRunningJob has a job of one task run on w1, and cancels it.
+func (g *harness) cancelRunningJob() gauge.RunReport {
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	id := g.adopt(1, false, newStep(1))
+	starts := g.planStarts()
+	g.confirm(starts)
 	g.pool.Cancel(id, 900)
-	return running(starts[0])
+	return runReport(starts[0])
 }
 
-// Symptom: a task of a cancelled job runs on for as long as its worker has no other
-// news.
-// Sequence: a start of a cancelled job is carried out late; the worker lists the run;
-// the stop gets no answer; no end comes that would answer the waiting hold.
-// Cause: the stop is sent with each report, and with nothing else.
-func TestRunOfNoOpenJobIsStoppedUntilItIsGone(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", []gauge.RunReport{stray()})
+// Guards against a task of a cancelled job that runs on for as long as its worker has nothing else
+// to report. A start is executed late; the worker lists the run; the stop gets no answer, and no
+// end comes that would answer the pending heartbeat. The stop must not depend on the next report.
+func TestRunWithoutOpenJobIsStoppedUntilItHasEnded(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", []gauge.RunReport{unknownRun()})
 	for range 3 {
-		stops := g.stops()
+		stops := g.planStops()
 		assert.Equal(t, len(stops), 1)
-		assert.Equal(t, stops[0].Stop.Task, stray().Task)
-		g.unanswered(stops)
-		g.pass(300 * time.Millisecond)
+		assert.Equal(t, stops[0].Stop.Task, unknownRun().Task)
+		g.loseAnswers(stops)
+		g.advance(300 * time.Millisecond)
 	}
-	g.ok(g.stops())
-	g.pass(100 * time.Millisecond)
-	g.hear("w1", nil)
-	g.pass(5 * time.Second)
-	g.hear("w1", nil)
-	assert.Equal(t, len(g.stops()), 0, "it is gone")
+	g.confirm(g.planStops())
+	g.advance(100 * time.Millisecond)
+	g.report("w1", nil)
+	g.advance(5 * time.Second)
+	g.report("w1", nil)
+	assert.Equal(t, len(g.planStops()), 0, "the run has ended")
 }
 
-// Symptom: as above, though the stop was answered.
-// Sequence: the worker answers the stop and lists the run long after.
-// Cause: as above.
-func TestRunOfNoOpenJobThatOutlivesItsStopIsStoppedAgain(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", []gauge.RunReport{stray()})
-	g.ok(g.stops())
-	g.pass(200 * time.Millisecond)
-	g.hear("w1", []gauge.RunReport{stray()})
-	assert.Equal(t, len(g.stops()), 0, "a stop takes a while")
-	g.pass(time.Second)
-	assert.Equal(t, len(g.stops()), 1)
+// The same with a stop that the worker answered, although it lists the run long after.
+func TestRunWithoutOpenJobThatOutlivesItsStopIsStoppedAgain(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", []gauge.RunReport{unknownRun()})
+	g.confirm(g.planStops())
+	g.advance(200 * time.Millisecond)
+	g.report("w1", []gauge.RunReport{unknownRun()})
+	assert.Equal(t, len(g.planStops()), 0, "a stop takes a while")
+	g.advance(time.Second)
+	assert.Equal(t, len(g.planStops()), 1)
 }
 
-// Symptom: an owner that is behind floods a worker with stops.
-// Sequence: a worker with a run of a cancelled job ends tasks quickly, so that report
-// follows report; the stop waits behind other orders.
-// Cause: each report sends a stop of its own.
-func TestRunOfNoOpenJobGetsOneStopAtATime(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
+// Guards against an overloaded owner that floods a worker with stops. A worker with a run of a
+// cancelled job ends tasks quickly, so that one report follows another while the stop is queued
+// behind other orders; not each report may send a stop.
+func TestRunWithoutOpenJobGetsOneStopAtATime(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
 	sent := 0
 	for range 10 {
-		g.hear("w1", []gauge.RunReport{stray()})
-		sent += len(g.stops())
-		g.pass(20 * time.Millisecond)
+		g.report("w1", []gauge.RunReport{unknownRun()})
+		sent += len(g.planStops())
+		g.advance(20 * time.Millisecond)
 	}
 	assert.Equal(t, sent, 1)
 }
 
-// Symptom: a task of a cancelled job runs on at a busy worker.
-// Sequence: each answer to a hold is overtaken by the answer to an order that was
-// made after it.
-// Cause: a report that isn't the newest word of the worker's clock is not looked at,
-// also if no newer report came.
-func TestRunOfNoOpenJobIsStoppedThoughAnswersOvertakeReports(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
-	g.adopt(1, false, step(1))
-	starts := g.starts()
-	g.pass(50 * time.Millisecond)
-	g.ok(starts)
-	g.hearAt("w1", g.clock()-10*time.Millisecond, []gauge.RunReport{stray()})
-	assert.Equal(t, len(g.stops()), 1)
-	assert.Equal(t, len(g.starts()), 0, "the start that was answered since goes on")
+// Guards against a task of a cancelled job that runs on at a busy worker. Each report is overtaken
+// by the answer to an order that was executed after it; a report must not be ignored for that as
+// long as no newer report has come.
+func TestRunWithoutOpenJobIsStoppedWhenAnswersOvertakeReports(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	g.adopt(1, false, newStep(1))
+	starts := g.planStarts()
+	g.advance(50 * time.Millisecond)
+	g.confirm(starts)
+	g.reportAt("w1", g.workerClock()-10*time.Millisecond, []gauge.RunReport{unknownRun()})
+	assert.Equal(t, len(g.planStops()), 1)
+	assert.Equal(t, len(g.planStarts()), 0, "the run whose start was answered since continues")
 }
 
-// Symptom: a task of a cancelled job runs on while part of the table can't be read.
-// Sequence: a job ends here; one of its starts is carried out late; another queue
-// could not be read yet.
-// Cause: with jobs missing no run is stopped whose job isn't open, also if it is
-// known to have ended.
-func TestRunOfAnEndedJobIsStoppedWhileQueuesAreMissing(t *testing.T) {
-	g := newRig(t)
-	late := g.cancelled()
-	g.ok(g.stops())
-	g.pass(100 * time.Millisecond)
-	g.hear("w1", nil)
-	g.save(1000)
+// Guards against a task of a cancelled job that runs on while part of the table can't be read. A
+// job ends here, one of its starts is executed late, and another queue could not be read yet. While
+// jobs may be missing, runs of unknown jobs are left alone, but not those of jobs that are known to
+// have ended.
+func TestRunOfAnEndedJobIsStoppedWhileQueuesAreUnread(t *testing.T) {
+	g := newHarness(t)
+	late := g.cancelRunningJob()
+	g.confirm(g.planStops())
+	g.advance(100 * time.Millisecond)
+	g.report("w1", nil)
+	g.writeAll(1000)
 	g.pool.Partial(true)
-	g.hear("w1", []gauge.RunReport{late, stray()})
-	stops := g.stops()
-	assert.Equal(t, len(stops), 1, "the other's job may be one that couldn't be read")
+	g.report("w1", []gauge.RunReport{late, unknownRun()})
+	stops := g.planStops()
+	assert.Equal(t, len(stops), 1, "the job of the other run may be an unread one")
 	assert.Equal(t, stops[0].Stop.Task, late.Task)
 }
 
-// Symptom: a task of a cancelled job runs on after a takeover.
-// Sequence: a new owner can't read the job's queue yet; the job is cancelled.
-// Cause: the cancel of a job that isn't known is forgotten.
+// Guards against a task of a cancelled job that runs on after a takeover: the new owner can't read
+// the job's queue yet when the job is cancelled, and must not forget the cancel.
 func TestRunOfAJobCancelledBeforeItWasReadIsStopped(t *testing.T) {
-	g := newRig(t, after("w1"))
+	g := newHarness(t, withPredecessor("w1"))
 	g.pool.Partial(true)
-	g.list("w1")
-	g.hear("w1", []gauge.RunReport{stray()})
-	assert.Equal(t, len(g.stops()), 0)
+	g.listWorkers("w1")
+	g.report("w1", []gauge.RunReport{unknownRun()})
+	assert.Equal(t, len(g.planStops()), 0)
 	g.pool.Cancel(jobID(9), 900)
-	g.hear("w1", []gauge.RunReport{stray()})
-	assert.Equal(t, len(g.stops()), 1)
+	g.report("w1", []gauge.RunReport{unknownRun()})
+	assert.Equal(t, len(g.planStops()), 1)
 }
 
-// Symptom: a cancelled job's tasks start.
-// Sequence: a new owner reads the table; the job is cancelled after its row was
-// read and before it is taken in, or the notice of the cancel overtakes that of the job.
-// Cause: as above.
-func TestCancelThatComesBeforeItsJobHolds(t *testing.T) {
+// Guards against tasks of a cancelled job that start. The job is cancelled after a new owner read
+// its row and before the owner adopts it, or the notification of the cancel overtakes that of the
+// job.
+func TestCancelBeforeItsJobIsKept(t *testing.T) {
 	for _, inherited := range []bool{true, false} {
-		g := newRig(t)
-		g.list("w1")
-		g.hear("w1", nil)
+		g := newHarness(t)
+		g.listWorkers("w1")
+		g.report("w1", nil)
 		g.pool.Cancel(jobID(1), fence+500)
-		g.adopt(1, inherited, step(1))
-		assert.Equal(t, len(g.starts()), 0)
+		g.adopt(1, inherited, newStep(1))
+		assert.Equal(t, len(g.planStarts()), 0)
 		state, _ := g.pool.State(queueName, jobID(1))
 		assert.Equal(t, state, gauge.JobCancelled)
 	}
 }
 
-// Symptom: a task of a cancelled job runs on at a worker that is there all the while.
-// Sequence: the owner's holds fail, as its link is full; the worker counts as silent;
-// the job is cancelled.
-// Cause: a silent worker gets no stops, though short orders may come through.
-func TestSilentWorkerIsToldToStopWhatWasCancelled(t *testing.T) {
-	g := newRig(t)
-	late := g.cancelled()
-	g.silent("w1")
-	stops := g.stops()
+// Guards against a task of a cancelled job that runs on at a worker that is alive. The owner's
+// heartbeats fail as its link is full, and the worker counts as silent; short orders such as stops
+// may still get through.
+func TestSilentWorkerGetsStopsForCancelledRuns(t *testing.T) {
+	g := newHarness(t)
+	late := g.cancelRunningJob()
+	g.failHeartbeat("w1")
+	stops := g.planStops()
 	assert.Equal(t, len(stops), 1)
 	assert.Equal(t, stops[0].Stop.Task, late.Task)
-	g.unanswered(stops)
-	g.pass(200 * time.Millisecond)
-	assert.Equal(t, len(g.stops()), 0, "not at the pace of workers that answer")
-	g.pass(500 * time.Millisecond)
-	assert.Equal(t, len(g.stops()), 1)
+	g.loseAnswers(stops)
+	g.advance(200 * time.Millisecond)
+	assert.Equal(t, len(g.planStops()), 0, "stops are repeated less often than at workers that answer")
+	g.advance(500 * time.Millisecond)
+	assert.Equal(t, len(g.planStops()), 1)
 }
 
-// Symptom: a task of a cancelled job runs on.
-// Sequence: its start got no answer; the job is cancelled; the stop is lost; the start
-// is carried out yet.
-// Cause: none was found: this holds on the code before.
-func TestStartCarriedOutAfterTheCancelIsStopped(t *testing.T) {
-	g := newRig(t)
-	g.list("w1")
-	g.hear("w1", nil)
-	id := g.adopt(1, false, step(1))
-	start := g.starts()[0]
-	g.unanswered([]sched.Order{start})
+// Guards against a task of a cancelled job that runs on: its start got no answer, the job is
+// cancelled, the stop is lost, and then the start is executed.
+func TestStartExecutedAfterTheCancelIsStopped(t *testing.T) {
+	g := newHarness(t)
+	g.listWorkers("w1")
+	g.report("w1", nil)
+	id := g.adopt(1, false, newStep(1))
+	start := g.planStarts()[0]
+	g.loseAnswers([]sched.Order{start})
 	g.pool.Cancel(id, 900)
-	stops := g.stops()
+	stops := g.planStops()
 	assert.Equal(t, len(stops), 1)
-	g.unanswered(stops)
-	g.pass(300 * time.Millisecond)
-	g.hear("w1", []gauge.RunReport{running(start)})
-	assert.Equal(t, len(g.stops()), 1)
+	g.loseAnswers(stops)
+	g.advance(300 * time.Millisecond)
+	g.report("w1", []gauge.RunReport{runReport(start)})
+	assert.Equal(t, len(g.planStops()), 1)
 }
 
-// Symptom: a task of a cancelled job runs on.
-// Sequence: the run comes to light when its job has been forgotten; or its worker has
-// left the list and answers yet; or its job was cancelled before the takeover.
-// Cause: none was found: this holds on the code before.
-func TestRunThatComesToLightLateIsStopped(t *testing.T) {
+// Guards against a task of a cancelled job that runs on because its run is reported late: after the
+// job was forgotten, by a worker that is no longer listed, or to a new owner.
+func TestRunThatIsFoundLateIsStopped(t *testing.T) {
 	t.Run("its job is forgotten", func(t *testing.T) {
-		g := newRig(t)
-		late := g.cancelled()
-		g.ok(g.stops())
-		g.pass(100 * time.Millisecond)
-		g.hear("w1", nil)
-		g.save(1000)
-		g.pass(2 * time.Minute)
+		g := newHarness(t)
+		late := g.cancelRunningJob()
+		g.confirm(g.planStops())
+		g.advance(100 * time.Millisecond)
+		g.report("w1", nil)
+		g.writeAll(1000)
+		g.advance(2 * time.Minute)
 		assert.Assert(t, !g.pool.Knows(late.Task.Job))
-		g.hear("w1", []gauge.RunReport{late})
-		assert.Equal(t, len(g.stops()), 1)
+		g.report("w1", []gauge.RunReport{late})
+		assert.Equal(t, len(g.planStops()), 1)
 	})
 	t.Run("its worker has left the list", func(t *testing.T) {
-		g := newRig(t)
-		g.list("w1")
-		g.hear("w1", nil)
-		g.list("w2")
-		_, _, held := g.pool.Holding(life("w1"), g.now)
+		g := newHarness(t)
+		g.listWorkers("w1")
+		g.report("w1", nil)
+		g.listWorkers("w2")
+		_, _, held := g.pool.Holding(incarnation("w1"), g.now)
 		assert.Assert(t, held)
-		g.hear("w1", []gauge.RunReport{stray()})
-		assert.Equal(t, len(g.stops()), 1)
+		g.report("w1", []gauge.RunReport{unknownRun()})
+		assert.Equal(t, len(g.planStops()), 1)
 	})
 	t.Run("its job was cancelled before the takeover", func(t *testing.T) {
-		g := newRig(t, after("w1"))
-		g.list("w1")
+		g := newHarness(t, withPredecessor("w1"))
+		g.listWorkers("w1")
 		row := &gauge.JobRow{State: gauge.JobCancelled, Pool: poolName}
-		g.pool.Adopt(sched.Accepted{ID: jobID(9), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{step(1)}}, Row: row, Version: 50, Inherited: true}, g.now)
-		g.hear("w1", []gauge.RunReport{stray()})
-		assert.Equal(t, len(g.stops()), 1)
+		g.pool.Adopt(sched.Accepted{ID: jobID(9), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 50, Inherited: true}, g.now)
+		g.report("w1", []gauge.RunReport{unknownRun()})
+		assert.Equal(t, len(g.planStops()), 1)
 	})
 }
--- a/internal/sched/ward_test.go
+++ b/internal/sched/ward_test.go
@@ -12,154 +12,157 @@
 	"sapphiregauge/internal/sched"
 )
 
-// ward is a pool whose workers crash: for a task that ends them, or at the test's word.
-type ward struct {
-	*rig
-	next    int
-	racks   map[string]string         // of workers that are up, by their ids
-	rackOf  map[string]string         // of all that ever were
-	runs    map[string][]sched.Order  // on these
-	bad     gauge.TaskID              // ends the worker that starts it
-	worse   map[gauge.TaskID]bool     // more of the kind
-	lives   time.Duration             // that much later
-	due     map[string]time.Duration  // workers that it ends, and when
-	dead    map[string]time.Duration  // workers that crashed, and when another life answers
-	moved   map[string]time.Duration  // workers of machines that have left, and until when they are listed
-	crashes int                       // because of the bad task
-	starts  map[gauge.TaskID]int      // of each task
-	lost    map[gauge.TaskID]int      // runs that went with a worker
-	took    map[gauge.TaskID]bool     // tasks that are done
-	row     map[string]sched.Accepted // jobs as handed in
-	rows    map[string]*gauge.JobRow  // as the table has them
-	version int64
-	away    bool // the table
-	unnoted int  // owners in a row that may not have written all crashes, as the lease's row tells
-	dumb    bool // starts get no answer
-	brings  time.Duration
+// crashHarness is a pool whose workers crash: because a task crashes them, or when the test says
+// so.
+type crashHarness struct {
+	*harness
+	lastWorker       int
+	rackOfAlive      map[string]string         // by id, of workers that are alive
+	rackOf           map[string]string         // by id, of all workers that ever were
+	runs             map[string][]sched.Order  // on the workers that are alive
+	badTask          gauge.TaskID              // crashes the worker that starts it
+	badTasks         map[gauge.TaskID]bool     // more such tasks
+	crashDelay       time.Duration             // how long after their start they crash the worker
+	crashDue         map[string]time.Duration  // workers that they will crash, and when
+	crashed          map[string]time.Duration  // workers that crashed, and when another incarnation answers
+	movedAway        map[string]time.Duration  // workers of machines that have left, and until when they stay listed
+	crashes          int                       // caused by bad tasks
+	starts           map[gauge.TaskID]int      // by task
+	lost             map[gauge.TaskID]int      // runs that were lost with a worker, by task
+	done             map[gauge.TaskID]bool     // tasks that have ended done
+	accepted         map[string]sched.Accepted // jobs as submitted
+	rows             map[string]*gauge.JobRow  // stored job rows
+	version          int64
+	tableDown        bool          // the table is unavailable
+	unrecorded       int           // successive owners that may not have recorded all crashes, as the lease row says
+	startsUnanswered bool          // starts get no answer
+	restartDelay     time.Duration // how long after a crash another incarnation answers
 }
 
 const (
-	wardStep = 50 * time.Millisecond
-	// wardWork is how long a task takes.
-	wardWork = 600 * time.Millisecond
-	rackSize = 3
+	crashStep = 50 * time.Millisecond
+	// taskDuration is how long a task takes.
+	taskDuration = 600 * time.Millisecond
+	rackSize     = 3
 )
 
-func newWard(t *testing.T, workers int) *ward {
-	w := &ward{
-		rig: newRig(t), racks: make(map[string]string), rackOf: make(map[string]string), runs: make(map[string][]sched.Order), due: make(map[string]time.Duration),
-		dead: make(map[string]time.Duration), moved: make(map[string]time.Duration), starts: make(map[gauge.TaskID]int), lost: make(map[gauge.TaskID]int),
-		took: make(map[gauge.TaskID]bool), row: make(map[string]sched.Accepted), rows: make(map[string]*gauge.JobRow),
-		version: 1000, brings: 3 * time.Second,
+func newCrashHarness(t *testing.T, workers int) *crashHarness {
+	w := &crashHarness{
+		harness: newHarness(t), rackOfAlive: make(map[string]string), rackOf: make(map[string]string), runs: make(map[string][]sched.Order), crashDue: make(map[string]time.Duration),
+		crashed: make(map[string]time.Duration), movedAway: make(map[string]time.Duration), starts: make(map[gauge.TaskID]int), lost: make(map[gauge.TaskID]int),
+		done: make(map[gauge.TaskID]bool), accepted: make(map[string]sched.Accepted), rows: make(map[string]*gauge.JobRow),
+		version: 1000, restartDelay: 3 * time.Second,
 	}
 	for i := range workers {
-		w.join(fmt.Sprintf("rack%d", i/rackSize))
+		w.addWorker(fmt.Sprintf("rack%d", i/rackSize))
 	}
-	w.tell()
+	w.reportAll()
 	return w
 }
 
-// join starts a worker on a rack.
-func (w *ward) join(rack string) {
-	w.next++
-	id := fmt.Sprintf("w%02d", w.next)
-	w.racks[id], w.rackOf[id] = rack, rack
+// addWorker starts a worker on a rack.
+func (w *crashHarness) addWorker(rack string) {
+	w.lastWorker++
+	id := fmt.Sprintf("w%02d", w.lastWorker)
+	w.rackOfAlive[id], w.rackOf[id] = rack, rack
 }
 
-func (w *ward) ids() []string {
-	ids := make([]string, 0, len(w.racks))
-	for id := range w.racks {
+func (w *crashHarness) aliveIDs() []string {
+	ids := make([]string, 0, len(w.rackOfAlive))
+	for id := range w.rackOfAlive {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// entry is a worker's row.
-func (w *ward) entry(id string) gauge.Worker {
-	k := worker(id)
+// workerRow is a worker's row.
+func (w *crashHarness) workerRow(id string) gauge.Worker {
+	k := newWorker(id)
 	k.Labels = []string{"a", w.rackOf[id]}
 	return k
 }
 
-// tell has the owner hear of all workers that are up.
-func (w *ward) tell() {
+// reportAll delivers the reports of all workers that are alive.
+func (w *crashHarness) reportAll() {
 	var list []gauge.Worker
-	for _, id := range w.ids() {
-		list = append(list, w.entry(id))
+	for _, id := range w.aliveIDs() {
+		list = append(list, w.workerRow(id))
 	}
-	for id := range w.dead {
-		list = append(list, w.entry(id)) // nobody has taken its row back
+	for id := range w.crashed {
+		list = append(list, w.workerRow(id)) // its row has not been removed
 	}
-	for id, until := range w.moved {
+	for id, until := range w.movedAway {
 		if w.now < until {
-			list = append(list, w.entry(id))
+			list = append(list, w.workerRow(id))
 		}
 	}
 	w.pool.Workers(list)
 	w.pool.Noted(w.pool.Name(), int64(fence))
-	for _, id := range w.ids() {
-		_, call, _ := w.pool.Holding(life(id), w.now)
+	for _, id := range w.aliveIDs() {
+		_, call, _ := w.pool.Holding(incarnation(id), w.now)
 		assert.Assert(w.t, call.Fence > 0)
 		var running []gauge.RunReport
 		for _, o := range w.runs[id] {
 			running = append(running, gauge.RunReport{Task: o.Start.Task, Run: o.Start.Run, Progress: 100})
 		}
-		w.hear(id, running)
+		w.report(id, running)
 	}
 }
 
-func (w *ward) hand(n int, steps ...gauge.Step) string {
+func (w *crashHarness) submit(n int, steps ...gauge.Step) string {
 	id := w.adopt(n, false, steps...)
-	w.row[id] = sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}}
+	w.accepted[id] = sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}}
 	return id
 }
 
-// crash ends a worker with all that runs there.
-func (w *ward) crash(id string) {
+// crash loses a worker with all its runs.
+func (w *crashHarness) crash(id string) {
 	for _, o := range w.runs[id] {
 		w.lost[o.Start.Task]++
 	}
 	delete(w.runs, id)
-	delete(w.due, id)
-	w.dead[id] = w.now + w.brings
-	w.join(w.racks[id])
-	delete(w.racks, id)
+	delete(w.crashDue, id)
+	w.crashed[id] = w.now + w.restartDelay
+	w.addWorker(w.rackOfAlive[id])
+	delete(w.rackOfAlive, id)
 }
 
-// pass lets time go by: holds, ends, starts, writes.
-func (w *ward) pass(d time.Duration) {
+// advance lets time advance: crashes, reports, ends, starts and writes.
+func (w *crashHarness) advance(d time.Duration) {
 	for until := w.now + d; w.now < until; {
-		w.rig.pass(wardStep)
-		for _, id := range w.ids() {
-			if at, ends := w.due[id]; ends && w.now >= at {
+		w.harness.advance(crashStep)
+		for _, id := range w.aliveIDs() {
+			if at, ends := w.crashDue[id]; ends && w.now >= at {
 				w.crashes++
 				w.crash(id)
 			}
-			w.work(id)
+			w.endTasks(id)
 		}
-		w.answerDead()
-		w.tell()
-		w.start()
-		w.write()
+		w.failCrashed()
+		w.reportAll()
+		w.execute()
+		w.writeBatch()
 	}
 }
 
-// ends tells whether a task ends its worker.
-func (w *ward) ends(task gauge.TaskID) bool { return task == w.bad || w.worse[task] }
+// crashesWorker reports whether a task crashes its worker.
+func (w *crashHarness) crashesWorker(task gauge.TaskID) bool {
+	return task == w.badTask || w.badTasks[task]
+}
 
-// work ends the tasks on a worker that have run for long enough.
-func (w *ward) work(id string) {
+// endTasks ends the tasks on a worker that have run for long enough.
+func (w *crashHarness) endTasks(id string) {
 	var left []sched.Order
 	var ended []gauge.EndReport
 	for _, o := range w.runs[id] {
-		spec := w.row[o.Start.Task.Job].Spec.Steps[o.Start.Task.Step]
-		if spec.Lasts || w.now < o.Start.Until-time.Hour+wardWork-time.Second || w.ends(o.Start.Task) {
+		spec := w.accepted[o.Start.Task.Job].Spec.Steps[o.Start.Task.Step]
+		if spec.Lasts || w.now < o.Start.Until-time.Hour+taskDuration-time.Second || w.crashesWorker(o.Start.Task) {
 			left = append(left, o)
 			continue
 		}
-		w.took[o.Start.Task] = true
-		ended = append(ended, w.end(id, o.Start.Task, o.Start.Run, gauge.EndDone))
+		w.done[o.Start.Task] = true
+		ended = append(ended, w.endReport(id, o.Start.Task, o.Start.Run, gauge.EndDone))
 	}
 	w.runs[id] = left
 	if len(ended) > 0 {
@@ -167,55 +170,56 @@
 		for _, o := range left {
 			running = append(running, gauge.RunReport{Task: o.Start.Task, Run: o.Start.Run, Progress: 100})
 		}
-		w.hear(id, running, ended...)
+		w.report(id, running, ended...)
 	}
 }
 
-// answerDead has holds at workers that crashed fail, until another life answers there.
-func (w *ward) answerDead() {
-	for id := range w.moved {
-		w.silent(id)
+// failCrashed has heartbeats to crashed workers fail, until another incarnation answers there.
+func (w *crashHarness) failCrashed() {
+	for id := range w.movedAway {
+		w.failHeartbeat(id)
 	}
-	for id, back := range w.dead {
+	for id, back := range w.crashed {
 		if w.now < back {
-			w.silent(id)
+			w.failHeartbeat(id)
 			continue
 		}
-		delete(w.dead, id)
-		w.pool.HoldFailed(life(id), gauge.Fail(gauge.KindReplaced, "status 421"), w.now)
+		delete(w.crashed, id)
+		w.pool.HoldFailed(incarnation(id), gauge.Fail(gauge.KindReplaced, "status 421"), w.now)
 	}
 }
 
-func (w *ward) start() {
+// execute has the workers execute the orders of a plan.
+func (w *crashHarness) execute() {
 	for _, o := range w.plan() {
 		switch {
 		case o.Kind == sched.OrderStop:
 			w.runs[o.Worker.ID] = slices.DeleteFunc(w.runs[o.Worker.ID], func(r sched.Order) bool { return r.Start.Task == o.Stop.Task })
-			w.ok([]sched.Order{o})
+			w.confirm([]sched.Order{o})
 		case o.Kind != sched.OrderStart:
-			w.ok([]sched.Order{o})
-		case w.racks[o.Worker.ID] == "":
-			w.pool.Answered(o, 0, gauge.Fail(gauge.KindOutage, "nobody there"), w.now)
+			w.confirm([]sched.Order{o})
+		case w.rackOfAlive[o.Worker.ID] == "":
+			w.pool.Answered(o, 0, gauge.Fail(gauge.KindOutage, "connection refused"), w.now)
 		default:
 			w.starts[o.Start.Task]++
 			w.runs[o.Worker.ID] = append(w.runs[o.Worker.ID], o)
-			if w.ends(o.Start.Task) {
-				w.due[o.Worker.ID] = w.now + w.lives
+			if w.crashesWorker(o.Start.Task) {
+				w.crashDue[o.Worker.ID] = w.now + w.crashDelay
 			}
-			if w.dumb {
+			if w.startsUnanswered {
 				w.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 				continue
 			}
-			w.ok([]sched.Order{o})
+			w.confirm([]sched.Order{o})
 		}
 	}
 }
 
-func (w *ward) write() {
-	if w.away {
+func (w *crashHarness) writeBatch() {
+	if w.tableDown {
 		return
 	}
-	b, err := w.pool.Batch(100, w.now.Milliseconds(), nobody)
+	b, err := w.pool.Batch(100, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
 	w.version++
 	for _, c := range b.Changes {
@@ -226,17 +230,17 @@
 	w.pool.Written(b, w.version, w.now)
 }
 
-// takeOver has another owner take the pool, with what the table has.
-func (w *ward) takeOver() {
+// replaceOwner has another owner take the pool over, from what the table has.
+func (w *crashHarness) replaceOwner() {
 	named := w.pool.Name()
 	w.version++
 	term := int(w.version)
-	g := newRig(w.t, func(c *sched.Config) {
+	g := newHarness(w.t, func(c *sched.Config) {
 		c.Term, c.Earlier, c.Doubt, c.Fence = term, named, w.now+6*time.Second, gauge.Fence(w.version)
-		c.Unnoted = w.unnoted
+		c.Unnoted = w.unrecorded
 	})
 	w.pool = g.pool
-	for id, a := range w.row {
+	for id, a := range w.accepted {
 		row := w.rows[id]
 		if row == nil {
 			row = &gauge.JobRow{State: gauge.JobPending, Pool: poolName}
@@ -247,10 +251,10 @@
 		a.Row, a.Version, a.Inherited, a.Arrived = row, w.version, true, w.now
 		w.pool.Adopt(a, w.now)
 	}
-	w.tell()
+	w.reportAll()
 }
 
-func (w *ward) state(id string) gauge.JobState {
+func (w *crashHarness) jobState(id string) gauge.JobState {
 	state, ok := w.pool.State(queueName, id)
 	if !ok && w.rows[id] != nil {
 		return w.rows[id].State
@@ -258,46 +262,46 @@
 	return state
 }
 
-// company has another job's task run on each worker, for good.
-func (w *ward) company() {
-	s := lasting(len(w.racks))
+// occupyAll has a long-running task of another job run on each worker.
+func (w *crashHarness) occupyAll() {
+	s := longRunningStep(len(w.rackOfAlive))
 	s.PerWorker = 1
-	w.hand(50, s)
-	w.pass(time.Second)
+	w.submit(50, s)
+	w.advance(time.Second)
 }
 
-// moveOne has an idle machine leave the pool, and another one come. Its worker says nothing more,
-// and is listed until three of its heartbeats are missing.
-func (w *ward) moveOne(asked bool) {
-	for _, id := range w.ids() {
-		if len(w.runs[id]) > 0 || asked && !w.pool.Empty(id, false, w.now) {
+// moveIdleMachine has an idle machine leave the pool, and another one join. Its worker answers no
+// more, and is listed until three of its heartbeats to the platform are missing.
+func (w *crashHarness) moveIdleMachine(drained bool) {
+	for _, id := range w.aliveIDs() {
+		if len(w.runs[id]) > 0 || drained && !w.pool.Empty(id, false, w.now) {
 			continue
 		}
-		w.moved[id] = w.now + 4500*time.Millisecond
-		delete(w.racks, id)
-		w.join(fmt.Sprintf("rack%d", w.next%9))
+		w.movedAway[id] = w.now + 4500*time.Millisecond
+		delete(w.rackOfAlive, id)
+		w.addWorker(fmt.Sprintf("rack%d", w.lastWorker%9))
 		return
 	}
 }
 
-// keep has only so many workers.
-func (w *ward) keep(count int) {
-	for _, id := range w.ids()[count:] {
-		delete(w.racks, id)
+// keepWorkers removes all but so many workers.
+func (w *crashHarness) keepWorkers(count int) {
+	for _, id := range w.aliveIDs()[count:] {
+		delete(w.rackOfAlive, id)
 	}
 }
 
-func (w *ward) crashAll(which func(id string) bool) {
-	for _, id := range w.ids() {
+func (w *crashHarness) crashAll(which func(id string) bool) {
+	for _, id := range w.aliveIDs() {
 		if which(id) {
 			w.crash(id)
 		}
 	}
 }
 
-// where is a worker that has a task of a job, empty if there is none.
-func (w *ward) where(job string) string {
-	for _, id := range w.ids() {
+// workerOf returns a worker that runs a task of a job, or "" if there is none.
+func (w *crashHarness) workerOf(job string) string {
+	for _, id := range w.aliveIDs() {
 		for _, o := range w.runs[id] {
 			if o.Start.Task.Job == job {
 				return id
