--- a/internal/sched/ward_test.go
+++ b/internal/sched/crash_harness_test.go
@@ -146,10 +146,8 @@
 	}
 }
 
-// crashesWorker reports whether a task crashes its worker.
-func (w *crashHarness) crashesWorker(task gauge.TaskID) bool {
-	return task == w.badTask || w.badTasks[task]
-}
+// isBad reports whether a task crashes its worker.
+func (w *crashHarness) isBad(task gauge.TaskID) bool { return task == w.badTask || w.badTasks[task] }
 
 // endTasks ends the tasks on a worker that have run for long enough.
 func (w *crashHarness) endTasks(id string) {
@@ -157,7 +155,7 @@
 	var ended []gauge.EndReport
 	for _, o := range w.runs[id] {
 		spec := w.accepted[o.Start.Task.Job].Spec.Steps[o.Start.Task.Step]
-		if spec.Lasts || w.now < o.Start.Until-time.Hour+taskDuration-time.Second || w.crashesWorker(o.Start.Task) {
+		if spec.Lasts || w.now < o.Start.Until-time.Hour+taskDuration-time.Second || w.isBad(o.Start.Task) {
 			left = append(left, o)
 			continue
 		}
@@ -203,7 +201,7 @@
 		default:
 			w.starts[o.Start.Task]++
 			w.runs[o.Worker.ID] = append(w.runs[o.Worker.ID], o)
-			if w.crashesWorker(o.Start.Task) {
+			if w.isBad(o.Start.Task) {
 				w.crashDue[o.Worker.ID] = w.now + w.crashDelay
 			}
 			if w.startsUnanswered {
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -261,7 +261,7 @@
 		name   string
 		worker string
 		want   int
-	}{{"its worker is alive", "w1", 1}, {"its worker is gone", "w9", 2}} {
+	}{{"its worker is alive", "w1", 1}, {"its worker is dead", "w9", 2}} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness(t, withPredecessor("w1", tt.worker))
 			g.listWorkers("w1", "w2")
--- a/internal/sched/twice_test.go
+++ b/internal/sched/double_run_test.go
@@ -203,7 +203,7 @@
 }
 
 // Guards against a task that runs on an unreachable worker and on another one. The worker stops
-// answering and is no longer listed, but its lease has not run out; it must not count as gone.
+// answering and is no longer listed, but its lease has not run out; it must not count as dead.
 func TestTaskOfAnUnreachableWorkerWaitsForItsLease(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1", "w2")
--- a/internal/sched/rig_test.go
+++ b/internal/sched/harness_test.go
@@ -54,11 +54,11 @@
 func incarnation(id string) gauge.Life { return gauge.Life{Worker: id} }
 
 func incarnations(ids ...string) []gauge.Life {
-	var lives []gauge.Life
+	var list []gauge.Life
 	for _, id := range ids {
-		lives = append(lives, incarnation(id))
+		list = append(list, incarnation(id))
 	}
-	return lives
+	return list
 }
 
 func newWorker(id string) gauge.Worker {
--- a/internal/sched/life_test.go
+++ b/internal/sched/incarnation_test.go
@@ -183,18 +183,18 @@
 	g, start := newHarnessWithRunOf(t, time.Millisecond)
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.failHeartbeatOf(incarnationAt("w1", 1)) // records that the worker may have crashed
-	noted := g.onlyUnwrittenRow()
+	recorded := g.onlyUnwrittenRow()
 	next := newHarness(t, withPredecessor("w1"))
 	next.listRows(500, workerRow("w1", 2))
 	s := newStep(1)
 	s.Lasts = true
 	next.pool.Adopt(sched.Accepted{
-		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{s}}, Row: noted, Version: 400, Inherited: true,
+		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{s}}, Row: recorded, Version: 400, Inherited: true,
 	}, 0)
 	next.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 	next.plan()
-	noted = next.onlyUnwrittenRow()
-	assert.Equal(t, noted.Trials["0.0.0"].Crashes(), 1)
+	recorded = next.onlyUnwrittenRow()
+	assert.Equal(t, recorded.Trials["0.0.0"].Crashes(), 1)
 }
 
 // Guards against a crash that is held against a task although several workers lost power together:
@@ -218,10 +218,10 @@
 	}
 	batch := g.writeAll(400)
 	for _, c := range batch.Changes {
-		noted, err := gauge.DecodeJobRow(c.Row)
+		recorded, err := gauge.DecodeJobRow(c.Row)
 		assert.NilError(t, err)
 		if c.Job == start.Start.Task.Job {
-			assert.Equal(t, len(noted.Trials), 0, "%v", noted.Trials)
+			assert.Equal(t, len(recorded.Trials), 0, "%v", recorded.Trials)
 		}
 	}
 }
@@ -284,20 +284,20 @@
 	g, start := newHarnessWithRunOf(t, time.Millisecond)
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.failHeartbeatOf(incarnationAt("w1", 1))
-	noted := g.onlyUnwrittenRow()
+	recorded := g.onlyUnwrittenRow()
 	next := newHarness(t, withPredecessor("w1", "w2", "w3"), func(c *sched.Config) {
 		c.Earlier = []gauge.Life{incarnationAt("w1", 1), incarnationAt("w2", 1), incarnationAt("w3", 1)}
 	})
 	next.listRows(500, workerRow("w1", 2), workerRow("w2", 2), workerRow("w3", 2))
 	next.pool.Adopt(sched.Accepted{
-		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{longRunningStep(1)}}, Row: noted, Version: 400, Inherited: true,
+		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{longRunningStep(1)}}, Row: recorded, Version: 400, Inherited: true,
 	}, 0)
 	for _, id := range []string{"w1", "w2", "w3"} {
 		next.answerHeartbeat(incarnationAt(id, 2), 2, time.Second, nil)
 	}
 	next.plan()
-	noted = next.onlyUnwrittenRow()
-	assert.Equal(t, noted.Trials["0.0.0"].Crashes(), 0)
+	recorded = next.onlyUnwrittenRow()
+	assert.Equal(t, recorded.Trials["0.0.0"].Crashes(), 0)
 }
 
 // Guards against a worker that has started again in another pool and gets heartbeats from two
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -121,9 +121,9 @@
 	for _, id := range []string{"w1", "w2", "w3"} {
 		g.report(id, nil)
 	}
-	lasting := newStep(3)
-	lasting.Lasts, lasting.MaxAway, lasting.PerWorker = true, 1, 2
-	g.adopt(1, false, lasting)
+	longRunning := newStep(3)
+	longRunning.Lasts, longRunning.MaxAway, longRunning.PerWorker = true, 1, 2
+	g.adopt(1, false, longRunning)
 	starts := g.planStarts()
 	assert.Equal(t, len(starts), 3)
 	g.confirm(starts)
@@ -146,9 +146,9 @@
 	g.listWorkers("w1", "w2")
 	g.report("w1", nil)
 	g.report("w2", nil)
-	lasting := newStep(2)
-	lasting.Lasts, lasting.MaxAway, lasting.PerWorker = true, 1, 1
-	g.adopt(1, false, lasting)
+	longRunning := newStep(2)
+	longRunning.Lasts, longRunning.MaxAway, longRunning.PerWorker = true, 1, 1
+	g.adopt(1, false, longRunning)
 	starts := g.planStarts()
 	g.confirm(starts)
 	reportAll := func() {
--- a/internal/sched/random_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -63,7 +63,7 @@
 		assert.Assert(w.t, w.pool.Outdated(asked, call.Fence), "the owner's own token is taken for another owner's")
 		return
 	}
-	if !w.faultFree && rapid.IntRange(0, 5).Draw(w.t, "late hold") == 0 {
+	if !w.faultFree && rapid.IntRange(0, 5).Draw(w.t, "late heartbeat") == 0 {
 		w.delayedHeartbeats = append(w.delayedHeartbeats, delayedHeartbeat{m.id, w.connectedTo[m.id], call})
 		return
 	}
@@ -194,7 +194,7 @@
 		w.lastVersion++
 		w.rows[id], w.versions[id] = value, w.lastVersion
 		w.cancelled[id] = true
-		if rapid.Bool().Draw(w.t, "told") {
+		if rapid.Bool().Draw(w.t, "owner notified") {
 			w.pool.Cancel(id, w.lastVersion)
 		}
 		w.plan()
@@ -265,9 +265,9 @@
 // reportDead reports to the owner, in one of two ways, that a worker's incarnation has ended.
 func (w *simulation) reportDead(m *simWorker) {
 	if rapid.Bool().Draw(w.t, "replaced") {
-		w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindReplaced, "another incarnation"), w.now)
+		w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindReplaced, "another incarnation"), w.now)
 	} else {
-		w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+		w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 	}
 	w.addWorker()
 }
--- a/internal/sched/calm_test.go
+++ b/internal/sched/simulation_recovery_test.go
@@ -104,7 +104,7 @@
 		switch {
 		case m == nil:
 		case !m.alive:
-			w.pool.HoldFailed(m.life(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+			w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 		default:
 			w.heartbeat(m)
 			if r, some := w.reports[m.id]; some {
--- a/internal/sched/world_test.go
+++ b/internal/sched/simulation_test.go
@@ -100,7 +100,7 @@
 	rep   *gauge.WorkerReport
 }
 
-func (m *simWorker) life() gauge.Life { return gauge.Life{Worker: m.id, Born: m.born} }
+func (m *simWorker) incarnation() gauge.Life { return gauge.Life{Worker: m.id, Born: m.born} }
 
 func newSimulation(t *rapid.T) *simulation {
 	w := &simulation{
@@ -250,7 +250,7 @@
 func (w *simulation) executeOrder(o sched.Order) error {
 	m := w.workers[o.Worker.ID]
 	if m == nil || !m.alive {
-		return gauge.Fail(gauge.KindUnknown, "worker is gone")
+		return gauge.Fail(gauge.KindUnknown, "worker is dead")
 	}
 	fence := max(o.Start.Fence, o.Stop.Fence, o.Look.Fence)
 	if fence < m.fence {
