--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -1,10 +1,11 @@
-// Package proof weighs what is held against a task whose workers crash: whether it may be the
-// cause, whether it starts apart from others only, and whether it must be the cause, so that its
-// job is given up. What goes in are the crashes and starts that a job's row tells of.
+// Package proof decides what follows from crashes of the workers that ran a task: whether the task
+// may be the cause, whether it may only start isolated from other jobs' tasks, and whether it must
+// be the cause, so that its job fails. It goes by the starts and crashes that a job's row has.
 //
-// Causes are guessed at, and a guess may be wrong; starts are counted. Each start of a task that
-// didn't show that it lives counts, whatever it was lost for, and once few are left the task
-// starts only where nothing else can be the cause.
+// The cause of a single crash is a guess that may be wrong, but starts can be counted. A start
+// counts if the task didn't run for long enough afterwards to prove sound, whatever the run was
+// lost for. Once few starts are left, the task starts only where nothing else can be the cause of
+// a crash.
 package proof
 
 import (
@@ -14,73 +15,81 @@
 )
 
 const (
-	// Soon is how long a worker tells of a run that doesn't end it by starting.
+	// Soon is the time after a start within which a crash makes the task a suspect: a run that its
+	// worker has reported for longer doesn't crash the worker by starting.
 	Soon = time.Second
-	// Calm is how long a run has to live to clear its task. It bounds how long a task is
-	// kept apart, too.
+	// Calm is how long a run must last to clear its task of suspicion. It also bounds how long a
+	// task runs isolated.
 	Calm = 30 * time.Second
 
-	// suspectCrashes make any task a suspect, however long its runs lived.
+	// suspectCrashes is the number of crashes that make a task a suspect, however long its runs
+	// lasted.
 	suspectCrashes = 2
-	// aloneMost crashes with nothing else on the worker, as soon after the start as those before,
-	// show that the task is the cause: one may come by chance.
-	aloneMost = 2
-	// aloneLasting is the same for a lasting task: with its job goes all of it that serves.
-	aloneLasting = 3
-	// soonMost crashes soon after its start are enough where it could not be told apart, or its
-	// starts got no answer ...
-	soonMost = 4
-	// ... and so many crashes at any time. By the users' rules a task may be started twice
-	// more after three crashes.
-	crashesMost = 5
-	// lastStarts of these have to prove something: the task starts apart only.
+	// soleJobCrashes is the number of crashes, each with no other job's task on the worker and as
+	// soon after the start as those before, that show that the task is the cause. A single one
+	// may be chance.
+	soleJobCrashes = 2
+	// soleJobCrashesLongRunning is the same for a long-running task. It is higher because all
+	// serving tasks of the job are stopped when the job fails.
+	soleJobCrashesLongRunning = 3
+	// maxSoonCrashes is the number of crashes soon after a start that show the same where the task
+	// could not be told from other jobs' tasks, or its starts got no answer.
+	maxSoonCrashes = 4
+	// maxCrashes is the number of crashes at any time that show the same. By the users' rules a
+	// task may be started twice more after three crashes.
+	maxCrashes = 5
+	// lastStarts is how many of these starts, the last ones, must be conclusive: the task then
+	// starts isolated only.
 	lastStarts = 2
-	// excusedMost: crashes that were excused, or were not seen, count towards crashesMost, but no
-	// more than so many, unless one more came with the task apart from others. Else a sound task would be
-	// given up for the loss of racks, or with too few crashes that are known.
-	excusedMost = 2
+	// maxUnattributed limits how many unattributed crashes, and crashes that no owner saw, count
+	// towards maxCrashes, unless one more occurred with the task isolated. Without the limit a
+	// sound task would be failed for the loss of racks, or with too few known crashes.
+	maxUnattributed = 2
 )
 
 // Case is what is known of a task's starts.
 type Case struct {
-	Trials gauge.Trials
-	// Excused counts starts that ended before the task had shown that it lives, and are held
-	// against nothing.
+	Trials gauge.Trials // runs that were, or may have been, lost in a crash
+	// Excused is the number of starts after which the run was lost before the task had proved
+	// sound, but which are not attributed to it.
 	Excused int
-	// Lone counts those of them that were tried apart from other jobs' tasks.
+	// Lone is how many of these runs were isolated from other jobs' tasks.
 	Lone  int
-	Lasts bool
+	Lasts bool // the task is a long-running one
 }
 
-// Starts counts those after which nobody knows that the task lives.
+// Starts returns the number of starts after which the task has not proved sound.
 func (c Case) Starts() int { return c.Trials.Crashes() + c.Excused }
 
-// Suspect tells whether the task may be the cause of a crash.
+// Suspect reports whether the task may be the cause of a crash.
 func (c Case) Suspect() bool { return c.Trials.Soon(Soon) || c.Starts() >= suspectCrashes }
 
-// Strong tells whether it has lost so many workers that others' losses don't excuse it.
+// Strong reports whether the task has lost so many workers that a correlated loss of other workers
+// doesn't exonerate it.
 func (c Case) Strong() bool { return c.Trials.Crashes() >= suspectCrashes }
 
-// FewLeft tells whether few starts are left, with others that were lost lately and aren't judged yet.
-func (c Case) FewLeft(lost int) bool { return c.Starts()+lost >= crashesMost-lastStarts }
+// FewLeft reports whether few starts are left, counting as starts the lost runs whose loss is not
+// attributed yet.
+func (c Case) FewLeft(lost int) bool { return c.Starts()+lost >= maxCrashes-lastStarts }
 
-// Cause tells whether the task must be the cause of crashes.
+// Cause reports whether the task must be the cause of crashes.
 func (c Case) Cause() bool {
-	alone := aloneMost
+	soleJob := soleJobCrashes
 	if c.Lasts {
-		alone = aloneLasting
+		soleJob = soleJobCrashesLongRunning
 	}
-	soon := min(soonMost, crashesMost-min(c.Excused+c.Trials.Beside(Soon), excusedMost))
-	return c.Trials.Alone() >= alone || c.Trials.LikelySoon(Soon) >= soon || c.Trials.Likely() >= crashesMost ||
-		c.Starts() >= crashesMost && c.proved()
+	soon := min(maxSoonCrashes, maxCrashes-min(c.Excused+c.Trials.Beside(Soon), maxUnattributed))
+	return c.Trials.Alone() >= soleJob || c.Trials.LikelySoon(Soon) >= soon || c.Trials.Likely() >= maxCrashes ||
+		c.Starts() >= maxCrashes && c.hasConclusiveStarts()
 }
 
-// proved tells whether the last starts leave no doubt: one at least was lost with the task apart from others,
-// or all were, and two crashes had no likelier cause.
-func (c Case) proved() bool {
-	apart := c.Trials.Apart()
-	return apart > 0 || c.Lone >= lastStarts && c.Trials.LikelySoon(Soon) >= suspectCrashes
+// hasConclusiveStarts reports whether the last starts leave no doubt: at least one crash was that of
+// an isolated run, or the last starts were isolated and are unattributed, and two crashes soon after
+// a start had no likelier cause.
+func (c Case) hasConclusiveStarts() bool {
+	isolated := c.Trials.Apart()
+	return isolated > 0 || c.Lone >= lastStarts && c.Trials.LikelySoon(Soon) >= suspectCrashes
 }
 
-// Probation is how long a run has to live until its worker is taken to survive it.
+// Probation returns how long a run must last before its worker counts as having survived it.
 func (c Case) Probation() time.Duration { return min(2*c.Trials.Longest()+Soon, Calm) }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -10,8 +10,8 @@
 	"sapphiregauge/internal/proof"
 )
 
-// crash is a run that was lost with its worker.
-func crash(run int, set ...func(*gauge.Trial)) gauge.Trial {
+// crashedRun is a run that was lost with its worker.
+func crashedRun(run int, set ...func(*gauge.Trial)) gauge.Trial {
 	tr := gauge.Trial{Run: run, Worker: "w1", Crashed: true}
 	for _, s := range set {
 		s(&tr)
@@ -19,59 +19,60 @@
 	return tr
 }
 
-func alone(t *gauge.Trial)  { t.Alone = true }
-func apart(t *gauge.Trial)  { t.Apart = true }
-func beside(t *gauge.Trial) { t.Beside = true }
-func late(t *gauge.Trial)   { t.Lived = 4 * time.Second }
+func asSoleJob(t *gauge.Trial)  { t.Alone = true }
+func isolated(t *gauge.Trial)  { t.Apart = true }
+func withLikelierCause(t *gauge.Trial) { t.Beside = true }
+func lostLate(t *gauge.Trial)   { t.Lived = 4 * time.Second }
 
-// A guess at causes that goes before the count of starts, or takes a sound task along.
-func TestWhatIsHeldAgainstATask(t *testing.T) {
+// Guards against a suspected cause that takes precedence over the number of starts, and against a
+// sound task that is failed for the crashes of others.
+func TestDecisionsFromCrashesAndStarts(t *testing.T) {
 	for _, tt := range []struct {
 		name          string
 		of            proof.Case
-		suspect, last bool
+		suspect, fewLeft bool
 		cause         bool
 	}{
 		{name: "nothing"},
-		{name: "one crash late", of: proof.Case{Trials: gauge.Trials{crash(1, late)}}},
-		{name: "one crash soon", of: proof.Case{Trials: gauge.Trials{crash(1)}}, suspect: true},
-		{name: "one excused", of: proof.Case{Excused: 1}},
-		{name: "two excused", of: proof.Case{Excused: 2}, suspect: true},
-		{name: "nine excused", of: proof.Case{Excused: 9}, suspect: true, last: true},
-		{name: "four excused, one crash apart", of: proof.Case{Excused: 4, Trials: gauge.Trials{crash(1, apart)}}, suspect: true, last: true, cause: true},
-		{name: "four excused, one crash among others", of: proof.Case{Excused: 4, Trials: gauge.Trials{crash(1)}}, suspect: true, last: true},
-		{name: "three excused, one crash apart", of: proof.Case{Excused: 3, Trials: gauge.Trials{crash(1, apart)}}, suspect: true, last: true},
+		{name: "one crash long after the start", of: proof.Case{Trials: gauge.Trials{crashedRun(1, lostLate)}}},
+		{name: "one crash soon after the start", of: proof.Case{Trials: gauge.Trials{crashedRun(1)}}, suspect: true},
+		{name: "one unattributed", of: proof.Case{Excused: 1}},
+		{name: "two unattributed", of: proof.Case{Excused: 2}, suspect: true},
+		{name: "nine unattributed", of: proof.Case{Excused: 9}, suspect: true, fewLeft: true},
+		{name: "four unattributed, one crash isolated", of: proof.Case{Excused: 4, Trials: gauge.Trials{crashedRun(1, isolated)}}, suspect: true, fewLeft: true, cause: true},
+		{name: "four unattributed, one crash not isolated", of: proof.Case{Excused: 4, Trials: gauge.Trials{crashedRun(1)}}, suspect: true, fewLeft: true},
+		{name: "three unattributed, one crash isolated", of: proof.Case{Excused: 3, Trials: gauge.Trials{crashedRun(1, isolated)}}, suspect: true, fewLeft: true},
 		{
-			name: "four beside a likelier cause, one apart", suspect: true, last: true, cause: true,
-			of: proof.Case{Trials: gauge.Trials{crash(1, beside), crash(2, beside), crash(3, beside), crash(4, beside), crash(5, apart)}},
+			name: "four beside a likelier cause, one isolated", suspect: true, fewLeft: true, cause: true,
+			of: proof.Case{Trials: gauge.Trials{crashedRun(1, withLikelierCause), crashedRun(2, withLikelierCause), crashedRun(3, withLikelierCause), crashedRun(4, withLikelierCause), crashedRun(5, isolated)}},
 		},
 		{
-			name: "three excused, two of them apart, two crashes", suspect: true, last: true, cause: true,
-			of: proof.Case{Excused: 3, Lone: 2, Trials: gauge.Trials{crash(1), crash(2)}},
+			name: "three unattributed, two of them isolated, two crashes", suspect: true, fewLeft: true, cause: true,
+			of: proof.Case{Excused: 3, Lone: 2, Trials: gauge.Trials{crashedRun(1), crashedRun(2)}},
 		},
-		{name: "four excused, two of them apart, one crash", of: proof.Case{Excused: 4, Lone: 2, Trials: gauge.Trials{crash(1)}}, suspect: true, last: true},
-		{name: "two alone", of: proof.Case{Trials: gauge.Trials{crash(1, alone), crash(2, alone)}}, suspect: true, cause: true},
-		{name: "two alone, lasting", of: proof.Case{Lasts: true, Trials: gauge.Trials{crash(1, alone), crash(2, alone)}}, suspect: true},
-		{name: "one run of a gang on two workers", of: proof.Case{Trials: gauge.Trials{crash(1, late), crash(1, late)}}},
+		{name: "four unattributed, two of them isolated, one crash", of: proof.Case{Excused: 4, Lone: 2, Trials: gauge.Trials{crashedRun(1)}}, suspect: true, fewLeft: true},
+		{name: "two as the sole job", of: proof.Case{Trials: gauge.Trials{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true, cause: true},
+		{name: "two as the sole job, long-running", of: proof.Case{Lasts: true, Trials: gauge.Trials{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true},
+		{name: "one run of a gang on two workers", of: proof.Case{Trials: gauge.Trials{crashedRun(1, lostLate), crashedRun(1, lostLate)}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			assert.Equal(t, tt.of.Suspect(), tt.suspect)
-			assert.Equal(t, tt.of.FewLeft(0), tt.last)
+			assert.Equal(t, tt.of.FewLeft(0), tt.fewLeft)
 			assert.Equal(t, tt.of.Cause(), tt.cause)
 		})
 	}
 }
 
-// A start that goes out before it is known what the last ones were lost for.
-func TestLossesThatAreNotJudgedCountAsStarts(t *testing.T) {
-	c := proof.Case{Excused: 1, Trials: gauge.Trials{crash(1, late)}}
+// Guards against a start that goes out before the last losses are attributed to a cause.
+func TestPendingLossesCountAsStarts(t *testing.T) {
+	c := proof.Case{Excused: 1, Trials: gauge.Trials{crashedRun(1, lostLate)}}
 	assert.Assert(t, !c.FewLeft(0))
 	assert.Assert(t, c.FewLeft(1))
 }
 
-// A probation without an end.
+// Guards against a probation without an upper bound.
 func TestProbationIsBounded(t *testing.T) {
 	assert.Equal(t, proof.Case{}.Probation(), proof.Soon)
-	assert.Equal(t, proof.Case{Trials: gauge.Trials{crash(1, late)}}.Probation(), 9*time.Second)
-	assert.Equal(t, proof.Case{Trials: gauge.Trials{crash(1, func(tr *gauge.Trial) { tr.Lived = time.Minute })}}.Probation(), proof.Calm)
+	assert.Equal(t, proof.Case{Trials: gauge.Trials{crashedRun(1, lostLate)}}.Probation(), 9*time.Second)
+	assert.Equal(t, proof.Case{Trials: gauge.Trials{crashedRun(1, func(tr *gauge.Trial) { tr.Lived = time.Minute })}}.Probation(), proof.Calm)
 }
--- a/internal/sched/double_run_test.go
+++ b/internal/sched/double_run_test.go
@@ -158,7 +158,7 @@
 	g.adopt(1, false, newStep(1))
 	start := g.planStarts()[0]
 	g.pool.Answered(start, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
-	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 1, "the worker is polled at once")
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 1, "the worker is probed at once")
 	g.advance(2 * time.Second)
 	g.report("w1", []gauge.RunReport{runReport(start)})
 	assert.Equal(t, len(g.plan()), 0)
--- a/internal/sched/longrunning_test.go
+++ b/internal/sched/longrunning_test.go
@@ -39,7 +39,7 @@
 // Guards against a maintenance wave that is late by its last machines, which are drained one after
 // the other in three to four seconds each. A long-running task that was moved serves again a second
 // later, but the next one of its step moved only three seconds after that start, as a task counted
-// as serving by its age and its worker was polled about once a second.
+// as serving by its age and its worker was probed about once a second.
 func TestNextLongRunningTaskMovesOnceThePreviousOneServes(t *testing.T) {
 	g := newHarness(t)
 	runs := startLongRunning(g, "w1", "w2", "w3")
@@ -59,9 +59,9 @@
 	g.confirm(starts)
 
 	looks := ofKind(g.plan(), sched.OrderLook)
-	assert.Equal(t, len(looks), 1, "its worker is polled")
+	assert.Equal(t, len(looks), 1, "its worker is probed")
 	assert.Equal(t, looks[0].Worker.ID, starts[0].Worker.ID)
-	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 0, "it isn't polled continuously")
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 0, "it isn't probed continuously")
 	starting := runReport(starts[0])
 	starting.Progress = 60
 	g.advance(300 * time.Millisecond)
--- a/internal/sched/reread_test.go
+++ b/internal/sched/reread_test.go
@@ -36,7 +36,7 @@
 	assert.Equal(t, len(g.planStarts()), 0)
 }
 
-// Guards against a failed task that isn't started again for a while. The answer to a poll overtakes
+// Guards against a failed task that isn't started again for a while. The answer to a probe overtakes
 // an earlier answer to a heartbeat: the newer one reports the run's end, the older one lists it as
 // running.
 func TestOlderReportDoesNotReviveAnEndedRun(t *testing.T) {
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -95,9 +95,9 @@
 		crashes, beside, excused int
 		want                     gauge.JobState
 	}{
-		{"two beside a likelier cause, two excused", 2, 2, 2, gauge.JobFailed},
-		{"one beside a likelier cause, two excused", 2, 1, 2, gauge.JobFailed},
-		{"three beside a likelier cause, one excused", 3, 3, 1, gauge.JobFailed},
+		{"two beside a likelier cause, two unattributed", 2, 2, 2, gauge.JobFailed},
+		{"one beside a likelier cause, two unattributed", 2, 1, 2, gauge.JobFailed},
+		{"three beside a likelier cause, one unattributed", 3, 3, 1, gauge.JobFailed},
 		{"it is the fourth", 2, 2, 1, gauge.JobRunning},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -31,12 +31,12 @@
 		want                     gauge.JobState
 	}{
 		{"only workers lost together", 0, 0, 9, gauge.JobRunning},
-		{"two excused, two crashes", 2, 0, 2, gauge.JobRunning},
-		{"nine excused, one crash", 1, 0, 9, gauge.JobRunning},
-		{"nine excused, two crashes, one beside another task", 2, 1, 9, gauge.JobRunning},
-		{"three crashes and one excused", 3, 0, 1, gauge.JobRunning},
-		{"three crashes and two excused", 3, 0, 2, gauge.JobFailed},
-		{"three crashes, one excused, one beside another task", 3, 1, 1, gauge.JobFailed},
+		{"two unattributed, two crashes", 2, 0, 2, gauge.JobRunning},
+		{"nine unattributed, one crash", 1, 0, 9, gauge.JobRunning},
+		{"nine unattributed, two crashes, one beside another task", 2, 1, 9, gauge.JobRunning},
+		{"three crashes and one unattributed", 3, 0, 1, gauge.JobRunning},
+		{"three crashes and two unattributed", 3, 0, 2, gauge.JobFailed},
+		{"three crashes, one unattributed, one beside another task", 3, 1, 1, gauge.JobFailed},
 		{"four crashes", 4, 0, 0, gauge.JobFailed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -186,9 +186,9 @@
 		{"long-running, two crashes alone on the worker", longRunningStep(2), true, 2, gauge.JobRunning},
 		{"long-running, three crashes alone", longRunningStep(2), true, 3, gauge.JobFailed},
 		{"not long-running, two crashes alone", newStep(2), true, 2, gauge.JobFailed},
-		{"long-running, two crashes and others excused", longRunningStep(2), false, 2, gauge.JobRunning},
-		{"long-running, three crashes and others excused", longRunningStep(2), false, 3, gauge.JobFailed},
-		{"not long-running, two crashes and others excused", newStep(2), false, 2, gauge.JobRunning},
+		{"long-running, two crashes and others unattributed", longRunningStep(2), false, 2, gauge.JobRunning},
+		{"long-running, three crashes and others unattributed", longRunningStep(2), false, 3, gauge.JobFailed},
+		{"not long-running, two crashes and others unattributed", newStep(2), false, 2, gauge.JobRunning},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var trials gauge.Trials
--- a/internal/terms/burden.go
+++ b/internal/terms/burden.go
@@ -11,38 +11,38 @@
 	gauge "sapphiregauge"
 )
 
-// FullCapacity is that of a host of which nothing is known, in cores: where hosts
-// differ, those that can carry busy pools have it, and the others an eighth of it.
+// FullCapacity is the capacity assumed for a host of which nothing is known, in cores. Where hosts
+// differ, those that can run busy pools have this capacity, and the others an eighth of it.
 const FullCapacity = 0.8
 
-// weakMost bounds the wait of a host for those that can carry more. They claim within
-// Spread and Held for each lease that they have. A pool without an owner loses as long
-// if they are all gone, so that this is a quarter of the lease's term, which a pool of
-// a lost owner may stand still anyway.
-const weakMost = 500 * time.Millisecond
+// maxSmallHostDelay bounds how long a host waits for larger ones to claim a pool, which do so within
+// Config.Spread plus Config.Held for each lease that they have. If they are all dead, a pool without
+// an owner loses that much time. It is a quarter of the lease duration, for which a pool whose owner
+// died may be without one anyway.
+const maxSmallHostDelay = 500 * time.Millisecond
 
-// Burden is what a host has to carry, and what it can.
+// Burden is the load of a host: how many leases it has, and its capacity for them.
 type Burden struct {
-	Held     int     // leases
-	Capacity float64 // cores of plain speed
+	Held     int     // number of leases
+	Capacity float64 // in cores of normal speed
 }
 
-// Next is the burden of each core with one lease more.
+// Next returns the load per core with one more lease.
 func (b Burden) Next() float64 { return float64(b.Held+1) / b.Capacity }
 
-// Moves tells whether a lease should move from this host to another: each core here
-// has twice or more of what it would have there: of two leases at one host and none at an
-// equal one, each gets one. The other way round it isn't true after the move, so that no
-// lease goes back and forth.
+// Moves reports whether a lease should move from this host to another one: the load of each core
+// here is at least twice what it would be there. Of two leases on one host and none on an equal
+// one, each host gets one. After a move the opposite isn't true, so that no lease moves back and
+// forth.
 func (b Burden) Moves(to Burden) bool { return float64(b.Held)/b.Capacity >= 2*to.Next() }
 
-// Peer is another entry.
+// Peer is another entry process that may own pools.
 type Peer struct {
-	Addr string
+	Addr string // host:port at which it listens for other entries
 	Burden
 }
 
-// Entry takes in the row of an entry; true: it says something new.
+// Entry records the row of an entry and reports whether it has changed.
 func (b *Board) Entry(name string, row gauge.EntryRow) bool {
 	if b.entries[name] == row {
 		return false
@@ -51,7 +51,7 @@
 	return true
 }
 
-// Held is how many leases name this entry.
+// Held returns the number of leases that name this entry as their holder.
 func (b *Board) Held() int {
 	n := 0
 	for _, s := range b.rows {
@@ -62,9 +62,9 @@
 	return n
 }
 
-// Peers lists the other entries, those first that are the least burdened with one
-// lease more, else in an order that differs by pool: several owners that leave at once
-// would otherwise all choose the same entry.
+// Peers lists the other entries by their load with one more lease, the least loaded first. Entries
+// of equal load come in an order that differs by pool: otherwise several owners that leave at once
+// would all choose the same entry.
 func (b *Board) Peers(pool string) []Peer {
 	peers := make(map[string]Peer)
 	for _, e := range b.entries {
@@ -75,7 +75,7 @@
 			continue
 		}
 		p, known := peers[s.row.Addr]
-		if !known { // its own row hasn't come yet: a host like this one
+		if !known { // the entry's own row hasn't arrived yet: assume a host like this one
 			p = Peer{Addr: s.row.Addr, Burden: Burden{Capacity: b.conf.Capacity}}
 		}
 		p.Held++
@@ -87,30 +87,30 @@
 	})
 }
 
-// Weak tells whether this host can carry less than half of what the best one can.
-func (b *Board) Weak() bool { return b.relative() < weakShare }
+// Weak reports whether this host has less than half of the capacity of the largest known one.
+func (b *Board) Weak() bool { return b.relativeCapacity() < smallHostShare }
 
-// weakShare of the best host's capacity and more isn't weak.
-const weakShare = 0.5
+// smallHostShare is the share of the largest host's capacity from which on a host isn't weak.
+const smallHostShare = 0.5
 
-// relative is this host's capacity as a part of the best one's. Those that are known may
-// be gone, and while none is known there may be a full one.
-func (b *Board) relative() float64 {
-	best := 0.0
+// relativeCapacity returns this host's capacity as a share of the largest one's. Known hosts may be
+// dead by now. While no other host is known, there may be one of full capacity.
+func (b *Board) relativeCapacity() float64 {
+	largest := 0.0
 	for _, e := range b.entries {
 		if e.Addr != b.conf.Addr {
-			best = max(best, e.Capacity)
+			largest = max(largest, e.Capacity)
 		}
 	}
-	if best == 0 {
-		best = FullCapacity
+	if largest == 0 {
+		largest = FullCapacity
 	}
-	return min(1, b.conf.Capacity/best)
+	return min(1, b.conf.Capacity/largest)
 }
 
-// weakness is how much longer a host waits before it claims a pool, with some leases,
-// than one that can carry the most of all.
-func (b *Board) weakness(held int) time.Duration {
-	wait := float64(held+1) * (1/b.relative() - 1) * float64(b.conf.Held)
-	return time.Duration(min(wait, float64(weakMost)))
+// smallHostDelay returns how much longer than the largest host this one waits before it claims a
+// pool, if it has a number of leases.
+func (b *Board) smallHostDelay(held int) time.Duration {
+	wait := float64(held+1) * (1/b.relativeCapacity() - 1) * float64(b.conf.Held)
+	return time.Duration(min(wait, float64(maxSmallHostDelay)))
 }
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,10 +1,10 @@
-// Package terms says which pools this entry should try to own. It is a state
-// machine without input or output over the lease rows that were seen.
+// Package terms decides which pools' leases this entry process should claim. It is a state machine
+// without input or output over the lease rows that were read from the table.
 //
-// A lease is over when its row hasn't changed for its term. The time is counted
-// from when the row was first seen, which is later than its holder counts from.
-// An entry that has just started would wait a term for a holder that may be long
-// gone; it goes by the table's clock, with which each renewal is marked.
+// A lease has run out when its row hasn't changed for the lease duration, the term. The time is
+// counted from when this entry first saw the row, which is later than the time that the holder
+// counts from. An entry that has just started would have to wait a whole term for a holder that may
+// be long dead; it uses the time of the last renewal by the table's clock, which the row has.
 package terms
 
 import (
@@ -16,127 +16,125 @@
 	gauge "sapphiregauge"
 )
 
-// Config sets up a Board.
+// Config is the configuration of a Board.
 type Config struct {
-	Self string        // holder's name of this entry
-	Addr string        // where this entry listens for others
-	Term time.Duration // of a lease
-	// Capacity is what this host can carry, in cores of plain speed; 0: not known.
+	Self string        // name of this entry as a lease holder
+	Addr string        // host:port at which this entry listens for others
+	Term time.Duration // duration of a lease
+	// Capacity is the capacity of this host in cores of normal speed; 0: FullCapacity.
 	Capacity float64
-	Spread   time.Duration // free pools are claimed within this, in an order that differs by entry
-	Held     time.Duration // more of a wait for each pool that this entry has already
-	// Suspect is how long a lease's row must be unchanged before its holder is asked
-	// whether it lives; 0: nobody is asked, and each lease is waited out.
+	Spread   time.Duration // upper bound of the delay of a claim that differs by entry and pool
+	Held     time.Duration // additional delay for each pool that this entry has already
+	// Suspect is how long a lease's row must be unchanged before its holder is probed; 0: holders
+	// aren't probed, and each lease must run out.
 	Suspect time.Duration
-	Regain  time.Duration // holders that live have so long to renew their leases when the table is back
+	Regain  time.Duration // grace period after a table outage in which live holders can renew their leases
 }
 
-// seen is a lease row as last read.
-type seen struct {
+// leaseState is a lease row as last read.
+type leaseState struct {
 	row     gauge.LeaseRow
 	version int64
-	at      time.Duration // when this version was first seen
-	age     time.Duration // how old the renewal was then, by the table's clock
+	readAt      time.Duration // when this version was first read
+	renewalAge     time.Duration // how old the renewal was then, by the table's clock
 }
 
 // Claim is an attempt to take a pool's lease.
 type Claim struct {
 	Pool    string
-	Version int64 // of the row as it was seen; 0: there is none
+	Version int64 // of the lease row as read; 0: there is no row
 	Row     gauge.LeaseRow
-	Early   time.Duration // how much of the term isn't over: the holder didn't answer
+	Early   time.Duration // how much of the lease hasn't run out; above 0 if the holder didn't answer a probe
 }
 
-// Board keeps the lease rows. It is not safe for concurrent use.
+// Board is this entry's view of the lease table. It is not safe for concurrent use.
 type Board struct {
 	conf    Config
-	rows    map[string]seen
-	entries map[string]gauge.EntryRow // by name, this one's as well
-	free    map[string]time.Duration  // since when a pool is seen to be without an owner
-	unsure  map[string]bool           // pools of which a claim got no answer
-	gone    map[string]bool           // holders whose processes have ended
-	alive   map[string]time.Duration  // when holders last answered, while the table was away
-	silent  map[string]time.Duration  // by address: when a holder was last asked, and didn't answer
-	read    bool
-	patient time.Duration // until then a lease that ran out is its holder's to renew
-}
-
-// clockMargin covers the difference between two entries' steady clocks over one
-// term.
+	rows    map[string]leaseState
+	entries map[string]gauge.EntryRow // by name, including this one
+	freeSince    map[string]time.Duration  // by pool: since when it is known to be without an owner
+	unansweredClaims  map[string]bool           // pools whose claim got no answer
+	exited    map[string]bool           // holders whose processes have exited
+	answeredAt   map[string]time.Duration  // when holders last answered during a table outage
+	unansweredAt  map[string]time.Duration  // by address: when the last unanswered probe of a holder was sent
+	tableRead    bool                      // the whole table was read
+	graceEnd time.Duration             // end of the grace period in which holders can renew leases that ran out
+}
+
+// clockMargin covers the drift between two entries' steady clocks over one term.
 const clockMargin = 100 * time.Millisecond
 
-// tableMargin covers the error with which a holder and this entry know the
-// table's clock: each takes readings only from answers that took less than a
-// tenth of a second.
-const tableMargin = 300 * time.Millisecond
+// tableClockMargin covers the errors with which a holder and this entry know the table's clock: each
+// takes readings only from answers that took less than a tenth of a second.
+const tableClockMargin = 300 * time.Millisecond
 
-// New makes a Board that has seen nothing.
+// New returns a Board that has read no rows.
 func New(c Config) *Board {
 	if c.Capacity == 0 {
 		c.Capacity = FullCapacity
 	}
-	return &Board{conf: c, rows: make(map[string]seen), entries: make(map[string]gauge.EntryRow), free: make(map[string]time.Duration), unsure: make(map[string]bool), gone: make(map[string]bool), alive: make(map[string]time.Duration), silent: make(map[string]time.Duration)}
+	return &Board{conf: c, rows: make(map[string]leaseState), entries: make(map[string]gauge.EntryRow), freeSince: make(map[string]time.Duration), unansweredClaims: make(map[string]bool), exited: make(map[string]bool), answeredAt: make(map[string]time.Duration), unansweredAt: make(map[string]time.Duration)}
 }
 
-// Tell takes in a lease row. Clock is the table's clock when it was read, at the
-// most, in milliseconds; 0: not known.
+// Tell records a lease row that was read at a time. Clock is an upper bound of the table's clock at
+// that time, in milliseconds; 0: not known.
 func (b *Board) Tell(pool string, row gauge.LeaseRow, version int64, now time.Duration, clock int64) {
 	old, known := b.rows[pool]
 	if known && version <= old.version {
 		return
 	}
-	s := seen{row: row, version: version, at: now}
+	s := leaseState{row: row, version: version, readAt: now}
 	if clock > 0 && row.Renewed > 0 {
-		s.age = time.Duration(clock-row.Renewed) * time.Millisecond
+		s.renewalAge = time.Duration(clock-row.Renewed) * time.Millisecond
 	}
 	b.rows[pool] = s
 }
 
-// Unsure takes in that this entry's claim of a pool got no answer. If it was
-// carried out, the row names this entry, which doesn't run the pool: the others
-// would wait a term for a holder that does nothing.
-func (b *Board) Unsure(pool string) { b.unsure[pool] = true }
+// Unsure records that this entry's claim of a pool got no answer. If the claim was executed, the
+// row names this entry, which doesn't run the pool, and the other entries would wait a whole term
+// for a holder that does nothing.
+func (b *Board) Unsure(pool string) { b.unansweredClaims[pool] = true }
 
-// Alive takes in that a holder has answered this entry while the table was away.
-func (b *Board) Alive(holder string, now time.Duration) { b.alive[holder] = now }
+// Alive records that a holder has answered this entry during a table outage.
+func (b *Board) Alive(holder string, now time.Duration) { b.answeredAt[holder] = now }
 
-// Regained takes in that the table could not be read for some time. Holders could
-// not renew their leases meanwhile, and go on with their work: taken over at once,
-// their pools would stand still while others hear all the workers.
-func (b *Board) Regained(now time.Duration) { b.patient = now + b.conf.Regain }
+// Regained records that the table is reachable again after an outage. Holders could not renew their
+// leases meanwhile, but continued to work: if their pools were taken over at once, these would
+// stand still until their new owners have the reports of all workers.
+func (b *Board) Regained(now time.Duration) { b.graceEnd = now + b.conf.Regain }
 
-// Gone takes in that a holder's process has ended: nothing has to be waited for.
-func (b *Board) Gone(holder string) { b.gone[holder] = true }
+// Gone records that a holder's process has exited, so that its leases needn't run out.
+func (b *Board) Gone(holder string) { b.exited[holder] = true }
 
-// Suspects lists the addresses of holders that should have renewed a lease by now: four
-// renewals go into a term, and two of them are overdue.
+// Suspects returns the addresses of holders that should have renewed a lease by now: a holder
+// renews four times in a term, and two of these renewals are overdue.
 func (b *Board) Suspects(now time.Duration) []string {
 	var addrs []string
 	for _, s := range b.rows {
-		if b.overdue(&s, now) && s.row.Addr != b.conf.Addr && !slices.Contains(addrs, s.row.Addr) {
+		if b.isOverdue(&s, now) && s.row.Addr != b.conf.Addr && !slices.Contains(addrs, s.row.Addr) {
 			addrs = append(addrs, s.row.Addr)
 		}
 	}
 	return addrs
 }
 
-func (b *Board) overdue(s *seen, now time.Duration) bool {
-	return b.conf.Suspect > 0 && s.row.Holder != "" && now-s.at > b.conf.Suspect && now >= b.patient
+func (b *Board) isOverdue(s *leaseState, now time.Duration) bool {
+	return b.conf.Suspect > 0 && s.row.Holder != "" && now-s.readAt > b.conf.Suspect && now >= b.graceEnd
 }
 
-// Unanswered takes in that a holder that was asked at a time didn't answer.
-func (b *Board) Unanswered(addr string, asked time.Duration) { b.silent[addr] = asked }
+// Unanswered records that the holder at an address didn't answer a probe that was sent at a time.
+func (b *Board) Unanswered(addr string, asked time.Duration) { b.unansweredAt[addr] = asked }
 
-// dead tells whether a holder neither renews its lease nor answers. A host without power
-// doesn't refuse connections, so that nothing else shows its end; its pools stood still
-// until the term was over, and no machine moved if it had the fleet. One that is taken
-// for dead by mistake can't order anything once workers have heard its successor.
-func (b *Board) dead(s *seen, now time.Duration) bool {
-	asked, ok := b.silent[s.row.Addr]
-	return ok && asked > s.at && b.overdue(s, now)
+// isDead reports whether a holder neither renews its lease nor answers. A host that lost power
+// doesn't refuse connections, so that nothing else shows its failure; its pools stood still until
+// their leases ran out, and no machine moved if it held the fleet lease. A holder that is taken for
+// isDead by mistake can't give orders any more once the workers have been called by its successor.
+func (b *Board) isDead(s *leaseState, now time.Duration) bool {
+	probedAt, ok := b.unansweredAt[s.row.Addr]
+	return ok && probedAt > s.readAt && b.isOverdue(s, now)
 }
 
-// HoldersAt lists the holders whose rows name an address.
+// HoldersAt returns the holders whose lease rows have an address.
 func (b *Board) HoldersAt(addr string) []string {
 	var names []string
 	for _, s := range b.rows {
@@ -147,19 +145,19 @@
 	return names
 }
 
-// Read takes in that the table has been read whole: a pool without a row is free.
-func (b *Board) Read() { b.read = true }
+// Read records that the table has been read completely: a pool without a row has no owner.
+func (b *Board) Read() { b.tableRead = true }
 
-// Holder returns the lease row of a pool; false if there is none.
+// Holder returns the lease row of a pool; false if no entry holds the lease.
 func (b *Board) Holder(pool string) (gauge.LeaseRow, bool) {
 	s, ok := b.rows[pool]
 	return s.row, ok && s.row.Holder != ""
 }
 
-// Version is that of a pool's lease row as last seen, 0 without one.
+// Version returns the version of a pool's lease row as last read; 0: there is no row.
 func (b *Board) Version(pool string) int64 { return b.rows[pool].version }
 
-// Pools lists those that have a lease row.
+// Pools returns the pools that have a lease row.
 func (b *Board) Pools() []string {
 	names := make([]string, 0, len(b.rows))
 	for n := range b.rows {
@@ -168,69 +166,72 @@
 	return names
 }
 
-// Due returns the claims to make now, for pools that this entry has not got.
+// Due returns the claims to make now, of pools that this entry doesn't have. Held is the number of
+// pools that it has.
 func (b *Board) Due(pools []string, held int, now time.Duration) []Claim {
-	if !b.read {
+	if !b.tableRead {
 		return nil
 	}
 	var claims []Claim
 	for _, pool := range pools {
 		if !b.isFree(pool, now) {
-			delete(b.free, pool)
+			delete(b.freeSince, pool)
 			continue
 		}
-		since, known := b.free[pool]
+		since, known := b.freeSince[pool]
 		if !known {
 			since = now
-			b.free[pool] = now
+			b.freeSince[pool] = now
 		}
-		if !b.wasMine(pool) && now-since < b.delay(pool, held+len(claims)) {
+		if !b.isOwnPrevious(pool) && now-since < b.claimDelay(pool, held+len(claims)) {
 			continue
 		}
 		s := b.rows[pool]
-		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, Early: b.early(pool, now)})
-		delete(b.free, pool) // if it fails, the next try waits again
-		delete(b.unsure, pool)
+		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, Early: b.remainingTerm(pool, now)})
+		delete(b.freeSince, pool) // if the claim fails, the next one is delayed again
+		delete(b.unansweredClaims, pool)
 	}
 	return claims
 }
 
 func (b *Board) isFree(pool string, now time.Duration) bool {
 	s, ok := b.rows[pool]
-	if !ok || s.row.Holder == "" || b.wasMine(pool) || b.unsure[pool] && s.row.Holder == b.conf.Self || b.gone[s.row.Holder] {
+	if !ok || s.row.Holder == "" || b.isOwnPrevious(pool) || b.unansweredClaims[pool] && s.row.Holder == b.conf.Self || b.exited[s.row.Holder] {
 		return true
 	}
-	if answered, ok := b.alive[s.row.Holder]; ok && now < b.patient && now-answered < b.conf.Term {
+	if answered, ok := b.answeredAt[s.row.Holder]; ok && now < b.graceEnd && now-answered < b.conf.Term {
 		return false
 	}
-	if b.dead(&s, now) {
+	if b.isDead(&s, now) {
 		return true
 	}
-	passed := now - s.at
-	return passed > b.conf.Term+clockMargin || passed+s.age > b.conf.Term+clockMargin+tableMargin
+	unchanged := now - s.readAt
+	return unchanged > b.conf.Term+clockMargin || unchanged+s.renewalAge > b.conf.Term+clockMargin+tableClockMargin
 }
 
-// early is how much of a lease's term may not be over, of a holder that may live.
-func (b *Board) early(pool string, now time.Duration) time.Duration {
+// remainingTerm returns how much of the lease of a holder that didn't answer a probe may not have
+// run out yet; 0 for other holders.
+func (b *Board) remainingTerm(pool string, now time.Duration) time.Duration {
 	s := b.rows[pool]
-	if !b.dead(&s, now) {
+	if !b.isDead(&s, now) {
 		return 0
 	}
-	return max(0, b.conf.Term-(now-s.at))
+	return max(0, b.conf.Term-(now-s.readAt))
 }
 
-// wasMine tells whether a pool's holder is an earlier start of this entry. That
-// process is gone: this one listens at its address.
-func (b *Board) wasMine(pool string) bool {
+// isOwnPrevious reports whether a pool's holder is an earlier start of this entry. That process has
+// exited, as this one listens at its address.
+func (b *Board) isOwnPrevious(pool string) bool {
 	row := b.rows[pool].row
 	return row.Holder != "" && row.Holder != b.conf.Self && row.Addr == b.conf.Addr
 }
 
-// delay differs by entry and pool, so that entries that see a pool free at the
-// same time don't all write, and grows with what the entry has, the more the less its
-// host can carry, so that pools are spread by what hosts can do.
-func (b *Board) delay(pool string, held int) time.Duration {
+// claimDelay returns how long this entry waits before it claims a free pool. The claimDelay differs by
+// entry and pool, so that entries that see a pool free at the same time don't all write. It grows
+// with the number of leases of this entry, and more so the smaller its host is, so that pools are
+// distributed by the capacity of hosts.
+func (b *Board) claimDelay(pool string, held int) time.Duration {
 	const steps = 1 << 10
 	share := xxhash.Sum64String(b.conf.Self+"/"+pool) % steps
-	return time.Duration(share)*b.conf.Spread/steps + time.Duration(held)*b.conf.Held + b.weakness(held)
+	return time.Duration(share)*b.conf.Spread/steps + time.Duration(held)*b.conf.Held + b.smallHostDelay(held)
 }
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -23,35 +23,35 @@
 	return b
 }
 
-func row(holder string) gauge.LeaseRow { return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"} }
+func leaseRow(holder string) gauge.LeaseRow { return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"} }
 
-// due asks until the longest delay has passed.
-func due(b *terms.Board, now time.Duration, pools ...string) []terms.Claim {
+// dueClaims asks for claims until the longest delay has passed.
+func dueClaims(b *terms.Board, now time.Duration, pools ...string) []terms.Claim {
 	if c := b.Due(pools, 0, now); len(c) > 0 {
 		return c
 	}
 	return b.Due(pools, 0, now+spread+held)
 }
 
-// Symptom: a pool stands still, or no machine moves, for two seconds and more.
-// Sequence: the holder's host loses power; its connections don't end.
-// Cause: nothing but the lease's term shows that it is gone.
-func TestLeaseOfASilentHolderIsClaimedBeforeItsTerm(t *testing.T) {
+// Guards against a pool that stands still, or a fleet in which no machine moves, for two seconds
+// and more. The holder's host loses power, so that its connections don't end, and nothing but the
+// end of the lease would show that it is dead.
+func TestLeaseOfAnUnresponsiveHolderIsClaimedEarly(t *testing.T) {
 	const suspect = time.Second
-	addr := row("other").Addr
+	addr := leaseRow("other").Addr
 	for _, tt := range []struct {
 		name string
-		tell func(b *terms.Board)
+		prepare func(b *terms.Board)
 		want bool
 	}{
-		{"it wasn't asked", func(*terms.Board) {}, false},
-		{"it didn't answer", func(b *terms.Board) { b.Unanswered(addr, 1050*time.Millisecond) }, true},
-		{"another one didn't", func(b *terms.Board) { b.Unanswered("10.0.0.2:1", 1050*time.Millisecond) }, false},
-		{"it has renewed since", func(b *terms.Board) {
+		{"holder was not probed", func(*terms.Board) {}, false},
+		{"holder didn't answer", func(b *terms.Board) { b.Unanswered(addr, 1050*time.Millisecond) }, true},
+		{"another holder didn't answer", func(b *terms.Board) { b.Unanswered("10.0.0.2:1", 1050*time.Millisecond) }, false},
+		{"holder has renewed since", func(b *terms.Board) {
 			b.Unanswered(addr, 1050*time.Millisecond)
-			b.Tell("p", row("other"), 6, 1100*time.Millisecond, 0)
+			b.Tell("p", leaseRow("other"), 6, 1100*time.Millisecond, 0)
 		}, false},
-		{"the table is just back", func(b *terms.Board) {
+		{"the table is just reachable again", func(b *terms.Board) {
 			b.Unanswered(addr, 1050*time.Millisecond)
 			b.Regained(1300 * time.Millisecond)
 		}, false},
@@ -59,20 +59,20 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := terms.New(terms.Config{Self: "self", Addr: "10.0.0.9:1", Term: term, Spread: spread, Held: held, Regain: regain, Suspect: suspect})
 			b.Read()
-			b.Tell("p", row("other"), 5, 0, 0)
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 			assert.Equal(t, len(b.Suspects(suspect)), 0)
 			assert.DeepEqual(t, b.Suspects(1050*time.Millisecond), []string{addr})
-			tt.tell(b)
-			claims := due(b, 1400*time.Millisecond, "p")
+			tt.prepare(b)
+			claims := dueClaims(b, 1400*time.Millisecond, "p")
 			assert.Equal(t, len(claims) > 0, tt.want)
 			if tt.want {
-				assert.Assert(t, claims[0].Early > 0, "it may go on for so long")
+				assert.Assert(t, claims[0].Early > 0, "the holder may continue for this long")
 			}
 		})
 	}
 }
 
-func TestWhenALeaseIsClaimed(t *testing.T) {
+func TestLeaseClaims(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		tell func(b *terms.Board)
@@ -80,86 +80,86 @@
 		want bool
 	}{
 		{"no row", func(*terms.Board) {}, 0, true},
-		{"given up", func(b *terms.Board) { b.Tell("p", row(""), 5, 0, 0) }, 0, true},
-		{"held", func(b *terms.Board) { b.Tell("p", row("other"), 5, 0, 0) }, time.Second, false},
-		{"not renewed for a term", func(b *terms.Board) { b.Tell("p", row("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
+		{"given up", func(b *terms.Board) { b.Tell("p", leaseRow(""), 5, 0, 0) }, 0, true},
+		{"held by another entry", func(b *terms.Board) { b.Tell("p", leaseRow("other"), 5, 0, 0) }, time.Second, false},
+		{"not renewed for a term", func(b *terms.Board) { b.Tell("p", leaseRow("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
 		{"renewed meanwhile", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
-			b.Tell("p", row("other"), 6, time.Second, 0)
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", leaseRow("other"), 6, time.Second, 0)
 		}, term + 200*time.Millisecond, false},
-		// An old row that is read again is no renewal.
+		// A row version that is read again is no renewal.
 		{"the same row again", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
-			b.Tell("p", row("other"), 5, time.Second, 0)
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", leaseRow("other"), 5, time.Second, 0)
 		}, term + 200*time.Millisecond, true},
 		{"renewed long ago by the table's clock", func(b *terms.Board) {
-			r := row("other")
+			r := leaseRow("other")
 			r.Renewed = 1000
 			b.Tell("p", r, 5, 0, 1000+2500)
 		}, 0, true},
 		{"renewed lately by the table's clock", func(b *terms.Board) {
-			r := row("other")
+			r := leaseRow("other")
 			r.Renewed = 1000
 			b.Tell("p", r, 5, 0, 1000+1800)
 		}, 100 * time.Millisecond, false},
-		{"of an earlier start of this entry", func(b *terms.Board) {
+		{"held by an earlier start of this entry", func(b *terms.Board) {
 			b.Tell("p", gauge.LeaseRow{Holder: "me/1", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, true},
-		{"not renewed while the table was away, its holder silent", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
+		{"not renewed during a table outage, holder silent", func(b *terms.Board) {
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 			b.Regained(term + time.Second)
 		}, term + time.Second, true},
-		{"not renewed while the table was away", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
+		{"not renewed during a table outage, holder answered", func(b *terms.Board) {
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 			b.Alive("other", term)
 			b.Regained(term + time.Second)
 		}, term + time.Second, false},
-		{"not renewed since the table is back", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
+		{"not renewed within the grace period after an outage", func(b *terms.Board) {
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 			b.Alive("other", term)
 			b.Regained(term + time.Second)
 		}, term + time.Second + regain, true},
-		{"held by a process that has ended", func(b *terms.Board) {
-			b.Tell("p", row("other"), 5, 0, 0)
+		{"held by a process that has exited", func(b *terms.Board) {
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 			b.Gone("other")
 		}, 0, true},
-		{"held by the next start of a process that has ended", func(b *terms.Board) {
-			b.Tell("p", row("other/2"), 5, 0, 0)
+		{"held by the next start of a process that has exited", func(b *terms.Board) {
+			b.Tell("p", leaseRow("other/2"), 5, 0, 0)
 			b.Gone("other/1")
 		}, 0, false},
-		{"given up before the table was away", func(b *terms.Board) {
-			b.Tell("p", row(""), 5, 0, 0)
+		{"given up before a table outage", func(b *terms.Board) {
+			b.Tell("p", leaseRow(""), 5, 0, 0)
 			b.Regained(term)
 		}, term, true},
-		// The claim got no answer, but was carried out: nobody runs the pool.
-		{"this entry's own by a claim without an answer", func(b *terms.Board) {
+		// The claim got no answer but was executed: no process runs the pool.
+		{"held by this entry after an unanswered claim", func(b *terms.Board) {
 			b.Unsure("p")
 			b.Tell("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, true},
-		{"another's after a claim without an answer", func(b *terms.Board) {
+		{"held by another entry after an unanswered claim", func(b *terms.Board) {
 			b.Unsure("p")
-			b.Tell("p", row("other"), 5, 0, 0)
+			b.Tell("p", leaseRow("other"), 5, 0, 0)
 		}, 0, false},
-		{"this entry's own", func(b *terms.Board) {
+		{"held by this entry", func(b *terms.Board) {
 			b.Tell("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			b := newBoard("me")
 			tt.tell(b)
-			assert.Equal(t, len(due(b, tt.now, "p")) == 1, tt.want)
+			assert.Equal(t, len(dueClaims(b, tt.now, "p")) == 1, tt.want)
 		})
 	}
 }
 
-func TestNothingIsClaimedBeforeTheTableWasRead(t *testing.T) {
+func TestNoClaimsBeforeTheTableWasRead(t *testing.T) {
 	b := terms.New(terms.Config{Self: "me", Term: term})
-	assert.Equal(t, len(due(b, time.Hour, "p")), 0)
+	assert.Equal(t, len(dueClaims(b, time.Hour, "p")), 0)
 }
 
-// Entries that see a pool free at the same time claim it one after the other, and
-// those that have pools later than others.
-func TestClaimsAreSpread(t *testing.T) {
+// Entries that see a pool free at the same time claim it one after the other, and those that have
+// pools claim it later than others.
+func TestClaimsAreStaggered(t *testing.T) {
 	first := make(map[time.Duration]bool)
 	for _, self := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		b := newBoard(self)
