--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -19,19 +19,19 @@
 	return tr
 }
 
-func asSoleJob(t *gauge.Trial)  { t.Alone = true }
-func isolated(t *gauge.Trial)  { t.Apart = true }
+func asSoleJob(t *gauge.Trial)         { t.Alone = true }
+func isolated(t *gauge.Trial)          { t.Apart = true }
 func withLikelierCause(t *gauge.Trial) { t.Beside = true }
-func lostLate(t *gauge.Trial)   { t.Lived = 4 * time.Second }
+func lostLate(t *gauge.Trial)          { t.Lived = 4 * time.Second }
 
 // Guards against a suspected cause that takes precedence over the number of starts, and against a
 // sound task that is failed for the crashes of others.
 func TestDecisionsFromCrashesAndStarts(t *testing.T) {
 	for _, tt := range []struct {
-		name          string
-		of            proof.Case
+		name             string
+		of               proof.Case
 		suspect, fewLeft bool
-		cause         bool
+		cause            bool
 	}{
 		{name: "nothing"},
 		{name: "one crash long after the start", of: proof.Case{Trials: gauge.Trials{crashedRun(1, lostLate)}}},
--- a/internal/sched/backoff_test.go
+++ b/internal/sched/backoff_test.go
@@ -13,7 +13,7 @@
 // Guards against a pool in which every job fails. One worker fails whatever it starts, and so has
 // room again at once, until each job has used up its attempts there. Failures of different jobs
 // count against the worker as well.
-func TestWorkerThatFailsDifferentJobsIsPaused(t *testing.T) {
+func TestWorkerThatFailsDifferentJobsBacksOff(t *testing.T) {
 	g := newHarness(t)
 	ids := []string{"w1", "w2", "w3", "w4"}
 	g.listWorkers(ids...)
--- a/internal/sched/correlation_test.go
+++ b/internal/sched/correlation_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a crash that is excused because idle workers were lost a quarter of a second
+// Guards against a crash that is left unattributed because idle workers were lost a quarter of a second
 // later.
-func TestOnlySimultaneousLossesExcuseATask(t *testing.T) {
+func TestOnlySimultaneousLossesAreCorrelated(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		later time.Duration
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// Guards against tasks that crash workers at the same moment, so that each excuses the others.
+// Guards against tasks that crash workers at the same moment, so that each could be attributed to the others.
 func TestTasksThatCrashWorkersTogetherAreGivenUp(t *testing.T) {
 	for _, count := range []int{2, 4} {
 		w := newCrashHarness(t, 6)
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -280,7 +280,7 @@
 
 // Guards against a sound task that is taken for the cause of a crash: the next owner finds all
 // workers in new incarnations and learns of no loss.
-func TestWorkersLostTogetherBeforeATakeoverExcuseTheirTasks(t *testing.T) {
+func TestCorrelatedLossesBeforeATakeoverAreUnattributed(t *testing.T) {
 	g, start := newHarnessWithRunOf(t, time.Millisecond)
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.failHeartbeatOf(incarnationAt("w1", 1))
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -79,12 +79,12 @@
 }
 
 // storedCrashes is a row with crashes of a task, some of them beside a likelier cause.
-func storedCrashes(crashes, beside, excused int) *gauge.JobRow {
+func storedCrashes(crashes, withLikelierCause, unattributed int) *gauge.JobRow {
 	var trials gauge.Trials
 	for run := range crashes {
-		trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run < beside})
+		trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run < withLikelierCause})
 	}
-	return &gauge.JobRow{Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: excused}}
+	return &gauge.JobRow{Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: unattributed}}
 }
 
 // Guards against a task that is started again after its fifth start crashed its worker with nothing
@@ -92,7 +92,7 @@
 func TestFifthCrashIsTheLast(t *testing.T) {
 	for _, tt := range []struct {
 		name                     string
-		crashes, beside, excused int
+		crashes, withLikelierCause, unattributed int
 		want                     gauge.JobState
 	}{
 		{"two beside a likelier cause, two unattributed", 2, 2, 2, gauge.JobFailed},
@@ -103,7 +103,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness(t)
 			g.listRows(210, workerRow("w1", 1), workerRow("w2", 1))
-			id := g.inheritJob(newStep(1), storedCrashes(tt.crashes, tt.beside, tt.excused))
+			id := g.inheritJob(newStep(1), storedCrashes(tt.crashes, tt.withLikelierCause, tt.unattributed))
 			for _, on := range []string{"w1", "w2"} {
 				g.answerHeartbeat(incarnationAt(on, 1), 1, time.Hour, nil)
 			}
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -23,11 +23,11 @@
 	return id
 }
 
-// Guards against a task that goes on crashing workers because some of its crashes were excused.
-func TestExcusedCrashesCountUpToALimit(t *testing.T) {
+// Guards against a task that goes on crashing workers because some of its crashes were unattributed.
+func TestUnattributedCrashesCountUpToALimit(t *testing.T) {
 	for _, tt := range []struct {
 		name                     string
-		crashes, beside, excused int
+		crashes, withLikelierCause, unattributed int
 		want                     gauge.JobState
 	}{
 		{"only workers lost together", 0, 0, 9, gauge.JobRunning},
@@ -41,12 +41,12 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			var trials gauge.Trials
-			for run := range tt.crashes + tt.beside {
+			for run := range tt.crashes + tt.withLikelierCause {
 				trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run >= tt.crashes})
 			}
 			g := newHarness(t)
 			id := g.inheritJob(newStep(1), &gauge.JobRow{
-				Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: tt.excused},
+				Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: tt.unattributed},
 			})
 			g.writeAll(300)
 			state, _ := g.pool.State(queueName, id)
@@ -57,7 +57,7 @@
 
 // Guards against a crash soon after a start that is counted nowhere, as other workers were lost at
 // the same moment.
-func TestCrashAmongOtherLossesIsCountedAsExcused(t *testing.T) {
+func TestCrashAmongOtherLossesCountsAsUnattributed(t *testing.T) {
 	for _, tt := range []struct {
 		lived time.Duration
 		want  int
@@ -98,7 +98,7 @@
 }
 
 // Guards against a crash that the previous owner had no time to record.
-func TestPossibleCrashBeforeATakeoverCountsAsExcused(t *testing.T) {
+func TestPresumedCrashBeforeATakeoverCountsAsUnattributed(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		born       int64 // the incarnation that answers this owner
@@ -141,7 +141,7 @@
 }
 
 // Guards against a task that is given up for crashes from before it has proved sound.
-func TestLongRunClearsExcusedCrashes(t *testing.T) {
+func TestLongRunClearsUnattributedCrashes(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
--- a/internal/terms/burden_test.go
+++ b/internal/terms/burden_test.go
@@ -12,7 +12,7 @@
 
 const (
 	large = 0.8 // cores of a large host
-	small   = 0.1 // cores of a small host
+	small = 0.1 // cores of a small host
 )
 
 // otherHosts has the capacities of other hosts by the addresses of their entries.
@@ -120,12 +120,12 @@
 // later than small ones, or were down for a while, and a lease moved only when its holder failed.
 func TestLeaseMovesToALessLoadedHost(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		capacity   float64
-		held  int
+		name          string
+		capacity      float64
+		held          int
 		otherCapacity float64
-		otherHeld int
-		want  bool
+		otherHeld     int
+		want          bool
 	}{
 		{"equal hosts, two against none", small, 2, small, 0, true},
 		{"equal hosts, two against one", small, 2, small, 1, false},
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -33,10 +33,10 @@
 
 // leaseState is a lease row as last read.
 type leaseState struct {
-	row     gauge.LeaseRow
-	version int64
-	readAt      time.Duration // when this version was first read
-	renewalAge     time.Duration // how old the renewal was then, by the table's clock
+	row        gauge.LeaseRow
+	version    int64
+	readAt     time.Duration // when this version was first read
+	renewalAge time.Duration // how old the renewal was then, by the table's clock
 }
 
 // Claim is an attempt to take a pool's lease.
@@ -49,16 +49,16 @@
 
 // Board is this entry's view of the lease table. It is not safe for concurrent use.
 type Board struct {
-	conf    Config
-	rows    map[string]leaseState
-	entries map[string]gauge.EntryRow // by name, including this one
-	freeSince    map[string]time.Duration  // by pool: since when it is known to be without an owner
-	unansweredClaims  map[string]bool           // pools whose claim got no answer
-	exited    map[string]bool           // holders whose processes have exited
-	answeredAt   map[string]time.Duration  // when holders last answered during a table outage
-	unansweredAt  map[string]time.Duration  // by address: when the last unanswered probe of a holder was sent
-	tableRead    bool                      // the whole table was read
-	graceEnd time.Duration             // end of the grace period in which holders can renew leases that ran out
+	conf             Config
+	rows             map[string]leaseState
+	entries          map[string]gauge.EntryRow // by name, including this one
+	freeSince        map[string]time.Duration  // by pool: since when it is known to be without an owner
+	unansweredClaims map[string]bool           // pools whose claim got no answer
+	exited           map[string]bool           // holders whose processes have exited
+	answeredAt       map[string]time.Duration  // when holders last answered during a table outage
+	unansweredAt     map[string]time.Duration  // by address: when the last unanswered probe of a holder was sent
+	tableRead        bool                      // the whole table was read
+	graceEnd         time.Duration             // end of the grace period in which holders can renew leases that ran out
 }
 
 // clockMargin covers the drift between two entries' steady clocks over one term.
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -23,7 +23,9 @@
 	return b
 }
 
-func leaseRow(holder string) gauge.LeaseRow { return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"} }
+func leaseRow(holder string) gauge.LeaseRow {
+	return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"}
+}
 
 // dueClaims asks for claims until the longest delay has passed.
 func dueClaims(b *terms.Board, now time.Duration, pools ...string) []terms.Claim {
@@ -40,9 +42,9 @@
 	const suspect = time.Second
 	addr := leaseRow("other").Addr
 	for _, tt := range []struct {
-		name string
+		name    string
 		prepare func(b *terms.Board)
-		want bool
+		want    bool
 	}{
 		{"holder was not probed", func(*terms.Board) {}, false},
 		{"holder didn't answer", func(b *terms.Board) { b.Unanswered(addr, 1050*time.Millisecond) }, true},
