--- a/internal/sched/acknowledge_test.go
+++ b/internal/sched/acknowledge_test.go
@@ -10,9 +10,9 @@
 	"sapphiregauge/internal/sched"
 )
 
-// Guards against a worker that forgets an end which no table has, so that the task runs again: if a
-// heartbeat acknowledged ends as soon as they are reported, the owner might die before it wrote
-// them.
+// Guards against a worker that forgets an end which the table doesn't have, so that the task runs
+// again: if a heartbeat acknowledged ends as soon as they are reported, the owner might die before
+// it wrote them.
 func TestEndsAreAcknowledgedOnlyOnceWritten(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -11,7 +11,7 @@
 	"sapphiregauge/internal/sched"
 )
 
-// newFullPool returns a pool whose workers are newFullPool and whose other jobs wait, which is when a plan
+// newFullPool returns a pool whose workers are full and whose other jobs wait, which is when a plan
 // costs most.
 func newFullPool(b *testing.B, workers, jobs int) *sched.Pool {
 	b.Helper()
@@ -89,7 +89,7 @@
 // takes four.
 const batchEntries = 98
 
-// newPoolWithEndedJobs returns a pool with jobs that have just newPoolWithEndedJobs and must be written.
+// newPoolWithEndedJobs returns a pool with jobs that have just ended and must be written.
 func newPoolWithEndedJobs(jobs int) *sched.Pool {
 	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: logr.Discard()})
 	p.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: poolName, Stretch: 2}}})
--- a/internal/sched/correlation_test.go
+++ b/internal/sched/correlation_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a crash that is left unattributed because idle workers were lost a quarter of a second
-// later.
+// Guards against a crash that is left unattributed because idle workers were lost a quarter of a
+// second later.
 func TestOnlySimultaneousLossesAreCorrelated(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		later time.Duration
-		want  int // crashes that are held against the task
+		want  int // crashes attributed to the task
 	}{
 		{"at the same moment", 50 * time.Millisecond, 0},
 		{"a quarter of a second later", 250 * time.Millisecond, 1},
--- a/internal/sched/crash_harness_test.go
+++ b/internal/sched/crash_harness_test.go
@@ -128,7 +128,7 @@
 	delete(w.rackOfAlive, id)
 }
 
-// advance lets time advance: crashes, reports, ends, starts and writes.
+// advance lets time pass: crashes, reports, ends, starts and writes.
 func (w *crashHarness) advance(d time.Duration) {
 	for until := w.now + d; w.now < until; {
 		w.harness.advance(crashStep)
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against a task that crashes each worker that starts it, and is started again without end.
-func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
+func TestTaskThatCrashesItsWorkersFailsItsJob(t *testing.T) {
 	gang := newStep(3)
 	gang.Gang = true
 	copies := newStep(2)
@@ -124,8 +124,9 @@
 	}
 }
 
-// Guards against tasks that crash workers at the same moment, so that each could be attributed to the others.
-func TestTasksThatCrashWorkersTogetherAreGivenUp(t *testing.T) {
+// Guards against tasks that crash workers at the same moment, so that each crash could be
+// attributed to the others.
+func TestTasksThatCrashWorkersTogetherFailTheirJobs(t *testing.T) {
 	for _, count := range []int{2, 4} {
 		w := newCrashHarness(t, 6)
 		w.badTasks = make(map[gauge.TaskID]bool)
@@ -163,9 +164,9 @@
 	assert.Equal(t, w.jobState(others[2]), gauge.JobCompleted)
 }
 
-// Guards against giving up a sound job whose workers are lost again and again right after its
-// starts: alone, with their rack, or with all other workers.
-func TestHealthyJobIsNotGivenUp(t *testing.T) {
+// Guards against failing a sound job whose workers are lost again and again right after its starts:
+// alone, with their rack, or with all other workers.
+func TestHealthyJobIsNotFailed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		hit  func(w *crashHarness, on string) // crashes the worker that runs the task
@@ -208,7 +209,7 @@
 }
 
 // Guards against workers that become unreachable one after the other and are taken to have crashed.
-func TestJobOnUnreachableWorkersIsNotGivenUp(t *testing.T) {
+func TestJobOnUnreachableWorkersIsNotFailed(t *testing.T) {
 	g := newHarness(t)
 	ids := []string{"w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8"}
 	g.listWorkers(ids...)
--- a/internal/sched/harness_test.go
+++ b/internal/sched/harness_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// listWorkers delivers the platform's listWorkers of workers, and that the lease row names them.
+// listWorkers delivers the platform's list of workers, and that the lease row names them.
 func (g *harness) listWorkers(ids ...string) {
 	var ws []gauge.Worker
 	for _, id := range ids {
@@ -78,7 +78,7 @@
 	g.pool.Noted(incarnations(ids...), fence)
 }
 
-// workerClock is what a worker's workerClock shows, one hour ahead of the owner's.
+// workerClock is what a worker's clock shows, one hour ahead of the owner's.
 func (g *harness) workerClock() time.Duration { return g.now + time.Hour }
 
 // report delivers a worker's report made now.
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -13,21 +13,21 @@
 // incarnationAt is the incarnation of a worker that started at a given time.
 func incarnationAt(id string, born int64) gauge.Life { return gauge.Life{Worker: id, Born: born} }
 
-// workerRow is the platform's workerRow of an incarnation of a worker.
+// workerRow is the platform's row of an incarnation of a worker.
 func workerRow(id string, born int64) gauge.Worker {
 	w := newWorker(id)
 	w.Born = born
 	return w
 }
 
-// listRows delivers the listRows of incarnations of workers, and that the lease row of a version names
+// listRows delivers the rows of incarnations of workers, and that the lease row of a version names
 // them.
 func (g *harness) listRows(version int64, rows ...gauge.Worker) {
 	g.pool.Workers(rows)
 	g.pool.Noted(g.pool.Name(), version)
 }
 
-// answerHeartbeat has an incarnation of a worker answerHeartbeat the heartbeat that the owner sent to
+// answerHeartbeat has an incarnation of a worker answer the heartbeat that the owner sent to
 // another one, or to the same.
 func (g *harness) answerHeartbeat(asked gauge.Life, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
 	_, call, _ := g.pool.Holding(asked, g.now)
@@ -197,7 +197,7 @@
 	assert.Equal(t, recorded.Trials["0.0.0"].Crashes(), 1)
 }
 
-// Guards against a crash that is held against a task although several workers lost power together:
+// Guards against a crash that is attributed to a task although several workers lost power together:
 // an owner whose process was suspended learns of the losses one by one.
 func TestResumedOwnerWaitsForFurtherLosses(t *testing.T) {
 	g, start := newHarnessWithRun(t)
--- a/internal/sched/large_pool_bench_test.go
+++ b/internal/sched/large_pool_bench_test.go
@@ -76,7 +76,7 @@
 	b.Run("free=10", func(b *testing.B) {
 		p := newLargePool(b, largeWorkers, largeJobs, logr.Discard())
 		started := p.Plan(0)[:10]
-		late := errLateStart()
+		late := newLateStartError()
 		b.ReportAllocs()
 		for b.Loop() {
 			b.StopTimer()
@@ -133,7 +133,7 @@
 	for name, log := range map[string]logr.Logger{"logs=none": logr.Discard(), "logs=json": logs.New(io.Discard, false)} {
 		b.Run(name, func(b *testing.B) {
 			p := newLargePool(b, 3, 2, log)
-			late := errLateStart()
+			late := newLateStartError()
 			started := p.Plan(0)[:10]
 			b.ReportAllocs()
 			for b.Loop() {
@@ -197,5 +197,5 @@
 	}
 }
 
-// errLateStart is the refusal that shows that a run doesn't exist.
-func errLateStart() error { return gauge.Fail(gauge.KindLate, "deadline has passed") }
+// newLateStartError is the refusal that shows that a run doesn't exist.
+func newLateStartError() error { return gauge.Fail(gauge.KindLate, "deadline has passed") }
--- a/internal/sched/perworker_test.go
+++ b/internal/sched/perworker_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// runReportsOn returns what a worker runReportsOn of its runs.
+// runReportsOn returns the reports of the runs on a worker.
 func runReportsOn(runs []sched.Order, id string) []gauge.RunReport {
 	var list []gauge.RunReport
 	for _, o := range runs {
--- a/internal/sched/simulation_events_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -54,7 +54,7 @@
 }
 
 func (w *simulation) heartbeat(m *simWorker) {
-	asked := w.heartbeats[m.id]
+	asked := w.heartbeatsTo[m.id]
 	_, call, ok := w.pool.Holding(asked, w.now)
 	if !ok {
 		return
@@ -233,20 +233,20 @@
 	w.reportDead(m)
 }
 
-// restartWorker has a worker start restartWorker under its id. The owner, whose heartbeat has failed, sends
+// restartWorker has a worker start again under its id. The owner, whose heartbeat has failed, sends
 // another one before anything delayed reaches the worker; its answer may be late or lost.
 func (w *simulation) restartWorker(m *simWorker) {
 	next := &simWorker{
 		id: m.id, born: m.born + 1, previousBorn: m.born, alive: true, startedAt: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
 		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int), capacity: taskCapacity{tasks: fullCapacity},
 	}
-	w.pool.HoldFailed(w.heartbeats[m.id], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+	w.pool.HoldFailed(w.heartbeatsTo[m.id], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 	w.workers[m.id] = next
 	previous, pending := w.reports[m.id]
-	if _, call, ok := w.pool.Holding(w.heartbeats[m.id], w.now); ok {
+	if _, call, ok := w.pool.Holding(w.heartbeatsTo[m.id], w.now); ok {
 		w.applyHeartbeat(next, w.withAck(next, w.connectedTo[m.id], call))
 		w.connectedTo[m.id] = next.born
-		w.reports[m.id] = heartbeatAnswer{w.heartbeats[m.id], call, &gauge.WorkerReport{Born: next.born, Clock: w.workerClock(next)}}
+		w.reports[m.id] = heartbeatAnswer{w.heartbeatsTo[m.id], call, &gauge.WorkerReport{Born: next.born, Clock: w.workerClock(next)}}
 	}
 	if pending && rapid.Bool().Draw(w.t, "answer of the previous incarnation") {
 		w.reports[m.id] = previous
@@ -352,7 +352,7 @@
 				case 8, 9:
 					w.resizeWorker()
 				case 3:
-					w.pool.HoldFailed(w.heartbeats[fmt.Sprintf("w%d", w.joined)], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+					w.pool.HoldFailed(w.heartbeatsTo[fmt.Sprintf("w%d", w.joined)], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
 				}
 			case 15:
 				w.resolveOrder()
--- a/internal/sched/simulation_test.go
+++ b/internal/sched/simulation_test.go
@@ -12,7 +12,7 @@
 	"sapphiregauge/internal/sched"
 )
 
-// maxLease is the maxLease lease that workers grant.
+// maxLease is the longest lease that workers grant.
 const maxLease = 10 * time.Second
 
 // simWorker is the true state of one incarnation of a worker.
@@ -27,7 +27,7 @@
 	runs         map[gauge.TaskID]int
 	stopped      map[gauge.TaskID]int
 	ends         []gauge.EndReport
-	lastEnd      int64 // of its last end
+	lastEnd      int64 // number of its last end
 	capacity     taskCapacity
 }
 
@@ -66,7 +66,7 @@
 	delayedOrders     []sched.Order      // reported as lost, but executed later
 	delayedHeartbeats []delayedHeartbeat // the same for heartbeats
 	reports           map[string]heartbeatAnswer
-	heartbeats        map[string]gauge.Life // incarnations that the owner sends heartbeats to
+	heartbeatsTo      map[string]gauge.Life // incarnations that the owner sends heartbeats to
 	connectedTo       map[string]int64      // by worker: incarnation that answered last on the open connection
 	leaseWorkers      []gauge.Life          // workers in the stored lease row
 	faultFree         bool                  // no faults are injected any more
@@ -104,7 +104,7 @@
 
 func newSimulation(t *rapid.T) *simulation {
 	w := &simulation{
-		t: t, workers: make(map[string]*simWorker), reports: make(map[string]heartbeatAnswer), heartbeats: make(map[string]gauge.Life), connectedTo: make(map[string]int64),
+		t: t, workers: make(map[string]*simWorker), reports: make(map[string]heartbeatAnswer), heartbeatsTo: make(map[string]gauge.Life), connectedTo: make(map[string]int64),
 		rows: make(map[string][]byte), versions: make(map[string]int64), specs: make(map[string]*gauge.JobSpec),
 		runCount: make(map[gauge.TaskID]int), done: make(map[gauge.TaskID]bool), lastVersion: 10,
 		cancelled: make(map[string]bool),
@@ -130,7 +130,7 @@
 	w.lastVersion++
 	w.fence = gauge.Fence(w.lastVersion)
 	w.orders, w.reports = nil, make(map[string]heartbeatAnswer)
-	clear(w.heartbeats)
+	clear(w.heartbeatsTo)
 	clear(w.connectedTo)
 	w.pool = sched.New(sched.Config{
 		Name: poolName, Fence: w.fence, Term: w.term, Hold: 5 * time.Second, Start: time.Second, Wait: time.Second,
@@ -176,7 +176,7 @@
 // startHeartbeats has the owner send heartbeats to the incarnations that it has learned of.
 func (w *simulation) startHeartbeats() {
 	for _, info := range w.pool.Unheld() {
-		w.heartbeats[info.ID] = info.Life()
+		w.heartbeatsTo[info.ID] = info.Life()
 	}
 }
 
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -91,9 +91,9 @@
 // else on it, because each of the first four crashes had a likelier cause.
 func TestFifthCrashIsTheLast(t *testing.T) {
 	for _, tt := range []struct {
-		name                     string
+		name                                     string
 		crashes, withLikelierCause, unattributed int
-		want                     gauge.JobState
+		want                                     gauge.JobState
 	}{
 		{"two beside a likelier cause, two unattributed", 2, 2, 2, gauge.JobFailed},
 		{"one beside a likelier cause, two unattributed", 2, 1, 2, gauge.JobFailed},
@@ -156,9 +156,9 @@
 	assert.Equal(t, starts, 2)
 }
 
-// Guards against giving up a sound long-running job because all workers lost power again and again
+// Guards against failing a sound long-running job because all workers lost power again and again
 // while each of them had tasks that had just started.
-func TestSoundJobIsNotGivenUpForPowerLosses(t *testing.T) {
+func TestSoundJobIsNotFailedForPowerLosses(t *testing.T) {
 	w := newCrashHarness(t, 6)
 	w.restartDelay = 300 * time.Millisecond
 	id := w.submit(1, longRunningStep(2))
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -23,12 +23,13 @@
 	return id
 }
 
-// Guards against a task that goes on crashing workers because some of its crashes were unattributed.
+// Guards against a task that goes on crashing workers because some of its crashes were
+// unattributed.
 func TestUnattributedCrashesCountUpToALimit(t *testing.T) {
 	for _, tt := range []struct {
-		name                     string
+		name                                     string
 		crashes, withLikelierCause, unattributed int
-		want                     gauge.JobState
+		want                                     gauge.JobState
 	}{
 		{"only workers lost together", 0, 0, 9, gauge.JobRunning},
 		{"two unattributed, two crashes", 2, 0, 2, gauge.JobRunning},
@@ -140,7 +141,7 @@
 	assert.Assert(t, !g.pool.Unnoted())
 }
 
-// Guards against a task that is given up for crashes from before it has proved sound.
+// Guards against a task whose job fails for crashes from before the task has proved sound.
 func TestLongRunClearsUnattributedCrashes(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -175,7 +176,7 @@
 
 // Guards against a sound long-running job that is stopped as a whole because one of its tasks was
 // lost twice by chance.
-func TestLongRunningTaskIsGivenUpLater(t *testing.T) {
+func TestLongRunningTaskFailsItsJobLater(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
 		step  gauge.Step
--- a/internal/terms/burden.go
+++ b/internal/terms/burden.go
@@ -87,10 +87,11 @@
 	})
 }
 
-// Weak reports whether this host has less than half of the capacity of the largest known one.
+// Weak reports whether this host is small: it has less than half of the capacity of the largest
+// known one.
 func (b *Board) Weak() bool { return b.relativeCapacity() < smallHostShare }
 
-// smallHostShare is the share of the largest host's capacity from which on a host isn't weak.
+// smallHostShare is the share of the largest host's capacity below which a host is small.
 const smallHostShare = 0.5
 
 // relativeCapacity returns this host's capacity as a share of the largest one's. Known hosts may be
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -126,9 +126,10 @@
 func (b *Board) Unanswered(addr string, asked time.Duration) { b.unansweredAt[addr] = asked }
 
 // isDead reports whether a holder neither renews its lease nor answers. A host that lost power
-// doesn't refuse connections, so that nothing else shows its failure; its pools stood still until
-// their leases ran out, and no machine moved if it held the fleet lease. A holder that is taken for
-// isDead by mistake can't give orders any more once the workers have been called by its successor.
+// doesn't refuse connections, so that nothing else shows its failure; its pools would stand still
+// until their leases ran out, and no machine would move if it held the fleet lease. A holder that
+// is taken for dead by mistake can't give orders any more once the workers have been called by its
+// successor.
 func (b *Board) isDead(s *leaseState, now time.Duration) bool {
 	probedAt, ok := b.unansweredAt[s.row.Addr]
 	return ok && probedAt > s.readAt && b.isOverdue(s, now)
@@ -226,7 +227,7 @@
 	return row.Holder != "" && row.Holder != b.conf.Self && row.Addr == b.conf.Addr
 }
 
-// claimDelay returns how long this entry waits before it claims a free pool. The claimDelay differs by
+// claimDelay returns how long this entry waits before it claims a free pool. The time differs by
 // entry and pool, so that entries that see a pool free at the same time don't all write. It grows
 // with the number of leases of this entry, and more so the smaller its host is, so that pools are
 // distributed by the capacity of hosts.
