--- a/internal/sched/endreports_test.go
+++ b/internal/sched/endreports_test.go
@@ -242,11 +242,11 @@
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
-	saves := newStep(1)
-	saves.Checkpoints = true
+	checkpointing := newStep(1)
+	checkpointing.Checkpoints = true
 	saved := strings.Repeat("c", 60_000)
 	for i := range 40 {
-		g.adopt(i+1, false, saves)
+		g.adopt(i+1, false, checkpointing)
 		start := g.planStarts()
 		g.confirm(start)
 		g.advance(time.Second)
--- a/internal/sched/longrunning_test.go
+++ b/internal/sched/longrunning_test.go
@@ -58,9 +58,9 @@
 	assert.Equal(t, len(starts), 1)
 	g.confirm(starts)
 
-	looks := ofKind(g.plan(), sched.OrderLook)
-	assert.Equal(t, len(looks), 1, "its worker is probed")
-	assert.Equal(t, looks[0].Worker.ID, starts[0].Worker.ID)
+	probes := ofKind(g.plan(), sched.OrderLook)
+	assert.Equal(t, len(probes), 1, "its worker is probed")
+	assert.Equal(t, probes[0].Worker.ID, starts[0].Worker.ID)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 0, "it isn't probed continuously")
 	starting := runReport(starts[0])
 	starting.Progress = 60
