--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -23,9 +23,7 @@
 	return b
 }
 
-func leaseRow(holder string) gauge.LeaseRow {
-	return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"}
-}
+func rowOf(holder string) gauge.LeaseRow { return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"} }
 
 // dueClaims asks for claims until the longest delay has passed.
 func dueClaims(b *terms.Board, now time.Duration, pools ...string) []terms.Claim {
@@ -40,7 +38,7 @@
 // end of the lease would show that it is dead.
 func TestLeaseOfAnUnresponsiveHolderIsClaimedEarly(t *testing.T) {
 	const suspect = time.Second
-	addr := leaseRow("other").Addr
+	addr := rowOf("other").Addr
 	for _, tt := range []struct {
 		name    string
 		prepare func(b *terms.Board)
@@ -51,7 +49,7 @@
 		{"another holder didn't answer", func(b *terms.Board) { b.Unanswered("10.0.0.2:1", 1050*time.Millisecond) }, false},
 		{"holder has renewed since", func(b *terms.Board) {
 			b.Unanswered(addr, 1050*time.Millisecond)
-			b.Tell("p", leaseRow("other"), 6, 1100*time.Millisecond, 0)
+			b.Tell("p", rowOf("other"), 6, 1100*time.Millisecond, 0)
 		}, false},
 		{"the table is just reachable again", func(b *terms.Board) {
 			b.Unanswered(addr, 1050*time.Millisecond)
@@ -61,7 +59,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			b := terms.New(terms.Config{Self: "self", Addr: "10.0.0.9:1", Term: term, Spread: spread, Held: held, Regain: regain, Suspect: suspect})
 			b.Read()
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 			assert.Equal(t, len(b.Suspects(suspect)), 0)
 			assert.DeepEqual(t, b.Suspects(1050*time.Millisecond), []string{addr})
 			tt.prepare(b)
@@ -82,25 +80,25 @@
 		want bool
 	}{
 		{"no row", func(*terms.Board) {}, 0, true},
-		{"given up", func(b *terms.Board) { b.Tell("p", leaseRow(""), 5, 0, 0) }, 0, true},
-		{"held by another entry", func(b *terms.Board) { b.Tell("p", leaseRow("other"), 5, 0, 0) }, time.Second, false},
-		{"not renewed for a term", func(b *terms.Board) { b.Tell("p", leaseRow("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
+		{"given up", func(b *terms.Board) { b.Tell("p", rowOf(""), 5, 0, 0) }, 0, true},
+		{"held by another entry", func(b *terms.Board) { b.Tell("p", rowOf("other"), 5, 0, 0) }, time.Second, false},
+		{"not renewed for a term", func(b *terms.Board) { b.Tell("p", rowOf("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
 		{"renewed meanwhile", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
-			b.Tell("p", leaseRow("other"), 6, time.Second, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 6, time.Second, 0)
 		}, term + 200*time.Millisecond, false},
 		// A row version that is read again is no renewal.
 		{"the same row again", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
-			b.Tell("p", leaseRow("other"), 5, time.Second, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, time.Second, 0)
 		}, term + 200*time.Millisecond, true},
 		{"renewed long ago by the table's clock", func(b *terms.Board) {
-			r := leaseRow("other")
+			r := rowOf("other")
 			r.Renewed = 1000
 			b.Tell("p", r, 5, 0, 1000+2500)
 		}, 0, true},
 		{"renewed lately by the table's clock", func(b *terms.Board) {
-			r := leaseRow("other")
+			r := rowOf("other")
 			r.Renewed = 1000
 			b.Tell("p", r, 5, 0, 1000+1800)
 		}, 100 * time.Millisecond, false},
@@ -108,29 +106,29 @@
 			b.Tell("p", gauge.LeaseRow{Holder: "me/1", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, true},
 		{"not renewed during a table outage, holder silent", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 			b.Regained(term + time.Second)
 		}, term + time.Second, true},
 		{"not renewed during a table outage, holder answered", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 			b.Alive("other", term)
 			b.Regained(term + time.Second)
 		}, term + time.Second, false},
 		{"not renewed within the grace period after an outage", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 			b.Alive("other", term)
 			b.Regained(term + time.Second)
 		}, term + time.Second + regain, true},
 		{"held by a process that has exited", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 			b.Gone("other")
 		}, 0, true},
 		{"held by the next start of a process that has exited", func(b *terms.Board) {
-			b.Tell("p", leaseRow("other/2"), 5, 0, 0)
+			b.Tell("p", rowOf("other/2"), 5, 0, 0)
 			b.Gone("other/1")
 		}, 0, false},
 		{"given up before a table outage", func(b *terms.Board) {
-			b.Tell("p", leaseRow(""), 5, 0, 0)
+			b.Tell("p", rowOf(""), 5, 0, 0)
 			b.Regained(term)
 		}, term, true},
 		// The claim got no answer but was executed: no process runs the pool.
@@ -140,7 +138,7 @@
 		}, 0, true},
 		{"held by another entry after an unanswered claim", func(b *terms.Board) {
 			b.Unsure("p")
-			b.Tell("p", leaseRow("other"), 5, 0, 0)
+			b.Tell("p", rowOf("other"), 5, 0, 0)
 		}, 0, false},
 		{"held by this entry", func(b *terms.Board) {
 			b.Tell("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
