--- /dev/null
+++ b/internal/sched/simulation_test.go
@@ -0,0 +1,310 @@
+package sched_test
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/go-logr/logr"
+	"gotest.tools/v3/assert"
+	"pgregory.net/rapid"
+
+	gauge "sapphiregauge"
+	"sapphiregauge/internal/sched"
+)
+
+// maxLease is the longest lease that workers grant.
+const maxLease = 10 * time.Second
+
+// simWorker is the true state of one incarnation of a worker.
+type simWorker struct {
+	id           string
+	born         int64
+	previousBorn int64         // start time of the previous incarnation; 0: there is none
+	startedAt    time.Duration // when its clock showed zero
+	alive        bool
+	fence        gauge.Fence
+	leaseEnd     time.Duration // end of its lease, on its clock
+	runs         map[gauge.TaskID]int
+	stopped      map[gauge.TaskID]int
+	ends         []gauge.EndReport
+	lastEnd      int64 // number of its last end
+	capacity     taskCapacity
+}
+
+// taskCapacity is how many tasks a worker holds.
+type taskCapacity struct {
+	tasks    int
+	previous int           // before it shrank
+	knownBy  time.Duration // until then the owner need not know that it shrank
+}
+
+const (
+	// fullCapacity is what a worker holds that hasn't shrunk.
+	fullCapacity = 4
+	// shrinkNotice is how long an owner may take to learn that a worker's capacity has shrunk.
+	shrinkNotice = 4500 * time.Millisecond
+)
+
+// limit is the number of tasks that the worker may be found with.
+func (s taskCapacity) limit(now time.Duration) int {
+	if now < s.knownBy {
+		return max(s.tasks, s.previous)
+	}
+	return s.tasks
+}
+
+// simulation is a pool, its workers, and the messages on their way between them.
+type simulation struct {
+	t                 *rapid.T
+	pool              *sched.Pool
+	now               time.Duration
+	term              int
+	fence             gauge.Fence
+	workers           map[string]*simWorker
+	joined            int
+	orders            []sched.Order      // sent and not answered yet
+	delayedOrders     []sched.Order      // reported as lost, but executed later
+	delayedHeartbeats []delayedHeartbeat // the same for heartbeats
+	reports           map[string]heartbeatAnswer
+	heartbeatsTo      map[string]gauge.Life // incarnations that the owner sends heartbeats to
+	connectedTo       map[string]int64      // by worker: incarnation that answered last on the open connection
+	leaseWorkers      []gauge.Life          // workers in the stored lease row
+	faultFree         bool                  // no faults are injected any more
+	rows              map[string][]byte     // stored job rows
+	versions          map[string]int64
+	specs             map[string]*gauge.JobSpec
+	lastVersion       int64
+	runCount          map[gauge.TaskID]int // current runs of a task on all workers
+	// done are tasks that must never start again. Members of gangs are left out, as they end one by
+	// one here.
+	done map[gauge.TaskID]bool
+
+	cancelled map[string]bool // stored as cancelled
+	unread    map[string]bool // jobs that the owner hasn't been able to read yet
+	rereading bool            // the owner has begun to read them
+
+	runsEndBy map[gauge.Life]time.Duration // when the runs of silent workers have ended, as reported by the owner that hands the pool over
+}
+
+// delayedHeartbeat is a heartbeat that got no answer and is executed later.
+type delayedHeartbeat struct {
+	id   string
+	born int64 // incarnation that answered last on the connection
+	call gauge.HoldCall
+}
+
+// heartbeatAnswer is a worker's report, and the heartbeat that it answers.
+type heartbeatAnswer struct {
+	asked gauge.Life
+	call  gauge.HoldCall
+	rep   *gauge.WorkerReport
+}
+
+func (m *simWorker) incarnation() gauge.Life { return gauge.Life{Worker: m.id, Born: m.born} }
+
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
+		t: t, workers: make(map[string]*simWorker), reports: make(map[string]heartbeatAnswer), heartbeatsTo: make(map[string]gauge.Life), connectedTo: make(map[string]int64),
+		rows: make(map[string][]byte), versions: make(map[string]int64), specs: make(map[string]*gauge.JobSpec),
+		runCount: make(map[gauge.TaskID]int), done: make(map[gauge.TaskID]bool), lastVersion: 10,
+		cancelled: make(map[string]bool),
+	}
+	w.startOwner(nil)
+	for range 3 {
+		w.addWorker()
+	}
+	return w
+}
+
+// handOver has the owner hand the pool over, and report what it knows of silent workers.
+func (w *simulation) handOver() {
+	w.runsEndBy = make(map[gauge.Life]time.Duration)
+	for l, left := range w.pool.Left(w.now) {
+		w.runsEndBy[l] = w.now + left
+	}
+	w.startOwner(w.pool.Name())
+}
+
+// startOwner starts an owner from what the table has.
+func (w *simulation) startOwner(earlier []gauge.Life) {
+	w.lastVersion++
+	w.fence = gauge.Fence(w.lastVersion)
+	w.orders, w.reports = nil, make(map[string]heartbeatAnswer)
+	clear(w.heartbeatsTo)
+	clear(w.connectedTo)
+	w.pool = sched.New(sched.Config{
+		Name: poolName, Fence: w.fence, Term: w.term, Hold: 5 * time.Second, Start: time.Second, Wait: time.Second,
+		Logs: logr.Discard(), Earlier: earlier, Doubt: w.now + 6*time.Second,
+		Over: w.runsEndBy, Longest: maxLease,
+		Window: w.term % 2 * 3, Lane: w.term % 2 * 2, // every other owner limits its unanswered starts
+	})
+	w.term++
+	w.runsEndBy = nil
+	w.pool.Configure(&gauge.Site{Version: 1, Queues: []gauge.Queue{{Name: queueName, Pool: poolName, MaxAttempts: 3, Stretch: 2}}})
+	w.hideJobs()
+	for id := range w.rows {
+		if !w.unread[id] {
+			w.inheritJob(id)
+		}
+	}
+	w.listWorkers()
+}
+
+func (w *simulation) listWorkers() {
+	var ws []gauge.Worker
+	for _, m := range w.workers {
+		if m.alive {
+			ws = append(ws, w.workerRow(m))
+		}
+	}
+	w.pool.Workers(ws)
+	w.startHeartbeats()
+	w.renewLease()
+}
+
+// workerRow is a worker's row, sometimes still that of its previous incarnation.
+func (w *simulation) workerRow(m *simWorker) gauge.Worker {
+	row := newWorker(m.id)
+	row.Born = m.born
+	row.Capacity.MilliCPU = m.capacity.tasks * newStep(1).Needs.MilliCPU
+	if !w.faultFree && m.previousBorn > 0 && rapid.IntRange(0, 3).Draw(w.t, "stale row") == 0 {
+		row.Born = m.previousBorn
+	}
+	return row
+}
+
+// startHeartbeats has the owner send heartbeats to the incarnations that it has learned of.
+func (w *simulation) startHeartbeats() {
+	for _, info := range w.pool.Unheld() {
+		w.heartbeatsTo[info.ID] = info.Life()
+	}
+}
+
+// renewLease writes the lease row.
+func (w *simulation) renewLease() {
+	w.lastVersion++
+	w.leaseWorkers = w.pool.Name()
+	w.pool.Noted(w.leaseWorkers, w.lastVersion)
+}
+
+func (w *simulation) addWorker() {
+	w.joined++
+	m := &simWorker{
+		id: fmt.Sprintf("w%d", w.joined), born: 1, startedAt: w.now - time.Hour, alive: true, capacity: taskCapacity{tasks: fullCapacity},
+		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int),
+	}
+	w.workers[m.id] = m
+	w.listWorkers()
+}
+
+func (w *simulation) workerClock(m *simWorker) time.Duration { return w.now - m.startedAt }
+
+func (w *simulation) pickWorker() *simWorker {
+	ids := make([]string, 0, len(w.workers))
+	for i := 1; i <= w.joined; i++ {
+		if m := w.workers[fmt.Sprintf("w%d", i)]; m != nil && m.alive {
+			ids = append(ids, m.id)
+		}
+	}
+	if len(ids) == 0 {
+		return nil
+	}
+	return w.workers[rapid.SampledFrom(ids).Draw(w.t, "worker")]
+}
+
+func (w *simulation) endRun(m *simWorker, task gauge.TaskID, how gauge.Ending) {
+	m.lastEnd++
+	m.ends = append(m.ends, gauge.EndReport{Number: m.lastEnd, Task: task, Run: m.runs[task], How: how})
+	m.stopped[task] = max(m.stopped[task], m.runs[task])
+	delete(m.runs, task)
+	w.runCount[task]--
+	if st := &w.specs[task.Job].Steps[task.Step]; how == gauge.EndDone && !st.Lasts && !st.Gang {
+		w.done[task] = true
+	}
+}
+
+// expireLeases ends the runs of all workers whose lease has run out. Ends that were not recorded
+// before are not counted as such, even if they are reported later: by the users' rules their tasks
+// may start again.
+func (w *simulation) expireLeases() {
+	for i := 1; i <= w.joined; i++ {
+		m := w.workers[fmt.Sprintf("w%d", i)]
+		if m == nil || w.workerClock(m) <= m.leaseEnd {
+			continue
+		}
+		for task := range m.runs {
+			w.endRun(m, task, gauge.EndLapsed)
+		}
+		w.discardEnds(m)
+	}
+}
+
+// discardEnds lets tasks start again whose ends a worker still lists.
+func (w *simulation) discardEnds(m *simWorker) {
+	for _, e := range m.ends {
+		delete(w.done, e.Task)
+	}
+}
+
+// executeOrder has a worker execute an order; the error is its refusal.
+func (w *simulation) executeOrder(o sched.Order) error {
+	m := w.workers[o.Worker.ID]
+	if m == nil || !m.alive {
+		return gauge.Fail(gauge.KindUnknown, "worker is dead")
+	}
+	fence := max(o.Start.Fence, o.Stop.Fence, o.Look.Fence)
+	if fence < m.fence {
+		assert.Assert(w.t, fence < w.fence || w.pool.Outdated(o.Worker.Life(), fence), "the owner's own token is taken for another owner's")
+		return gauge.Fail(gauge.KindFenced, "lower fencing token")
+	}
+	m.fence = fence
+	switch o.Kind {
+	case sched.OrderStop:
+		m.stopped[o.Stop.Task] = max(m.stopped[o.Stop.Task], o.Stop.Run)
+		if run, ok := m.runs[o.Stop.Task]; ok && run <= o.Stop.Run {
+			w.endRun(m, o.Stop.Task, gauge.EndStopped)
+		}
+	case sched.OrderStart:
+		return w.executeStart(m, o.Start)
+	}
+	return nil
+}
+
+func (w *simulation) executeStart(m *simWorker, c gauge.StartCall) error {
+	switch {
+	case c.Until < w.workerClock(m):
+		return gauge.Fail(gauge.KindLate, "deadline has passed")
+	case c.Run <= m.stopped[c.Task]:
+		return gauge.Fail(gauge.KindStale, "run was stopped")
+	case m.runs[c.Task] == c.Run:
+		return nil
+	}
+	assert.Assert(w.t, !w.done[c.Task], "%s starts again after it has ended done", c.Task)
+	w.checkPerWorkerLimit(m, c.Task)
+	m.leaseEnd = max(m.leaseEnd, min(c.Until, w.workerClock(m)+maxLease))
+	m.runs[c.Task] = c.Run
+	w.runCount[c.Task]++
+	assert.Assert(w.t, w.runCount[c.Task] <= 1, "%s has two runs at once", c.Task)
+	assert.Assert(w.t, len(m.runs) <= m.capacity.limit(w.now), "%s has more runs than it holds", m.id)
+	return nil
+}
+
+// checkPerWorkerLimit checks that a worker has no more tasks of a step than its PerWorker limit.
+func (w *simulation) checkPerWorkerLimit(m *simWorker, task gauge.TaskID) {
+	most := w.specs[task.Job].Steps[task.Step].PerWorker
+	if most == 0 {
+		return
+	}
+	there := 1
+	for other := range m.runs {
+		if other.Job == task.Job && other.Step == task.Step && other != task {
+			there++
+		}
+	}
+	assert.Assert(w.t, there <= most, "%d tasks of the step of %s on %s, where at most %d may be", there, task, m.id, most)
+}
+
+func (w *simulation) plan() {
+	w.pool.Limit(w.now + 6*time.Second)
+	w.orders = append(w.orders, w.pool.Plan(w.now)...)
+}
