--- a/test/soak/entry_test.go
+++ b/test/soak/entry_test.go
@@ -14,14 +14,14 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// entry is one entry of the product as a process of its own. Its log is kept in a file.
+// entry is an entry process of the product. Its log goes to a file.
 type entry struct {
 	t       *testing.T
 	program string
 	name    string
 	ip      string
 	dir     string
-	way     *way
+	link    *link
 
 	mu      sync.Mutex
 	process *exec.Cmd
@@ -36,22 +36,22 @@
 )
 
 func newEntry(t *testing.T, program, dir string, number int, p *platform) *entry {
-	e := &entry{t: t, program: program, name: fmt.Sprintf("e-%d", number), dir: dir, way: newWay(t, p.at.Table)}
+	e := &entry{t: t, program: program, name: fmt.Sprintf("e-%d", number), dir: dir, link: newLink(t, p.addrs.Table)}
 	e.ip = fmt.Sprintf("127.%d.%d.%d", 16+os.Getpid()%200, os.Getpid()/200%250, 10+number)
 	settings := fakes.Host{
 		Name: e.name, Zone: fmt.Sprintf("z%d", number%2), IP: e.ip, Front: frontPort, Ready: readyPort, Peer: peerPort,
-		Table: e.way.addr(), Machines: p.at.Machines, Grace: graceS,
+		Table: e.link.addr(), Machines: p.addrs.Machines, Grace: graceS,
 	}.Settings()
-	assert.NilError(t, os.WriteFile(e.settings(), []byte(settings), 0o600))
+	assert.NilError(t, os.WriteFile(e.settingsFile(), []byte(settings), 0o600))
 	t.Cleanup(e.kill)
 	return e
 }
 
-func (e *entry) settings() string { return filepath.Join(e.dir, e.name+".conf") }
+func (e *entry) settingsFile() string { return filepath.Join(e.dir, e.name+".conf") }
 
-func (e *entry) front() string { return fmt.Sprintf("%s:%d", e.ip, frontPort) }
+func (e *entry) frontAddr() string { return fmt.Sprintf("%s:%d", e.ip, frontPort) }
 
-// start starts the process, if it isn't there.
+// start starts the process unless it runs.
 func (e *entry) start() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,7 +61,7 @@
 	log, err := os.OpenFile(filepath.Join(e.dir, e.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	assert.Check(e.t, err)
 	p := exec.Command(e.program, "host")
-	p.Env = append(os.Environ(), fakes.SettingsVariable+"="+e.settings())
+	p.Env = append(os.Environ(), fakes.SettingsVariable+"="+e.settingsFile())
 	p.Stdout, p.Stderr = log, log
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if !assert.Check(e.t, p.Start()) {
@@ -79,15 +79,15 @@
 	}()
 }
 
-// signal sends a signal to the process, if it is there, and returns what is closed when
-// it has ended.
+// signal sends a signal to the process, if it runs, and returns a channel that is closed when the
+// process has ended.
 func (e *entry) signal(s syscall.Signal) <-chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.process == nil {
-		gone := make(chan struct{})
-		close(gone)
-		return gone
+		ended := make(chan struct{})
+		close(ended)
+		return ended
 	}
 	_ = e.process.Process.Signal(s)
 	return e.ended
--- a/test/soak/known_test.go
+++ b/test/soak/known_test.go
@@ -12,74 +12,77 @@
 )
 
 const (
-	// applyWithin is the time in which a change of the configuration has to be in force: that
-	// of entries whose settings tell none.
-	applyWithin = 2 * time.Second
-	// unheard is how long an entry is cut off while the configuration changes.
-	unheard = applyWithin + 2*time.Second
-	askPace = 10 * time.Millisecond
-	// askSeed and changeSeed set these apart from the schedule, which stays as it is without.
-	askSeed    = 1 << 32
-	changeSeed = 2 << 32
+	// maxApplyDelay is the time within which a change of the configuration has to be in force: the
+	// default of entries whose settings name none.
+	maxApplyDelay = 2 * time.Second
+	// cutOffDuration is how long an entry is cut off from the table while the configuration
+	// changes.
+	cutOffDuration = maxApplyDelay + 2*time.Second
+	askInterval    = 10 * time.Millisecond
+	// askStream and changeStream select random streams of their own, so that the schedule of
+	// disturbances is the same as without them.
+	askStream    = 1 << 32
+	changeStream = 2 << 32
 )
 
-// stored is the newest version of the configuration, and when the operator was told of
-// versions that they are stored.
-type stored struct {
-	mu      sync.Mutex
-	version int64
-	at      map[int64]time.Time
+// configurations holds the newest version of the configuration, and when the storing of each
+// version was acknowledged to the operator.
+type configurations struct {
+	mu       sync.Mutex
+	version  int64
+	storedAt map[int64]time.Time
 }
 
-// configure stores one version more, which adds a queue.
-func (s *soak) configure() {
+// storeNextVersion stores the next version of the configuration, which adds a queue.
+func (s *soak) storeNextVersion() {
 	s.stored.mu.Lock()
 	defer s.stored.mu.Unlock()
 	s.stored.version++
-	s.platform.do(fmt.Sprintf("/configure?version=%d", s.stored.version))
-	s.stored.at[s.stored.version] = time.Now()
+	s.platform.request(fmt.Sprintf("/configure?version=%d", s.stored.version))
+	s.stored.storedAt[s.stored.version] = time.Now()
 }
 
-// due is the newest version that has to be in force at all entries by now; 0: there is none.
-func (s *stored) due() int64 {
+// dueVersion returns the newest version that has to be in force at all entries by now; 0: none.
+func (s *configurations) dueVersion() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newest := int64(0)
-	for version, at := range s.at {
-		if time.Since(at) > applyWithin {
+	for version, at := range s.storedAt {
+		if time.Since(at) > maxApplyDelay {
 			newest = max(newest, version)
 		}
 	}
 	return newest
 }
 
-// askForNewQueues asks entries, whatever is done to them, for the newest queue that has to be
-// there by now. An entry that can't know may refuse or not answer, but not say that there is
-// none. This holds however slow the machine is: an entry counts from when it was told last.
-func (s *soak) askForNewQueues(ctx context.Context) {
-	random := rand.New(rand.NewPCG(s.seed, askSeed))
+// requestNewQueues asks randomly chosen entries, also disturbed ones, for the newest queue that
+// has to be in force by now. An entry that can't know may refuse or not answer, but must not say
+// that the queue is missing. This holds however slow the machine is: an entry counts the time
+// from when it last heard from the table.
+func (s *soak) requestNewQueues(ctx context.Context) {
+	random := rand.New(rand.NewPCG(s.seed, askStream))
 	for ctx.Err() == nil {
-		if version := s.stored.due(); version > 0 {
+		if version := s.stored.dueVersion(); version > 0 {
 			e := s.entries[random.IntN(len(s.entries))]
 			status := s.status(e, fmt.Sprintf("/v%d/", version))
-			s.asked++
-			assert.Check(s.t, status != http.StatusNotFound, "seed %d: %s says that the queue of version %d is missing", s.seed, e.name, version)
+			s.queueRequests++
+			assert.Check(s.t, status != http.StatusNotFound, "seed %d: %s answers that the queue of version %d is missing", s.seed, e.name, version)
 		}
-		rest(ctx, askPace)
+		sleep(ctx, askInterval)
 	}
 }
 
-// changeUnheard cuts one entry after the other off from the table and changes the
-// configuration meanwhile.
-func (s *soak) changeUnheard(ctx context.Context) {
-	random := rand.New(rand.NewPCG(s.seed, changeSeed))
+// changeWhileCutOff cuts entries off from the table, one at a time, and changes the configuration
+// meanwhile.
+func (s *soak) changeWhileCutOff(ctx context.Context) {
+	random := rand.New(rand.NewPCG(s.seed, changeStream))
 	modes := []mode{modeReset, modeOneWay, modeSilent}
 	for ctx.Err() == nil {
 		e := s.entries[random.IntN(len(s.entries))]
-		e.way.set(modes[random.IntN(len(modes))])
-		s.configure()
-		rest(ctx, unheard)
-		e.way.set(modeOpen)
-		rest(ctx, time.Duration(random.IntN(1000))*time.Millisecond)
+		e.link.set(modes[random.IntN(len(modes))])
+		s.storeNextVersion()
+		sleep(ctx, cutOffDuration)
+		e.link.set(modeOpen)
+		sleep(ctx, time.Duration(random.IntN(1000))*time.Millisecond)
 	}
 }
--- a/test/soak/way_test.go
+++ b/test/soak/link_test.go
@@ -14,30 +14,30 @@
 
 const (
 	modeOpen   mode = "open"
-	modeSlow   mode = "slow"   // bytes come later
+	modeSlow   mode = "slow"   // bytes are delayed
 	modeReset  mode = "reset"  // connections break, new ones are refused
-	modeOneWay mode = "oneway" // answers are lost without a word
-	modeSilent mode = "silent" // all is lost without a word, also on connections that were open before
+	modeOneWay mode = "oneway" // answers are dropped silently
+	modeSilent mode = "silent" // bytes of both directions are dropped silently, also on connections that were open before
 )
 
-// slowBy is how much later bytes come.
-const slowBy = 60 * time.Millisecond
+// slowDelay is the delay of each chunk of bytes.
+const slowDelay = 60 * time.Millisecond
 
-// way is an entry's path to the table, which the soak disturbs.
-type way struct {
-	to     string
-	listen net.Listener
+// link is a TCP proxy on the path from an entry to the table, which the test disturbs.
+type link struct {
+	tableAddr string
+	listen    net.Listener
 
 	mu    sync.Mutex
 	mode  mode
 	conns map[net.Conn]bool
-	lost  map[net.Conn]bool // silent for good: only new connections work
+	lost  map[net.Conn]bool // these stay silent: only new connections work
 }
 
-func newWay(t *testing.T, to string) *way {
+func newLink(t *testing.T, to string) *link {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	w := &way{to: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
+	w := &link{tableAddr: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
 	t.Cleanup(func() { _ = l.Close(); w.set(modeReset) })
 	go func() {
 		for {
@@ -45,16 +45,16 @@
 			if err != nil {
 				return
 			}
-			go w.join(c)
+			go w.forward(c)
 		}
 	}()
 	return w
 }
 
-func (w *way) addr() string { return w.listen.Addr().String() }
+func (w *link) addr() string { return w.listen.Addr().String() }
 
-// set changes the mode. Connections that were open while it was silent stay so.
-func (w *way) set(m mode) {
+// set changes the mode. Connections that were open while the mode was silent stay silent.
+func (w *link) set(m mode) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.mode = m
@@ -68,8 +68,8 @@
 	}
 }
 
-func (w *way) join(near net.Conn) {
-	far, err := net.Dial("tcp", w.to)
+func (w *link) forward(near net.Conn) {
+	far, err := net.Dial("tcp", w.tableAddr)
 	w.mu.Lock()
 	refused := err != nil || w.mode == modeReset
 	if !refused {
@@ -85,8 +85,8 @@
 	w.copy(near, far, true)
 }
 
-// copy passes bytes on until either end closes.
-func (w *way) copy(to, from net.Conn, answers bool) {
+// copy forwards bytes until either end closes.
+func (w *link) copy(to, from net.Conn, answers bool) {
 	defer func() {
 		_, _ = to.Close(), from.Close()
 		w.mu.Lock()
@@ -101,7 +101,7 @@
 		m, lost := w.mode, w.lost[to]
 		w.mu.Unlock()
 		if m == modeSlow {
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 		}
 		if n > 0 && !lost && (m != modeOneWay || !answers) {
 			if _, werr := to.Write(buf[:n]); werr != nil {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,8 +1,8 @@
-// Package soak_test runs the real programs as separate processes and disturbs them from
-// outside: signals, paths that are slow, cut or silent, a platform that misbehaves or is
-// paused, configurations and a wave meanwhile. One seed gives one schedule. The promises
-// are checked from what callers and workers see; nothing is decided by how long anything
-// takes but a stop, which has its grace.
+// Package soak_test runs the real programs as separate processes and disturbs them from outside:
+// signals, network links that are slow, cut or silent, a platform that misbehaves or is paused,
+// and configuration changes and a maintenance wave meanwhile. Each seed gives one schedule. The
+// guarantees are checked from what callers and workers see; no check depends on how long anything
+// takes, except that a stop has to end within its grace period.
 //
 //	SOAK_SEEDS=1,2,3 SOAK_ENTRIES=8 SOAK_SECONDS=60 SOAK_CHANGES=1 SOAK_CRASHES=1 go test -run Soak -timeout 2h ./test/soak
 package soak_test
@@ -26,50 +26,52 @@
 	"gotest.tools/v3/poll"
 )
 
-// plan is a seed and the size of its run.
-type plan struct {
+// runConfig is a seed and the size of its run.
+type runConfig struct {
 	seed    uint64
 	entries int
 	seconds int
 	changes bool // entries are also cut off from the table for seconds while the configuration changes
-	crashes bool // some jobs crash their workers, and the room of workers changes
+	crashes bool // some jobs crash their workers, and the capacity of workers changes
 }
 
-// plans are played where SOAK_SEEDS names no seeds. A seed that ever failed stays here.
-func plans(t *testing.T) []plan {
+// runConfigs returns the runs that SOAK_SEEDS names, or the default ones. A seed that ever failed
+// stays in the default list.
+func runConfigs(t *testing.T) []runConfig {
 	t.Helper()
 	seeds := os.Getenv("SOAK_SEEDS")
 	if seeds == "" {
-		return []plan{
+		return []runConfig{
 			{seed: 1, entries: defaultEntries, seconds: defaultSeconds},
 			{seed: 2, entries: defaultEntries, seconds: defaultSeconds},
-			// An entry was still there long after its grace: a caller's connection didn't
-			// close, and the server of the readiness check went on.
+			// An entry still ran long after its grace period: a caller's connection didn't close,
+			// and the server of the readiness check went on.
 			{seed: 17, entries: 8, seconds: 30},
-			// A refused job ran: an entry that had just started sent it to the table itself
-			// and couldn't tell the pool's owner, which refused the next try.
+			// A refused job ran: an entry that had just started sent it to the table itself and
+			// couldn't notify the pool's owner, which refused the next attempt.
 			{seed: 55, entries: defaultEntries, seconds: defaultSeconds},
-			// An entry said of a queue that it is missing, more than two seconds after it was added.
+			// An entry said that a queue is missing more than two seconds after it was added.
 			{seed: 201, entries: defaultEntries, seconds: defaultSeconds, changes: true},
 			{seed: 301, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
-			// A sound lasting job was given up: its workers lost power together while their owner
-			// was paused, and another took the pool.
+			// A healthy long-running job was failed: its workers lost power together while their
+			// owner was paused, and another entry took the pool.
 			{seed: 501, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
-			// A task went on ending workers: owners in a row couldn't write, or left before they
-			// knew of a crash.
+			// A task went on crashing workers: several owners in a row couldn't write to the
+			// table, or stopped before they knew of a crash.
 			{seed: 525, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
 			{seed: 528, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
-			// A start that reached a worker's next life, and was stopped there, was not counted.
+			// A start that reached the next incarnation of a worker, and was stopped there, was
+			// not counted.
 			{seed: 531, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
 		}
 	}
-	var list []plan
+	var list []runConfig
 	for _, text := range strings.Split(seeds, ",") {
 		seed, err := strconv.ParseUint(text, 10, 64)
 		assert.NilError(t, err)
-		list = append(list, plan{
-			seed: seed, entries: setting("SOAK_ENTRIES", defaultEntries), seconds: setting("SOAK_SECONDS", defaultSeconds),
-			changes: setting("SOAK_CHANGES", 0) > 0, crashes: setting("SOAK_CRASHES", 0) > 0,
+		list = append(list, runConfig{
+			seed: seed, entries: envInt("SOAK_ENTRIES", defaultEntries), seconds: envInt("SOAK_SECONDS", defaultSeconds),
+			changes: envInt("SOAK_CHANGES", 0) > 0, crashes: envInt("SOAK_CRASHES", 0) > 0,
 		})
 	}
 	return list
@@ -79,17 +81,18 @@
 	defaultEntries = 4
 	defaultSeconds = 14
 	clients        = 4
-	lastingID      = "feed000000000001"
-	// mayBeGivenUp is after how many crashes of workers under it a task may be given up: users' figure.
-	mayBeGivenUp = 2
-	// patience bounds each wait; nothing is decided by it.
-	patience = 2 * time.Minute
-	// stopWait is the grace that the settings tell, and what a busy machine takes to see
-	// that a process has ended.
-	stopWait = (graceS + 4) * time.Second
+	longRunningID  = "feed000000000001"
+	// minCrashesToFail is how many workers have to crash under a task before its job may be
+	// failed; a requirement of the users.
+	minCrashesToFail = 2
+	// waitTimeout bounds each wait; no check depends on it.
+	waitTimeout = 2 * time.Minute
+	// stopTimeout is the grace period of the settings, plus the time that a busy machine takes to
+	// notice that a process has ended.
+	stopTimeout = (graceS + 4) * time.Second
 )
 
-func setting(name string, missing int) int {
+func envInt(name string, missing int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
@@ -100,33 +103,33 @@
 	program := filepath.Join(t.TempDir(), "sapphiregauge")
 	out, err := exec.Command("go", "build", "-o", program, "sapphiregauge/cmd/sapphiregauge").CombinedOutput()
 	assert.NilError(t, err, "%s", out)
-	for _, p := range plans(t) {
+	for _, p := range runConfigs(t) {
 		t.Run(fmt.Sprintf("seed=%d", p.seed), func(t *testing.T) { newSoak(t, program, p).run() })
 	}
 }
 
 // soak is one run.
 type soak struct {
-	t        *testing.T
-	seed     uint64
-	lasts    time.Duration
-	random   *rand.Rand
-	platform *platform
-	entries  []*entry
-	callers  *callers
-	stored   stored
-	changes  bool
-	crashes  bool
-	crashers crashers
-	asked    int            // times for a queue that had to be there
-	group    sync.WaitGroup // of events that go on
+	t             *testing.T
+	seed          uint64
+	duration      time.Duration
+	random        *rand.Rand
+	platform      *platform
+	entries       []*entry
+	callers       *callers
+	stored        configurations
+	changes       bool
+	crashes       bool
+	crashJobs     crashJobs
+	queueRequests int            // requests for a queue that had to be in force
+	disturbances  sync.WaitGroup // disturbances that go on
 }
 
-func newSoak(t *testing.T, program string, p plan) *soak {
+func newSoak(t *testing.T, program string, p runConfig) *soak {
 	s := &soak{
-		t: t, seed: p.seed, lasts: time.Duration(p.seconds) * time.Second,
+		t: t, seed: p.seed, duration: time.Duration(p.seconds) * time.Second,
 		random: rand.New(rand.NewPCG(p.seed, 0)), platform: startPlatform(t),
-		stored: stored{version: 1, at: make(map[int64]time.Time)}, changes: p.changes, crashes: p.crashes,
+		stored: configurations{version: 1, storedAt: make(map[int64]time.Time)}, changes: p.changes, crashes: p.crashes,
 	}
 	dir := t.TempDir()
 	if keep := os.Getenv("SOAK_LOGS"); keep != "" {
@@ -143,163 +146,163 @@
 }
 
 func (s *soak) run() {
-	s.until("all serve", func() bool { return s.each(func(e *entry) bool { return s.status(e, prefix) == http.StatusOK }) })
-	s.until("the lasting job is accepted", func() bool {
-		status, _ := s.callers.call(s.entries[0], http.MethodPost, prefix+lastingID, lastingJob())
+	s.waitFor("all entries serve", func() bool { return s.allEntries(func(e *entry) bool { return s.status(e, prefix) == http.StatusOK }) })
+	s.waitFor("the long-running job is accepted", func() bool {
+		status, _ := s.callers.call(s.entries[0], http.MethodPost, prefix+longRunningID, longRunningJob())
 		return status == http.StatusOK
 	})
-	ctx, cancel := context.WithTimeout(s.t.Context(), s.lasts)
+	ctx, cancel := context.WithTimeout(s.t.Context(), s.duration)
 	defer cancel()
 	var working sync.WaitGroup
 	for i := range clients {
-		working.Go(func() { s.callers.work(ctx, i, s.seed) })
+		working.Go(func() { s.callers.submitJobs(ctx, i, s.seed) })
 	}
-	working.Go(func() { s.askForNewQueues(ctx) })
+	working.Go(func() { s.requestNewQueues(ctx) })
 	if s.changes {
-		working.Go(func() { s.changeUnheard(ctx) })
+		working.Go(func() { s.changeWhileCutOff(ctx) })
 	}
 	if s.crashes {
-		working.Go(func() { s.handInCrashers(ctx) })
-		working.Go(func() { s.changeRoom(ctx) })
+		working.Go(func() { s.submitCrashJobs(ctx) })
+		working.Go(func() { s.changeCapacity(ctx) })
 	}
 	for ctx.Err() == nil {
-		s.event()
-		rest(ctx, time.Duration(100+s.random.IntN(900))*time.Millisecond)
+		s.disturb()
+		sleep(ctx, time.Duration(100+s.random.IntN(900))*time.Millisecond)
 	}
 	working.Wait()
-	s.heal()
-	s.check()
+	s.endDisturbances()
+	s.checkOutcomes()
 }
 
-// event begins one disturbance; several go on at a time.
-func (s *soak) event() {
+// disturb begins one disturbance; several may go on at a time.
+func (s *soak) disturb() {
 	e := s.entries[s.random.IntN(len(s.entries))]
-	lasts := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
-	later := func(do func()) {
-		s.group.Go(func() {
-			time.Sleep(lasts) // the schedule's own time
+	duration := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
+	afterwards := func(do func()) {
+		s.disturbances.Go(func() {
+			time.Sleep(duration) // how long the schedule has the disturbance last
 			do()
 		})
 	}
 	switch s.random.IntN(9) {
 	case 0:
 		<-e.signal(syscall.SIGKILL)
-		later(e.start)
+		afterwards(e.start)
 	case 1:
 		e.signal(syscall.SIGSTOP)
-		later(func() { e.signal(syscall.SIGCONT) })
+		afterwards(func() { e.signal(syscall.SIGCONT) })
 	case 2:
-		s.stop(e, later)
+		s.stop(e, afterwards)
 	case 3, 4:
 		modes := []mode{modeSlow, modeReset, modeOneWay, modeSilent}
-		e.way.set(modes[s.random.IntN(len(modes))])
-		later(func() { e.way.set(modeOpen) })
+		e.link.set(modes[s.random.IntN(len(modes))])
+		afterwards(func() { e.link.set(modeOpen) })
 	case 5:
-		s.platform.do(fmt.Sprintf("/faults?share=%.2f&seed=%d", 0.02+0.2*s.random.Float64(), s.random.Uint64()))
-		later(func() { s.platform.do("/faults?share=0") })
+		s.platform.request(fmt.Sprintf("/faults?share=%.2f&seed=%d", 0.02+0.2*s.random.Float64(), s.random.Uint64()))
+		afterwards(func() { s.platform.request("/faults?share=0") })
 	case 6:
 		_ = s.platform.process.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(lasts / 2) // nobody may ask it meanwhile
+		time.Sleep(duration / 2) // blocks, as nothing may call the platform meanwhile
 		_ = s.platform.process.Process.Signal(syscall.SIGCONT)
 	case 7:
-		s.configure()
+		s.storeNextVersion()
 	default:
-		s.platform.do("/wave")
+		s.platform.request("/wave")
 	}
 }
 
-// stop stops an entry gracefully, twice the signal now and then, and starts it again.
-func (s *soak) stop(e *entry, later func(do func())) {
+// stop stops an entry gracefully and starts it again later.
+func (s *soak) stop(e *entry, afterwards func(do func())) {
 	ended := e.signal(syscall.SIGTERM)
-	s.group.Go(func() {
+	s.disturbances.Go(func() {
 		select {
 		case <-ended:
-		case <-time.After(stopWait):
-			// A pause or a kill meanwhile changes nothing: it ends either way.
+		case <-time.After(stopTimeout):
+			// The entry may have been paused or killed meanwhile; it has to end either way.
 			e.signal(syscall.SIGCONT)
 			select {
 			case <-ended:
-			case <-time.After(stopWait):
-				assert.Check(s.t, false, "seed %d: %s doesn't stop within its grace", s.seed, e.name)
+			case <-time.After(stopTimeout):
+				assert.Check(s.t, false, "seed %d: %s doesn't stop within its grace period", s.seed, e.name)
 			}
 		}
-		later(e.start)
+		afterwards(e.start)
 	})
 }
 
-// heal ends all disturbances.
-func (s *soak) heal() {
-	s.group.Wait()
+// endDisturbances ends all disturbances.
+func (s *soak) endDisturbances() {
+	s.disturbances.Wait()
 	_ = s.platform.process.Process.Signal(syscall.SIGCONT)
-	s.platform.do("/faults?share=0")
+	s.platform.request("/faults?share=0")
 	for _, e := range s.entries {
-		e.way.set(modeOpen)
+		e.link.set(modeOpen)
 		e.signal(syscall.SIGCONT)
 		e.start()
 	}
 }
 
-// check compares what callers were told with what became of it.
-func (s *soak) check() {
-	s.until("the newest configuration is in force at all", func() bool {
-		return s.each(func(e *entry) bool {
+// checkOutcomes compares what callers were told with what became of their jobs.
+func (s *soak) checkOutcomes() {
+	s.waitFor("the newest configuration is in force at all entries", func() bool {
+		return s.allEntries(func(e *entry) bool {
 			return s.stored.version == 1 || s.status(e, fmt.Sprintf("/v%d/", s.stored.version)) == http.StatusOK
 		})
 	})
 	counts := make(map[outcome]int)
-	for id, o := range s.callers.jobs {
+	for id, o := range s.callers.outcomes {
 		counts[o]++
 		switch o {
 		case accepted:
-			s.until("job "+id+" completed", func() bool { return s.state(id) == "completed" || s.givenUp(id) })
+			s.waitFor("job "+id+" completed", func() bool { return s.jobState(id) == "completed" || s.failedByCrashes(id) })
 		case cancelled:
-			s.until("job "+id+" over", func() bool { return s.state(id) == "cancelled" || s.state(id) == "completed" })
+			s.waitFor("job "+id+" cancelled or completed", func() bool { return s.jobState(id) == "cancelled" || s.jobState(id) == "completed" })
 		case refused, unknown:
 		}
 	}
-	for _, id := range s.crashers.all() {
-		s.until("job "+id+" given up", func() bool { return s.state(id) == "failed" })
+	for _, id := range s.crashJobs.list() {
+		s.waitFor("job "+id+" failed, as it crashes its workers", func() bool { return s.jobState(id) == "failed" })
 	}
-	s.t.Logf("seed %d: crashed their workers %d,", s.seed, len(s.crashers.all()))
-	s.t.Logf("seed %d: %v, configurations %d, asked for their queues %d times", s.seed, counts, s.stored.version, s.asked)
-	s.until("both lasting tasks run, and nothing else", func() bool {
+	s.t.Logf("seed %d: jobs that crashed their workers: %d", s.seed, len(s.crashJobs.list()))
+	s.t.Logf("seed %d: %v, configurations: %d, requests for their queues: %d", s.seed, counts, s.stored.version, s.queueRequests)
+	s.waitFor("both long-running tasks run, and nothing else", func() bool {
 		running := s.platform.verdict().Running
-		for id, o := range s.callers.jobs {
-			if o == unknown && s.state(id) != "completed" && s.state(id) != "410" && !s.givenUp(id) {
+		for id, o := range s.callers.outcomes {
+			if o == unknown && s.jobState(id) != "completed" && s.jobState(id) != "410" && !s.failedByCrashes(id) {
 				return false
 			}
 		}
-		if s.givenUp(lastingID) {
+		if s.failedByCrashes(longRunningID) {
 			return len(running) == 0
 		}
-		return len(running) == 2 && running[lastingID+".0.0.0"] == 1 && running[lastingID+".0.0.1"] == 1
+		return len(running) == 2 && running[longRunningID+".0.0.0"] == 1 && running[longRunningID+".0.0.1"] == 1
 	})
 	v := s.platform.verdict()
 	assert.Check(s.t, len(v.Faults) == 0, "seed %d: %v", s.seed, v.Faults)
 	for task := range v.Starts {
 		id, _, _ := strings.Cut(task, ".")
-		assert.Check(s.t, s.callers.jobs[id] != refused, "seed %d: %s was refused, and %s ran: %q", s.seed, id, task, s.callers.tries[id])
+		assert.Check(s.t, s.callers.outcomes[id] != refused, "seed %d: %s was refused, and %s ran: %q", s.seed, id, task, s.callers.answers[id])
 	}
 }
 
-// givenUp tells whether a job failed that may have: two workers at least crashed under one of its
-// tasks. That the task isn't the cause nobody can know for sure.
-func (s *soak) givenUp(id string) bool {
-	if !s.crashes || s.state(id) != "failed" {
+// failedByCrashes reports whether a job has failed that may have: at least two workers crashed
+// under one of its tasks. Whether the task is the cause can't be known for sure.
+func (s *soak) failedByCrashes(id string) bool {
+	if !s.crashes || s.jobState(id) != "failed" {
 		return false
 	}
-	for task, workers := range s.platform.verdict().Under {
-		if strings.HasPrefix(task, id+".") && workers >= mayBeGivenUp {
-			s.t.Logf("seed %d: given up, as %d workers crashed under it: %s", s.seed, workers, task)
+	for task, workers := range s.platform.verdict().CrashedWorkers {
+		if strings.HasPrefix(task, id+".") && workers >= minCrashesToFail {
+			s.t.Logf("seed %d: job failed, as %d workers crashed under its task %s", s.seed, workers, task)
 			return true
 		}
 	}
 	return false
 }
 
-func (s *soak) each(holds func(e *entry) bool) bool {
+func (s *soak) allEntries(condition func(e *entry) bool) bool {
 	for _, e := range s.entries {
-		if !holds(e) {
+		if !condition(e) {
 			return false
 		}
 	}
@@ -311,7 +314,7 @@
 	return status
 }
 
-func (s *soak) state(id string) string {
+func (s *soak) jobState(id string) string {
 	status, out := s.callers.call(s.entries[0], http.MethodGet, prefix+id, nil)
 	if status != http.StatusOK {
 		return strconv.Itoa(status)
@@ -320,12 +323,12 @@
 	return text
 }
 
-func (s *soak) until(what string, holds func() bool) {
+func (s *soak) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("seed %d: %s", s.seed, what)
-	}, poll.WithTimeout(patience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(20*time.Millisecond))
 }
--- a/test/soak/standin_test.go
+++ b/test/soak/standin_test.go
@@ -20,34 +20,34 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// The platform's stand-ins, table, operator, machine service and workers, are a process
-// of their own, so that it can be paused: this test's program, started anew with standinKey
-// set. The soak speaks to it by a control address.
+// The platform's stand-ins (table, operator, machine service and workers) run in a process of
+// their own, so that it can be paused: this test's program, started again with standinEnv set.
+// The test controls them through an HTTP address.
 
-const standinKey = "SOAK_STANDIN"
+const standinEnv = "SOAK_STANDIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standinKey) != "" {
-		standin()
+	if os.Getenv(standinEnv) != "" {
+		runStandins()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// addresses are what the stand-ins print once they listen.
+// addresses is what the stand-ins print once they listen.
 type addresses struct {
 	Table    string `json:"table"`
 	Machines string `json:"machines"`
 	Control  string `json:"control"`
 }
 
-// verdict is what the stand-ins have seen.
+// verdict is what the stand-ins have observed.
 type verdict struct {
-	Faults  []string       `json:"faults"`
-	Starts  map[string]int `json:"starts"`
-	Running map[string]int `json:"running"`
-	Under   map[string]int `json:"under"` // workers that crashed under each task
-	Wave    bool           `json:"wave"`
+	Faults         []string       `json:"faults"`
+	Starts         map[string]int `json:"starts"`
+	Running        map[string]int `json:"running"`
+	CrashedWorkers map[string]int `json:"under"` // workers that crashed under each task
+	Wave           bool           `json:"wave"`
 }
 
 const (
@@ -58,7 +58,7 @@
 	machines  = 6
 )
 
-// queues is the configuration of a version: it adds a queue with each.
+// queues returns the queues of a version of the configuration; each version adds one.
 func queues(version int64) []fakes.Queue {
 	list := []fakes.Queue{{Name: "r-sheets", Host: hostName, Prefix: prefix, Pool: poolName}}
 	for v := int64(2); v <= version; v++ {
@@ -67,7 +67,7 @@
 	return list
 }
 
-func standin() {
+func runStandins() {
 	table, journal := fakes.NewTable(), fakes.NewJournal()
 	service := fakes.NewMachines(table, journal)
 	var ids []string
@@ -83,7 +83,7 @@
 	})
 	mux.HandleFunc("/wave", func(http.ResponseWriter, *http.Request) { table.Wave(1, ids, 60, 2) })
 	mux.HandleFunc("/faults", func(_ http.ResponseWriter, r *http.Request) {
-		pick := picker(r)
+		pick := faultPicker(r)
 		table.Set(pick)
 		service.Each(func(w *fakes.Worker) { w.Set(pick) })
 	})
@@ -99,7 +99,7 @@
 		}
 	})
 	mux.HandleFunc("/verdict", func(w http.ResponseWriter, _ *http.Request) {
-		v := verdict{Faults: journal.Faults(), Wave: table.WaveDone(1), Under: journal.Under()}
+		v := verdict{Faults: journal.Faults(), Wave: table.WaveDone(1), CrashedWorkers: journal.Under()}
 		v.Starts, v.Running = journal.Tasks()
 		_ = json.NewEncoder(w).Encode(v)
 	})
@@ -112,8 +112,9 @@
 	panic(server.Serve(l))
 }
 
-// picker has a share of the calls misbehave in a seeded way; nil: none.
-func picker(r *http.Request) func(string) fakes.Fault {
+// faultPicker returns a function that picks the fault of each call: a share of the calls, chosen by
+// the seed, misbehave; nil: none does.
+func faultPicker(r *http.Request) func(string) fakes.Fault {
 	share, _ := strconv.ParseFloat(r.URL.Query().Get("share"), 64)
 	seed, _ := strconv.ParseUint(r.URL.Query().Get("seed"), 10, 64)
 	if share == 0 {
@@ -132,18 +133,18 @@
 	}
 }
 
-// platform is the stand-ins' process.
+// platform is the process of the stand-ins.
 type platform struct {
 	t       *testing.T
 	process *exec.Cmd
-	at      addresses
+	addrs   addresses
 }
 
 func startPlatform(t *testing.T) *platform {
 	program, err := os.Executable()
 	assert.NilError(t, err)
 	p := &platform{t: t, process: exec.Command(program)}
-	p.process.Env = append(os.Environ(), standinKey+"=1")
+	p.process.Env = append(os.Environ(), standinEnv+"=1")
 	p.process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p.process.Stderr = os.Stderr
 	out, err := p.process.StdoutPipe()
@@ -155,15 +156,15 @@
 	})
 	line, err := bufio.NewReader(out).ReadBytes('\n')
 	assert.NilError(t, err)
-	assert.NilError(t, json.Unmarshal(line, &p.at))
+	assert.NilError(t, json.Unmarshal(line, &p.addrs))
 	return p
 }
 
-func (p *platform) do(path string) { p.read(path, nil) }
+func (p *platform) request(path string) { p.get(path, nil) }
 
-func (p *platform) read(path string, into any) {
+func (p *platform) get(path string, into any) {
 	p.t.Helper()
-	resp, err := http.Get("http://" + p.at.Control + path) //nolint:noctx // ends with the process
+	resp, err := http.Get("http://" + p.addrs.Control + path) //nolint:noctx // ends with the process
 	assert.NilError(p.t, err)
 	defer func() { _ = resp.Body.Close() }()
 	if into != nil {
@@ -171,15 +172,15 @@
 	}
 }
 
-// tell asks for something that may fail while the stand-ins are paused.
-func (p *platform) tell(path string) {
-	if resp, err := http.Get("http://" + p.at.Control + path); err == nil { //nolint:noctx // ends with the process
+// tryRequest sends a request that may fail while the stand-ins are paused.
+func (p *platform) tryRequest(path string) {
+	if resp, err := http.Get("http://" + p.addrs.Control + path); err == nil { //nolint:noctx // ends with the process
 		_ = resp.Body.Close()
 	}
 }
 
 func (p *platform) verdict() verdict {
 	var v verdict
-	p.read("/verdict", &v)
+	p.get("/verdict", &v)
 	return v
 }
