--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -96,7 +96,7 @@
 func (c *callers) submit(ctx context.Context, id string, random *rand.Rand) outcome {
 	job := randomJob(random)
 	for try := range maxTries {
-		status, kind := c.submitOnce(c.randomEntry(random), id, job)
+		status, kind := c.submitOnce(c.anyEntry(random), id, job)
 		switch status {
 		case http.StatusOK:
 			return accepted
@@ -123,7 +123,7 @@
 
 func (c *callers) cancel(ctx context.Context, id string, random *rand.Rand) bool {
 	for range maxTries {
-		if status, _ := c.call(c.randomEntry(random), http.MethodDelete, prefix+id, nil); status == http.StatusOK {
+		if status, _ := c.call(c.anyEntry(random), http.MethodDelete, prefix+id, nil); status == http.StatusOK {
 			return true
 		}
 		sleep(ctx, retryDelay)
@@ -131,9 +131,7 @@
 	return false
 }
 
-func (c *callers) randomEntry(random *rand.Rand) *entry {
-	return c.entries[random.IntN(len(c.entries))]
-}
+func (c *callers) anyEntry(random *rand.Rand) *entry { return c.entries[random.IntN(len(c.entries))] }
 
 // randomJob returns a job of two steps whose tasks take some tenths of a second.
 func randomJob(random *rand.Rand) map[string]any {
--- a/test/soak/crash_test.go
+++ b/test/soak/crash_test.go
@@ -43,7 +43,7 @@
 		id := fmt.Sprintf("bad0%012x", n)
 		job := crashJob(random)
 		for range maxTries {
-			if status, _ := s.callers.submitOnce(s.callers.randomEntry(random), id, job); status == http.StatusOK {
+			if status, _ := s.callers.submitOnce(s.callers.anyEntry(random), id, job); status == http.StatusOK {
 				s.crashJobs.mu.Lock()
 				s.crashJobs.ids = append(s.crashJobs.ids, id)
 				s.crashJobs.mu.Unlock()
