--- a/test/machines/claim_test.go
+++ b/test/machines/claim_test.go
@@ -10,70 +10,69 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowWrites is a way to the table on which transactions wait until they are let go.
-func slowWrites(t *testing.T, to string) (addr string, hold func(), letGo func()) {
+// slowWrites starts a proxy to the table on which transactions wait while it is blocked.
+func slowWrites(t *testing.T, to string) (addr string, block func(), unblock func()) {
 	t.Helper()
 	var mu sync.Mutex
-	var held chan struct{}
-	addr = proxied(t, to, func(_ http.ResponseWriter, r *http.Request) bool {
+	var blocked chan struct{}
+	addr = startProxy(t, to, func(_ http.ResponseWriter, r *http.Request) bool {
 		mu.Lock()
-		wait := held
+		wait := blocked
 		mu.Unlock()
 		if wait != nil && strings.HasSuffix(r.URL.Path, "/rows-tx") {
 			<-wait
 		}
 		return false
 	})
-	letGo = func() {
+	unblock = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		if held != nil {
-			close(held)
-			held = nil
+		if blocked != nil {
+			close(blocked)
+			blocked = nil
 		}
 	}
-	t.Cleanup(letGo)
-	hold = func() {
+	t.Cleanup(unblock)
+	block = func() {
 		mu.Lock()
 		defer mu.Unlock()
-		held = make(chan struct{})
+		blocked = make(chan struct{})
 	}
-	return addr, hold, letGo
+	return addr, block, unblock
 }
 
-// Symptom: callers get no clear answer while a pool is handed over and the table is slow.
-// Sequence: the owner offers its pool; the claim of the next one takes some tenths of a
-// second, in which jobs are handed in at a third entry.
-// Cause: the holder before named the next one as the owner, and that one, by the table,
-// the holder before.
-func TestHandInsWaitForTheOwnerThatIsTakingThePool(t *testing.T) {
+// Guards against callers that get no clear answer while a pool is handed over and the table is
+// slow: the owner offers its pool, and the claim of its successor takes some tenths of a second,
+// in which jobs are submitted at a third entry. The previous owner named its successor as the
+// owner, and the successor, going by the table, the previous owner.
+func TestSubmissionsWaitForOwnerTakingThePool(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 2)
-	first := s.startOn("strong-0", s.table.Addr(), host{capacity: strongHost})
-	s.ready()
-	s.held("strong-0")
-	way, hold, letGo := slowWrites(t, s.table.Addr())
-	next := s.startOn("strong-1", way, host{capacity: strongHost})
-	caller := s.startOn("weak-0", s.table.Addr(), host{capacity: weakHost})
-	s.ready()
-	s.waitFor("both are known, and leases can be taken", func() bool {
-		return s.logged("entry known", `"entry"="strong-0"`, next.peer) == 1 && s.takes(next) && s.takes(caller)
+	first := s.startOn("strong-0", s.table.Addr(), host{capacity: largeHostCores})
+	s.waitReady()
+	s.waitLeasesHeldBy("strong-0")
+	slowAddr, block, unblock := slowWrites(t, s.table.Addr())
+	next := s.startOn("strong-1", slowAddr, host{capacity: largeHostCores})
+	caller := s.startOn("weak-0", s.table.Addr(), host{capacity: smallHostCores})
+	s.waitReady()
+	s.waitFor("both entries are known, and leases can be taken", func() bool {
+		return s.countLogged("entry known", `"entry"="strong-0"`, next.peerAddr) == 1 && s.acceptsLeases(next) && s.acceptsLeases(caller)
 	})
-	hold()
+	block()
 	go first.node.Release(t.Context(), 0)
-	s.waitFor("the pool is offered", func() bool { return s.logged("lease offered", `"pool"="`+poolName+`"`, next.peer) == 1 })
+	s.waitFor("the pool is offered", func() bool { return s.countLogged("lease offered", `"pool"="`+poolName+`"`, next.peerAddr) == 1 })
 	answers := make(chan int)
 	go func() {
 		status, _, _ := s.call(caller, http.MethodPost, jobPath(1), twoSteps(20))
 		answers <- status
 	}()
-	s.waitFor("the caller's entry knows where the pool goes", func() bool {
-		return s.logged("owner moved", `"entry"="weak-0"`) > 0
+	s.waitFor("the entry that was called knows the successor", func() bool {
+		return s.countLogged("owner moved", `"entry"="weak-0"`) > 0
 	})
-	time.AfterFunc(150*time.Millisecond, letGo) // as long as a slow transaction takes
+	time.AfterFunc(150*time.Millisecond, unblock) // as long as a slow transaction takes
 	assert.Equal(t, <-answers, http.StatusOK)
-	assert.Equal(t, s.logged("owner moved", `"entry"="weak-0"`), 1, "it isn't sent back")
+	assert.Equal(t, s.countLogged("owner moved", `"entry"="weak-0"`), 1, "the request isn't sent back")
 	s.entries = s.entries[1:]
-	s.completed([]int{1})
-	s.clean()
+	s.waitCompleted([]int{1})
+	s.checkNoFaults()
 }
--- a/test/machines/count_test.go
+++ b/test/machines/count_test.go
@@ -10,49 +10,48 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// cutOffBeforeJobsCame is a site whose second entry is cut off from the table, and
-// after that twenty jobs come that no worker is there for.
-func cutOffBeforeJobsCame(t *testing.T) (s *site, cutOff *entry) {
+// newSiteWithCutOffEntry starts a site whose second entry is cut off from the table, after which
+// jobs are submitted that no worker can run.
+func newSiteWithCutOffEntry(t *testing.T) (s *site, cutOff *entry) {
 	t.Helper()
 	s = newSite(t, 1, 0)
-	s.ready()
-	s.waitFor("the first entry owns both leases", func() bool { return s.logged("lease taken", `"e-0"`) == 2 })
-	way := newPath(t, s.table.Addr())
-	cutOff = s.startVia("e-1", way.listen.Addr().String())
-	s.ready()
+	s.waitReady()
+	s.waitFor("the first entry owns both leases", func() bool { return s.countLogged("lease taken", `"e-0"`) == 2 })
+	link := newTableLink(t, s.table.Addr())
+	cutOff = s.startAt("e-1", link.listen.Addr().String())
+	s.waitReady()
 	s.waitFor("the second entry knows the owner", func() bool {
 		status, _, _ := s.call(cutOff, http.MethodGet, queuePath, nil)
 		return status == http.StatusOK
 	})
-	way.Cut(true)
-	for n := range waitingJobs {
+	link.Cut(true)
+	for n := range queuedJobs {
 		status, out, _ := s.call(s.entries[0], http.MethodPost, jobPath(n), twoSteps(20))
 		assert.Equal(t, status, http.StatusOK, "%v", out)
 	}
 	return s, cutOff
 }
 
-const waitingJobs = 20
+const queuedJobs = 20
 
-// Symptom: 0 jobs are said to wait where hundreds do.
-// Sequence: an entry doesn't hear from the table any more; jobs come at the others,
-// and wait; the entry is asked how many.
-// Cause: the count that was seen last is told, however old it is.
-func TestCountThatIsOldIsAskedOfTheOwner(t *testing.T) {
+// Guards against a stale count of queued jobs: 0 jobs were reported where hundreds waited. An
+// entry no longer receives changes from the table while jobs are submitted at the others; it
+// reported the last count that it had seen, however old.
+func TestCountThatIsStaleIsFetchedFromOwner(t *testing.T) {
 	t.Parallel()
-	s, cutOff := cutOffBeforeJobsCame(t)
-	s.waitFor("the count is told", func() bool {
+	s, cutOff := newSiteWithCutOffEntry(t)
+	s.waitFor("the count is reported", func() bool {
 		status, out, _ := s.call(cutOff, http.MethodGet, queuePath, nil)
-		return status == http.StatusOK && out["queueDepth"] == float64(waitingJobs)
+		return status == http.StatusOK && out["queueDepth"] == float64(queuedJobs)
 	})
 }
 
-// Symptom: 0 jobs are said to wait where hundreds do.
-// Sequence: an entry doesn't hear from the table any more, and the pool's owner ends.
-// Cause: a count that nobody can know is told all the same.
-func TestCountThatNobodyKnowsIsRefused(t *testing.T) {
+// Guards against a count of queued jobs that can't be known and is reported all the same: 0 jobs
+// were reported where hundreds waited. An entry no longer receives changes from the table, and
+// the owner of the pool has ended.
+func TestCountThatIsUnknownIsRefused(t *testing.T) {
 	t.Parallel()
-	s, cutOff := cutOffBeforeJobsCame(t)
+	s, cutOff := newSiteWithCutOffEntry(t)
 	first := s.entries[0]
 	first.kill()
 	<-first.done
@@ -63,12 +62,12 @@
 	})
 }
 
-// refusing is a way to the table on which the marks of one queue can't be read, until
-// it is healed.
-func refusing(t *testing.T, to, queue string) (addr string, heal func()) {
+// proxyRefusingQueue starts a proxy to the table on which the open jobs of one queue can't be
+// read until heal is called.
+func proxyRefusingQueue(t *testing.T, to, queue string) (addr string, heal func()) {
 	t.Helper()
 	var healed atomic.Bool
-	addr = proxied(t, to, func(w http.ResponseWriter, r *http.Request) bool {
+	addr = startProxy(t, to, func(w http.ResponseWriter, r *http.Request) bool {
 		q := r.URL.Query()
 		if healed.Load() || q.Get("table") != "open" || q.Get("part") != queue {
 			return false
@@ -79,22 +78,22 @@
 	return addr, func() { healed.Store(true) }
 }
 
-// Symptom: 0 jobs are said to wait where 1,354 do.
-// Sequence: a pool's owner ends; the next one reads one queue of it, but not the other.
-// Cause: the count of a queue that was not read is told as 0.
-func TestCountOfAQueueThatTheNewOwnerCannotReadIsRefused(t *testing.T) {
+// Guards against a count of 0 for a queue that was not read: 0 jobs were reported where 1,354
+// waited. The owner of a pool ends, and its successor can read one queue of the pool but not the
+// other.
+func TestCountOfUnreadableQueueIsRefused(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 0)
 	s.table.Configure(2, []fakes.Queue{
 		{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName},
 		{Name: "r-parts", Host: queueHost, Prefix: "/parts/", Pool: poolName},
 	}, spareName)
-	s.ready()
-	s.waitFor("the first entry owns both leases", func() bool { return s.logged("lease taken", `"e-0"`) == 2 })
-	way, heal := refusing(t, s.table.Addr(), queueName)
-	next := s.startVia("e-1", way)
-	s.ready()
-	for n := range waitingJobs {
+	s.waitReady()
+	s.waitFor("the first entry owns both leases", func() bool { return s.countLogged("lease taken", `"e-0"`) == 2 })
+	proxyAddr, heal := proxyRefusingQueue(t, s.table.Addr(), queueName)
+	next := s.startAt("e-1", proxyAddr)
+	s.waitReady()
+	for n := range queuedJobs {
 		assert.Assert(t, s.submit(n, twoSteps(20)))
 	}
 	s.waitFor("the other queue has a job", func() bool {
@@ -105,20 +104,20 @@
 		status, out, _ := s.call(next, http.MethodGet, queuePath, nil)
 		return status, out["queueDepth"]
 	}
-	told := func() bool {
+	reported := func() bool {
 		status, depth := count()
-		return status == http.StatusOK && depth == float64(waitingJobs)
+		return status == http.StatusOK && depth == float64(queuedJobs)
 	}
-	s.waitFor("the count is known to the next owner", told)
+	s.waitFor("the next owner knows the count", reported)
 	first := s.entries[0]
 	first.kill()
 	<-first.done
 	first.mesh.Close()
 	s.waitFor("the count is refused, and never wrong", func() bool {
 		status, depth := count()
-		assert.Assert(t, status == http.StatusServiceUnavailable || depth == float64(waitingJobs), "%d %v", status, depth)
+		assert.Assert(t, status == http.StatusServiceUnavailable || depth == float64(queuedJobs), "%d %v", status, depth)
 		return status == http.StatusServiceUnavailable
 	})
 	heal()
-	s.waitFor("the count is told again", told)
+	s.waitFor("the count is reported again", reported)
 }
--- a/test/machines/cut_test.go
+++ b/test/machines/cut_test.go
@@ -13,75 +13,77 @@
 	"sapphiregauge/internal/mesh"
 )
 
-// path is one entry's way to the table, which a test can cut.
-type path struct {
-	to     string
-	listen net.Listener
+// tableLink is a TCP proxy on the path from an entry to the table, which a test can cut.
+type tableLink struct {
+	tableAddr string
+	listen    net.Listener
 
-	mu    sync.Mutex
-	conns map[net.Conn]bool
-	mute  map[net.Conn]bool // bytes on these are lost without a word
-	cut   bool
+	mu       sync.Mutex
+	conns    map[net.Conn]bool
+	silenced map[net.Conn]bool // what is written to these is dropped silently
+	cut      bool
 }
 
-func newPath(t *testing.T, to string) *path {
+func newTableLink(t *testing.T, to string) *tableLink {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p := &path{to: to, listen: l, conns: make(map[net.Conn]bool), mute: make(map[net.Conn]bool)}
+	p := &tableLink{tableAddr: to, listen: l, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool)}
 	t.Cleanup(func() { _ = l.Close() })
 	t.Cleanup(func() { p.Cut(true) })
 	go p.serve()
 	return p
 }
 
-func (p *path) serve() {
+func (p *tableLink) serve() {
 	for {
 		c, err := p.listen.Accept()
 		if err != nil {
 			return
 		}
-		go p.join(c)
+		go p.forward(c)
 	}
 }
 
-func (p *path) join(near net.Conn) {
-	far, err := net.Dial("tcp", p.to)
-	if err != nil || !p.keep(near, far) {
+func (p *tableLink) forward(near net.Conn) {
+	far, err := net.Dial("tcp", p.tableAddr)
+	if err != nil || !p.register(near, far) {
 		_ = near.Close()
 		return
 	}
-	go func() { _, _ = io.Copy(lossy{p, far}, near); _ = far.Close() }()
-	_, _ = io.Copy(lossy{p, near}, far)
+	go func() { _, _ = io.Copy(lossyConn{p, far}, near); _ = far.Close() }()
+	_, _ = io.Copy(lossyConn{p, near}, far)
 	_ = near.Close()
 }
 
-// lossy writes to one end of a connection, or loses what is written.
-type lossy struct {
-	path *path
+// lossyConn writes to one end of a connection, or drops what is written if the connection was
+// silenced.
+type lossyConn struct {
+	link *tableLink
 	net.Conn
 }
 
-func (l lossy) Write(b []byte) (int, error) {
-	l.path.mu.Lock()
-	lost := l.path.mute[l.Conn]
-	l.path.mu.Unlock()
+func (l lossyConn) Write(b []byte) (int, error) {
+	l.link.mu.Lock()
+	lost := l.link.silenced[l.Conn]
+	l.link.mu.Unlock()
 	if lost {
 		return len(b), nil
 	}
 	return l.Conn.Write(b)
 }
 
-// Silence has all open connections lose what is sent on them, while new ones work.
-func (p *path) Silence() int {
+// Silence makes all open connections drop what is sent on them, while new ones work. It returns
+// how many there are.
+func (p *tableLink) Silence() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for c := range p.conns {
-		p.mute[c] = true
+		p.silenced[c] = true
 	}
-	return len(p.mute)
+	return len(p.silenced)
 }
 
-func (p *path) keep(cs ...net.Conn) bool {
+func (p *tableLink) register(cs ...net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cut {
@@ -93,8 +95,8 @@
 	return true
 }
 
-// Cut breaks all connections and takes no new ones, until it is healed.
-func (p *path) Cut(cut bool) {
+// Cut breaks all connections; while cut is true new ones are refused.
+func (p *tableLink) Cut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.cut = cut
@@ -104,36 +106,34 @@
 	clear(p.conns)
 }
 
-// Symptom: callers of one entry are refused, though the other entries could serve
-// them.
-// Sequence: the way of one entry to the table is cut; it is handed jobs, asked for
-// them, and has one cancelled.
-// Cause: each entry had only its own way to the table.
-func TestEntryWithoutTheTableServesThroughTheOwner(t *testing.T) {
+// Guards against an entry that refuses its callers although other entries could serve them. The
+// entry is cut off from the table; it gets submissions, state queries and a cancel. Each entry
+// had only its own path to the table.
+func TestEntryCutOffFromTableServesThroughOwner(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 3)
-	s.ready()
+	s.waitReady()
 	s.waitFor("the first entry owns the pool", func() bool {
-		return s.submit(100, twoSteps(10)) && s.state(100) == "completed"
+		return s.submit(100, twoSteps(10)) && s.jobState(100) == "completed"
 	})
-	way := newPath(t, s.table.Addr())
-	cutOff := s.startVia("e-1", way.listen.Addr().String())
-	s.ready()
-	s.waitFor("it has read the leases", func() bool {
-		return s.logged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
+	link := newTableLink(t, s.table.Addr())
+	cutOff := s.startAt("e-1", link.listen.Addr().String())
+	s.waitReady()
+	s.waitFor("the second entry has read the leases", func() bool {
+		return s.countLogged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
 	})
-	way.Cut(true)
+	link.Cut(true)
 	var jobs []int
 	for n := range 6 {
 		status, out, _ := s.call(cutOff, http.MethodPost, jobPath(n), twoSteps(20))
 		assert.Equal(t, status, http.StatusOK, "%v", out)
 		jobs = append(jobs, n)
 	}
-	s.waitFor("told by the entry that is cut off", func() bool {
+	s.waitFor("the entry that is cut off reports the job completed", func() bool {
 		_, out, _ := s.call(cutOff, http.MethodGet, jobPath(5), nil)
 		return out["state"] == "completed"
 	})
-	s.completed(jobs)
+	s.waitCompleted(jobs)
 	assert.Assert(t, s.submit(200, twoSteps(60_000)))
 	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 200)) == 1 })
 	status, _, _ := s.call(cutOff, http.MethodDelete, jobPath(200), nil)
@@ -141,155 +141,148 @@
 	status, out, _ := s.call(s.entries[0], http.MethodGet, jobPath(200), nil)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, out["state"], "cancelled")
-	way.Cut(false)
-	s.clean()
+	link.Cut(false)
+	s.checkNoFaults()
 }
 
-// Symptom: a pool stands still for seconds when its owner stops while the table is
-// slow or denied to it.
-// Sequence: the owner is told to stop; it can't write that it gives the lease up;
-// the others wait for the lease's term.
-// Cause: the handover went through the table.
-func TestOwnerThatCannotReachTheTableHandsItsPoolOver(t *testing.T) {
+// Guards against a pool that stops being served for seconds when its owner stops while the table
+// is slow or unreachable for it: the owner couldn't write that it releases the lease, and the
+// others waited until the lease expired. The handover went through the table only.
+func TestOwnerCutOffFromTableHandsOverItsPool(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
-	way := newPath(t, s.table.Addr())
-	first := s.startVia("e-0", way.listen.Addr().String())
-	s.ready()
-	s.waitFor("the first entry owns both leases", func() bool { return s.logged("lease taken", `"e-0"`) == 2 })
+	link := newTableLink(t, s.table.Addr())
+	first := s.startAt("e-0", link.listen.Addr().String())
+	s.waitReady()
+	s.waitFor("the first entry owns both leases", func() bool { return s.countLogged("lease taken", `"e-0"`) == 2 })
 	s.start("e-1")
-	s.ready()
+	s.waitReady()
 	s.waitFor("the second entry is known to the first", func() bool {
-		return s.logged("entry known", `"entry"="e-0"`, `"peer"="e-1"`) == 1
+		return s.countLogged("entry known", `"entry"="e-0"`, `"peer"="e-1"`) == 1
 	})
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
 	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
-	way.Cut(true)
+	link.Cut(true)
 	first.node.Release(t.Context(), 0)
 	s.waitFor("the second entry has the pool by the first one's offer", func() bool {
-		return s.logged("lease taken", `"entry"="e-1"`, `"pool"="`+poolName+`"`, `"from"="e-0/1"`) == 1
+		return s.countLogged("lease taken", `"entry"="e-1"`, `"pool"="`+poolName+`"`, `"from"="e-0/1"`) == 1
 	})
 	s.entries = s.entries[1:]
-	// That it runs may be known to the worker only, which is heard after the pool is taken.
-	s.waitFor("the second entry knows that it runs", func() bool { return s.state(1) == "running" })
+	// Only the worker may know that the job runs, and its report arrives after the pool is taken.
+	s.waitFor("the second entry knows that it runs", func() bool { return s.jobState(1) == "running" })
 	assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)), 1)
-	s.clean()
+	s.checkNoFaults()
 }
 
-// Symptom: all pools stand still from half a second after the table went away until
-// it is back.
-// Sequence: the table is away for all entries; an owner can't write, and asks
-// another entry to take its pool; that one had an answer from the table just before.
-// Cause: what was true before the owner's first failure was taken for better.
-func TestOwnersGoOnWhileTheTableIsAwayForAll(t *testing.T) {
+// Guards against an outage of all pools from half a second after the start of a table outage
+// until its end. An owner that couldn't write asked another entry to take its pool, and that one
+// had had an answer from the table just before. What was seen before the owner's first failure
+// was taken to mean that the other entry was better off.
+func TestOwnersKeepPoolsDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
-	way := newPath(t, s.table.Addr())
+	link := newTableLink(t, s.table.Addr())
 	for _, name := range []string{"e-0", "e-1"} {
-		s.startVia(name, way.listen.Addr().String())
+		s.startAt(name, link.listen.Addr().String())
 	}
-	s.ready()
+	s.waitReady()
 	s.waitFor("the entries know each other", func() bool {
-		return s.logged("entry known", `"entry"="e-0"`, `"peer"="e-1"`) == 1 && s.logged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
+		return s.countLogged("entry known", `"entry"="e-0"`, `"peer"="e-1"`) == 1 && s.countLogged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
 	})
 	assert.Assert(t, s.submit(1, twoSteps(20)))
-	s.completed([]int{1})
-	way.Cut(true)
-	s.waitFor("the owner was stuck for some time", func() bool { return s.logged("write failed") >= 8 })
-	assert.Equal(t, s.logged("pool left"), 0)
-	assert.Equal(t, s.logged("lease offered"), 0)
-	way.Cut(false)
-	s.waitFor("jobs are taken again", func() bool { return s.submit(2, twoSteps(20)) })
-	s.completed([]int{2})
-	s.clean()
+	s.waitCompleted([]int{1})
+	link.Cut(true)
+	s.waitFor("the owner has failed to write for some time", func() bool { return s.countLogged("write failed") >= 8 })
+	assert.Equal(t, s.countLogged("pool left"), 0)
+	assert.Equal(t, s.countLogged("lease offered"), 0)
+	link.Cut(false)
+	s.waitFor("jobs are accepted again", func() bool { return s.submit(2, twoSteps(20)) })
+	s.waitCompleted([]int{2})
+	s.checkNoFaults()
 }
 
-// Symptom: a pool stands still for two seconds after its owner's process was killed.
-// Sequence: the process ends; its connections are closed; the others wait for the
-// end of its lease all the same.
-// Cause: a process that has ended was treated like one that is cut off.
-func TestPoolOfAKilledOwnerIsClaimedWhenItsConnectionsEnd(t *testing.T) {
+// Guards against a pool that is not served for two seconds after its owner's process was killed.
+// The connections of the process are closed, but the others waited until its lease expired, as a
+// process that has ended was treated like one that is cut off.
+func TestPoolOfKilledOwnerIsClaimedWhenItsConnectionsClose(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 3)
-	s.ready()
+	s.waitReady()
 	first := s.entries[0]
-	s.waitFor("the first entry owns both leases", func() bool { return s.logged("lease taken", `"e-0"`) == 2 })
+	s.waitFor("the first entry owns both leases", func() bool { return s.countLogged("lease taken", `"e-0"`) == 2 })
 	s.start("e-1")
-	s.ready()
+	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(20)))
-	s.completed([]int{1})
+	s.waitCompleted([]int{1})
 	first.kill()
 	<-first.done
 	first.mesh.Close()
-	s.waitFor("the second entry knows of the end", func() bool { return s.logged("holder gone", `"entry"="e-1"`, `"holder"="e-0/1"`) == 1 })
+	s.waitFor("the second entry knows that the first has ended", func() bool { return s.countLogged("holder gone", `"entry"="e-1"`, `"holder"="e-0/1"`) == 1 })
 	s.entries = s.entries[1:]
 	s.waitFor("the second entry has the pool", func() bool {
-		return s.logged("lease taken", `"entry"="e-1"`, `"pool"="`+poolName+`"`, `"before"="e-0/1"`) == 1
+		return s.countLogged("lease taken", `"entry"="e-1"`, `"pool"="`+poolName+`"`, `"before"="e-0/1"`) == 1
 	})
 	assert.Assert(t, s.submit(2, twoSteps(20)))
-	s.completed([]int{1, 2})
-	s.clean()
+	s.waitCompleted([]int{1, 2})
+	s.checkNoFaults()
 }
 
-// Symptom: an entry does nothing any more, though it and the table are well.
-// Sequence: something between the two forgets all open connections: what is sent on
-// them is lost without a reset, while new connections work.
-// Cause: an answer is waited for without a bound, or the next call goes out on
-// another connection of the same age.
+// Guards against an entry that does nothing any more although it and the table work. Something
+// between the two forgets all open connections: what is sent on them is lost without a reset,
+// while new connections work. An answer was waited for without a timeout, or the next call went
+// out on another connection of the same age.
 func TestConnectionsThatGoSilentAreReplaced(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
-	way := newPath(t, s.table.Addr())
-	s.startVia("e-0", way.listen.Addr().String())
-	s.ready()
+	link := newTableLink(t, s.table.Addr())
+	s.startAt("e-0", link.listen.Addr().String())
+	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(20)))
-	s.completed([]int{1})
+	s.waitCompleted([]int{1})
 	for n := range 3 {
-		assert.Assert(t, way.Silence() > 0)
-		s.waitFor("jobs are taken again", func() bool { return s.submit(10+n, twoSteps(20)) })
-		s.completed([]int{10 + n})
+		assert.Assert(t, link.Silence() > 0)
+		s.waitFor("jobs are accepted again", func() bool { return s.submit(10+n, twoSteps(20)) })
+		s.waitCompleted([]int{10 + n})
 	}
-	s.clean()
+	s.checkNoFaults()
 }
 
-// takes asks an entry whether it would take a lease over.
-func (s *site) takes(e *entry) bool {
+// acceptsLeases asks an entry whether it would take over a lease.
+func (s *site) acceptsLeases(e *entry) bool {
 	caller := mesh.New(mesh.Config{})
 	defer caller.Close()
 	answer := make(map[string]any)
-	err := caller.Call(s.t.Context(), e.peer, "lease.probe", map[string]any{"f": 0}, &answer)
+	err := caller.Call(s.t.Context(), e.peerAddr, "lease.probe", map[string]any{"f": 0}, &answer)
 	return err == nil && answer["r"] == true
 }
 
-// Symptom: an entry that the table turns away answers all hand-ins with 504 after a
-// pool has changed hands.
-// Sequence: an entry is cut off from the table; the pool's owner hands it over; the
-// first entry goes on asking the owner that it saw last.
-// Cause: where an owner is was told by the table only.
-func TestEntryWithoutTheTableFindsTheOwnerThatHasMoved(t *testing.T) {
+// Guards against an entry, cut off from the table, that answers all submissions with 504 after a
+// pool has changed hands: it went on asking the owner that it had seen last, as it learned the
+// owners from the table only.
+func TestEntryCutOffFromTableFindsNewOwner(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 3)
-	s.ready()
-	s.waitFor("the first entry owns both leases", func() bool { return s.logged("lease taken", `"e-0"`) == 2 })
-	way := newPath(t, s.table.Addr())
-	cutOff := s.startVia("e-1", way.listen.Addr().String())
-	s.ready()
+	s.waitReady()
+	s.waitFor("the first entry owns both leases", func() bool { return s.countLogged("lease taken", `"e-0"`) == 2 })
+	link := newTableLink(t, s.table.Addr())
+	cutOff := s.startAt("e-1", link.listen.Addr().String())
+	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(20)))
-	s.completed([]int{1})
-	way.Cut(true)
+	s.waitCompleted([]int{1})
+	link.Cut(true)
 	s.start("e-2")
-	s.ready()
+	s.waitReady()
 	s.waitFor("the third entry is known to the first", func() bool {
-		return s.logged("entry known", `"entry"="e-0"`, `"peer"="e-2"`) == 1
+		return s.countLogged("entry known", `"entry"="e-0"`, `"peer"="e-2"`) == 1
 	})
-	s.waitFor("the entry that is cut off takes no pools", func() bool { return !s.takes(cutOff) })
+	s.waitFor("the entry that is cut off takes no pools", func() bool { return !s.acceptsLeases(cutOff) })
 	s.entries[0].node.Release(t.Context(), 0)
 	s.waitFor("the third entry has the pool", func() bool {
-		return s.logged("pool loaded", `"entry"="e-2"`, `"pool"="`+poolName+`"`) == 1
+		return s.countLogged("pool loaded", `"entry"="e-2"`, `"pool"="`+poolName+`"`) == 1
 	})
 	status, out, _ := s.call(cutOff, http.MethodPost, jobPath(2), twoSteps(20))
 	assert.Equal(t, status, http.StatusOK, "%v", out)
 	s.entries = s.entries[2:]
-	s.completed([]int{2})
-	s.clean()
+	s.waitCompleted([]int{2})
+	s.checkNoFaults()
 }
--- a/test/machines/announce_test.go
+++ b/test/machines/drain_test.go
@@ -9,19 +9,19 @@
 	gauge "sapphiregauge"
 )
 
-// Symptom: after all entries have lost power in a change of turns, half of a pool's
-// machines come two seconds later than the others.
-// Sequence: the fleet's holder has machines emptied that are to move, and is gone; the next
-// one leaves all of them alone, as they may have been ordered just now.
-// Cause: the lease named each machine from when it was to be emptied.
-func TestMachineThatIsStillInUseIsNotAnnounced(t *testing.T) {
+// Guards against machines that move two seconds late: after all entries have lost power during a
+// shift of machines between pools, half of a pool's machines came two seconds later than the
+// others. The fleet lease holder had ordered workers drained for a move and was gone; its lease
+// named each machine from the start of the drain, so its successor left all of them alone, as
+// they might have been ordered to move just then.
+func TestDrainingMachineIsNotRecordedAsOrdered(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
-	s.ready()
+	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
 	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
 	s.table.Wave(1, []string{"m-0"}, 600, 1)
-	s.waitFor("the machine is being emptied", func() bool { return s.logged("worker to be emptied") > 0 })
+	s.waitFor("the machine is being drained", func() bool { return s.countLogged("worker to be emptied") > 0 })
 	granted := func() gauge.GrantRow {
 		row, err := gauge.DecodeGrantRow(s.table.Value(gauge.TableGrants, fleetLease, gauge.KeyOwner))
 		assert.NilError(t, err)
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -13,18 +13,18 @@
 	"sapphiregauge/platform/fakes"
 )
 
-func TestJobsAreServedFromHandInToCompleted(t *testing.T) {
+func TestJobsRunFromSubmissionToCompletion(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 3)
-	s.ready()
+	s.waitReady()
 	var jobs []int
 	for n := range 12 {
 		assert.Assert(t, s.submit(n, twoSteps(30)))
-		assert.Assert(t, s.submit(n, twoSteps(30)), "handed in again it is the same job")
+		assert.Assert(t, s.submit(n, twoSteps(30)), "submitted again it is the same job")
 		jobs = append(jobs, n)
 	}
-	s.completed(jobs)
-	s.clean()
+	s.waitCompleted(jobs)
+	s.checkNoFaults()
 	for n := range 12 {
 		assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.1.1", n)), 1)
 	}
@@ -35,10 +35,10 @@
 	})
 }
 
-func TestCallsThatCannotBeServed(t *testing.T) {
+func TestInvalidRequestsAreRefused(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
-	s.ready()
+	s.waitReady()
 	e := s.entries[0]
 	bad := map[string]any{"spec": "x", "steps": []any{map[string]any{"count": 0}}}
 	for _, tt := range []struct {
@@ -59,12 +59,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			status, out, _ := s.call(e, tt.method, tt.path, tt.body)
 			assert.Equal(t, status, tt.want)
-			assert.Assert(t, contains(out["reason"], tt.reason), "%v", out)
+			assert.Assert(t, containsText(out["reason"], tt.reason), "%v", out)
 		})
 	}
 }
 
-func contains(text any, part string) bool {
+func containsText(text any, part string) bool {
 	s, _ := text.(string)
 	for i := 0; i+len(part) <= len(s); i++ {
 		if s[i:i+len(part)] == part {
@@ -74,7 +74,7 @@
 	return false
 }
 
-func TestWithoutConfigurationCallsAreRefusedWithRetryAfter(t *testing.T) {
+func TestRequestsWithoutConfigurationAreRefusedWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 0)
 	s.table.Drop("op", "config")
@@ -87,30 +87,29 @@
 func TestCancelledJobStopsAndStaysCancelled(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 2)
-	s.ready()
-	lasting := map[string]any{
+	s.waitReady()
+	longRunning := map[string]any{
 		"spec":  fakes.Work{CPU: 500}.Payload(),
 		"steps": []any{map[string]any{"count": 2, "cpu": 500, "memMb": 10, "longRunning": true}},
 	}
-	assert.Assert(t, s.submit(1, lasting))
+	assert.Assert(t, s.submit(1, longRunning))
 	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
 	status, _, _ := s.call(s.entries[1], http.MethodDelete, jobPath(1), nil)
 	assert.Equal(t, status, http.StatusOK)
-	assert.Equal(t, s.state(1), "cancelled")
+	assert.Equal(t, s.jobState(1), "cancelled")
 	s.waitFor("spec dropped", func() bool { return s.table.Value("specs", queueName, fmt.Sprintf("%016x", 1)) == nil })
-	assert.Assert(t, s.submit(1, lasting), "a late repeat of the hand-in")
-	assert.Equal(t, s.state(1), "cancelled")
-	s.clean()
+	assert.Assert(t, s.submit(1, longRunning), "a late retry of the submission")
+	assert.Equal(t, s.jobState(1), "cancelled")
+	s.checkNoFaults()
 }
 
-// Symptom: jobs are lost, or run twice, when an owner dies.
-// Sequence: jobs run; each entry is killed in turn, without giving anything up,
-// and another takes its place.
-// Cause: state that only the dead owner had.
-func TestKilledOwnersLoseAndDoubleNothing(t *testing.T) {
+// Guards against jobs that are lost, or run twice, when an owner dies, through state that only
+// the dead owner had. While jobs run, each entry is killed in turn without releasing anything,
+// and a new one is started in its place.
+func TestKilledOwnersLoseAndDuplicateNoJobs(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 3)
-	s.ready()
+	s.waitReady()
 	var jobs []int
 	for round := range 2 {
 		for n := range 6 {
@@ -124,15 +123,15 @@
 		old.mesh.Close()
 		s.entries = s.entries[1:]
 		s.start(fmt.Sprintf("n-%d", round))
-		s.ready()
+		s.waitReady()
 	}
-	s.completed(jobs)
-	s.clean()
+	s.waitCompleted(jobs)
+	s.checkNoFaults()
 }
 
-// faulty makes a share of the calls misbehave, the same ones on each run for the
-// same order of calls.
-func faulty(seed uint64, share float64, kinds ...fakes.Fault) func(string) fakes.Fault {
+// randomFaults returns a function that has a share of the calls misbehave, the same ones on each
+// run for the same order of calls.
+func randomFaults(seed uint64, share float64, kinds ...fakes.Fault) func(string) fakes.Fault {
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, seed))
 	return func(string) fakes.Fault {
@@ -145,12 +144,11 @@
 	}
 }
 
-// Symptom: a job is lost, runs twice, runs although it was refused, or a worker
-// gets more than it holds.
-// Sequence: a tenth to a third of all calls to the table, or to the workers, is
-// refused, breaks before or after it took effect, or is carried out late.
-// Cause: a call without an answer is taken for done, or for not done.
-func TestFaultsOfEveryCallLoseAndDoubleNothing(t *testing.T) {
+// Guards against jobs that are lost, run twice or run although they were refused, and workers
+// that get more than they have room for. A tenth to a third of all calls to the table, or to the
+// workers, is refused, breaks before or after it took effect, or is carried out late. A call
+// without an answer must be taken neither for done nor for not done.
+func TestCallFaultsLoseAndDuplicateNoJobs(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
 		name    string
@@ -161,18 +159,18 @@
 		{"table refuses", 0.3, 0, []fakes.Fault{fakes.FaultRefuse}},
 		{"table's answers lost", 0.3, 0, []fakes.Fault{fakes.FaultLost, fakes.FaultHalf}},
 		{"table's calls lost", 0.3, 0, []fakes.Fault{fakes.FaultDrop}},
-		{"table late", 0.15, 0, []fakes.Fault{fakes.FaultLate}},
+		{"table's calls delayed", 0.15, 0, []fakes.Fault{fakes.FaultLate}},
 		{"workers refuse", 0, 0.3, []fakes.Fault{fakes.FaultRefuse}},
 		{"workers' answers lost", 0, 0.3, []fakes.Fault{fakes.FaultLost, fakes.FaultHalf}},
-		{"workers late", 0, 0.2, []fakes.Fault{fakes.FaultLate}},
+		{"workers' calls delayed", 0, 0.2, []fakes.Fault{fakes.FaultLate}},
 		{"all at once", 0.1, 0.1, []fakes.Fault{fakes.FaultRefuse, fakes.FaultLost, fakes.FaultDrop, fakes.FaultLate, fakes.FaultHalf}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 2, 3)
-			s.ready()
-			s.table.Set(faulty(1, tt.table, tt.kinds...))
-			s.machines.Each(func(w *fakes.Worker) { w.Set(faulty(2, tt.workers, tt.kinds...)) })
+			s.waitReady()
+			s.table.Set(randomFaults(1, tt.table, tt.kinds...))
+			s.machines.Each(func(w *fakes.Worker) { w.Set(randomFaults(2, tt.workers, tt.kinds...)) })
 			var jobs, refused []int
 			for n := range 10 {
 				if s.submit(n, twoSteps(100)) {
@@ -181,41 +179,42 @@
 					refused = append(refused, n)
 				}
 			}
-			s.completed(jobs)
+			s.waitCompleted(jobs)
 			s.table.Set(nil)
 			for _, n := range refused {
-				assert.Equal(t, s.state(n), "410", "refused, so it never runs")
+				assert.Equal(t, s.jobState(n), "410", "a refused job never runs")
 				assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.0.0", n)), 0)
 			}
-			s.clean()
+			s.checkNoFaults()
 		})
 	}
 }
 
-// A wave is done while lasting tasks go on, no more machines down than allowed.
-func TestWaveIsCarriedOut(t *testing.T) {
+// A maintenance wave completes while long-running tasks go on, with no more machines down than
+// allowed.
+func TestMaintenanceWaveCompletes(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 5)
-	s.ready()
-	lasting := map[string]any{
+	s.waitReady()
+	longRunning := map[string]any{
 		"spec": fakes.Work{CPU: 500}.Payload(),
 		"steps": []any{map[string]any{
 			"count": 2, "cpu": 500, "memMb": 10, "longRunning": true, "maxUnavailable": 1, "antiAffinity": 1,
 		}},
 	}
-	assert.Assert(t, s.submit(1, lasting))
+	assert.Assert(t, s.submit(1, longRunning))
 	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
 	s.table.Wave(1, []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, 20, 2)
 	s.waitFor("wave completed", func() bool { return s.table.WaveDone(1) })
 	assert.Equal(t, s.machines.Begun(1), 5)
-	s.clean()
+	s.checkNoFaults()
 }
 
-// History that the table has dropped makes a follower read all anew.
-func TestConfigurationFollowsAfterHistoryIsLost(t *testing.T) {
+// A follower reads all rows anew when the table has dropped the history that it needs.
+func TestConfigurationIsFollowedAfterHistoryIsLost(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
-	s.ready()
+	s.waitReady()
 	s.table.Forget()
 	s.table.Configure(7, []fakes.Queue{
 		{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName},
@@ -224,7 +223,7 @@
 	s.waitFor("configuration 7", func() bool { return s.entries[0].node.Site().Version == 7 })
 	s.table.Configure(6, nil)
 	s.table.Wave(5, nil, 20, 1)
-	s.waitFor("the row after configuration 6 seen", func() bool { return s.table.WaveDone(5) })
+	s.waitFor("the row after configuration 6 is read", func() bool { return s.table.WaveDone(5) })
 	assert.Equal(t, s.entries[0].node.Site().Version, int64(7), "never back to an older one")
 	s.table.Configure(8, []fakes.Queue{{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName}})
 	s.waitFor("configuration 8", func() bool { return s.entries[0].node.Site().Version == 8 })
--- a/test/machines/proxy_test.go
+++ b/test/machines/proxy_test.go
@@ -10,19 +10,20 @@
 	"testing"
 )
 
-// newProxy passes calls on to an address.
+// newProxy returns an HTTP proxy that forwards requests to an address.
 func newProxy(to string) *httputil.ReverseProxy {
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: to})
-	proxy.ErrorLog = log.New(io.Discard, "", 0) // feeds that wait when the test ends
+	proxy.ErrorLog = log.New(io.Discard, "", 0) // feed calls are still pending when the test ends
 	return proxy
 }
 
-// proxied is a way to the table on which a test meets each call; false: it is passed on.
-func proxied(t *testing.T, to string, meet func(w http.ResponseWriter, r *http.Request) bool) (addr string) {
+// startProxy starts a proxy to the table on which the test intercepts each request; intercept
+// returns false to have the request forwarded.
+func startProxy(t *testing.T, to string, intercept func(w http.ResponseWriter, r *http.Request) bool) (addr string) {
 	t.Helper()
 	proxy := newProxy(to)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !meet(w, r) {
+		if !intercept(w, r) {
 			proxy.ServeHTTP(w, r)
 		}
 	}))
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -14,30 +14,30 @@
 	"sapphiregauge/platform"
 )
 
-// tally counts one entry's calls to the table, by table and kind.
-type tally struct {
+// callCounter counts one entry's calls to the table, by table and kind of call.
+type callCounter struct {
 	mu    sync.Mutex
 	calls map[string]int
 }
 
-// newTally starts a way to the table that counts.
-func newTally(t *testing.T, to string) (addr string, counts *tally) {
-	counts = &tally{calls: make(map[string]int)}
-	addr = proxied(t, to, func(_ http.ResponseWriter, r *http.Request) bool {
+// newCallCounter starts a proxy to the table that counts the calls.
+func newCallCounter(t *testing.T, to string) (addr string, counts *callCounter) {
+	counts = &callCounter{calls: make(map[string]int)}
+	addr = startProxy(t, to, func(_ http.ResponseWriter, r *http.Request) bool {
 		counts.count(r.URL.Query().Get("table"), strings.TrimPrefix(r.URL.Path, "/sapphiregauge/"))
 		return false
 	})
 	return addr, counts
 }
 
-func (c *tally) count(table, kind string) {
+func (c *callCounter) count(table, kind string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.calls[table+" "+kind]++
 }
 
-// of counts the calls of some kinds for a table.
-func (c *tally) of(table string, kinds ...string) int {
+// total returns the number of calls of some kinds for a table.
+func (c *callCounter) total(table string, kinds ...string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
@@ -47,13 +47,13 @@
 	return n
 }
 
-// addPeers writes the rows of entries that are not there.
+// addPeers writes the rows of entries that don't run.
 func (s *site) addPeers(most int) {
-	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), Read: patience, Commit: patience, Clock: time.Now})
+	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), Read: waitTimeout, Commit: waitTimeout, Clock: time.Now})
 	defer table.Close()
 	var txn gauge.PartTxn
 	for n := range most {
-		value, err := (&gauge.EntryRow{Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Capacity: weakHost}).Encode()
+		value, err := (&gauge.EntryRow{Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Capacity: smallHostCores}).Encode()
 		assert.NilError(s.t, err)
 		txn.Writes = append(txn.Writes, gauge.RowWrite{
 			RowKey: gauge.RowKey{Table: gauge.TableEntries, Key: fmt.Sprintf("peer-%02d", n)}, Value: value,
@@ -63,68 +63,65 @@
 	assert.NilError(s.t, err)
 }
 
-// Symptom: after all of some hundred entries were killed nothing is served for eight
-// seconds; counts are wrong and workers that leave are told of late.
-// Sequence: each entry reads the rows of all others, with a call for each; together more
-// than the table takes. What it turns away is read again from the start.
-// Cause: each entry's row had a part of the table of its own.
-func TestEntryThatStartsReadsTheOthersWithAFewCalls(t *testing.T) {
+// Guards against a slow start of many entries: after all of some hundred entries were killed
+// nothing was served for eight seconds, counts were wrong, and workers that leave were reported
+// late. Each entry read the rows of all others with a call for each, as each row had a partition
+// of the table of its own. Together that was more than the table takes, and what it refused was
+// read again from the start.
+func TestStartingEntryReadsOtherEntriesInFewCalls(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 1)
-	s.startOn("strong-0", s.table.Addr(), host{capacity: strongHost})
-	s.ready()
+	s.startOn("strong-0", s.table.Addr(), host{capacity: largeHostCores})
+	s.waitReady()
 	s.addPeers(60)
-	way, calls := newTally(t, s.table.Addr())
-	s.startOn("weak-0", way, host{capacity: weakHost})
-	s.ready()
-	s.waitFor("all are known", func() bool { return s.logged("entry known", `"entry"="weak-0"`, `"peer"="peer-`) == 60 })
-	reads := calls.of(gauge.TableEntries, "rows-get", "rows-parts") + calls.of(gauge.TableLeases, "rows-get", "rows-parts")
+	proxyAddr, calls := newCallCounter(t, s.table.Addr())
+	s.startOn("weak-0", proxyAddr, host{capacity: smallHostCores})
+	s.waitReady()
+	s.waitFor("all are known", func() bool { return s.countLogged("entry known", `"entry"="weak-0"`, `"peer"="peer-`) == 60 })
+	reads := calls.total(gauge.TableEntries, "rows-get", "rows-parts") + calls.total(gauge.TableLeases, "rows-get", "rows-parts")
 	assert.Assert(t, reads <= 20, "%d reads", reads)
 }
 
-// Symptom: hundreds of entries without a pool take a large part of what the table and
-// their links can carry.
-// Sequence: nothing; each follows the list of workers, of which each rewrites its row
-// every second or two.
-// Cause: the list was followed in case a pool would be taken.
-func TestEntryWithoutAPoolReadsNothingOfTheWorkers(t *testing.T) {
+// Guards against hundreds of entries without a pool that take a large part of the capacity of the
+// table and of their network links. Each followed the list of workers, of which each rewrites its
+// row every second or two, in case it would take over a pool.
+func TestEntryWithoutPoolDoesNotReadWorkers(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
-	first := s.startOn("strong-0", s.table.Addr(), host{capacity: strongHost})
-	s.ready()
-	s.held("strong-0")
-	way, calls := newTally(t, s.table.Addr())
-	s.startOn("weak-0", way, host{capacity: weakHost})
-	s.ready()
-	s.waitFor("it has looked at the leases some times", func() bool { return calls.of(gauge.TableLeases, "rows-feed") >= 3 })
+	first := s.startOn("strong-0", s.table.Addr(), host{capacity: largeHostCores})
+	s.waitReady()
+	s.waitLeasesHeldBy("strong-0")
+	proxyAddr, calls := newCallCounter(t, s.table.Addr())
+	s.startOn("weak-0", proxyAddr, host{capacity: smallHostCores})
+	s.waitReady()
+	s.waitFor("the entry has followed the leases for some calls", func() bool { return calls.total(gauge.TableLeases, "rows-feed") >= 3 })
 	workers := platform.Words{}.WorkerTable()
-	assert.Equal(t, calls.of(workers, "rows-get", "rows-feed"), 0)
+	assert.Equal(t, calls.total(workers, "rows-get", "rows-feed"), 0)
 
-	// It still serves a pool that it takes over.
+	// The entry still serves a pool that it takes over.
 	assert.Assert(t, s.submit(1, twoSteps(20)))
-	s.completed([]int{1})
+	s.waitCompleted([]int{1})
 	first.kill()
 	<-first.done
 	first.mesh.Close()
 	s.entries = s.entries[1:]
-	s.held("weak-0")
+	s.waitLeasesHeldBy("weak-0")
 	assert.Assert(t, s.submit(2, twoSteps(20)))
-	s.completed([]int{2})
-	assert.Assert(t, calls.of(workers, "rows-get") > 0)
-	s.clean()
+	s.waitCompleted([]int{2})
+	assert.Assert(t, calls.total(workers, "rows-get") > 0)
+	s.checkNoFaults()
 }
 
-// Symptom: a task runs twice at once after its pool's owner was killed.
-// Sequence: the owner starts a task and is killed; another entry takes the pool.
-// Cause: what the owner wrote for its successor isn't read.
-func TestEntryThatTakesAPoolOverKnowsWhichWorkersMayHaveOrders(t *testing.T) {
+// Guards against a task that runs twice at once after the owner of its pool was killed: the owner
+// starts the task and is killed, and the successor must read what the owner wrote for it.
+func TestSuccessorKnowsWhichWorkersMayHaveOrders(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 2, 1)
-	s.ready()
+	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
 	s.waitFor("a task has started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.0", 1)) == 1 })
 	owner := 0
-	if s.holderOf(poolName) == "e-1" {
+	if s.leaseHolder(poolName) == "e-1" {
 		owner = 1
 	}
 	killed := s.entries[owner]
@@ -132,9 +129,9 @@
 	<-killed.done
 	killed.mesh.Close()
 	before := fmt.Sprintf(`"before"="e-%d/1"`, owner)
-	s.waitFor("it was taken over", func() bool {
-		return s.logged("lease taken", `"pool"="`+poolName+`"`, before) == 1
+	s.waitFor("the pool was taken over", func() bool {
+		return s.countLogged("lease taken", `"pool"="`+poolName+`"`, before) == 1
 	})
-	assert.Equal(t, s.logged("lease taken", `"pool"="`+poolName+`"`, before, `"workers"=1 `), 1)
-	s.clean()
+	assert.Equal(t, s.countLogged("lease taken", `"pool"="`+poolName+`"`, before, `"workers"=1 `), 1)
+	s.checkNoFaults()
 }
--- a/test/machines/again_test.go
+++ b/test/machines/restart_test.go
@@ -10,22 +10,23 @@
 	"sapphiregauge/platform/fakes"
 )
 
-const againHosts = 3
+const restartHosts = 3
 
-// againSite is a site whose workers start again under their ids.
-func againSite(t *testing.T) *site {
+// newRestartSite starts a site whose workers start again under the same ids after a crash.
+func newRestartSite(t *testing.T) *site {
 	t.Helper()
-	s := newSite(t, 1, againHosts)
-	s.ready()
+	s := newSite(t, 1, restartHosts)
+	s.waitReady()
 	return s
 }
 
-// crashAll has all workers crash at once: one after the other they would have been lost, as far
-// as anybody can know, for the tasks that start on the next one each time.
-func (s *site) crashAll() {
+// crashAllWorkers crashes all workers at once and waits until they are back. If they crashed one
+// after the other, each loss would be attributed, as far as can be known, to the tasks that were
+// just started on the next worker.
+func (s *site) crashAllWorkers() {
 	s.t.Helper()
 	before := make(map[string]*fakes.Worker)
-	for i := range againHosts {
+	for i := range restartHosts {
 		id := fmt.Sprintf("m-%d", i)
 		before[id] = s.machines.Worker(id)
 		s.machines.Crash(id)
@@ -38,43 +39,44 @@
 	}
 }
 
-// Lasting tasks that are taken for at work on a worker that has started again, and aren't.
-func TestLastingTasksRunAgainAfterTheirWorkersHaveStartedAgain(t *testing.T) {
+// Long-running tasks must not be taken for running on a worker that has restarted and no longer
+// runs them.
+func TestLongRunningTasksRestartAfterWorkerRestarts(t *testing.T) {
 	t.Parallel()
-	s := againSite(t)
-	lasting := map[string]any{
+	s := newRestartSite(t)
+	longRunning := map[string]any{
 		"spec":  fakes.Work{CPU: 500}.Payload(),
 		"steps": []any{map[string]any{"count": 6, "cpu": 500, "memMb": 10, "longRunning": true, "maxUnavailable": 1}},
 	}
-	assert.Assert(t, s.submit(1, lasting))
+	assert.Assert(t, s.submit(1, longRunning))
 	for range 3 {
 		s.waitFor("all tasks run", func() bool {
 			_, running := s.journal.Tasks()
 			return len(running) == 6
 		})
-		s.crashAll()
+		s.crashAllWorkers()
 	}
 	s.waitFor("all tasks run", func() bool {
 		_, running := s.journal.Tasks()
 		return len(running) == 6
 	})
-	s.clean()
+	s.checkNoFaults()
 }
 
-// Ends of a worker's new life that are acknowledged by the numbers of the life before, and tasks
-// that start again for that.
-func TestEndsAreKeptAfterTheirWorkersHaveStartedAgain(t *testing.T) {
+// The ends that a restarted worker reports must not be acknowledged by the sequence numbers of
+// its previous incarnation: their tasks would be started again.
+func TestEndsAreKeptAcrossWorkerRestarts(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
 		name    string
 		disturb func(s *site, round int)
 	}{
-		{"alone", func(*site, int) {}},
-		{"orders late, answers lost", func(s *site, round int) {
-			s.machines.SetWorkers(faulty(uint64(round), 0.2, fakes.FaultLate, fakes.FaultLost, fakes.FaultHalf))
+		{"no other disturbance", func(*site, int) {}},
+		{"orders delayed, answers lost", func(s *site, round int) {
+			s.machines.SetWorkers(randomFaults(uint64(round), 0.2, fakes.FaultLate, fakes.FaultLost, fakes.FaultHalf))
 		}},
-		{"table away", func(s *site, round int) {
-			s.table.Set(faulty(uint64(round), 1, fakes.FaultRefuse))
+		{"table outage", func(s *site, round int) {
+			s.table.Set(randomFaults(uint64(round), 1, fakes.FaultRefuse))
 			time.AfterFunc(time.Second, func() { s.table.Set(nil) })
 		}},
 		{"owners replaced", func(s *site, round int) {
@@ -84,7 +86,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			s := againSite(t)
+			s := newRestartSite(t)
 			var jobs []int
 			for round := range 4 {
 				for n := range 6 {
@@ -94,14 +96,14 @@
 					jobs = append(jobs, job)
 				}
 				tt.disturb(s, round)
-				s.crashAll()
+				s.crashAllWorkers()
 			}
 			s.machines.SetWorkers(nil)
 			last := s.entries[len(s.entries)-1]
 			for _, job := range jobs {
 				s.waitFor(fmt.Sprintf("job %d completed", job), func() bool { return s.stateAt(last, job) == "completed" })
 			}
-			s.clean()
+			s.checkNoFaults()
 		})
 	}
 }
--- a/test/machines/site_test.go
+++ b/test/machines/site_test.go
@@ -28,8 +28,8 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// site is a small deployment: entries of the product on loopback, everything
-// else a stand-in.
+// site is a small deployment: entries of the product on loopback, and stand-ins for everything
+// else.
 type site struct {
 	t        *testing.T
 	table    *fakes.Table
@@ -42,7 +42,7 @@
 	lines []string // logged by all entries
 }
 
-// log keeps what entries log.
+// log returns a logger that collects the lines of all entries.
 func (s *site) log() logr.Logger {
 	return funcr.New(func(_, args string) {
 		s.mu.Lock()
@@ -51,8 +51,8 @@
 	}, funcr.Options{})
 }
 
-// tellLeases prints what was logged of leases, if the test has failed.
-func (s *site) tellLeases() {
+// printLeaseLines prints what was logged of leases, if the test has failed.
+func (s *site) printLeaseLines() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.t.Failed() {
@@ -65,8 +65,8 @@
 	}
 }
 
-// logged counts the lines that hold all of some texts.
-func (s *site) logged(texts ...string) int {
+// countLogged counts the log lines that contain all of some texts.
+func (s *site) countLogged(texts ...string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -78,15 +78,15 @@
 	return n
 }
 
-// entry is one entry, with its own connections.
+// entry is one entry, with its own network connections.
 type entry struct {
-	node  *node.Node
-	front *platform.Front
-	mesh  *mesh.Node
-	addr  string
-	peer  string // for other entries
-	kill  context.CancelFunc
-	done  chan struct{}
+	node     *node.Node
+	front    *platform.Front
+	mesh     *mesh.Node
+	addr     string
+	peerAddr string // address for other entries
+	kill     context.CancelFunc
+	done     chan struct{}
 }
 
 const (
@@ -95,8 +95,8 @@
 	queuePath = "/sheets/"
 	poolName  = "brakes"
 	spareName = "spare"
-	// patience bounds each wait of a test; nothing is decided by it.
-	patience = 60 * time.Second
+	// waitTimeout bounds each wait of a test; no check depends on it.
+	waitTimeout = 60 * time.Second
 )
 
 func newSite(t *testing.T, entries, hosts int) *site {
@@ -104,7 +104,7 @@
 	s := &site{t: t, table: fakes.NewTable(), journal: fakes.NewJournal()}
 	s.client = http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	s.machines = fakes.NewMachines(s.table, s.journal)
-	t.Cleanup(s.tellLeases)
+	t.Cleanup(s.printLeaseLines)
 	t.Cleanup(s.table.Close)
 	t.Cleanup(s.machines.Close)
 	for i := range hosts {
@@ -123,15 +123,15 @@
 	return l
 }
 
-func (s *site) start(name string) *entry { return s.startVia(name, s.table.Addr()) }
+func (s *site) start(name string) *entry { return s.startAt(name, s.table.Addr()) }
 
-// startVia starts an entry that reaches the table at an address of its own.
-func (s *site) startVia(name, tableAddr string) *entry { return s.startOn(name, tableAddr, host{}) }
+// startAt starts an entry that reaches the table at another address, as through a proxy.
+func (s *site) startAt(name, tableAddr string) *entry { return s.startOn(name, tableAddr, host{}) }
 
-// host is what an entry runs on.
+// host describes the host that an entry runs on.
 type host struct {
 	capacity float64              // cores
-	now      func() time.Duration // nil: the machine's steady clock
+	now      func() time.Duration // nil: the time since boot
 }
 
 // startOn starts an entry on a host.
@@ -142,7 +142,7 @@
 	e := &entry{done: make(chan struct{})}
 	e.mesh = mesh.New(mesh.Config{Closed: func(addr string) { e.node.CheckHolder(addr) }})
 	peer, front := s.listen(), s.listen()
-	e.addr, e.peer = front.Addr().String(), peer.Addr().String()
+	e.addr, e.peerAddr = front.Addr().String(), peer.Addr().String()
 	table := platform.NewTable(platform.TableConfig{Addr: tableAddr, Read: 900 * time.Millisecond, Commit: 1500 * time.Millisecond, Clock: time.Now})
 	workers := platform.NewWorkers(platform.WorkersConfig{Hold: 800 * time.Millisecond, Order: 300 * time.Millisecond, Clock: time.Now})
 	e.node = node.New(node.Config{
@@ -177,7 +177,7 @@
 	return e
 }
 
-// call sends one call of a client to an entry.
+// call sends a client request to an entry. It returns status 0 if there is no answer.
 func (s *site) call(e *entry, method, path string, body any) (int, map[string]any, http.Header) {
 	var b bytes.Buffer
 	if body != nil {
@@ -199,7 +199,7 @@
 
 func jobPath(n int) string { return queuePath + fmt.Sprintf("%016x", n) }
 
-// steps are two steps of two tasks each, the second after the first.
+// twoSteps returns a job of two steps of two tasks each, the second after the first.
 func twoSteps(millis int) map[string]any {
 	spec := fakes.Work{Millis: millis, CPU: 500}.Payload()
 	one := map[string]any{"count": 2, "cpu": 500, "memMb": 100, "estimateMs": millis}
@@ -207,8 +207,8 @@
 	return map[string]any{"spec": spec, "steps": []any{one, two}}
 }
 
-// submit hands a job in as a client does: again after no answer, 502 or 504.
-// False: it was refused.
+// submit submits a job and retries as a client does: after no answer, 502 or 504. It reports
+// whether the job was accepted; false: it was refused.
 func (s *site) submit(n int, body any) bool {
 	for try := 0; ; try++ {
 		status, out, _ := s.call(s.entries[(n+try)%len(s.entries)], http.MethodPost, jobPath(n), body)
@@ -224,7 +224,7 @@
 	}
 }
 
-func (s *site) state(n int) string {
+func (s *site) jobState(n int) string {
 	status, out, _ := s.call(s.entries[n%len(s.entries)], http.MethodGet, jobPath(n), nil)
 	if status != http.StatusOK {
 		return strconv.Itoa(status)
@@ -232,18 +232,18 @@
 	return out["state"].(string)
 }
 
-// waitFor waits until something holds.
-func (s *site) waitFor(what string, holds func() bool) {
+// waitFor waits until a condition holds.
+func (s *site) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	poll.WaitOn(s.t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
-func (s *site) ready() {
+func (s *site) waitReady() {
 	s.t.Helper()
 	s.waitFor("entries ready", func() bool {
 		for _, e := range s.entries {
@@ -255,14 +255,14 @@
 	})
 }
 
-func (s *site) completed(jobs []int) {
+func (s *site) waitCompleted(jobs []int) {
 	s.t.Helper()
 	for _, n := range jobs {
-		s.waitFor(fmt.Sprintf("job %d completed", n), func() bool { return s.state(n) == "completed" })
+		s.waitFor(fmt.Sprintf("job %d completed", n), func() bool { return s.jobState(n) == "completed" })
 	}
 }
 
-func (s *site) clean() {
+func (s *site) checkNoFaults() {
 	s.t.Helper()
 	faults := s.journal.Faults()
 	assert.Equal(s.t, len(faults), 0, "%v", faults)
--- a/test/machines/untold_test.go
+++ b/test/machines/untold_test.go
@@ -10,56 +10,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// Symptom: a job runs whose caller was told that it never does.
-// Sequence: the pool's owner is killed; an entry that is cut off doesn't hear who owns the pool
-// now. It sends a hand-in to the table, which stores it, and the answer is lost; it has nobody to
-// tell. The caller's next try comes to the new owner, for which the table is away as well.
-// Cause: a doubt was told to the owner alone, which the entry that had it could not know.
-func TestOwnerThatWasNotToldOfADoubtRefusesNoRepeat(t *testing.T) {
+// Guards against a job that runs although its caller was told that it never does. The pool's
+// owner is killed, and an entry that is cut off doesn't learn of the new owner. It sends a
+// submission to the table, which stores it, and the answer is lost; the entry has no owner to
+// notify. The caller's retry reaches the new owner, which can't reach the table either. An
+// unsettled submission was reported to the owner alone, which the entry could not know.
+func TestOwnerNotNotifiedOfUnsettledSubmissionRefusesNoRetry(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 1)
-	before := s.startOn("e-2", s.table.Addr(), host{capacity: strongHost})
-	s.ready()
-	s.held("e-2")
-	var away, cutOff atomic.Bool
-	next := s.startOn("e-0", proxied(t, s.table.Addr(), func(w http.ResponseWriter, _ *http.Request) bool {
-		if away.Load() {
+	previousOwner := s.startOn("e-2", s.table.Addr(), host{capacity: largeHostCores})
+	s.waitReady()
+	s.waitLeasesHeldBy("e-2")
+	var tableDown, cutOff atomic.Bool
+	successor := s.startOn("e-0", startProxy(t, s.table.Addr(), func(w http.ResponseWriter, _ *http.Request) bool {
+		if tableDown.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
-		return away.Load()
-	}), host{capacity: strongHost})
+		return tableDown.Load()
+	}), host{capacity: largeHostCores})
 	direct := newProxy(s.table.Addr())
-	blind := s.startOn("e-1", proxied(t, s.table.Addr(), func(w http.ResponseWriter, r *http.Request) bool {
+	isolated := s.startOn("e-1", startProxy(t, s.table.Addr(), func(w http.ResponseWriter, r *http.Request) bool {
 		if !cutOff.Load() {
 			return false
 		}
 		if strings.HasSuffix(r.URL.Path, "rows-tx") {
 			direct.ServeHTTP(httptest.NewRecorder(), r) // carried out
 		}
-		hangUp(w)
+		closeConnection(w)
 		return true
-	}), host{capacity: weakHost})
-	s.ready()
+	}), host{capacity: smallHostCores})
+	s.waitReady()
 	s.waitFor("the entries know each other", func() bool {
-		return s.logged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
+		return s.countLogged("entry known", `"entry"="e-1"`, `"peer"="e-0"`) == 1
 	})
 	cutOff.Store(true)
-	before.kill()
-	<-before.done
-	before.mesh.Close()
-	s.waitFor("the next entry owns the pool", func() bool { return strings.HasPrefix(s.holderOf(poolName), "e-0") })
+	previousOwner.kill()
+	<-previousOwner.done
+	previousOwner.mesh.Close()
+	s.waitFor("the next entry owns the pool", func() bool { return strings.HasPrefix(s.leaseHolder(poolName), "e-0") })
 
-	status, _, _ := s.call(blind, http.MethodPost, jobPath(1), twoSteps(20))
+	status, _, _ := s.call(isolated, http.MethodPost, jobPath(1), twoSteps(20))
 	assert.Equal(t, status, http.StatusGatewayTimeout)
 	stored := func() bool { return len(s.table.Value("jobs", queueName, jobPath(1)[len(queuePath):])) > 0 }
-	s.waitFor("it is stored", stored)
-	away.Store(true)
-	status, out, _ := s.call(next, http.MethodPost, jobPath(1), twoSteps(20))
+	s.waitFor("the job is stored", stored)
+	tableDown.Store(true)
+	status, out, _ := s.call(successor, http.MethodPost, jobPath(1), twoSteps(20))
 	assert.Equal(t, status, http.StatusGatewayTimeout, "%v", out)
 }
 
-// hangUp breaks a call's connection.
-func hangUp(w http.ResponseWriter) {
+// closeConnection closes the connection of a request without an answer.
+func closeConnection(w http.ResponseWriter) {
 	if conn, _, err := w.(http.Hijacker).Hijack(); err == nil {
 		_ = conn.Close()
 	}
