--- a/test/size/size_test.go
+++ b/test/size/size_test.go
@@ -1,5 +1,5 @@
-// Package size_test measures how what an entry does grows with the size of the
-// fleet. docs/CAPACITY.md is worked out from these slopes; run with
+// Package size_test measures how the cost of an entry's work grows with the size of the fleet.
+// The figures in docs/CAPACITY.md are derived from these slopes; run with
 //
 //	go test ./test/size -run xxx -bench . -benchtime 200x
 package size_test
@@ -30,48 +30,48 @@
 	"sapphiregauge/internal/slots"
 )
 
-const perZone = 8 // entries in a data centre
+const entriesPerZone = 8 // entries in a data centre
 
-func memberOf(i int) gauge.Member {
+func newMember(i int) gauge.Member {
 	return gauge.Member{
 		ID: fmt.Sprintf("entry-%03d", i), Run: "00000000-0000-0000-0000-000000000000",
-		Peer: "10.0.0.1:8081", HTTP: "10.0.0.1:8080", Zone: fmt.Sprint("zone-", i/perZone),
+		Peer: "10.0.0.1:8081", HTTP: "10.0.0.1:8080", Zone: fmt.Sprint("zone-", i/entriesPerZone),
 	}
 }
 
-// BenchmarkBeats is one second of heartbeats of one entry: a beat to each
-// neighbour and the answers.
-func BenchmarkBeats(b *testing.B) {
+// BenchmarkHeartbeats measures one second of heartbeats of one entry: a heartbeat to each
+// neighbour, and the answers.
+func BenchmarkHeartbeats(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		b.Run(fmt.Sprint("entries=", n), func(b *testing.B) {
 			now := time.Unix(1000, 0)
-			set := peers.New(peers.Config{Self: memberOf(0)})
+			set := peers.New(peers.Config{Self: newMember(0)})
 			var rows []gauge.Member
 			for i := range n {
-				rows = append(rows, memberOf(i))
+				rows = append(rows, newMember(i))
 			}
 			set.Rows(now, rows)
-			own := peers.Beat{From: memberOf(1)}
-			for i := 1; i < perZone; i++ {
-				own.Own = append(own.Own, memberOf(i).ID)
+			neighbourBeat := peers.Beat{From: newMember(1)}
+			for i := 1; i < entriesPerZone; i++ {
+				neighbourBeat.Own = append(neighbourBeat.Own, newMember(i).ID)
 			}
-			own.Same = own.Own
+			neighbourBeat.Same = neighbourBeat.Own
 			bytes, calls := 0, 0
 			for b.Loop() {
 				set.Look(now)
 				for _, to := range set.Neighbours(now) {
 					beat := set.Beat(now, 7, to.Zone)
 					body, _ := msgpack.Marshal(&beat)
-					answer := own
+					answer := neighbourBeat
 					answer.From = to
-					if to.Zone == memberOf(0).Zone {
+					if to.Zone == newMember(0).Zone {
 						answer.Own, answer.Same = nil, nil
 					}
-					back, _ := msgpack.Marshal(&answer)
-					var heard peers.Beat
-					_ = frame.Decode(back, &heard)
-					set.Heard(now, heard)
-					bytes += len(body) + len(back) + 2*frameHead
+					reply, _ := msgpack.Marshal(&answer)
+					var received peers.Beat
+					_ = frame.Decode(reply, &received)
+					set.Heard(now, received)
+					bytes += len(body) + len(reply) + 2*frameOverhead
 					calls++
 				}
 			}
@@ -81,11 +81,11 @@
 	}
 }
 
-// frameHead is what a frame and the packets' headers add to a body.
-const frameHead = 20 + 40
+// frameOverhead is the number of bytes that a frame and the packet headers add to a body.
+const frameOverhead = 20 + 40
 
-// BenchmarkOwner is one renewal of one holder in one pool.
-func BenchmarkOwner(b *testing.B) {
+// BenchmarkSlotRenewal measures one renewal of the slots that one entry holds in one pool.
+func BenchmarkSlotRenewal(b *testing.B) {
 	for _, hosts := range []int{10, 50, 200} {
 		for _, holders := range []int{8, 128} {
 			b.Run(fmt.Sprintf("hosts=%d/entries=%d", hosts, holders), func(b *testing.B) {
@@ -94,20 +94,20 @@
 				for i := range hosts {
 					f.Hosts = append(f.Hosts, slots.Room{Host: fmt.Sprintf("host-%04d", i), Slots: 8})
 				}
-				o := slots.New(slots.Config{Pool: "p", Term: time.Hour, Limit: time.Minute, Start: now.Add(-2 * time.Hour)})
-				o.Set(f)
+				owner := slots.New(slots.Config{Pool: "p", Term: time.Hour, Limit: time.Minute, Start: now.Add(-2 * time.Hour)})
+				owner.Set(f)
 				seq, bytes := uint64(0), 0
 				for b.Loop() {
 					seq++
-					a := slots.Ask{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, memberOf(0).Run), Pool: "pool-001", Seq: seq, Full: true, Quick: 1}
+					a := slots.Ask{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, newMember(0).Run), Pool: "pool-001", Seq: seq, Full: true, Quick: 1}
 					share := max(1, hosts*8/holders/2)
 					for i := range min(share, hosts) {
 						a.Have = append(a.Have, slots.Lot{Host: f.Hosts[(int(seq)+i)%hosts].Host, Quick: 1})
 					}
-					g, _ := o.Ask(now, a)
-					x, _ := msgpack.Marshal(&a)
-					y, _ := msgpack.Marshal(&g)
-					bytes += len(x) + len(y) + 2*frameHead
+					g, _ := owner.Ask(now, a)
+					request, _ := msgpack.Marshal(&a)
+					grant, _ := msgpack.Marshal(&g)
+					bytes += len(request) + len(grant) + 2*frameOverhead
 				}
 				b.ReportMetric(float64(bytes)/float64(b.N), "B/renewal")
 			})
@@ -115,7 +115,7 @@
 	}
 }
 
-func fleet(hosts, pools int) gauge.State {
+func newState(hosts, pools int) gauge.State {
 	s := gauge.State{Revision: 1, Records: make(map[gauge.RecordID]gauge.Record), ByHost: make(map[string]gauge.Host)}
 	for i := range pools {
 		name := fmt.Sprintf("pool-%03d", i)
@@ -137,7 +137,7 @@
 	return s.Indexed()
 }
 
-func listOf(s gauge.State) gauge.Sightings {
+func sightingsOf(s gauge.State) gauge.Sightings {
 	var out gauge.Sightings
 	for _, h := range s.Hosts() {
 		out = append(out, gauge.Sighting{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Rack: h.Rack, Slots: 8, Status: gauge.StatusLive})
@@ -145,19 +145,19 @@
 	return out
 }
 
-func sizes() []size { return []size{{59, 5}, {590, 12}, {5900, 117}} }
+func fleetSizes() []fleetSize { return []fleetSize{{59, 5}, {590, 12}, {5900, 117}} }
 
-type size struct{ hosts, pools int }
+type fleetSize struct{ hosts, pools int }
 
-// BenchmarkState is the memory of the state in force and the time of adopting
-// one change.
+// BenchmarkState measures the memory of the state in force and the time it takes to apply one
+// change.
 func BenchmarkState(b *testing.B) {
-	for _, n := range sizes() {
+	for _, n := range fleetSizes() {
 		b.Run(fmt.Sprint("hosts=", n.hosts), func(b *testing.B) {
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			s := fleet(n.hosts, n.pools)
+			s := newState(n.hosts, n.pools)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			h := s.ByHost["host-00003"]
@@ -176,11 +176,12 @@
 	}
 }
 
-// BenchmarkPlan is one round of planning: the fleet's, and all pools'.
+// BenchmarkPlan measures one round of planning, for the fleet and for all pools, and the decoding
+// of the list of hosts.
 func BenchmarkPlan(b *testing.B) {
-	for _, n := range sizes() {
-		s := fleet(n.hosts, n.pools)
-		list := listOf(s)
+	for _, n := range fleetSizes() {
+		s := newState(n.hosts, n.pools)
+		list := sightingsOf(s)
 		in := plan.Input{State: s, List: list, Seen: list.ByID(), Quit: func(gauge.Host) bool { return true }, Lost: func(gauge.Host) bool { return false }}
 		p := plan.New(plan.Config{})
 		b.Run(fmt.Sprintf("hosts=%d/fleet", n.hosts), func(b *testing.B) {
@@ -207,35 +208,35 @@
 	}
 }
 
-// counted is a table that counts reads and writes and takes a while.
-type counted struct {
+// countingTable is a table that counts reads and writes and delays each commit.
+type countingTable struct {
 	gauge.Table
-	takes         time.Duration
+	commitDelay   time.Duration
 	reads, writes atomic.Int64
 }
 
-func (c *counted) Get(ctx context.Context, key string) (gauge.Row, error) {
+func (c *countingTable) Get(ctx context.Context, key string) (gauge.Row, error) {
 	c.reads.Add(1)
 	return c.Table.Get(ctx, key)
 }
 
-func (c *counted) Scan(ctx context.Context, prefix string) ([]gauge.Row, error) {
+func (c *countingTable) Scan(ctx context.Context, prefix string) ([]gauge.Row, error) {
 	c.reads.Add(1)
 	return c.Table.Scan(ctx, prefix)
 }
 
-func (c *counted) Commit(ctx context.Context, t gauge.Txn) error {
+func (c *countingTable) Commit(ctx context.Context, t gauge.Txn) error {
 	c.writes.Add(1)
-	time.Sleep(c.takes)
+	time.Sleep(c.commitDelay)
 	return c.Table.Commit(ctx, t)
 }
 
-// BenchmarkClaims is how many claims one transaction carries, at a table that
-// takes 5 ms for each.
+// BenchmarkClaims measures how many claims one transaction carries at a table that takes 5 ms for
+// each transaction.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("callers=", callers), func(b *testing.B) {
-			t := &counted{Table: memdb.New(), takes: 5 * time.Millisecond}
+			t := &countingTable{Table: memdb.New(), commitDelay: 5 * time.Millisecond}
 			c := claim.New(claim.Config{Entry: "e/1", Table: t, Objects: memdb.New(), Clock: time.Now})
 			began := time.Now()
 			var group sync.WaitGroup
@@ -258,14 +259,14 @@
 	}
 }
 
-// direct is gauge.Peers without a network.
-type direct struct {
+// localPeers implements gauge.Peers without a network.
+type localPeers struct {
 	mu    sync.RWMutex
 	nodes map[string]*member.Keeper
 	delay time.Duration
 }
 
-func (d *direct) Call(ctx context.Context, addr, _ string, req, resp any) error {
+func (d *localPeers) Call(ctx context.Context, addr, _ string, req, resp any) error {
 	d.mu.RLock()
 	k := d.nodes[addr]
 	d.mu.RUnlock()
@@ -289,27 +290,27 @@
 	return frame.Decode(raw, resp)
 }
 
-// BenchmarkInForce is the time from an acceptance until all entries have it in
-// force, with the word from peers and with polls alone, and the reads of the
-// table a second. Entries are in one process, 1.5 ms apart.
+// BenchmarkInForce measures the time from the acceptance of a change until all entries have it in
+// force, with notifications from peers and with polling alone, and the reads of the table a
+// second. The entries run in one process, with a delay of 1.5 ms between them.
 func BenchmarkInForce(b *testing.B) {
 	for _, n := range []int{8, 32, 128} {
 		for _, push := range []bool{true, false} {
-			b.Run(fmt.Sprintf("entries=%d/push=%t", n, push), func(b *testing.B) { inForce(b, n, push) })
+			b.Run(fmt.Sprintf("entries=%d/push=%t", n, push), func(b *testing.B) { benchmarkInForce(b, n, push) })
 		}
 	}
 }
 
-func inForce(b *testing.B, n int, push bool) {
+func benchmarkInForce(b *testing.B, n int, push bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	table := &counted{Table: memdb.New(), takes: 2 * time.Millisecond}
+	table := &countingTable{Table: memdb.New(), commitDelay: 2 * time.Millisecond}
 	log := revlog.New(table)
-	net := &direct{nodes: make(map[string]*member.Keeper), delay: 1500 * time.Microsecond}
+	network := &localPeers{nodes: make(map[string]*member.Keeper), delay: 1500 * time.Microsecond}
 	followers := make([]*follow.Follower, n)
 	var group sync.WaitGroup
 	for i := range n {
-		self := memberOf(i)
+		self := newMember(i)
 		self.Peer = fmt.Sprint("node-", i)
 		var keeper *member.Keeper
 		followers[i] = follow.New(follow.Config{
@@ -321,7 +322,7 @@
 			},
 		})
 		keeper = member.New(member.Config{
-			Self: self, Table: table, Peers: net, Clock: time.Now, Logs: logr.Discard(),
+			Self: self, Table: table, Peers: network, Clock: time.Now, Logs: logr.Discard(),
 			Revision: func() int64 { return followers[i].State().Revision },
 			Newer: func(r int64) {
 				if push {
@@ -329,13 +330,13 @@
 				}
 			},
 		})
-		net.mu.Lock()
-		net.nodes[self.Peer] = keeper
-		net.mu.Unlock()
+		network.mu.Lock()
+		network.nodes[self.Peer] = keeper
+		network.mu.Unlock()
 		group.Go(func() { keeper.Run(ctx) })
 		group.Go(func() { followers[i].Run(ctx) })
 	}
-	time.Sleep(4 * time.Second) // all have met
+	time.Sleep(4 * time.Second) // until all entries know each other
 	reads, began := table.reads.Load(), time.Now()
 	var total, worst time.Duration
 	rounds := 0
--- a/test/whole/bench_test.go
+++ b/test/whole/bench_test.go
@@ -18,7 +18,7 @@
 	"sapphiregauge/pkg/client"
 )
 
-// caller sends over connections that are kept open.
+// caller sends requests over connections that are kept open.
 type caller struct {
 	pool *exch.Pool
 	addr string
@@ -41,15 +41,15 @@
 	return resp.StatusCode(), err
 }
 
-// clocked lets some callers send a number of requests each and returns how
-// long they took, in microseconds.
-func clocked(b *testing.B, callers, each int, send func() (int, error)) *hdrhistogram.Histogram {
+// measureLatency has concurrent callers send a number of requests each and returns how long the
+// requests took, in microseconds.
+func measureLatency(b *testing.B, callers, requestsEach int, send func() (int, error)) *hdrhistogram.Histogram {
 	var mu sync.Mutex
 	h := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var group sync.WaitGroup
 	for range callers {
 		group.Go(func() {
-			for range each {
+			for range requestsEach {
 				began := time.Now()
 				status, err := send()
 				took := time.Since(began)
@@ -67,22 +67,22 @@
 	return h
 }
 
-// BenchmarkOverhead is the time of a request straight to a worker stand-in and
-// through an entry, in one run, 8 callers at once.
+// BenchmarkOverhead measures the time of a request sent directly to a worker stand-in and through
+// an entry, both in one run, with 8 concurrent callers.
 func BenchmarkOverhead(b *testing.B) {
-	const callers, each = 8, 1000
+	const callers, requestsEach = 8, 1000
 	s := newSite(b, 2, 8)
-	s.inForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
-	s.entries[0].served(b)
-	straight := newCaller(s.workers[0].addr, "/brakes", callers)
-	through := newCaller(s.entries[0].addr, "/v1/services/brakes", callers)
+	s.waitInForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
+	s.entries[0].waitServed(b)
+	direct := newCaller(s.workers[0].addr, "/brakes", callers)
+	viaEntry := newCaller(s.entries[0].addr, "/v1/services/brakes", callers)
 	for b.Loop() {
-		x := clocked(b, callers, each, func() (int, error) { return straight.send("") })
-		y := clocked(b, callers, each, func() (int, error) { return through.send("") })
-		for _, q := range []float64{50, 99} {
-			b.ReportMetric(float64(x.ValueAtQuantile(q)), fmt.Sprintf("direct-p%v-us", q))
-			b.ReportMetric(float64(y.ValueAtQuantile(q)), fmt.Sprintf("entry-p%v-us", q))
-			b.ReportMetric(float64(y.ValueAtQuantile(q))/float64(x.ValueAtQuantile(q)), fmt.Sprintf("ratio-p%v", q))
+		directTimes := measureLatency(b, callers, requestsEach, func() (int, error) { return direct.send("") })
+		entryTimes := measureLatency(b, callers, requestsEach, func() (int, error) { return viaEntry.send("") })
+		for _, percentile := range []float64{50, 99} {
+			b.ReportMetric(float64(directTimes.ValueAtQuantile(percentile)), fmt.Sprintf("direct-p%v-us", percentile))
+			b.ReportMetric(float64(entryTimes.ValueAtQuantile(percentile)), fmt.Sprintf("entry-p%v-us", percentile))
+			b.ReportMetric(float64(entryTimes.ValueAtQuantile(percentile))/float64(directTimes.ValueAtQuantile(percentile)), fmt.Sprintf("ratio-p%v", percentile))
 		}
 	}
 }
@@ -102,43 +102,43 @@
 queue: 64
 `
 
-// BenchmarkOverload is the useful answers a second at several times what the
-// workers can do, and how many are refused at once.
+// BenchmarkOverload measures the requests answered and refused a second at several times the
+// capacity of the workers.
 func BenchmarkOverload(b *testing.B) {
-	const run, long = 100 * time.Millisecond, 6 * time.Second
+	const runTime, duration = 100 * time.Millisecond, 6 * time.Second
 	s := newSite(b, 4, 6)
-	s.inForce(s.apply(apply.File{Name: "records.yaml", Text: benchRecords}).Revision)
+	s.waitInForce(s.apply(apply.File{Name: "records.yaml", Text: benchRecords}).Revision)
 	for _, e := range s.entries {
-		e.served(b)
+		e.waitServed(b)
 	}
 	hosts := len(s.entries[0].hosts(context.Background()).InPool("brakes"))
-	capacity := float64(hosts*7) / run.Seconds() // a slot of each is kept from quick work
-	for _, times := range []float64{0.5, 1, 2, 4} {
-		b.Run(fmt.Sprint("load=", times), func(b *testing.B) {
+	capacity := float64(hosts*7) / runTime.Seconds() // one slot of each host is not available to quick requests
+	for _, load := range []float64{0.5, 1, 2, 4} {
+		b.Run(fmt.Sprint("load=", load), func(b *testing.B) {
 			for b.Loop() {
-				good, refused, waits := offered(b, s, capacity*times, long)
-				b.ReportMetric(float64(good)/long.Seconds()/capacity, "useful-of-capacity")
-				b.ReportMetric(float64(refused)/long.Seconds(), "refused/s")
+				good, refused, waits := offerLoad(b, s, capacity*load, duration)
+				b.ReportMetric(float64(good)/duration.Seconds()/capacity, "useful-of-capacity")
+				b.ReportMetric(float64(refused)/duration.Seconds(), "refused/s")
 				b.ReportMetric(float64(waits.ValueAtQuantile(99))/1000, "p99-ms")
 			}
 		})
 	}
 }
 
-// offered sends requests at a rate, whether or not they are answered.
-func offered(b *testing.B, s *site, rate float64, long time.Duration) (good, refused int64, waits *hdrhistogram.Histogram) {
+// offerLoad sends requests at a rate, whether or not earlier ones have been answered.
+func offerLoad(b *testing.B, s *site, rate float64, duration time.Duration) (good, refused int64, waits *hdrhistogram.Histogram) {
 	var mu sync.Mutex
 	waits = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var callers []*caller
 	for _, e := range s.entries {
 		callers = append(callers, newCaller(e.addr, "/v1/services/brakes", 512))
 	}
-	var oks, nos atomic.Int64
+	var answered, refusals atomic.Int64
 	var group sync.WaitGroup
-	gap := time.Duration(float64(time.Second) / rate)
+	interval := time.Duration(float64(time.Second) / rate)
 	began := time.Now()
-	for i := 0; time.Since(began) < long; i++ {
-		time.Sleep(time.Until(began.Add(time.Duration(i) * gap)))
+	for i := 0; time.Since(began) < duration; i++ {
+		time.Sleep(time.Until(began.Add(time.Duration(i) * interval)))
 		group.Go(func() {
 			sent := time.Now()
 			status, err := callers[i%len(callers)].send("?run=100ms")
@@ -146,12 +146,12 @@
 			case err != nil:
 				b.Error(err)
 			case status == http.StatusOK:
-				oks.Add(1)
+				answered.Add(1)
 				mu.Lock()
 				_ = waits.RecordValue(time.Since(sent).Microseconds())
 				mu.Unlock()
 			case status == http.StatusServiceUnavailable:
-				nos.Add(1)
+				refusals.Add(1)
 			default:
 				b.Errorf("status %d", status)
 			}
@@ -161,16 +161,16 @@
 	for _, c := range callers {
 		c.pool.Close()
 	}
-	return oks.Load(), nos.Load(), waits
+	return answered.Load(), refusals.Load(), waits
 }
 
-// BenchmarkHeadOfLine is the time of quick requests while long ones fill the
-// pool at a share of its capacity.
+// BenchmarkHeadOfLine measures the time of quick requests while long ones fill a share of the
+// capacity of the pool.
 func BenchmarkHeadOfLine(b *testing.B) {
 	s := newSite(b, 4, 6)
-	s.inForce(s.apply(apply.File{Name: "records.yaml", Text: benchRecords}).Revision)
+	s.waitInForce(s.apply(apply.File{Name: "records.yaml", Text: benchRecords}).Revision)
 	for _, e := range s.entries {
-		e.served(b)
+		e.waitServed(b)
 	}
 	hosts := len(s.entries[0].hosts(context.Background()).InPool("brakes"))
 	for _, share := range []float64{0, 0.5, 1, 1.5} {
@@ -191,9 +191,9 @@
 						}
 					})
 				}
-				time.Sleep(2 * time.Second) // the long ones have filled what they may
+				time.Sleep(2 * time.Second) // until the long requests hold all slots that they may
 				quick := newCaller(s.entries[0].addr, "/v1/services/brakes", 4)
-				h := clocked(b, 4, 100, func() (int, error) { return quick.send("?run=20ms") })
+				h := measureLatency(b, 4, 100, func() (int, error) { return quick.send("?run=20ms") })
 				close(stop)
 				group.Wait()
 				b.ReportMetric(float64(h.ValueAtQuantile(50))/1000, "quick-p50-ms")
--- a/test/whole/idle_test.go
+++ b/test/whole/idle_test.go
@@ -16,7 +16,7 @@
 // ticksPerSecond is the unit of processor time in /proc.
 const ticksPerSecond = 100
 
-// usage is what a process has used: processor time in seconds, memory in MiB.
+// usage returns what a process has used: processor time in seconds and resident memory in MiB.
 func (p *process) usage(b *testing.B) (cpu, memory float64) {
 	b.Helper()
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
@@ -32,15 +32,15 @@
 	return (u + k) / ticksPerSecond, pages * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// BenchmarkIdle is what an entry uses for control alone, with its default
-// settings and no requests.
+// BenchmarkIdle measures what an entry uses for control alone, with its default settings and no
+// requests.
 func BenchmarkIdle(b *testing.B) {
 	for _, n := range []struct{ entries, workers int }{{2, 10}, {4, 25}, {8, 50}} {
 		b.Run(fmt.Sprintf("entries=%d/workers=%d", n.entries, n.workers), func(b *testing.B) {
 			for b.Loop() {
 				s := newSiteWith(b, n.entries, n.workers, nil)
-				s.inForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
-				s.entries[0].served(b)
+				s.waitInForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
+				s.entries[0].waitServed(b)
 				before, _ := s.entries[0].usage(b)
 				began := time.Now()
 				time.Sleep(10 * time.Second)
--- a/test/whole/freeze_test.go
+++ b/test/whole/pause_test.go
@@ -13,64 +13,61 @@
 	"sapphiregauge/pkg/client"
 )
 
-// Symptom: while one entry is paused the others serve nobody, or after it wakes
-// a print job comes out twice.
-// Sequence: each entry in turn is frozen, with a request in flight that must
-// not be repeated; the others are asked for the same request and for others;
-// the entry is thawed.
-// Cause: slots, control or a claim that only the frozen entry can give.
-func TestFrozenEntry(t *testing.T) {
+// Guards against a paused entry that keeps the others from serving, and against a request that
+// runs twice after it resumes, through slots, control or a claim that only the paused entry can
+// give up. Each entry in turn is paused while it has a request in flight that must not be
+// repeated; the others are sent the same request and further ones; then the entry resumes.
+func TestPausedEntryBlocksAndDuplicatesNothing(t *testing.T) {
 	s := newSite(t, 3, 6)
-	s.inForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
+	s.waitInForce(s.apply(apply.File{Name: "records.yaml", Text: records}).Revision)
 	for _, e := range s.entries {
-		e.served(t)
+		e.waitServed(t)
 	}
-	for i, frozen := range s.entries {
+	for i, paused := range s.entries {
 		key := client.NewKey()
 		call := client.Call{Service: "brakes", Path: "/print?run=1s", Key: key, Once: true, Body: []byte("diagram")}
 		var first client.Reply
 		var firstErr error
 		var group sync.WaitGroup
-		group.Go(func() { first, firstErr = frozen.caller().Do(context.Background(), call) })
-		until(t, "the job runs", func(context.Context) bool { return s.runs(t, key) == 1 })
-		frozen.signal(t, syscall.SIGSTOP)
+		group.Go(func() { first, firstErr = paused.caller().Do(context.Background(), call) })
+		waitFor(t, "the request runs", func(context.Context) bool { return s.countRuns(t, key) == 1 })
+		paused.signal(t, syscall.SIGSTOP)
 		for j, other := range s.entries {
 			if j == i {
 				continue
 			}
-			other.served(t)
+			other.waitServed(t)
 			r, err := other.caller().Do(context.Background(), call)
 			assert.NilError(t, err)
 			assert.Assert(t, r.Status != http.StatusOK || string(r.Body) == "diagram")
 		}
-		frozen.signal(t, syscall.SIGCONT)
+		paused.signal(t, syscall.SIGCONT)
 		group.Wait()
 		assert.NilError(t, firstErr)
 		assert.Equal(t, first.Status, http.StatusOK, string(first.Body))
 		assert.Equal(t, string(first.Body), "diagram")
-		assert.Equal(t, s.runs(t, key), 1)
-		frozen.served(t)
+		assert.Equal(t, s.countRuns(t, key), 1)
+		paused.waitServed(t)
 	}
 }
 
-// runs is how often a request ran, over all workers.
-func (s *site) runs(t *testing.T, key string) int {
+// countRuns returns how often a request ran, over all workers.
+func (s *site) countRuns(t *testing.T, key string) int {
 	t.Helper()
 	n := 0
 	for _, w := range s.workers {
-		n += w.counts(t).Runs[key]
+		n += w.workerStatus(t).Runs[key]
 	}
 	return n
 }
 
-// Symptom: of two operators' changes one is gone without a word.
-// Sequence: both look at one revision and change the same record, through two
-// entries.
-// Cause: taking the later one without a look at its basis.
-func TestOperatorsRace(t *testing.T) {
+// Guards against a change by one operator that silently overwrites one by another. Both change
+// the same record through two entries, based on the same revision; the later change must be
+// refused, as the record has changed since its basis.
+func TestConcurrentOperatorChangesConflict(t *testing.T) {
 	s := newSite(t, 2, 1)
 	revision := s.apply(apply.File{Name: "records.yaml", Text: records}).Revision
-	s.inForce(revision)
+	s.waitInForce(revision)
 	errs := make([]error, 2)
 	var group sync.WaitGroup
 	for i, e := range s.entries {
--- a/test/whole/site_test.go
+++ b/test/whole/site_test.go
@@ -25,16 +25,16 @@
 
 const (
 	operatorKey = "operators-key-of-the-test"
-	patience    = 60 * time.Second // only a broken system takes so long
+	waitTimeout = 60 * time.Second // only a broken system takes this long
 )
 
 // site is the system in separate processes.
 type site struct {
-	t        testing.TB
-	platform string
-	entries  []*process
-	workers  []*process
-	times    []string // settings of the entries' times; nil: their defaults
+	t         testing.TB
+	platform  string
+	entries   []*process
+	workers   []*process
+	timeFlags []string // flags that set the entries' intervals and timeouts; nil: the defaults
 }
 
 type process struct {
@@ -44,10 +44,11 @@
 }
 
 //nolint:gochecknoglobals // built once for all tests
-var bin string
+var binDir string
 
-// benches tells whether this run measures, which the race detector would spoil.
-func benches() bool {
+// isBenchmarkRun reports whether this run has benchmarks, whose figures the race detector would
+// distort.
+func isBenchmarkRun() bool {
 	f := flag.Lookup("test.bench")
 	return f != nil && f.Value.String() != ""
 }
@@ -58,9 +59,9 @@
 	if err != nil {
 		panic(err)
 	}
-	bin = dir
+	binDir = dir
 	args := []string{"build", "-o", dir}
-	if !benches() {
+	if !isBenchmarkRun() {
 		args = append(args, "-race") // a race in any process fails its test
 	}
 	build := exec.Command("go", append(args, "../../cmd/...")...)
@@ -73,10 +74,10 @@
 	os.Exit(code)
 }
 
-// start runs a program and waits until it has said where it listens.
-func start(t testing.TB, listening func(line string) string, name string, args ...string) *process {
+// startProgram runs a program and waits until it has printed the address that it listens at.
+func startProgram(t testing.TB, listening func(line string) string, name string, args ...string) *process {
 	t.Helper()
-	p := &process{cmd: exec.Command(filepath.Join(bin, name), args...), done: make(chan struct{})}
+	p := &process{cmd: exec.Command(filepath.Join(binDir, name), args...), done: make(chan struct{})}
 	r, w, err := os.Pipe()
 	assert.NilError(t, err)
 	p.cmd.Stdout, p.cmd.Stderr = w, w
@@ -111,7 +112,7 @@
 	select {
 	case p.addr = <-addr:
 	case <-p.done:
-		t.Fatalf("%s ended at once", name)
+		t.Fatalf("%s ended before it listened", name)
 	}
 	return p
 }
@@ -132,8 +133,8 @@
 	return l.HTTP
 }
 
-// quickTimes make an entry notice things soon.
-func quickTimes() []string {
+// fastTimeFlags returns the flags with which an entry notices changes and failures soon.
+func fastTimeFlags() []string {
 	return []string{
 		"--poll", "300ms", "--beat", "300ms", "--row", "500ms", "--term", "1s", "--round", "200ms",
 		"--watch", "300ms", "--drain", "300ms", "--stop", "20s",
@@ -141,14 +142,14 @@
 }
 
 func newSite(t testing.TB, entries, workers int) *site {
-	return newSiteWith(t, entries, workers, quickTimes())
+	return newSiteWith(t, entries, workers, fastTimeFlags())
 }
 
-func newSiteWith(t testing.TB, entries, workers int, times []string) *site {
-	s := &site{t: t, times: times}
-	s.platform = start(t, standinAddr, "standin", "platform", "--lag", "300ms", "--gone", "2s").addr
+func newSiteWith(t testing.TB, entries, workers int, timeFlags []string) *site {
+	s := &site{t: t, timeFlags: timeFlags}
+	s.platform = startProgram(t, standinAddr, "standin", "platform", "--lag", "300ms", "--gone", "2s").addr
 	for i := range workers {
-		s.workers = append(s.workers, start(t, standinAddr, "standin", "worker",
+		s.workers = append(s.workers, startProgram(t, standinAddr, "standin", "worker",
 			"--platform", s.platform, "--id", fmt.Sprintf("w%02d", i), "--zone", fmt.Sprintf("z%d", i%3),
 			"--rack", fmt.Sprintf("r%d", i%6), "--boot", "300ms", "--every", "100ms"))
 	}
@@ -163,8 +164,8 @@
 		"entry", "--id", id, "--zone", "z0",
 		"--http", "127.0.0.1:0", "--peer", "127.0.0.1:0", "--platform", s.platform,
 		"--peerkey", "peer-key-of-the-test", "--opkey", operatorKey,
-	}, s.times...)
-	p := start(s.t, entryAddr, "sapphiregauge", args...)
+	}, s.timeFlags...)
+	p := startProgram(s.t, entryAddr, "sapphiregauge", args...)
 	s.entries = append(s.entries, p)
 	return p
 }
@@ -182,34 +183,33 @@
 	assert.NilError(t, p.cmd.Process.Signal(sig))
 }
 
-// until waits for a condition; it fails only long after a working system would
-// have met it.
-func until(t testing.TB, what string, ok func(ctx context.Context) bool) {
+// waitFor waits for a condition. It fails only long after a working system would have met it.
+func waitFor(t testing.TB, what string, condition func(ctx context.Context) bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 		defer cancel()
-		if ok(ctx) {
+		if condition(ctx) {
 			return poll.Success()
 		}
 		return poll.Continue("not yet: %s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
 func (s *site) apply(files ...apply.File) apply.Result {
 	s.t.Helper()
 	var res apply.Result
-	until(s.t, "records are accepted", func(ctx context.Context) bool {
+	waitFor(s.t, "records are accepted", func(ctx context.Context) bool {
 		return s.entries[0].operator().Post(ctx, "/apply", apply.Submission{ID: client.NewKey(), Files: files}, &res) == nil
 	})
 	return res
 }
 
-// inForce waits until every entry has a revision in force.
-func (s *site) inForce(revision int64) {
+// waitInForce waits until every entry has a revision in force.
+func (s *site) waitInForce(revision int64) {
 	s.t.Helper()
 	for _, e := range s.entries {
-		until(s.t, "the revision is in force", func(ctx context.Context) bool {
+		waitFor(s.t, "the revision is in force", func(ctx context.Context) bool {
 			var b struct {
 				Revision int64 `json:"revision"`
 			}
@@ -226,25 +226,25 @@
 	return b.Hosts
 }
 
-// served waits until a request through an entry is answered.
-func (p *process) served(t testing.TB) {
+// waitServed waits until a request through an entry is answered.
+func (p *process) waitServed(t testing.TB) {
 	t.Helper()
-	until(t, "a request is served", func(ctx context.Context) bool {
+	waitFor(t, "a request is served", func(ctx context.Context) bool {
 		r, err := p.caller().Do(ctx, client.Call{Service: "brakes", Body: []byte("x")})
 		return err == nil && r.Status == http.StatusOK
 	})
 }
 
-// counts is what a worker says it has done.
-type counts struct {
+// workerStatus is what a worker stand-in reports to have done.
+type workerStatus struct {
 	Running int            `json:"running"`
 	Peak    int            `json:"peak"`
 	Runs    map[string]int `json:"runs"`
 }
 
-func (p *process) counts(t testing.TB) counts {
+func (p *process) workerStatus(t testing.TB) workerStatus {
 	t.Helper()
-	var c counts
+	var c workerStatus
 	resp, err := http.Get("http://" + p.addr + "/stand/status")
 	assert.NilError(t, err)
 	defer resp.Body.Close()
--- a/test/whole/whole_test.go
+++ b/test/whole/whole_test.go
@@ -30,14 +30,14 @@
 limit: 30s
 `
 
-// An operator applies records through one entry, callers are served through
-// all, one entry is killed and one stopped; nobody gets a wrong answer.
-func TestWholePath(t *testing.T) {
+// An operator applies records through one entry, callers are served through all, and one entry is
+// killed; every answer from the others has to be right.
+func TestRequestsAreServedAfterEntryIsKilled(t *testing.T) {
 	s := newSite(t, 3, 6)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
-	s.inForce(res.Revision)
+	s.waitInForce(res.Revision)
 	for _, e := range s.entries {
-		e.served(t)
+		e.waitServed(t)
 	}
 
 	s.entries[2].signal(t, syscall.SIGKILL)
@@ -51,14 +51,14 @@
 	}
 }
 
-// Symptom: a caller's connection breaks while an entry is replaced.
-// Sequence: requests run, the entry gets SIGTERM, the requests end later.
-// Cause: without the drain the process would exit with requests in flight.
-func TestStopCutsOffNothing(t *testing.T) {
+// Guards against connections of callers that break while an entry is replaced. The entry gets
+// SIGTERM while requests run that end later; without the drain the process would exit with
+// requests in flight.
+func TestStoppingEntryFinishesRequests(t *testing.T) {
 	s := newSite(t, 2, 4)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
-	s.inForce(res.Revision)
-	s.entries[1].served(t)
+	s.waitInForce(res.Revision)
+	s.entries[1].waitServed(t)
 
 	const requests = 8
 	var group sync.WaitGroup
@@ -70,10 +70,10 @@
 				client.Call{Service: "brakes", Path: "?run=1500ms", Body: []byte(fmt.Sprint(i))})
 		})
 	}
-	until(t, "all requests run", func(context.Context) bool {
+	waitFor(t, "all requests run", func(context.Context) bool {
 		n := 0
 		for _, w := range s.workers {
-			n += w.counts(t).Running
+			n += w.workerStatus(t).Running
 		}
 		return n == requests
 	})
@@ -88,14 +88,13 @@
 	assert.Equal(t, s.entries[1].cmd.ProcessState.ExitCode(), 0)
 }
 
-// Symptom: an accepted overnight study never ends.
-// Sequence: an entry accepts a long run and starts it, then is killed.
-// Cause: without the claim's index nobody else would know of the study.
+// Guards against an accepted long run that never ends. An entry accepts the run, starts it and is
+// killed; without the index of claims no other entry would know of it.
 func TestKilledEntryLosesNoAcceptedRun(t *testing.T) {
 	s := newSite(t, 3, 4)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
-	s.inForce(res.Revision)
-	s.entries[1].served(t)
+	s.waitInForce(res.Revision)
+	s.entries[1].waitServed(t)
 
 	key := client.NewKey()
 	r, err := s.entries[1].caller().Do(context.Background(), client.Call{
@@ -104,22 +103,20 @@
 	assert.NilError(t, err)
 	assert.Equal(t, r.Status, http.StatusAccepted, string(r.Body))
 	s.entries[1].signal(t, syscall.SIGKILL)
-	until(t, "the study is done", func(ctx context.Context) bool {
+	waitFor(t, "the run is done", func(ctx context.Context) bool {
 		r, err := s.entries[0].caller().Look(ctx, key)
 		return err == nil && r.Status == http.StatusOK && string(r.Body) == "fins"
 	})
 }
 
-// Symptom: a print job comes out twice.
-// Sequence: a caller sends the same not-repeatable request through all entries
-// at once.
-// Cause: without the claim each entry would dispatch it.
+// Guards against a request that runs twice although it must not be repeated. A caller sends it
+// through all entries at once; without the claim each entry would dispatch it.
 func TestSameKeyThroughAllEntriesRunsOnce(t *testing.T) {
 	s := newSite(t, 3, 4)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
-	s.inForce(res.Revision)
+	s.waitInForce(res.Revision)
 	for _, e := range s.entries {
-		e.served(t)
+		e.waitServed(t)
 	}
 	key := client.NewKey()
 	var group sync.WaitGroup
@@ -131,28 +128,29 @@
 		})
 	}
 	group.Wait()
-	assert.Equal(t, s.runs(t, key), 1)
+	assert.Equal(t, s.countRuns(t, key), 1)
 }
 
-const wave = `
+const waveRecord = `
 kind: wave
 schema: 1
 name: december
 pools: [brakes]
 `
 
-// A wave goes over the whole pool while its controller is killed and the table is out
-// for a while; at no look does the pool have less than it promised.
-func TestWaveWithKilledEntryAndTableOut(t *testing.T) {
+// A maintenance wave covers the whole pool while its controller is killed and there is a table
+// outage for a while; whenever it is checked, the pool has at least the promised number of
+// serving hosts.
+func TestWaveWithKilledEntryAndTableOutage(t *testing.T) {
 	s := newSite(t, 3, 6)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
-	s.inForce(res.Revision)
-	s.entries[0].served(t)
-	res = s.apply(apply.File{Name: "wave.yaml", Text: wave})
-	s.inForce(res.Revision)
+	s.waitInForce(res.Revision)
+	s.entries[0].waitServed(t)
+	res = s.apply(apply.File{Name: "wave.yaml", Text: waveRecord})
+	s.waitInForce(res.Revision)
 
-	victim, other := s.controller("pool/brakes")
-	done := func(ctx context.Context) int {
+	killed, other := s.controller("pool/brakes")
+	countDone := func(ctx context.Context) int {
 		n, serving := 0, 0
 		for _, h := range other.hosts(ctx).InPool("brakes") {
 			if h.Done {
@@ -162,23 +160,23 @@
 				serving++
 			}
 		}
-		assert.Assert(t, serving >= 2, "the promise is broken: %d hosts serve", serving)
+		assert.Assert(t, serving >= 2, "fewer hosts serve than promised: %d", serving)
 		return n
 	}
-	until(t, "the wave has begun", func(ctx context.Context) bool { return done(ctx) > 0 })
-	victim.signal(t, syscall.SIGKILL)
-	s.fault("down")
+	waitFor(t, "the wave has begun", func(ctx context.Context) bool { return countDone(ctx) > 0 })
+	killed.signal(t, syscall.SIGKILL)
+	s.setFault("down")
 	for range 5 {
-		other.served(t)
+		other.waitServed(t)
 	}
-	s.fault("none")
-	until(t, "the wave is done", func(ctx context.Context) bool {
-		return done(ctx) == len(other.hosts(ctx).InPool("brakes"))
+	s.setFault("none")
+	waitFor(t, "the wave is done", func(ctx context.Context) bool {
+		return countDone(ctx) == len(other.hosts(ctx).InPool("brakes"))
 	})
 }
 
-// controller returns the entry that controls a unit while all live, and one
-// that does not.
+// controller returns the entry that controls a unit while all entries live, and one that does
+// not.
 func (s *site) controller(unit string) (controls, other *process) {
 	var all []gauge.Member
 	for i := range s.entries {
@@ -195,7 +193,7 @@
 	return controls, other
 }
 
-func (s *site) fault(name string) {
+func (s *site) setFault(name string) {
 	s.t.Helper()
 	resp, err := http.Post("http://"+s.platform+"/stand/fault/"+name, "", nil)
 	assert.NilError(s.t, err)
