--- a/test/machines/cut_test.go
+++ b/test/machines/cut_test.go
@@ -25,34 +25,34 @@
 }
 
 func newTableLink(t *testing.T, to string) *tableLink {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	p := &tableLink{tableAddr: to, listen: l, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool)}
-	t.Cleanup(func() { _ = l.Close() })
-	t.Cleanup(func() { p.Cut(true) })
-	go p.serve()
-	return p
+	l := &tableLink{tableAddr: to, listen: listener, conns: make(map[net.Conn]bool), silenced: make(map[net.Conn]bool)}
+	t.Cleanup(func() { _ = listener.Close() })
+	t.Cleanup(func() { l.Cut(true) })
+	go l.serve()
+	return l
 }
 
-func (p *tableLink) serve() {
+func (l *tableLink) serve() {
 	for {
-		c, err := p.listen.Accept()
+		c, err := l.listen.Accept()
 		if err != nil {
 			return
 		}
-		go p.forward(c)
+		go l.forward(c)
 	}
 }
 
-func (p *tableLink) forward(near net.Conn) {
-	far, err := net.Dial("tcp", p.tableAddr)
-	if err != nil || !p.register(near, far) {
-		_ = near.Close()
+func (l *tableLink) forward(entryConn net.Conn) {
+	tableConn, err := net.Dial("tcp", l.tableAddr)
+	if err != nil || !l.register(entryConn, tableConn) {
+		_ = entryConn.Close()
 		return
 	}
-	go func() { _, _ = io.Copy(lossyConn{p, far}, near); _ = far.Close() }()
-	_, _ = io.Copy(lossyConn{p, near}, far)
-	_ = near.Close()
+	go func() { _, _ = io.Copy(lossyConn{l, tableConn}, entryConn); _ = tableConn.Close() }()
+	_, _ = io.Copy(lossyConn{l, entryConn}, tableConn)
+	_ = entryConn.Close()
 }
 
 // lossyConn writes to one end of a connection, or drops what is written if the connection was
@@ -74,36 +74,36 @@
 
 // Silence makes all open connections drop what is sent on them, while new ones work. It returns
 // how many there are.
-func (p *tableLink) Silence() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.conns {
-		p.silenced[c] = true
+func (l *tableLink) Silence() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		l.silenced[c] = true
 	}
-	return len(p.silenced)
+	return len(l.silenced)
 }
 
-func (p *tableLink) register(cs ...net.Conn) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.cut {
+func (l *tableLink) register(cs ...net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.cut {
 		return false
 	}
 	for _, c := range cs {
-		p.conns[c] = true
+		l.conns[c] = true
 	}
 	return true
 }
 
 // Cut breaks all connections; while cut is true new ones are refused.
-func (p *tableLink) Cut(cut bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.cut = cut
-	for c := range p.conns {
+func (l *tableLink) Cut(cut bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.cut = cut
+	for c := range l.conns {
 		_ = c.Close()
 	}
-	clear(p.conns)
+	clear(l.conns)
 }
 
 // Guards against an entry that refuses its callers although other entries could serve them. The
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -48,11 +48,11 @@
 }
 
 // addPeers writes the rows of entries that don't run.
-func (s *site) addPeers(most int) {
+func (s *site) addPeers(count int) {
 	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), Read: waitTimeout, Commit: waitTimeout, Clock: time.Now})
 	defer table.Close()
 	var txn gauge.PartTxn
-	for n := range most {
+	for n := range count {
 		value, err := (&gauge.EntryRow{Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Capacity: smallHostCores}).Encode()
 		assert.NilError(s.t, err)
 		txn.Writes = append(txn.Writes, gauge.RowWrite{
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -68,21 +68,21 @@
 	}
 }
 
-func (w *link) forward(near net.Conn) {
-	far, err := net.Dial("tcp", w.tableAddr)
+func (w *link) forward(entryConn net.Conn) {
+	tableConn, err := net.Dial("tcp", w.tableAddr)
 	w.mu.Lock()
 	refused := err != nil || w.mode == modeReset
 	if !refused {
-		w.conns[near], w.conns[far] = true, true
-		w.lost[near], w.lost[far] = w.mode == modeSilent, w.mode == modeSilent
+		w.conns[entryConn], w.conns[tableConn] = true, true
+		w.lost[entryConn], w.lost[tableConn] = w.mode == modeSilent, w.mode == modeSilent
 	}
 	w.mu.Unlock()
 	if refused {
-		_ = near.Close()
+		_ = entryConn.Close()
 		return
 	}
-	go w.copy(far, near, false)
-	w.copy(near, far, true)
+	go w.copy(tableConn, entryConn, false)
+	w.copy(entryConn, tableConn, true)
 }
 
 // copy forwards bytes until either end closes.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// soak is one run.
+// soak is one run of the test: its processes, its clients and what is done to them.
 type soak struct {
 	t             *testing.T
 	seed          uint64
