--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// mode is how a way treats its connections.
+// mode is how a link treats its connections.
 type mode string
 
 const (
