--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -68,7 +68,7 @@
 	broker *broker.Broker
 	claims *claim.Claims
 	sender *send.Sender
-	path   *serve.Path
+	path   *serve.Server
 	apply  *apply.Applier
 	orphan *orphan.Finder
 	ctrl   *ctrl.Controller
@@ -117,8 +117,8 @@
 	e.claims = claim.New(claim.Config{Entry: e.name(), Table: c.Table, Objects: c.Objects, Clock: c.Clock})
 	e.sender = send.New(send.Config{Answer: answerLimit, Clock: c.Clock})
 	e.path = serve.New(serve.Config{
-		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, Current: e.follow.Current, Desk: e.broker.Desk,
-		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, Lives: e.lives,
+		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.Current, Desk: e.broker.Desk,
+		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.lives,
 	})
 	e.apply = apply.New(apply.Config{Log: e.log, State: e.follow.State, Decoder: schema.New(), Notices: place.New().Never})
 	e.orphan = orphan.New(orphan.Config{
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -10,8 +10,9 @@
 	"sapphiregauge/internal/claim"
 )
 
-// hashOf tells two requests under one key apart.
-func hashOf(r *gauge.Request) uint64 {
+// requestHash identifies the content of a request, so that a second, different request
+// under the same idempotency key is noticed.
+func requestHash(r *gauge.Request) uint64 {
 	h := xxhash.New()
 	for _, s := range []string{r.Service, r.Path, r.Type} {
 		_, _ = h.WriteString(s + "\x00")
@@ -20,9 +21,9 @@
 	return h.Sum64()
 }
 
-// Accept stores an asynchronous request and starts it. From then on it is run
-// even if this entry dies.
-func (p *Path) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
+// Accept stores an asynchronous request and starts it. Once it has returned without an
+// error, the request is run even if this entry crashes.
+func (p *Server) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
 	if err := p.begin(); err != nil {
 		return gauge.ClaimKey{}, err
 	}
@@ -35,52 +36,53 @@
 	if err != nil {
 		return key, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, mine, err := p.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
+	held, inserted, err := p.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
 		Service: r.Service, Path: r.Path, Type: r.Type, Class: t.declared, Repeatable: r.Repeatable,
 		Timeout: r.Deadline.Sub(t.began), Body: r.Body,
 	})
 	if err != nil {
 		return key, err
 	}
-	if !mine {
-		return key, p.reused(held, hashOf(r))
+	if !inserted {
+		return key, p.checkReuse(held, requestHash(r))
 	}
-	p.after(func(context.Context) { p.finish(t, held) })
+	p.inBackground(func(context.Context) { p.runAccepted(t, held) })
 	return key, nil
 }
 
-func (p *Path) reused(h claim.Held, hash uint64) error {
+// checkReuse returns an error of KindReused if the claim belongs to a request with another hash.
+func (p *Server) checkReuse(h claim.Held, hash uint64) error {
 	if h.Claim.Hash != hash {
 		return gauge.Refuse(nil, gauge.KindReused, "the idempotency key belongs to another request", 0)
 	}
 	return nil
 }
 
-// finish runs an accepted request to its end. Before anything is dispatched the
-// claim is moved on; if another entry has taken it over, nothing is done here.
-func (p *Path) finish(t *task, held claim.Held) {
+// runAccepted runs an accepted request to its end. Before anything is dispatched it moves
+// the claim to the state running; if another entry has taken the claim over, it does nothing.
+func (p *Server) runAccepted(t *call, held claim.Held) {
 	ctx, cancel := context.WithDeadline(context.Background(), t.req.Deadline)
 	defer cancel()
-	moved, mine, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
-	if err != nil || !mine {
-		// Left as accepted, the claim is found by the search for orphans.
-		p.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", mine)
+	moved, owned, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+	if err != nil || !owned {
+		// The claim stays in the state accepted; the search for orphaned claims finds it.
+		p.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
 		return
 	}
 	resp, _, err := p.run(ctx, t)
-	p.ended(t, resp, err)
-	store, stop := context.WithTimeout(context.Background(), storeFor)
+	p.recordEnd(t, resp, err)
+	store, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
 	if err := p.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
 		p.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 	}
 }
 
-// Takeover goes on with a claim whose entry is gone. What was not dispatched
-// yet is run; what may have been dispatched is run again only if it may be
-// repeated, else it ends as unknown. The move of the claim fences the old
-// entry: should it only have been paused, its own move fails.
-func (p *Path) Takeover(ctx context.Context, key gauge.ClaimKey) error {
+// Takeover continues an accepted request whose entry is dead. A request that was not
+// dispatched yet is run. One that may have been dispatched is run again only if it is
+// repeatable; otherwise it ends with KindUnknown. Writing the claim fences the old entry:
+// if it was only paused, its own write fails.
+func (p *Server) Takeover(ctx context.Context, key gauge.ClaimKey) error {
 	if err := p.begin(); err != nil {
 		return err
 	}
@@ -90,27 +92,28 @@
 		return err
 	}
 	a := held.Claim.Accept
-	if a == nil || held.Claim.State == gauge.ClaimDone || p.conf.Lives(held.Claim.Entry) {
+	if a == nil || held.Claim.State == gauge.ClaimDone || p.conf.MayBeAlive(held.Claim.Entry) {
 		return nil
 	}
 	if held.Claim.State == gauge.ClaimRunning && !a.Repeatable {
-		moved, mine, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
-		if err != nil || !mine {
+		moved, owned, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+		if err != nil || !owned {
 			return err
 		}
 		lost := gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
 		return p.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
 	}
-	t, err := p.revive(ctx, key, a)
+	t, err := p.restore(ctx, key, a)
 	if err != nil {
 		return err
 	}
 	p.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
-	p.after(func(context.Context) { p.finish(t, held) })
+	p.inBackground(func(context.Context) { p.runAccepted(t, held) })
 	return nil
 }
 
-func (p *Path) revive(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*task, error) {
+// restore rebuilds the request from its claim, with its whole timeout before it again.
+func (p *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*call, error) {
 	body, err := p.conf.Claims.Body(ctx, a)
 	if err != nil {
 		return nil, err
@@ -122,8 +125,9 @@
 	})
 }
 
-// Lookup returns what became of a claimed request.
-func (p *Path) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
+// Lookup returns the stored answer or error of a claimed request, an error of
+// KindProgress while it runs, and one of KindMissing if the key is unknown.
+func (p *Server) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
 	key, err := gauge.Key(p.conf.Clock(), team, id)
 	if err != nil {
 		return gauge.Response{}, err
@@ -135,24 +139,25 @@
 	if held.Claim.State == "" {
 		return gauge.Response{}, gauge.Fail(gauge.KindMissing, "no request is known by that key")
 	}
-	return p.told(ctx, held, held.Claim.Hash)
+	return p.answerFromClaim(ctx, held, held.Claim.Hash)
 }
 
-// told answers from a claim that is somebody else's.
-func (p *Path) told(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
-	if err := p.reused(h, hash); err != nil {
+// answerFromClaim answers a request from a claim that another request or entry inserted.
+func (p *Server) answerFromClaim(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
+	if err := p.checkReuse(h, hash); err != nil {
 		return gauge.Response{}, err
 	}
 	if h.Claim.State == gauge.ClaimDone {
-		return p.stored(ctx, h.Claim.Result)
+		return p.storedAnswer(ctx, h.Claim.Result)
 	}
-	if h.Claim.Accept == nil && !p.conf.Lives(h.Claim.Entry) {
+	if h.Claim.Accept == nil && !p.conf.MayBeAlive(h.Claim.Entry) {
 		return gauge.Response{}, gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
 	}
 	return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the request is running").After(time.Second)
 }
 
-func (p *Path) stored(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
+// storedAnswer returns the answer or the error that a finished claim holds.
+func (p *Server) storedAnswer(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
 	if err := o.Err(); err != nil {
 		return gauge.Response{}, err
 	}
--- a/internal/serve/current_test.go
+++ b/internal/serve/current_test.go
@@ -9,13 +9,11 @@
 	gauge "sapphiregauge"
 )
 
-// Symptom: a caller is told that there is no such service, or that its team isn't known,
-// seconds after the operator was told that they are in force.
-// Sequence: an entry hears neither of the table nor of its peers while they are added; it is
-// asked.
-// Cause: it answered by the state that it had last, however long ago that was confirmed. The
-// code before says missing, and denied, in each run.
-func TestWhatMayHaveBeenAddedIsNotSaidToBeMissing(t *testing.T) {
+// Guards against an entry that answers from an outdated configuration that a service or team
+// doesn't exist, although the operator has been told that it is in force. This came about when
+// the entry reached neither the table nor its peers while the record was added: it answered by
+// its last state, however long ago that had been confirmed.
+func TestUnconfirmedStateIsNotReportedAsMissing(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		service string
@@ -30,7 +28,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newRig()
+				g := newHarness()
 				g.current, g.teams = tt.current, []string{"t"}
 				r := request(newKey(), true)
 				r.Service, r.Team = tt.service, tt.team
--- a/internal/serve/rig_test.go
+++ b/internal/serve/harness_test.go
@@ -22,61 +22,61 @@
 	"sapphiregauge/internal/slots"
 )
 
-// worker is a fake at the dispatcher's interface. Each call fails in the way
-// that is next in the list.
+// worker is a fake gauge.Dispatcher. Each call ends in the next way of the list; when the
+// list is used up, calls succeed.
 type worker struct {
-	mu   sync.Mutex
-	ways []string
-	runs map[string]int
-	took time.Duration
+	mu       sync.Mutex
+	outcomes []string
+	runs     map[string]int
+	runTime  time.Duration
 }
 
 // The ways in which a dispatch ends.
 const (
-	wayOK      = "ok"
-	wayConnect = "connect" // no connection: nothing was sent
-	wayRefuse  = "refuse"  // the worker proves that it did not run it
-	wayCut     = "cut"     // it ran, the answer is lost
-	wayError   = "error"   // it ran and failed
-	waySlow    = "slow"    // it runs past the deadline
+	outcomeOK           = "ok"
+	outcomeNoConnection = "connect" // no connection: nothing was sent
+	outcomeRefused      = "refuse"  // the worker states that it did not run the request
+	outcomeAnswerLost   = "cut"     // the request ran, the answer was lost
+	outcomeError        = "error"   // the request ran and failed
+	outcomeSlow         = "slow"    // the request runs past its deadline
 )
 
-func (w *worker) next() string {
+func (w *worker) nextOutcome() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.ways) == 0 {
-		return wayOK
+	if len(w.outcomes) == 0 {
+		return outcomeOK
 	}
-	way := w.ways[0]
-	w.ways = w.ways[1:]
-	return way
+	outcome := w.outcomes[0]
+	w.outcomes = w.outcomes[1:]
+	return outcome
 }
 
-func (w *worker) ran(id string) int {
+func (w *worker) runCount(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.runs[id]
 }
 
 func (w *worker) Dispatch(ctx context.Context, t gauge.Target, r *gauge.Request) (gauge.Response, gauge.Attempt, error) {
-	way := w.next()
-	a := gauge.Attempt{Target: t, Sent: way != wayConnect, Refused: way == wayRefuse}
+	outcome := w.nextOutcome()
+	a := gauge.Attempt{Target: t, Sent: outcome != outcomeNoConnection, Refused: outcome == outcomeRefused}
 	if a.MayHaveRun() {
 		w.mu.Lock()
 		w.runs[r.ID]++
 		w.mu.Unlock()
-		time.Sleep(w.took)
+		time.Sleep(w.runTime)
 	}
-	switch way {
-	case wayConnect:
+	switch outcome {
+	case outcomeNoConnection:
 		a.Kind = gauge.KindOutage
-	case wayRefuse:
+	case outcomeRefused:
 		a.Kind = gauge.KindFull
-	case wayCut:
+	case outcomeAnswerLost:
 		a.Kind = gauge.KindUnknown
-	case wayError:
+	case outcomeError:
 		a.Kind = gauge.KindFailed
-	case waySlow:
+	case outcomeSlow:
 		<-ctx.Done()
 		a.Kind = gauge.KindExpired
 	default:
@@ -85,31 +85,31 @@
 	return gauge.Response{}, a, gauge.Fail(a.Kind, "as told")
 }
 
-// rig is some entries over one table and one fake of the workers.
-type rig struct {
+// harness holds entries that share one table and one fake worker.
+type harness struct {
 	db     *memdb.DB
 	worker *worker
 	dead   map[string]bool
 	mu     sync.Mutex
 
 	current bool     // the state is known to be the newest
-	teams   []string // that are declared; none: all are let in
+	teams   []string // declared teams; with none, every team is admitted
 }
 
-func newRig(ways ...string) *rig {
-	return &rig{
+func newHarness(outcomes ...string) *harness {
+	return &harness{
 		db: memdb.New(), dead: make(map[string]bool),
-		worker: &worker{ways: ways, runs: make(map[string]int), took: time.Second}, current: true,
+		worker: &worker{outcomes: outcomes, runs: make(map[string]int), runTime: time.Second}, current: true,
 	}
 }
 
-func (g *rig) lives(entry string) bool {
+func (g *harness) isAlive(entry string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return !g.dead[entry]
 }
 
-func (g *rig) kill(entry string) {
+func (g *harness) kill(entry string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.dead[entry] = true
@@ -125,7 +125,7 @@
 	}}
 }
 
-// newDesk has slots leased for an hour.
+// newDesk returns a desk with slots leased for an hour.
 func newDesk(name string) *desk.Desk {
 	d := desk.New(desk.Config{
 		Pool: "p", Name: name, Length: 100, Clock: time.Now,
@@ -142,11 +142,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, _ = d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil) // refused: nothing is leased yet
-	return give(d, lease)
+	return grantLease(d, lease)
 }
 
-// give opens a full ask and answers it.
-func give(d *desk.Desk, g slots.Grant) *desk.Desk {
+// give makes the desk ask for a full lease and grants it.
+func grantLease(d *desk.Desk, g slots.Grant) *desk.Desk {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -163,7 +163,7 @@
 	return d
 }
 
-func (g *rig) entry(name string, table gauge.Table) *serve.Path {
+func (g *harness) entry(name string, table gauge.Table) *serve.Server {
 	d := newDesk(name)
 	s := state()
 	for _, name := range g.teams {
@@ -179,7 +179,7 @@
 		},
 		Send:   g.worker,
 		Claims: claim.New(claim.Config{Entry: name, Table: table, Objects: g.db, Clock: time.Now}),
-		Meter:  meter.New(), Lives: g.lives, Current: func() bool { return g.current },
+		Meter:  meter.New(), MayBeAlive: g.isAlive, IsStateCurrent: func() bool { return g.current },
 		Burn: burn.New(time.Now), Holds: holds.New(time.Now),
 	})
 }
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -8,59 +8,60 @@
 	"sapphiregauge/internal/holds"
 )
 
-// quotaWait is how long a request may wait for its team's quota to be lent
-// from another entry before it is refused.
-const quotaWait = 250 * time.Millisecond
+// quotaTimeout is how long a synchronous request waits for a slot of its team's quota, which
+// may have to be lent by another entry, before it is refused.
+const quotaTimeout = 250 * time.Millisecond
 
-// run tries workers until one answers or it makes no sense to go on.
-func (p *Path) run(ctx context.Context, t *task) (gauge.Response, gauge.Attempts, error) {
+// run dispatches the request to workers until one answers or no further attempt is due.
+func (p *Server) run(ctx context.Context, t *call) (gauge.Response, gauge.Attempts, error) {
 	if t.team != nil {
-		place, err := p.quota(ctx, t)
+		slot, err := p.acquireQuota(ctx, t)
 		if err != nil {
 			return gauge.Response{}, nil, err
 		}
-		defer t.team.Release(place)
+		defer t.team.Release(slot)
 	}
-	var tried gauge.Attempts
+	var attempts gauge.Attempts
 	for {
-		place, err := t.desk.Acquire(ctx, t.req.Class, t.req.Deadline, tried)
+		slot, err := t.desk.Acquire(ctx, t.req.Class, t.req.Deadline, attempts)
 		if err != nil {
-			return gauge.Response{}, tried, err
+			return gauge.Response{}, attempts, err
 		}
-		resp, a, err := p.dispatch(ctx, t, place)
-		tried = append(tried, a)
+		resp, a, err := p.dispatch(ctx, t, slot)
+		attempts = append(attempts, a)
 		if err == nil {
-			return resp, tried, nil
+			return resp, attempts, nil
 		}
-		if final := p.again(ctx, t, tried, err); final != nil {
-			return gauge.Response{}, tried, final
+		if final := p.awaitRetry(ctx, t, attempts, err); final != nil {
+			return gauge.Response{}, attempts, final
 		}
 	}
 }
 
-func (p *Path) quota(ctx context.Context, t *task) (*gauge.Place, error) {
-	if !t.req.Async { // what was accepted already waits its turn
-		short, cancel := context.WithTimeout(ctx, quotaWait)
+// acquireQuota takes a slot of the team's quota.
+func (p *Server) acquireQuota(ctx context.Context, t *call) (*gauge.Place, error) {
+	if !t.req.Async { // an accepted request waits until its deadline
+		quotaCtx, cancel := context.WithTimeout(ctx, quotaTimeout)
 		defer cancel()
-		ctx = short
+		ctx = quotaCtx
 	}
-	place, err := t.team.Acquire(ctx, gauge.ClassQuick, t.req.Deadline, nil)
+	slot, err := t.team.Acquire(ctx, gauge.ClassQuick, t.req.Deadline, nil)
 	if gauge.Is(err, gauge.KindFull) {
 		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+t.req.Team+" uses all of its quota", gauge.AsError(err).Retry)
 	}
-	return place, err
+	return slot, err
 }
 
-// dispatch sends the request once. A quick request that outlives the bound is
-// counted as long while it still runs.
-func (p *Path) dispatch(ctx context.Context, t *task, place *gauge.Place) (gauge.Response, gauge.Attempt, error) {
-	defer t.desk.Release(place)
-	if place.Class == gauge.ClassQuick {
-		turn := time.AfterFunc(t.svc.Quick, func() { t.desk.Turn(place) })
-		defer turn.Stop()
+// dispatch sends the request once. While it runs, a quick request that exceeds the service's
+// bound for quick requests is reclassified as long.
+func (p *Server) dispatch(ctx context.Context, t *call, slot *gauge.Place) (gauge.Response, gauge.Attempt, error) {
+	defer t.desk.Release(slot)
+	if slot.Class == gauge.ClassQuick {
+		reclassify := time.AfterFunc(t.svc.Quick, func() { t.desk.Turn(slot) })
+		defer reclassify.Stop()
 	}
 	began := p.conf.Clock()
-	resp, a, err := p.conf.Send.Dispatch(ctx, place.Target, t.req)
+	resp, a, err := p.conf.Send.Dispatch(ctx, slot.Target, t.req)
 	if t.declared == gauge.ClassQuick && a.MayHaveRun() {
 		p.sizeMu.Lock()
 		p.sizes.Ended(t.req.Service, t.req.Team, p.conf.Clock().Sub(began) > t.svc.Quick)
@@ -70,16 +71,16 @@
 	if err == nil {
 		p.conf.Holds.Work(holds.Whole, "the last answer was whole and bore its request's id")
 	}
-	if judged, failed := verdict(a, err); judged && t.desk.Outcome(place.Target.Host, failed) {
+	if counted, failed := workerOutcome(a, err); counted && t.desk.Outcome(slot.Target.Host, failed) {
 		p.conf.Meter.Ejected(t.svc.Pool)
-		p.conf.Logs.Info("worker ejected", "target", place.Target.Host, "pool", t.svc.Pool)
+		p.conf.Logs.Info("worker ejected", "target", slot.Target.Host, "pool", t.svc.Pool)
 	}
 	return resp, a, err
 }
 
-// verdict tells whether an attempt says something about the worker, and what.
-// A caller that left or a deadline that passed says nothing.
-func verdict(a gauge.Attempt, err error) (judged, failed bool) {
+// workerOutcome reports whether an attempt counts for or against the worker, and whether the
+// worker failed. A caller that left or a deadline that passed doesn't count.
+func workerOutcome(a gauge.Attempt, err error) (counted, failed bool) {
 	if err == nil {
 		return true, false
 	}
@@ -91,22 +92,22 @@
 	}
 }
 
-// again decides after a failed attempt whether to try another worker: nil, or
-// the final error. It has waited the pause before the repeat.
-func (p *Path) again(ctx context.Context, t *task, tried gauge.Attempts, err error) error {
-	last := tried[len(tried)-1]
+// awaitRetry decides after a failed attempt whether to try another worker. It returns nil
+// after the pause before the retry, or else the final error.
+func (p *Server) awaitRetry(ctx context.Context, t *call, attempts gauge.Attempts, err error) error {
+	last := attempts[len(attempts)-1]
 	if last.Kind == gauge.KindCancelled || last.Kind == gauge.KindExpired || ctx.Err() != nil {
-		return final(tried, err)
+		return finalError(attempts, err)
 	}
-	if tried.MayHaveRun() && !t.req.Repeatable {
-		return final(tried, err)
+	if attempts.MayHaveRun() && !t.req.Repeatable {
+		return finalError(attempts, err)
 	}
-	if len(tried) >= t.svc.Tries || !t.desk.Untried(tried) {
-		return exhausted(tried, err)
+	if len(attempts) >= t.svc.Tries || !t.desk.Untried(attempts) {
+		return exhaustedError(attempts, err)
 	}
-	pause, ok := t.desk.Repeat(len(tried))
+	pause, ok := t.desk.Repeat(len(attempts))
 	if !ok {
-		return final(tried, err)
+		return finalError(attempts, err)
 	}
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -114,29 +115,29 @@
 	case <-timer.C:
 		return nil
 	case <-ctx.Done():
-		return final(tried, err)
+		return finalError(attempts, err)
 	}
 }
 
-// exhausted tells a request that fails wherever it runs from workers that could
-// not be reached.
-func exhausted(tried gauge.Attempts, err error) error {
+// exhaustedError returns KindPoison for a request that failed on more than one worker, in
+// every attempt, and the final error where workers could not be reached.
+func exhaustedError(attempts gauge.Attempts, err error) error {
 	ran := 0
-	for _, a := range tried {
+	for _, a := range attempts {
 		if a.MayHaveRun() {
 			ran++
 		}
 	}
-	if ran == len(tried) && tried.Hosts() > 1 {
-		return gauge.Fail(gauge.KindPoison, "the request failed on %d workers", tried.Hosts()).Because(err)
+	if ran == len(attempts) && attempts.Hosts() > 1 {
+		return gauge.Fail(gauge.KindPoison, "the request failed on %d workers", attempts.Hosts()).Because(err)
 	}
-	return final(tried, err)
+	return finalError(attempts, err)
 }
 
-// final is the error told to the caller. If nothing can have run, Refuse proves
-// it; else the error says what is known.
-func final(tried gauge.Attempts, err error) error {
-	if tried.MayHaveRun() {
+// finalError returns the error for the caller. If no attempt can have run, it is a refusal,
+// which states that; otherwise it is err.
+func finalError(attempts gauge.Attempts, err error) error {
+	if attempts.MayHaveRun() {
 		return err
 	}
 	kind := gauge.KindOf(err)
@@ -147,5 +148,5 @@
 	default:
 		kind = gauge.KindEmpty
 	}
-	return gauge.Refuse(tried, kind, gauge.AsError(err).Reason, time.Second)
+	return gauge.Refuse(attempts, kind, gauge.AsError(err).Reason, time.Second)
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve takes a request from acceptance to its final answer: quota,
-// claim, place, dispatch, repeat, outcome.
+// Package serve takes a request from admission to its final answer: it acquires quota, claims
+// the request, acquires a slot on a worker, dispatches, retries and stores the outcome.
 package serve
 
 import (
@@ -19,25 +19,26 @@
 	"sapphiregauge/internal/sizer"
 )
 
-// Config sets up a Path.
+// Config sets up a Server.
 type Config struct {
 	Clock gauge.Clock
 	Logs  logr.Logger
 	State func() gauge.State
-	// Current tells whether State was confirmed lately to be the newest; nil: it always is.
-	Current func() bool
-	Desk    func(name string) *desk.Desk
-	Send    gauge.Dispatcher
-	Claims  *claim.Claims
-	Meter   *meter.Meter
-	Burn    *burn.Book
-	Holds   *holds.Book
-	// Lives tells whether an entry (id/run) may still be running requests.
-	Lives func(entry string) bool
+	// IsStateCurrent reports whether State was recently confirmed to be the newest; nil means
+	// that it always is.
+	IsStateCurrent func() bool
+	Desk           func(name string) *desk.Desk
+	Send           gauge.Dispatcher
+	Claims         *claim.Claims
+	Meter          *meter.Meter
+	Burn           *burn.Book
+	Holds          *holds.Book
+	// MayBeAlive reports whether an entry (id/run) may still be running requests.
+	MayBeAlive func(entry string) bool
 }
 
-// Path serves requests.
-type Path struct {
+// Server runs requests on workers.
+type Server struct {
 	conf Config
 
 	sizeMu sync.Mutex
@@ -45,15 +46,15 @@
 
 	mu       sync.Mutex
 	draining bool
-	running  sync.WaitGroup // requests and what has to follow their answers
+	running  sync.WaitGroup // requests, and the work that follows their answers
 }
 
-// New makes a Path.
-func New(c Config) *Path { return &Path{conf: c, sizes: sizer.New()} }
+// New returns a Server.
+func New(c Config) *Server { return &Server{conf: c, sizes: sizer.New()} }
 
-// Drain refuses new requests from now on and waits for those that run, or for
-// ctx to end.
-func (p *Path) Drain(ctx context.Context) error {
+// Drain refuses new requests from now on and waits for those in progress. It returns an error
+// of KindDraining if ctx ends before they do.
+func (p *Server) Drain(ctx context.Context) error {
 	p.mu.Lock()
 	p.draining = true
 	p.mu.Unlock()
@@ -66,12 +67,12 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return gauge.Fail(gauge.KindDraining, "requests still run").Because(ctx.Err())
+		return gauge.Fail(gauge.KindDraining, "requests are still running").Because(ctx.Err())
 	}
 }
 
-// begin counts a request in, so that Drain waits for it.
-func (p *Path) begin() error {
+// begin registers a request, so that Drain waits for it.
+func (p *Server) begin() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.draining {
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// task is a request with what is in force for it.
-type task struct {
+// call is an admitted request with the configuration that applies to it.
+type call struct {
 	req      *gauge.Request
 	svc      *gauge.Service
 	desk     *desk.Desk
@@ -91,9 +92,8 @@
 	began    time.Time
 }
 
-// Serve runs a request and returns its answer. An asynchronous one is accepted
-// only; see Accept.
-func (p *Path) Serve(ctx context.Context, r *gauge.Request) (gauge.Response, error) {
+// Serve runs a request and returns its answer. Asynchronous requests go to Accept instead.
+func (p *Server) Serve(ctx context.Context, r *gauge.Request) (gauge.Response, error) {
 	if err := p.begin(); err != nil {
 		return gauge.Response{}, err
 	}
@@ -104,13 +104,13 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	resp, err := p.once(ctx, t)
-	p.ended(t, resp, err)
+	resp, err := p.runOnce(ctx, t)
+	p.recordEnd(t, resp, err)
 	return resp, err
 }
 
-// ended counts a request's final answer and logs it.
-func (p *Path) ended(t *task, resp gauge.Response, err error) {
+// recordEnd counts a request's final answer in the metrics and logs it.
+func (p *Server) recordEnd(t *call, resp gauge.Response, err error) {
 	p.conf.Logs.V(1).Info("request ended", "request", t.req.ID, "service", t.req.Service, "team", t.req.Team,
 		"class", string(t.req.Class), "kind", string(kindOf(err)), "target", resp.Host, "revision", p.conf.State().Revision)
 	p.conf.Meter.Request(t.req.Service, t.req.Class, p.conf.Clock().Sub(t.began), err)
@@ -120,7 +120,7 @@
 	}
 }
 
-// kindOf is empty for an answer.
+// kindOf returns the kind of an error, or "" for nil.
 func kindOf(err error) gauge.Kind {
 	if err == nil {
 		return ""
@@ -128,15 +128,16 @@
 	return gauge.KindOf(err)
 }
 
-// admit checks the request against what is in force.
-func (p *Path) admit(r *gauge.Request) (*task, error) {
+// admit checks the request against the configuration in force. It bounds the deadline by the
+// service's limit and sets the class that the request is treated as.
+func (p *Server) admit(r *gauge.Request) (*call, error) {
 	s := p.conf.State()
 	if s.Revision == 0 {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "no configuration is in force here yet", time.Second)
 	}
 	svc := s.Service(r.Service)
 	if svc == nil {
-		return nil, p.missing(gauge.KindMissing, "there is no service "+r.Service)
+		return nil, p.refuseUndeclared(gauge.KindMissing, "there is no service "+r.Service)
 	}
 	if len(r.Body) > svc.Body {
 		return nil, gauge.Refuse(nil, gauge.KindLarge, "the body is over the service's bound", 0)
@@ -145,14 +146,14 @@
 	if latest := now.Add(svc.Limit); r.Deadline.IsZero() || r.Deadline.After(latest) {
 		r.Deadline = latest
 	}
-	t := &task{req: r, svc: svc, desk: p.conf.Desk(svc.Pool), declared: r.Class, began: now}
+	t := &call{req: r, svc: svc, desk: p.conf.Desk(svc.Pool), declared: r.Class, began: now}
 	if t.desk == nil {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "pool "+svc.Pool+" is not in force here yet", time.Second)
 	}
 	teams := len(s.Names(gauge.RecordTeam))
 	t.team = p.conf.Desk(broker.Quota(r.Team))
 	if teams > 0 && s.Team(r.Team) == nil {
-		return nil, p.missing(gauge.KindDenied, "team "+r.Team+" is not declared")
+		return nil, p.refuseUndeclared(gauge.KindDenied, "team "+r.Team+" is not declared")
 	}
 	p.sizeMu.Lock()
 	r.Class = p.sizes.Class(r.Service, r.Team, r.Class)
@@ -160,17 +161,18 @@
 	return t, nil
 }
 
-// missing refuses what isn't in force here: for good only if it is known that it wasn't
-// declared since, as a caller that is told so doesn't ask again.
-func (p *Path) missing(kind gauge.Kind, reason string) error {
-	if p.conf.Current != nil && !p.conf.Current() {
+// refuseUndeclared refuses a request for a service or team that isn't in force here. The
+// refusal is permanent, so that callers don't retry, only if the configuration is known to be
+// the newest; otherwise the record may have been added in the meantime.
+func (p *Server) refuseUndeclared(kind gauge.Kind, reason string) error {
+	if p.conf.IsStateCurrent != nil && !p.conf.IsStateCurrent() {
 		return gauge.Refuse(nil, gauge.KindUnready, reason+" here, and whether elsewhere isn't known at the moment", time.Second)
 	}
 	return gauge.Refuse(nil, kind, reason, 0)
 }
 
-// once runs the request under a claim if it must not be repeated.
-func (p *Path) once(ctx context.Context, t *task) (gauge.Response, error) {
+// runOnce runs the request, under a claim if it is not repeatable.
+func (p *Server) runOnce(ctx context.Context, t *call) (gauge.Response, error) {
 	if t.req.Repeatable {
 		resp, _, err := p.run(ctx, t)
 		return resp, err
@@ -179,38 +181,39 @@
 	if err != nil {
 		return gauge.Response{}, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, mine, err := p.claim(ctx, key, gauge.ClaimRunning, t.req, nil)
+	held, inserted, err := p.claim(ctx, key, gauge.ClaimRunning, t.req, nil)
 	if err != nil {
 		return gauge.Response{}, err
 	}
-	if !mine {
-		return p.told(ctx, held, hashOf(t.req))
+	if !inserted {
+		return p.answerFromClaim(ctx, held, requestHash(t.req))
 	}
-	return p.runHeld(ctx, t, held)
+	return p.runClaimed(ctx, t, held)
 }
 
-// claim inserts the claim of a request. Without it confirmed nothing was sent.
-func (p *Path) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.Accepted) (claim.Held, bool, error) {
-	held, mine, err := p.conf.Claims.Claim(ctx, key, state, hashOf(r), a)
+// claim inserts the claim of a request and reports whether it did; otherwise it returns the
+// claim that was there. On an error nothing was dispatched.
+func (p *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.Accepted) (claim.Held, bool, error) {
+	held, inserted, err := p.conf.Claims.Claim(ctx, key, state, requestHash(r), a)
 	if err == nil {
 		p.conf.Holds.Work(holds.Once, "the last claim was confirmed before anything was sent")
-		return held, mine, nil
+		return held, inserted, nil
 	}
 	if held.Claim.Token != "" {
-		p.after(func(ctx context.Context) { p.conf.Claims.Abandon(ctx, held) })
+		p.inBackground(func(ctx context.Context) { p.conf.Claims.Abandon(ctx, held) })
 	}
 	p.conf.Logs.Info("claim failed", "request", key.ID, "reason", err.Error())
 	return held, false, gauge.Refuse(nil, gauge.KindOutage, "the platform's table does not confirm claims", time.Second)
 }
 
-// runHeld runs a claimed request and stores what became of it.
-func (p *Path) runHeld(ctx context.Context, t *task, held claim.Held) (gauge.Response, error) {
+// runClaimed runs a claimed request and stores its outcome.
+func (p *Server) runClaimed(ctx context.Context, t *call, held claim.Held) (gauge.Response, error) {
 	resp, attempts, err := p.run(ctx, t)
 	if err != nil && !attempts.MayHaveRun() {
-		p.after(func(ctx context.Context) { _ = p.conf.Claims.Drop(ctx, held) })
+		p.inBackground(func(ctx context.Context) { _ = p.conf.Claims.Drop(ctx, held) })
 		return resp, err
 	}
-	p.after(func(ctx context.Context) {
+	p.inBackground(func(ctx context.Context) {
 		if err := p.conf.Claims.Finish(ctx, held, outcomeOf(resp, err)); err != nil {
 			p.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 		}
@@ -218,17 +221,17 @@
 	return resp, err
 }
 
-// storeFor bounds how long an answer is held in memory for a table that is out.
-const storeFor = 10 * time.Minute
+// storeTimeout bounds how long an answer is held in memory during a table outage.
+const storeTimeout = 10 * time.Minute
 
-// after does what follows an answer without keeping the caller waiting. A
+// inBackground runs the work that follows an answer without keeping the caller waiting. A
 // graceful shutdown waits for it.
-func (p *Path) after(do func(context.Context)) {
+func (p *Server) inBackground(work func(context.Context)) {
 	p.running.Add(1)
 	go func() {
 		defer p.running.Done()
-		ctx, cancel := context.WithTimeout(context.Background(), storeFor)
+		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
-		do(ctx)
+		work(ctx)
 	}()
 }
