--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -1,7 +1,7 @@
-// Package apply accepts operators' changes: it reads the records, checks them
-// together with what is in force, and appends one revision. The same submission
-// twice is one revision; a change made on a basis that somebody else has
-// changed since is refused, with the other change shown.
+// Package apply accepts operators' changes: it decodes the records, validates them together with
+// the configuration in force, and appends one revision. It is idempotent: a submission sent twice
+// becomes one revision. A change of a record that was changed since the submission's basis
+// revision is refused with an error that shows the other change.
 package apply
 
 import (
@@ -20,28 +20,28 @@
 // Config sets up an Applier.
 type Config struct {
 	Log     *revlog.Log
-	State   func() gauge.State // in force here; the newest is read from the log
+	State   func() gauge.State // in force at this entry; newer revisions are read from the log
 	Decoder *schema.Decoder
-	// Notices says what is doubtful in a state, such as jobs that fit no host.
+	// Notices returns warnings about a valid state, such as jobs that fit no host.
 	Notices func(gauge.State) []string
 }
 
-// File is one record file as it came.
+// File is one record file as the operator sent it.
 type File struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
 }
 
-// Submission is one change as an operator wants it.
+// Submission is one change that an operator submits.
 type Submission struct {
 	ID    string           `json:"id"`
-	Basis int64            `json:"basis"` // revision that the operator looked at; 0: any
+	Basis int64            `json:"basis"` // revision that the change is based on; 0: any
 	Files []File           `json:"files,omitempty"`
 	Drops []gauge.RecordID `json:"drops,omitempty"`
-	Dry   bool             `json:"dry,omitempty"` // only say what would change
+	Dry   bool             `json:"dry,omitempty"` // report what would change, store nothing
 }
 
-// Result is what a submission did.
+// Result is the effect of a submission.
 type Result struct {
 	Revision int64    `json:"revision"`
 	Changed  []string `json:"changed,omitempty"`
@@ -54,24 +54,26 @@
 	conf Config
 }
 
-// New makes an Applier.
+// New returns an Applier.
 func New(c Config) *Applier { return &Applier{conf: c} }
 
-// races bounds how often an apply tries again because a host changed at the
-// same moment.
-const races = 20
+// maxAttempts bounds the attempts of one submission; each fails if another revision, such as a
+// change of a host, is accepted at the same moment.
+const maxAttempts = 20
 
-// Apply accepts a submission, whole or not at all.
+// Apply accepts a submission as a whole or not at all. The error lists all faults of the files, or
+// is of KindConflict if a record was changed since the basis, or if other changes kept coming
+// first.
 func (a *Applier) Apply(ctx context.Context, sub Submission) (Result, error) {
-	records, err := a.read(sub)
+	records, err := a.decode(sub)
 	if err != nil {
 		return Result{}, err
 	}
-	if rev, err := a.conf.Log.Submitted(ctx, sub.ID); err != nil || rev > 0 {
+	if rev, err := a.conf.Log.SubmissionRevision(ctx, sub.ID); err != nil || rev > 0 {
 		return Result{Revision: rev}, err
 	}
-	for range races {
-		state, err := a.newest(ctx)
+	for range maxAttempts {
+		state, err := a.latestState(ctx)
 		if err != nil {
 			return Result{}, err
 		}
@@ -79,9 +81,9 @@
 		if err != nil || sub.Dry || len(change.Records) == 0 {
 			return res, err
 		}
-		done, err := a.conf.Log.Append(ctx, state.Revision, change)
+		accepted, err := a.conf.Log.Append(ctx, state.Revision, change)
 		if err == nil {
-			res.Revision = done.Revision
+			res.Revision = accepted.Revision
 			return res, nil
 		}
 		if !gauge.Is(err, gauge.KindConflict) {
@@ -91,7 +93,7 @@
 	return Result{}, gauge.Fail(gauge.KindConflict, "others keep changing the fleet, nothing was applied")
 }
 
-func (a *Applier) newest(ctx context.Context) (gauge.State, error) {
+func (a *Applier) latestState(ctx context.Context) (gauge.State, error) {
 	s := a.conf.State()
 	if s.Revision == 0 {
 		return a.conf.Log.Load(ctx)
@@ -103,8 +105,8 @@
 	return next, err
 }
 
-// read decodes all files; all faults of all files are told at once.
-func (a *Applier) read(sub Submission) ([]gauge.Record, error) {
+// decode decodes all files. The error lists all faults of all files.
+func (a *Applier) decode(sub Submission) ([]gauge.Record, error) {
 	var faults gauge.Faults
 	if sub.ID == "" {
 		faults.Add("id", "is missing")
@@ -116,17 +118,17 @@
 		faults.Add("files", "there is nothing to apply")
 	}
 	var records []gauge.Record
-	where := make(map[gauge.RecordID]string)
+	fileOf := make(map[gauge.RecordID]string)
 	for _, f := range sub.Files {
 		got, fs := a.conf.Decoder.Decode(f.Name, f.Text)
 		faults = append(faults, fs...)
 		for _, r := range got {
-			if other, twice := where[r.ID()]; twice {
+			if other, duplicate := fileOf[r.ID()]; duplicate {
 				faults = append(faults, gauge.Fault{
 					Source: f.Name, Record: r.ID().String(), Field: "name", Reason: "stands in " + other + " too",
 				})
 			}
-			where[r.ID()] = f.Name
+			fileOf[r.ID()] = f.Name
 		}
 		records = append(records, got...)
 	}
@@ -136,29 +138,29 @@
 	return records, faults.Err()
 }
 
-// compare works out what would change on top of a state.
+// compare returns the result and the change that the records make on top of a state.
 func (a *Applier) compare(s gauge.State, sub Submission, records []gauge.Record) (Result, gauge.Change, error) {
 	change := gauge.Change{Revision: s.Revision + 1, Submission: sub.ID}
 	res := Result{Revision: s.Revision}
-	var stale []string
+	var conflicts []string
 	for _, r := range records {
-		old, there := s.Records[r.ID()]
-		if r.Gone && !there {
+		old, exists := s.Records[r.ID()]
+		if r.Gone && !exists {
 			return res, change, gauge.Fail(gauge.KindMissing, "there is no %s to drop", r.ID())
 		}
-		if there && !r.Gone && old.Source == r.Source {
+		if exists && !r.Gone && old.Source == r.Source {
 			continue
 		}
-		if there && sub.Basis > 0 && old.Revision > sub.Basis {
-			stale = append(stale, fmt.Sprintf("%s was changed by revision %d:\n%s", r.ID(), old.Revision, diff(r.ID(), r.Source, old.Source)))
+		if exists && sub.Basis > 0 && old.Revision > sub.Basis {
+			conflicts = append(conflicts, fmt.Sprintf("%s was changed by revision %d:\n%s", r.ID(), old.Revision, diff(r.ID(), r.Source, old.Source)))
 		}
 		r.Born = old.Born
 		change.Records = append(change.Records, r)
 		res.Changed = append(res.Changed, r.ID().String())
 		res.Diff += diff(r.ID(), old.Source, r.Source)
 	}
-	if len(stale) > 0 {
-		return res, change, gauge.Fail(gauge.KindConflict, "made for revision %d, but %s", sub.Basis, strings.Join(stale, "\n"))
+	if len(conflicts) > 0 {
+		return res, change, gauge.Fail(gauge.KindConflict, "made for revision %d, but %s", sub.Basis, strings.Join(conflicts, "\n"))
 	}
 	slices.Sort(res.Changed)
 	next, err := s.Apply(change)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry puts one entry process together from its parts and runs them as
-// one group that stops together.
+// Package entry builds one entry process from its components and runs them as a group: if one
+// fails, all stop.
 package entry
 
 import (
@@ -49,14 +49,14 @@
 	Clock       gauge.Clock
 	Logs        logr.Logger
 
-	Poll  time.Duration // between two reads of the table's head
-	Beat  time.Duration // between two heartbeats
-	Row   time.Duration // between two writes of the member row
+	Poll  time.Duration // interval between reads of the table's head row
+	Beat  time.Duration // interval between heartbeats
+	Row   time.Duration // interval between writes of the member row
 	Term  time.Duration // of a slot lease
-	Round time.Duration // between two renewals of slot leases
-	Watch time.Duration // between two reads of the platform's host list
-	Drain time.Duration // how long the balancer needs to see that this entry is not ready
-	Stop  time.Duration // longest wait for requests in flight
+	Round time.Duration // interval between renewals of slot leases, and between controller rounds
+	Watch time.Duration // interval between reads of the platform's host list
+	Drain time.Duration // within which the load balancer notices that this entry is not ready
+	Stop  time.Duration // longest wait for requests in flight at shutdown
 }
 
 // Entry is one entry process.
@@ -68,7 +68,7 @@
 	broker *broker.Broker
 	claims *claim.Claims
 	sender *send.Sender
-	path   *serve.Server
+	server *serve.Server
 	apply  *apply.Applier
 	orphan *orphan.Finder
 	ctrl   *ctrl.Controller
@@ -78,20 +78,20 @@
 	log    *revlog.Log
 	app    *fiber.App
 
-	filled   map[string]bool // pools that have had what they were promised; of watch alone
+	filled   map[string]bool // pools that once had the promised hosts; used only by watchHosts
 	draining atomic.Bool
-	sighted  atomic.Pointer[sighted]
+	hostList atomic.Pointer[hostList]
 }
 
-// sighted is the platform's list and when it was read.
-type sighted struct {
+// hostList is the platform's host list and when the call that read it was made.
+type hostList struct {
 	list gauge.Sightings
 	at   time.Time
 }
 
-const frameLimit = 16 << 20
+const maxFrame = 16 << 20 // bytes
 
-// New puts an Entry together; nothing runs yet.
+// New returns an Entry that doesn't run yet.
 func New(c Config) *Entry {
 	c.Self.HTTP = c.HTTP.Addr().String()
 	c.Self.Peer = c.Peer.Addr().String()
@@ -99,11 +99,11 @@
 		conf: c, meter: meter.New(), log: revlog.New(c.Table),
 		burn: burn.New(c.Clock), holds: holds.New(c.Clock), filled: make(map[string]bool),
 	}
-	e.sighted.Store(&sighted{})
-	e.mesh = mesh.New(mesh.Config{Key: c.PeerKey, Limit: frameLimit})
+	e.hostList.Store(&hostList{})
+	e.mesh = mesh.New(mesh.Config{Key: c.PeerKey, Limit: maxFrame})
 	e.follow = follow.New(follow.Config{
 		Log: e.log, Every: c.Poll, Clock: c.Clock, Logs: c.Logs.WithName("follow"),
-		Ask: e.askPeers, Adopted: e.adopted,
+		Ask: e.askPeers, Adopted: e.onAdopted,
 	})
 	e.member = member.New(member.Config{
 		Self: c.Self, Table: c.Table, Peers: e.mesh, Clock: c.Clock, Logs: c.Logs.WithName("member"),
@@ -115,69 +115,71 @@
 		Term: c.Term, Round: c.Round, Seed: uint64(c.Clock().UnixNano()),
 	})
 	e.claims = claim.New(claim.Config{Entry: e.name(), Table: c.Table, Objects: c.Objects, Clock: c.Clock})
-	e.sender = send.New(send.Config{MaxAnswer: answerLimit, Clock: c.Clock})
-	e.path = serve.New(serve.Config{
+	e.sender = send.New(send.Config{MaxAnswer: maxAnswer, Clock: c.Clock})
+	e.server = serve.New(serve.Config{
 		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.Current, Desk: e.broker.Desk,
-		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.lives,
+		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.mayBeAlive,
 	})
 	e.apply = apply.New(apply.Config{Log: e.log, State: e.follow.State, Decoder: schema.New(), Notices: place.New().Unplaceable})
 	e.orphan = orphan.New(orphan.Config{
-		Logs: c.Logs.WithName("orphan"), Every: c.Row, Mine: func() bool { return e.mine("orphans") },
-		Entries: e.claims.Entries, Lives: e.lives, Takeover: e.path.Takeover, Sweep: e.sweep,
+		Logs: c.Logs.WithName("orphan"), Every: c.Row, Mine: func() bool { return e.ownsDuty("orphans") },
+		Entries: e.claims.Entries, Lives: e.mayBeAlive, Takeover: e.server.Takeover, Sweep: e.sweepClaims,
 	})
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: e.log, Platform: c.Platform, Planner: plan.New(plan.Config{}), State: e.follow.State,
-		Leases:    lease.New(lease.Config{Entry: e.name(), Table: c.Table, Lives: e.lives}),
-		Sighted:   func() (gauge.Sightings, time.Time) { s := e.sighted.Load(); return s.list, s.at },
-		Confirmed: e.member.Confirmed, Mine: e.mine, Wake: e.follow.Wake, Moved: e.meter.Moved,
+		Leases:    lease.New(lease.Config{Entry: e.name(), Table: c.Table, Lives: e.mayBeAlive}),
+		Sighted:   func() (gauge.Sightings, time.Time) { s := e.hostList.Load(); return s.list, s.at },
+		Confirmed: e.member.Confirmed, Mine: e.ownsDuty, Wake: e.follow.Wake, Moved: e.meter.Moved,
 		Clock: c.Clock, Logs: c.Logs.WithName("ctrl"), Every: c.Round,
 	})
 	e.mesh.Handle(member.Method, e.member.Handle)
 	e.mesh.Handle(broker.MethodAsk, e.broker.HandleAsk)
 	e.mesh.Handle(broker.MethodGrant, e.broker.HandleGrant)
-	e.mesh.Handle(stateMethod, e.handState)
-	e.mesh.Handle(reportMethod, e.handReport)
+	e.mesh.Handle(stateMethod, e.handleState)
+	e.mesh.Handle(reportMethod, e.handleReport)
 	e.routes()
 	return e
 }
 
-const answerLimit = 16 << 20
+const maxAnswer = 16 << 20 // bytes
 
 func (e *Entry) name() string { return e.conf.Self.ID + "/" + e.conf.Self.Run }
 
 func (e *Entry) revision() int64 { return e.follow.State().Revision }
 
-// forceLimit is within how long a change is to be in force everywhere.
-const forceLimit = 5 * time.Second
+// inForceLimit is the time within which an accepted change must be in force at every entry.
+const inForceLimit = 5 * time.Second
 
-// adopted is called with each new state in force, in order.
-func (e *Entry) adopted(s gauge.State, behind time.Duration) {
+// onAdopted is called with each new state in force, in order, and with the time since it was
+// accepted.
+func (e *Entry) onAdopted(s gauge.State, behind time.Duration) {
 	e.broker.Adopt(s)
 	for _, n := range place.New().Unplaceable(s) {
 		e.conf.Logs.V(1).Info(n)
 	}
 	e.meter.Set("", "revision", float64(s.Revision))
 	evidence := fmt.Sprintf("revision %d in force here at most %s after its acceptance", s.Revision, behind.Round(time.Millisecond))
-	e.holds.Note(holds.InForce, behind <= forceLimit, evidence)
-	e.holds.Note(holds.Leaving, behind <= forceLimit, evidence)
-	// The word goes on from each entry that adopts, so that it also reaches
-	// those that the accepting entry has no link to.
+	e.holds.Note(holds.InForce, behind <= inForceLimit, evidence)
+	e.holds.Note(holds.Leaving, behind <= inForceLimit, evidence)
+	// Every entry that adopts a revision notifies its peers, so that the notification also
+	// reaches those that the accepting entry can't connect to.
 	go e.member.Tell(context.Background())
 }
 
-// Run serves until ctx ends, then finishes what is in flight and returns.
+// Run serves until ctx ends or a component fails, then completes the requests in flight, within
+// a bound, and returns the first error.
 func (e *Entry) Run(ctx context.Context) error {
 	inner, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	group := pool.New().WithContext(inner).WithCancelOnError().WithFirstError()
 	group.Go(func(ctx context.Context) error { return e.mesh.Serve(ctx, e.conf.Peer) })
 	e.member.Join(inner)
-	group.Go(runs(e.member.Run))
-	group.Go(runs(e.follow.Run))
-	group.Go(runs(e.broker.Run))
-	group.Go(runs(e.orphan.Run))
-	group.Go(runs(e.ctrl.Run))
-	group.Go(runs(e.watch))
+	group.Go(asTask(e.member.Run))
+	group.Go(asTask(e.follow.Run))
+	group.Go(asTask(e.broker.Run))
+	group.Go(asTask(e.orphan.Run))
+	group.Go(asTask(e.ctrl.Run))
+	group.Go(asTask(e.watchHosts))
 	group.Go(func(context.Context) error {
 		return e.app.Listener(e.conf.HTTP, fiber.ListenConfig{DisableStartupMessage: true})
 	})
@@ -195,22 +197,23 @@
 	return group.Wait()
 }
 
-func runs(f func(context.Context)) func(context.Context) error {
+// asTask adapts a function that returns no error to the group.
+func asTask(f func(context.Context)) func(context.Context) error {
 	return func(ctx context.Context) error {
 		f(ctx)
 		return nil
 	}
 }
 
-// shutdown lets the balancer look away first, while requests are still taken;
-// then refuses new ones, waits for those in flight and leaves.
+// shutdown first waits until the load balancer sends no more requests, and still accepts them
+// meanwhile; then it refuses new ones, waits for those in flight and leaves the members.
 func (e *Entry) shutdown() {
 	e.conf.Logs.Info("entry is draining")
 	e.draining.Store(true)
 	time.Sleep(e.conf.Drain)
 	ctx, cancel := context.WithTimeout(context.Background(), e.conf.Stop)
 	defer cancel()
-	err := e.path.Drain(ctx)
+	err := e.server.Drain(ctx)
 	e.holds.Note(holds.Graceful, err == nil, "shutdown")
 	if err != nil {
 		e.conf.Logs.Error(err, "stopped before all requests were done")
@@ -218,9 +221,9 @@
 	if err := e.app.ShutdownWithContext(ctx); err != nil {
 		e.conf.Logs.Info("HTTP server did not close in time", "reason", err.Error())
 	}
-	leave, stop := context.WithTimeout(context.Background(), time.Second)
+	leaveCtx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	if err := e.member.Leave(leave); err != nil {
+	if err := e.member.Leave(leaveCtx); err != nil {
 		e.conf.Logs.Info("member row not dropped", "reason", err.Error())
 	}
 	e.mesh.Close()
@@ -228,20 +231,20 @@
 	e.conf.Logs.Info("entry stopped")
 }
 
-// watch reads the platform's host list again and again.
-func (e *Entry) watch(ctx context.Context) { ticks.Every(ctx, e.conf.Watch, e.readList) }
+// watchHosts reads the platform's host list periodically.
+func (e *Entry) watchHosts(ctx context.Context) { ticks.Every(ctx, e.conf.Watch, e.readHosts) }
 
-func (e *Entry) readList(ctx context.Context) {
-	asked := e.conf.Clock()
+func (e *Entry) readHosts(ctx context.Context) {
+	requestedAt := e.conf.Clock()
 	if list, err := e.conf.Platform.List(ctx); err == nil {
-		e.sighted.Store(&sighted{list: list, at: asked})
+		e.hostList.Store(&hostList{list: list, at: requestedAt})
 		e.broker.Seen(list)
 	}
-	e.measure()
+	e.updateGauges()
 }
 
-// measure sets the metrics that tell a state.
-func (e *Entry) measure() {
+// updateGauges sets the metrics that show a current state.
+func (e *Entry) updateGauges() {
 	for _, c := range e.broker.Counts() {
 		e.meter.Set(c.Pool, "slots_held", float64(c.Held))
 		e.meter.Set(c.Pool, "slots_used", float64(c.Used))
@@ -250,12 +253,12 @@
 		e.meter.Set(c.Pool, "hosts_serving", float64(c.Hosts))
 		e.meter.Set(c.Pool, "hosts_ejected", float64(c.Ejected))
 	}
-	e.look()
+	e.checkPromises()
 	for _, w := range e.waves() {
 		e.meter.Set(w.Pool, "wave_due", float64(w.Hosts-w.Done))
 	}
 	for _, l := range e.holds.Lines() {
-		if l.Checks > 0 { // a promise that is not looked at here has no zero to show
+		if l.Checks > 0 { // an entry that doesn't check a promise must not report zero breaches
 			e.meter.Set("", "breaches_"+string(l.Promise), float64(l.Breaches))
 		}
 	}
@@ -265,8 +268,8 @@
 	e.meter.Set("", "claim_writes", float64(writes))
 }
 
-// lives tells whether an entry (id/run) is known still.
-func (e *Entry) lives(name string) bool {
+// mayBeAlive reports whether an entry (id/run) is still among the live members.
+func (e *Entry) mayBeAlive(name string) bool {
 	for _, m := range e.member.View().Live {
 		if m.ID+"/"+m.Run == name {
 			return true
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -25,8 +25,8 @@
 
 func decodeBody(body []byte, v any) error { return frame.Decode(body, v) }
 
-// routes sets up the HTTP server. Immutable makes strings and bodies outlive
-// their handlers: an accepted request goes on after its handler returned.
+// routes sets up the HTTP server. Immutable is needed because an accepted request is still in
+// use after its handler has returned: strings and bodies stay valid.
 func (e *Entry) routes() {
 	e.app = fiber.New(fiber.Config{
 		Immutable: true, BodyLimit: bodyLimit, ReadBufferSize: headLimit,
@@ -36,21 +36,21 @@
 	query.Health(e.app, e.ready)
 	e.app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(e.meter.Registry, promhttp.HandlerOpts{})))
 	front.New(front.Config{
-		Serve: e.path.Serve, Accept: e.path.Accept, Lookup: e.path.Lookup, Clock: e.conf.Clock,
+		Serve: e.server.Serve, Accept: e.server.Accept, Lookup: e.server.Lookup, Clock: e.conf.Clock,
 	}).Register(e.app)
 	operators := e.app.Group("/admin/v1", e.checkKey)
 	query.New(query.Config{
 		State: e.follow.State, Entries: e.member.Revisions, Counts: e.broker.Counts,
 		Burn: e.burnReport, Holds: e.holdsReport, Waves: e.waves,
 	}).Register(operators)
-	order.New(order.Config{Apply: e.apply.Apply, Applied: e.applied}).Register(operators)
+	order.New(order.Config{Apply: e.apply.Apply, Applied: e.onApplied}).Register(operators)
 }
 
-// applied wakes this entry and, through it, the others.
-func (e *Entry) applied(revision int64) { e.follow.Wake(revision) }
+// onApplied makes this entry read the new revision; the entry then notifies the others.
+func (e *Entry) onApplied(revision int64) { e.follow.Wake(revision) }
 
-// closeWhenDraining tells callers to come by another connection next time,
-// which the balancer leads to another entry.
+// closeWhenDraining makes callers open a new connection for their next request, which the load
+// balancer directs to another entry.
 func (e *Entry) closeWhenDraining(c fiber.Ctx) error {
 	err := c.Next()
 	if e.draining.Load() {
@@ -60,14 +60,14 @@
 }
 
 func (e *Entry) checkKey(c fiber.Ctx) error {
-	want := "Bearer " + e.conf.OperatorKey
-	if subtle.ConstantTimeCompare([]byte(c.Get(fiber.HeaderAuthorization)), []byte(want)) != 1 {
+	expected := "Bearer " + e.conf.OperatorKey
+	if subtle.ConstantTimeCompare([]byte(c.Get(fiber.HeaderAuthorization)), []byte(expected)) != 1 {
 		return front.Problem(c, gauge.Refuse(nil, gauge.KindDenied, "the operators' key is missing or wrong", 0))
 	}
 	return c.Next()
 }
 
-// ready is what the balancer asks.
+// ready returns why the load balancer must send no requests to this entry, or nil.
 func (e *Entry) ready() error {
 	switch {
 	case e.draining.Load():
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// onError turns the library's own errors, such as a body over the bound, into
-// ours.
+// onError converts the library's own errors, such as a body over the limit, to error responses of
+// this API.
 func onError(c fiber.Ctx, err error) error {
 	var fe *fiber.Error
 	if !errors.As(err, &fe) {
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -7,8 +7,7 @@
 	"sapphiregauge/internal/peers"
 )
 
-// stateMethod fetches a peer's state in force, for an entry that starts while
-// the table is out.
+// stateMethod returns a peer's state in force, for an entry that starts during a table outage.
 const stateMethod = "state"
 
 type stateReq struct {
@@ -21,7 +20,7 @@
 	Hosts    []gauge.Host   `msgpack:"h,omitempty"`
 }
 
-func (e *Entry) handState(_ context.Context, body []byte) (any, error) {
+func (e *Entry) handleState(_ context.Context, body []byte) (any, error) {
 	var req stateReq
 	if err := decodeBody(body, &req); err != nil {
 		return nil, err
@@ -38,26 +37,26 @@
 	return resp, nil
 }
 
-// askPeers returns the newest state that any live entry holds, this one's own
-// among them, if at least one other entry can be heard.
+// askPeers returns the newest state that any live entry, including this one, has in force. It
+// returns an error of KindOutage, and the own state, if no other entry is reachable.
 func (e *Entry) askPeers(ctx context.Context) (gauge.State, error) {
 	own := e.follow.State()
 	revisions := e.member.Revisions()
 	if len(revisions) < 2 {
 		return own, gauge.Fail(gauge.KindOutage, "neither the table nor a peer can be heard")
 	}
-	var best gauge.Member
-	most := own.Revision
+	var newest gauge.Member
+	newestRevision := own.Revision
 	for _, m := range e.member.View().Live {
-		if revisions[m.ID] > most {
-			best, most = m, revisions[m.ID]
+		if revisions[m.ID] > newestRevision {
+			newest, newestRevision = m, revisions[m.ID]
 		}
 	}
-	if best.ID == "" {
+	if newest.ID == "" {
 		return own, nil
 	}
 	var resp stateResp
-	if err := e.mesh.Call(ctx, best.Peer, stateMethod, &stateReq{Above: own.Revision}, &resp); err != nil {
+	if err := e.mesh.Call(ctx, newest.Peer, stateMethod, &stateReq{Above: own.Revision}, &resp); err != nil {
 		return own, err
 	}
 	return stateOf(resp), nil
@@ -78,15 +77,15 @@
 	return s.Indexed()
 }
 
-// mine tells whether a single duty is this entry's: duties spread over the live
-// entries.
-func (e *Entry) mine(duty string) bool {
+// ownsDuty reports whether this entry is responsible for a duty, by its name. Duties are spread
+// over the live entries.
+func (e *Entry) ownsDuty(duty string) bool {
 	return peers.Owner(e.member.View().Live, duty).ID == e.conf.Self.ID
 }
 
 // sweep drops claims whose keys are too old to be accepted again.
-func (e *Entry) sweep(ctx context.Context) error {
-	const days = 3 // so that a day missed in an outage is found later
+func (e *Entry) sweepClaims(ctx context.Context) error {
+	const days = 3 // so that a day that an outage kept from being swept is swept later
 	for _, day := range gauge.ClaimDays(e.conf.Clock(), days) {
 		if _, err := e.claims.Sweep(ctx, day); err != nil {
 			return err
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -15,8 +15,7 @@
 	"sapphiregauge/internal/query"
 )
 
-// reportMethod fetches what a peer has counted, so that any entry can report
-// for all.
+// reportMethod returns a peer's counts, so that any entry can report for all.
 const reportMethod = "report"
 
 type reportReq struct{}
@@ -26,15 +25,14 @@
 	Lines  []holds.Line  `msgpack:"l"`
 }
 
-func (e *Entry) handReport(context.Context, []byte) (any, error) {
+func (e *Entry) handleReport(context.Context, []byte) (any, error) {
 	return &reportResp{Series: e.burn.Series(), Lines: e.holds.Lines()}, nil
 }
 
 const reportTimeout = 2 * time.Second
 
-// gather asks all live entries for their counts. One that does not answer is
-// left out.
-func (e *Entry) gather(ctx context.Context) []reportResp {
+// collectReports returns the counts of all live entries. Those that don't answer are left out.
+func (e *Entry) collectReports(ctx context.Context) []reportResp {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	all := []reportResp{{Series: e.burn.Series(), Lines: e.holds.Lines()}}
@@ -61,7 +59,7 @@
 
 func (e *Entry) burnReport(ctx context.Context) []burn.Line {
 	var series [][]burn.Series
-	for _, r := range e.gather(ctx) {
+	for _, r := range e.collectReports(ctx) {
 		series = append(series, r.Series)
 	}
 	return burn.Report(e.follow.State(), burn.Sum(series...))
@@ -69,46 +67,46 @@
 
 func (e *Entry) holdsReport(ctx context.Context) []holds.Line {
 	var lines [][]holds.Line
-	for _, r := range e.gather(ctx) {
+	for _, r := range e.collectReports(ctx) {
 		lines = append(lines, r.Lines)
 	}
 	return holds.Sum(lines...)
 }
 
-// look holds the pools that are this entry's to watch against their promises,
-// by what the table and the platform's list say together.
-func (e *Entry) look() {
+// checkPromises checks the promises of the pools that this entry watches: a host works if it
+// serves according to the table and is live in the platform's host list.
+func (e *Entry) checkPromises() {
 	s := e.follow.State()
-	seen := e.sighted.Load().list.ByID()
-	counted, listed := make(map[string]bool), 0
+	sightings := e.hostList.Load().list.ByID()
+	counted, listings := make(map[string]bool), 0
 	for _, pool := range append(s.Names(gauge.RecordPool), "") {
 		for _, h := range s.InPool(pool) {
 			counted[h.ID] = true
-			listed++
+			listings++
 		}
-		if pool == "" || !e.mine("watch/"+pool) || len(seen) == 0 {
+		if pool == "" || !e.ownsDuty("watch/"+pool) || len(sightings) == 0 {
 			continue
 		}
 		working := 0
 		for _, h := range s.InPool(pool) {
-			if h.Serves() && seen[h.ID].Status == gauge.StatusLive {
+			if h.Serves() && sightings[h.ID].Status == gauge.StatusLive {
 				working++
 			}
 		}
 		promised := s.Pool(pool).Hosts
 		e.meter.Set(pool, "hosts_spare", float64(working-promised))
 		if !e.filled[pool] {
-			e.filled[pool] = working >= promised // a new pool is not broken while it is first filled
+			e.filled[pool] = working >= promised // no breach while a new pool is first filled
 			continue
 		}
 		e.holds.Note(holds.Budget, working >= promised, fmt.Sprintf("pool %s: %d hosts work, %d are promised", pool, working, promised))
 	}
 	if s.Revision > 0 && len(s.ByHost) > 0 {
-		e.holds.Note(holds.Single, listed == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listed))
+		e.holds.Note(holds.Single, listings == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listings))
 	}
 }
 
-// waves tells how far each wave is in each of its pools.
+// waves returns the progress of each wave in each of its pools.
 func (e *Entry) waves() []query.Wave {
 	s := e.follow.State()
 	reasons := make(map[string]string)
@@ -121,7 +119,7 @@
 		for _, pool := range r.Wave.Pools {
 			w := query.Wave{Name: name, Pool: pool, Waits: reasons[name+"/"+pool]}
 			for _, h := range s.InPool(pool) {
-				count(&w, r, h)
+				countHost(&w, r, h)
 			}
 			out = append(out, w)
 		}
@@ -129,7 +127,7 @@
 	return out
 }
 
-func count(w *query.Wave, r gauge.Record, h gauge.Host) {
+func countHost(w *query.Wave, r gauge.Record, h gauge.Host) {
 	w.Hosts++
 	switch {
 	case !plan.Due(r, h):
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,5 +1,5 @@
-// Package order takes operators' commands over HTTP: changes of records.
-// Questions go through package query.
+// Package order serves operators' changes of records over HTTP. Read requests go through package
+// query.
 package order
 
 import (
@@ -16,22 +16,22 @@
 // Config sets up Orders.
 type Config struct {
 	Apply func(ctx context.Context, s apply.Submission) (apply.Result, error)
-	// Applied is called after a new revision was accepted.
+	// Applied is called after a submission succeeded, with the revision that Apply returned.
 	Applied func(revision int64)
 }
 
-// Orders takes commands.
+// Orders handles operators' changes.
 type Orders struct {
 	conf Config
 }
 
-// New makes Orders.
+// New returns Orders.
 func New(c Config) *Orders { return &Orders{conf: c} }
 
 // Register adds the routes to a group that checks the operators' key.
-func (o *Orders) Register(r fiber.Router) { r.Post("/apply", o.apply) }
+func (o *Orders) Register(r fiber.Router) { r.Post("/apply", o.handleApply) }
 
-func (o *Orders) apply(c fiber.Ctx) error {
+func (o *Orders) handleApply(c fiber.Ctx) error {
 	var sub apply.Submission
 	if err := json.Unmarshal(c.Body(), &sub); err != nil {
 		return front.Problem(c, gauge.Fail(gauge.KindInvalid, "body: %s", err))
--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -1,6 +1,6 @@
-// Package plat speaks the platform's HTTP protocol: table, object store and
-// host list. docs/PLATFORM.md describes the protocol; a site whose platform
-// speaks another one replaces this package.
+// Package plat is a client of the platform's HTTP protocol: table, object store and host list.
+// docs/PLATFORM.md describes the protocol; a site whose platform has another one replaces this
+// package.
 package plat
 
 import (
@@ -20,7 +20,7 @@
 // Config sets up a Client.
 type Config struct {
 	Addr    string        // ip:port of the platform's service
-	Key     string        // sent as a bearer token; empty: none
+	Key     string        // sent as a bearer token; empty: no token is sent
 	Timeout time.Duration // of one call; default 2 s
 	Clock   gauge.Clock
 }
@@ -36,18 +36,18 @@
 	pool *exch.Pool
 }
 
-// New makes a Client.
+// New returns a Client.
 func New(c Config) *Client {
 	fill.Zero(&c.Timeout, defaultTimeout)
 	return &Client{conf: c, pool: exch.New(exch.Config{Answer: answerLimit, Clock: c.Clock})}
 }
 
-// Close drops the resting connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// Get reads one row.
+// Get returns one row.
 func (c *Client) Get(ctx context.Context, key string) (gauge.Row, error) {
-	rows, err := c.rows(ctx, "/table/row?key="+url.QueryEscape(key))
+	rows, err := c.readRows(ctx, "/table/row?key="+url.QueryEscape(key))
 	if err != nil {
 		return gauge.Row{}, err
 	}
@@ -57,20 +57,20 @@
 	return rows[0], nil
 }
 
-// Scan reads all rows with a prefix.
+// Scan returns all rows whose keys have a prefix.
 func (c *Client) Scan(ctx context.Context, prefix string) ([]gauge.Row, error) {
-	return c.rows(ctx, "/table/rows?prefix="+url.QueryEscape(prefix))
+	return c.readRows(ctx, "/table/rows?prefix="+url.QueryEscape(prefix))
 }
 
-func (c *Client) rows(ctx context.Context, path string) ([]gauge.Row, error) {
+func (c *Client) readRows(ctx context.Context, path string) ([]gauge.Row, error) {
 	var body rowsBody
-	if err := c.read(ctx, path, &body); err != nil {
+	if err := c.readJSON(ctx, path, &body); err != nil {
 		return nil, err
 	}
 	return body.Rows, nil
 }
 
-// Commit sends a transaction. A lost answer is of kind unknown.
+// Commit sends a transaction. If the answer is lost, the error is of KindUnknown.
 func (c *Client) Commit(ctx context.Context, t gauge.Txn) error {
 	body, err := json.Marshal(t)
 	if err != nil {
@@ -80,28 +80,28 @@
 	return err
 }
 
-// Fetch reads an object.
+// Fetch returns an object.
 func (c *Client) Fetch(ctx context.Context, name string) ([]byte, error) {
 	b, err := c.call(ctx, http.MethodGet, "/objects/"+url.PathEscape(name), nil)
-	return b, asRead(err)
+	return b, readError(err)
 }
 
-// Store writes an object.
+// Store writes an object. If the answer is lost, the error is of KindUnknown.
 func (c *Client) Store(ctx context.Context, name string, body []byte) error {
 	_, err := c.call(ctx, http.MethodPut, "/objects/"+url.PathEscape(name), body)
 	return err
 }
 
-// List reads the host list.
+// List returns the host list.
 func (c *Client) List(ctx context.Context) (gauge.Sightings, error) {
 	var body hostsBody
-	if err := c.read(ctx, "/hosts", &body); err != nil {
+	if err := c.readJSON(ctx, "/hosts", &body); err != nil {
 		return nil, err
 	}
 	return body.Hosts, nil
 }
 
-// Reboot asks for a reboot, once per token.
+// Reboot requests a reboot of a host. Calls with the same token cause one reboot.
 func (c *Client) Reboot(ctx context.Context, host, token string) error {
 	body, err := json.Marshal(tokenBody{Token: token})
 	if err != nil {
@@ -111,20 +111,20 @@
 	return err
 }
 
-func (c *Client) read(ctx context.Context, path string, into any) error {
+func (c *Client) readJSON(ctx context.Context, path string, value any) error {
 	b, err := c.call(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return asRead(err)
+		return readError(err)
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(b, value); err != nil {
 		return gauge.Fail(gauge.KindOutage, "plat: answer of %s", path).Because(err)
 	}
 	return nil
 }
 
-// asRead turns a lost answer into an outage: a read has no effect to be unsure
-// about.
-func asRead(err error) error {
+// readError converts the error of a lost answer to KindOutage: a read has no effect that could be
+// unknown.
+func readError(err error) error {
 	if gauge.Is(err, gauge.KindUnknown) {
 		return gauge.Fail(gauge.KindOutage, "read got no answer").Because(err)
 	}
@@ -146,7 +146,7 @@
 	}
 	sent, err := c.pool.Do(ctx, c.conf.Addr, req, resp, false)
 	if err != nil {
-		// One silent connection often means that all old ones are.
+		// If one connection gets no answer, the other idle ones are often broken too.
 		c.pool.Drop(c.conf.Addr)
 		if sent {
 			return nil, gauge.Fail(gauge.KindUnknown, "plat: %s %s", method, path).Because(err)
@@ -167,7 +167,7 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return gauge.Fail(gauge.KindOutage, "plat: %s %s: status %d", method, path, status)
 	default:
-		// The service may have done it before it failed.
+		// The service may have carried out the call before it failed.
 		return gauge.Fail(gauge.KindUnknown, "plat: %s %s: status %d", method, path, status)
 	}
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -1,6 +1,5 @@
-// Package query answers operators' questions over HTTP: what is in force and
-// where, the hosts, and what each pool is doing. Changes go through package
-// order.
+// Package query serves operators' read requests over HTTP: the configuration in force and the
+// revision at each entry, the hosts, and the load of each pool. Changes go through package order.
 package query
 
 import (
@@ -19,14 +18,14 @@
 // Config sets up Queries.
 type Config struct {
 	State   func() gauge.State
-	Entries func() map[string]int64 // revision in force by live entry
+	Entries func() map[string]int64 // revision in force at each live entry, by entry id
 	Counts  func() []desk.Counts
 	Burn    func(ctx context.Context) []burn.Line
 	Holds   func(ctx context.Context) []holds.Line
 	Waves   func() []Wave
 }
 
-// Wave is how far a wave is in one pool.
+// Wave is the progress of a wave in one pool, in hosts.
 type Wave struct {
 	Name   string `json:"name"`
 	Pool   string `json:"pool"`
@@ -34,24 +33,24 @@
 	Done   int    `json:"done"`
 	Out    int    `json:"out"` // leaving or rebooting
 	Failed int    `json:"failed"`
-	Waits  string `json:"waits,omitempty"` // why it does not go on, as far as the asked entry knows
+	Waits  string `json:"waits,omitempty"` // why it makes no progress, as far as this entry knows
 }
 
-// Queries answers questions.
+// Queries handles read requests.
 type Queries struct {
 	conf Config
 }
 
-// New makes Queries.
+// New returns Queries.
 func New(c Config) *Queries { return &Queries{conf: c} }
 
 // Register adds the routes to a group that checks the operators' key.
 func (q *Queries) Register(r fiber.Router) {
-	r.Get("/records", q.records)
-	r.Get("/records/:kind/:name", q.record)
-	r.Get("/hosts", q.hosts)
-	r.Get("/entries", q.entries)
-	r.Get("/pools", q.pools)
+	r.Get("/records", q.handleRecords)
+	r.Get("/records/:kind/:name", q.handleRecord)
+	r.Get("/hosts", q.handleHosts)
+	r.Get("/entries", q.handleEntries)
+	r.Get("/pools", q.handlePools)
 	r.Get("/waves", func(c fiber.Ctx) error { return c.JSON(q.conf.Waves()) })
 	r.Get("/reports/burn", func(c fiber.Ctx) error { return c.JSON(q.conf.Burn(c.Context())) })
 	r.Get("/reports/promises", func(c fiber.Ctx) error { return c.JSON(q.conf.Holds(c.Context())) })
@@ -62,7 +61,7 @@
 	Records  []gauge.Record `json:"records"`
 }
 
-func (q *Queries) records(c fiber.Ctx) error {
+func (q *Queries) handleRecords(c fiber.Ctx) error {
 	s := q.conf.State()
 	body := recordsBody{Revision: s.Revision, Records: []gauge.Record{}}
 	for _, k := range []gauge.RecordKind{gauge.RecordPool, gauge.RecordService, gauge.RecordTeam, gauge.RecordJob, gauge.RecordWave} {
@@ -73,7 +72,7 @@
 	return c.JSON(body)
 }
 
-func (q *Queries) record(c fiber.Ctx) error {
+func (q *Queries) handleRecord(c fiber.Ctx) error {
 	id := gauge.RecordID{Kind: gauge.RecordKind(c.Params("kind")), Name: c.Params("name")}
 	r, ok := q.conf.State().Records[id]
 	if !ok {
@@ -87,7 +86,7 @@
 	Hosts    gauge.Hosts `json:"hosts"`
 }
 
-func (q *Queries) hosts(c fiber.Ctx) error {
+func (q *Queries) handleHosts(c fiber.Ctx) error {
 	s := q.conf.State()
 	return c.JSON(hostsBody{Revision: s.Revision, Hosts: s.Hosts()})
 }
@@ -97,14 +96,14 @@
 	InForce  map[string]int64 `json:"inforce"`
 }
 
-func (q *Queries) entries(c fiber.Ctx) error {
+func (q *Queries) handleEntries(c fiber.Ctx) error {
 	return c.JSON(entriesBody{Revision: q.conf.State().Revision, InForce: q.conf.Entries()})
 }
 
-func (q *Queries) pools(c fiber.Ctx) error { return c.JSON(q.conf.Counts()) }
+func (q *Queries) handlePools(c fiber.Ctx) error { return c.JSON(q.conf.Counts()) }
 
-// Health adds the routes that the balancer and the monitoring use, without a
-// key.
+// Health adds the routes for the load balancer and the monitoring, which need no key. The entry
+// is ready if ready returns nil.
 func Health(app *fiber.App, ready func() error) {
 	app.Get("/livez", func(c fiber.Ctx) error { return c.SendStatus(http.StatusOK) })
 	app.Get("/readyz", func(c fiber.Ctx) error {
--- a/internal/revlog/fuzz_test.go
+++ b/internal/revlog/fuzz_test.go
@@ -11,14 +11,13 @@
 	"sapphiregauge/internal/revlog"
 )
 
-// FuzzRows puts any bytes into the rows of the table: reading them gives an
-// error or something sound, never a panic, and nothing is adopted that is not
-// the next revision.
+// FuzzRows puts arbitrary bytes into the rows of the table: reading them returns an error or valid
+// data, never panics, and no revision but the next one is adopted.
 func FuzzRows(f *testing.F) {
 	f.Add([]byte(`{"revision":1}`), []byte(`{"revision":1,"hosts":[{"id":"a"}]}`), []byte(`{"token":"x","state":"done","result":{}}`))
 	f.Add([]byte(`{"revision":-5}`), []byte(`{"revision":9007199254740993}`), []byte(`{"state":7}`))
 	f.Add([]byte(``), []byte(`null`), []byte(`[]`))
-	f.Fuzz(func(t *testing.T, head, row, held []byte) {
+	f.Fuzz(func(t *testing.T, head, row, claimRow []byte) {
 		ctx := context.Background()
 		db := memdb.New()
 		key := gauge.ClaimKey{Team: "t", ID: "k", Day: "d"}
@@ -27,7 +26,7 @@
 			{Key: "rev/00000000000000000001", Value: append([]byte{}, row...)},
 			{Key: "rec/pool/a", Value: append([]byte{}, row...)},
 			{Key: "host/a", Value: append([]byte{}, row...)},
-			{Key: "claim/d/t/k", Value: append([]byte{}, held...)},
+			{Key: "claim/d/t/k", Value: append([]byte{}, claimRow...)},
 		}})
 		l := revlog.New(db)
 		if s, err := l.Load(ctx); err == nil {
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -1,7 +1,7 @@
-// Package revlog keeps what is in force in the platform's table: one head row
-// with the newest revision, a row for each revision's change, and a row for
-// each record and host as it is now. A revision is accepted by one transaction
-// that checks the head, so changes form one line and none is half applied.
+// Package revlog stores the configuration in force in the platform's table: a head row with the
+// newest revision, a row for each revision's change, and a row for the current state of each
+// record and host. A revision is accepted by one transaction that checks the head row, so
+// changes are totally ordered and none is applied in part.
 package revlog
 
 import (
@@ -14,9 +14,9 @@
 	gauge "sapphiregauge"
 )
 
-// Keep is how many revisions' changes stay in the table. A follower that is
-// further behind reads everything anew.
-const Keep = 4096
+// RetainedRevisions is the number of revisions whose changes stay in the table. A follower that is further
+// behind loads the whole state again.
+const RetainedRevisions = 4096
 
 const (
 	headKey    = "head"
@@ -45,10 +45,10 @@
 	table gauge.Table
 }
 
-// New makes a Log over a table.
+// New returns a Log that is stored in t.
 func New(t gauge.Table) *Log { return &Log{table: t} }
 
-// Head reads the newest revision; 0 if nothing was accepted yet.
+// Head returns the newest revision, or 0 if none was accepted yet.
 func (l *Log) Head(ctx context.Context) (int64, error) {
 	_, rev, err := l.head(ctx)
 	return rev, err
@@ -69,7 +69,8 @@
 	return row, h.Revision, nil
 }
 
-// Change reads what one revision brought. Missing means that it was trimmed.
+// Change returns the change of one revision. An error of KindMissing means that it was trimmed or
+// doesn't exist yet.
 func (l *Log) Change(ctx context.Context, rev int64) (gauge.Change, error) {
 	var c gauge.Change
 	row, err := l.table.Get(ctx, revKey(rev))
@@ -82,8 +83,9 @@
 	return c, decode(row, &c)
 }
 
-// Submitted returns the revision that a submission became; 0 if there is none.
-func (l *Log) Submitted(ctx context.Context, id string) (int64, error) {
+// SubmissionRevision returns the revision that a submission was accepted as, or 0 if it wasn't accepted or
+// was trimmed since.
+func (l *Log) SubmissionRevision(ctx context.Context, id string) (int64, error) {
 	row, err := l.table.Get(ctx, subKey(id))
 	if err != nil || row.Version == 0 {
 		return 0, err
@@ -92,9 +94,9 @@
 	return s.Revision, decode(row, &s)
 }
 
-// Load reads the whole state. Rows may change while they are read, so the
-// changes accepted since the first look at the head are applied on top: each
-// holds whole rows, and applying one twice does no harm.
+// Load reads the whole state. Rows may change while they are read, so the changes accepted since
+// the head was first read are applied on top. Each change holds whole rows, so applying one twice
+// is harmless.
 func (l *Log) Load(ctx context.Context) (gauge.State, error) {
 	var s gauge.State
 	rev, err := l.Head(ctx)
@@ -161,14 +163,13 @@
 	return out, nil
 }
 
-// Append makes c the revision after basis. Checks are further conditions, such
-// as the lease under which a controller acts. It returns conflict if somebody
-// else's revision came first.
+// Append stores c as the revision after basis and returns it as stored. Checks are further
+// conditions, such as the lease under which a controller acts. It returns an error of
+// KindConflict if another revision came first, and of KindUnknown if c may or may not be stored.
 //
-// The answer of the commit may be lost after it took effect. Then the revision
-// is read back: ours, somebody else's (conflict), or not there. In the last
-// case the same transaction is sent again; should the first one still arrive,
-// the check of the head lets only one of them through.
+// The answer of the commit may be lost after it took effect. The revision is then read back: it is
+// this change, another one (conflict), or missing. If it is missing, the same transaction is sent
+// again; if the first one still arrives, the check of the head row lets only one of them succeed.
 func (l *Log) Append(ctx context.Context, basis int64, c gauge.Change, checks ...gauge.Check) (gauge.Change, error) {
 	row, rev, err := l.head(ctx)
 	if err != nil {
@@ -180,8 +181,8 @@
 	if c.Submission == "" {
 		c.Submission = uuid.NewString()
 	}
-	c = stamp(c, basis+1)
-	txn, err := l.txn(ctx, row, c)
+	c = setRevision(c, basis+1)
+	txn, err := l.buildTxn(ctx, row, c)
 	if err != nil {
 		return c, err
 	}
@@ -189,11 +190,11 @@
 	return c, l.commit(ctx, txn, c)
 }
 
-const resends = 3
+const maxCommits = 3
 
 func (l *Log) commit(ctx context.Context, txn gauge.Txn, c gauge.Change) error {
 	var err error
-	for range resends {
+	for range maxCommits {
 		err = l.table.Commit(ctx, txn)
 		if err == nil {
 			return nil
@@ -201,14 +202,14 @@
 		if !gauge.Is(err, gauge.KindUnknown) && !gauge.Is(err, gauge.KindConflict) {
 			return err
 		}
-		lost := err
-		// A conflict may be our own earlier try that did take effect.
-		there, readErr := l.Change(ctx, c.Revision)
+		commitErr := err
+		// The conflict may be with an earlier attempt of this call that did take effect.
+		stored, readErr := l.Change(ctx, c.Revision)
 		switch {
-		case readErr == nil && there.Submission == c.Submission:
+		case readErr == nil && stored.Submission == c.Submission:
 			return nil
-		case readErr == nil || gauge.Is(lost, gauge.KindConflict):
-			return gauge.Fail(gauge.KindConflict, "revision %d was taken by another change", c.Revision).Because(lost)
+		case readErr == nil || gauge.Is(commitErr, gauge.KindConflict):
+			return gauge.Fail(gauge.KindConflict, "revision %d was taken by another change", c.Revision).Because(commitErr)
 		case !gauge.Is(readErr, gauge.KindMissing):
 			return gauge.Fail(gauge.KindUnknown, "revision %d: the answer was lost and reading back failed", c.Revision).Because(readErr)
 		}
@@ -216,8 +217,9 @@
 	return err
 }
 
-// stamp writes the revision into everything that the change brings.
-func stamp(c gauge.Change, rev int64) gauge.Change {
+// setRevision sets the revision of all records and hosts of the change, and increments the hosts'
+// epochs.
+func setRevision(c gauge.Change, rev int64) gauge.Change {
 	c.Revision = rev
 	for i := range c.Records {
 		c.Records[i].Revision = rev
@@ -232,7 +234,7 @@
 	return c
 }
 
-func (l *Log) txn(ctx context.Context, head gauge.Row, c gauge.Change) (gauge.Txn, error) {
+func (l *Log) buildTxn(ctx context.Context, head gauge.Row, c gauge.Change) (gauge.Txn, error) {
 	t := gauge.Txn{Checks: []gauge.Check{
 		{Key: headKey, Version: head.Version},
 		{Key: subKey(c.Submission), Version: 0},
@@ -243,7 +245,7 @@
 	b.put(subKey(c.Submission), subRow{Revision: c.Revision})
 	for _, r := range c.Records {
 		if r.Gone {
-			b.drop(recKey(r.ID()))
+			b.delete(recKey(r.ID()))
 			continue
 		}
 		b.put(recKey(r.ID()), r)
@@ -251,14 +253,14 @@
 	for _, h := range c.Hosts {
 		b.put(hostKey(h.ID), h)
 	}
-	if err := l.trim(ctx, &b, c.Revision-Keep); err != nil {
+	if err := l.trim(ctx, &b, c.Revision-RetainedRevisions); err != nil {
 		return t, err
 	}
 	t.Puts = b.puts
 	return t, b.err
 }
 
-// trim drops the change that is no longer kept, with its submission.
+// trim deletes the change of revision rev, which is beyond those kept, and its submission row.
 func (l *Log) trim(ctx context.Context, b *batch, rev int64) error {
 	if rev < 1 {
 		return nil
@@ -270,12 +272,12 @@
 	if err != nil {
 		return err
 	}
-	b.drop(revKey(rev))
-	b.drop(subKey(old.Submission))
+	b.delete(revKey(rev))
+	b.delete(subKey(old.Submission))
 	return nil
 }
 
-// batch gathers puts and the first error of encoding them.
+// batch collects puts and the first error in encoding them.
 type batch struct {
 	puts []gauge.Put
 	err  error
@@ -289,9 +291,9 @@
 	b.puts = append(b.puts, gauge.Put{Key: key, Value: body})
 }
 
-func (b *batch) drop(key string) { b.puts = append(b.puts, gauge.Put{Key: key}) }
+func (b *batch) delete(key string) { b.puts = append(b.puts, gauge.Put{Key: key}) }
 
-// decode reads a row; a malformed one is named, and nothing of it is used.
+// decode parses a row's value. The error names a malformed row, of which nothing must be used.
 func decode(row gauge.Row, v any) error {
 	if err := json.Unmarshal(row.Value, v); err != nil {
 		return gauge.Fail(gauge.KindInvalid, "row %s", row.Key).Because(err)
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -28,75 +28,72 @@
 	return 0
 }
 
-// append tries until the change is accepted or lost its race; unknown is told
-// like a failure.
+// appendOnce appends a change with one record and returns its revision.
 func appendOnce(l *revlog.Log, basis int64, id string, r gauge.Record) (int64, error) {
 	c, err := l.Append(context.Background(), basis, gauge.Change{Submission: id, Records: []gauge.Record{r}})
 	return c.Revision, err
 }
 
-// Symptom: a change is in force twice, half, or not although it was accepted.
-// Sequence: two operators change records; the first meets each fault at each of
-// its calls, and tries again under the same submission.
-// Cause: an answer that is lost after the write took effect, or a write that
-// arrives late.
+// Guards against a change that is in force twice, in part, or not at all although it was
+// accepted. Two operators change records; the first meets each fault at each of its calls and
+// tries again with the same submission. An answer may be lost after the write took effect, or
+// the write may arrive late.
 func TestEachAcceptedChangeIsOneRevision(t *testing.T) {
 	const calls = 6
 	for _, fault := range flaky.Faults() {
 		for at := range calls {
 			t.Run(fmt.Sprintf("%s/%d", fault, at), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { oneRevision(t, fault, at) })
+				synctest.Test(t, func(t *testing.T) { checkOneRevision(t, fault, at) })
 			})
 		}
 	}
 }
 
-// commitCall is the call of an append that commits; the one before reads the
-// head.
+// commitCall is the index of the call in an append that commits; the one before reads the head.
 const commitCall = 1
 
-func oneRevision(t *testing.T, fault flaky.Fault, at int) {
+func checkOneRevision(t *testing.T, fault flaky.Fault, at int) {
 	ctx := context.Background()
 	db := memdb.New()
-	sure := revlog.New(db)
+	reliable := revlog.New(db)
 	l := revlog.New(flaky.New(flaky.Config{Table: db, At: at, Fault: fault, Clock: time.Now}))
 	first, err := appendOnce(l, 0, "first", team("a", 1))
-	told := err == nil
+	accepted := err == nil
 	if fault == flaky.Lost && at == commitCall {
 		assert.NilError(t, err, "the lost answer was not read back")
 	}
-	// Another operator's change comes between.
-	state, loadErr := sure.Load(ctx)
+	// Another operator's change is accepted in between.
+	state, loadErr := reliable.Load(ctx)
 	assert.NilError(t, loadErr)
-	_, otherErr := appendOnce(sure, state.Revision, "other", team("b", 2))
+	_, otherErr := appendOnce(reliable, state.Revision, "other", team("b", 2))
 	assert.NilError(t, otherErr)
-	time.Sleep(2 * flaky.OutageFor) // what is late arrives now
+	time.Sleep(2 * flaky.OutageFor) // delayed writes arrive now
 
-	rev, subErr := sure.Submitted(ctx, "first")
-	assert.NilError(t, subErr)
-	if told {
+	rev, lookupErr := reliable.SubmissionRevision(ctx, "first")
+	assert.NilError(t, lookupErr)
+	if accepted {
 		assert.Equal(t, rev, first, "an accepted change is gone")
 	}
 	if rev == 0 {
-		state, loadErr = sure.Load(ctx)
+		state, loadErr = reliable.Load(ctx)
 		assert.NilError(t, loadErr)
 		assert.Equal(t, quota(state, "a"), 0, "a change that failed is half there")
-		_, err = appendOnce(sure, state.Revision, "first", team("a", 1))
+		_, err = appendOnce(reliable, state.Revision, "first", team("a", 1))
 		assert.NilError(t, err)
 	}
-	state, loadErr = sure.Load(ctx)
+	state, loadErr = reliable.Load(ctx)
 	assert.NilError(t, loadErr)
 	assert.Equal(t, state.Revision, int64(2))
 	assert.Equal(t, quota(state, "a"), 1)
 	assert.Equal(t, quota(state, "b"), 2)
 	for r := range state.Revision {
-		_, err := sure.Change(ctx, r+1)
+		_, err := reliable.Change(ctx, r+1)
 		assert.NilError(t, err)
 	}
 }
 
-// Two operators race on one basis: one gets a conflict.
-func TestRacersOnOneBasis(t *testing.T) {
+// If two operators make a change on the same basis, one gets a conflict.
+func TestChangesOnSameBasisConflict(t *testing.T) {
 	db := memdb.New()
 	l := revlog.New(db)
 	_, err := appendOnce(l, 0, "x", team("a", 1))
@@ -105,44 +102,41 @@
 	assert.Equal(t, gauge.KindOf(err), gauge.KindConflict)
 }
 
-// racing is a table on which something else is committed just before the first
-// commit.
-type racing struct {
+// hookedTable is a table that calls a function just before the first commit.
+type hookedTable struct {
 	gauge.Table
-	before func()
+	beforeCommit func()
 }
 
-func (r *racing) Commit(ctx context.Context, t gauge.Txn) error {
-	if r.before != nil {
-		before := r.before
-		r.before = nil
-		before()
+func (r *hookedTable) Commit(ctx context.Context, t gauge.Txn) error {
+	if r.beforeCommit != nil {
+		beforeCommit := r.beforeCommit
+		r.beforeCommit = nil
+		beforeCommit()
 	}
 	return r.Table.Commit(ctx, t)
 }
 
-// Symptom: of two accepted changes one is gone.
-// Sequence: both read the head, then both commit.
-// Cause: a commit that does not check the head.
-func TestRacersBetweenReadAndCommit(t *testing.T) {
+// Guards against the loss of one of two accepted changes: both read the head, then both commit,
+// and the commit doesn't check the head.
+func TestChangeBetweenReadAndCommitConflicts(t *testing.T) {
 	db := memdb.New()
-	sure := revlog.New(db)
-	table := &racing{Table: db, before: func() {
-		_, err := appendOnce(sure, 0, "other", team("b", 2))
+	reliable := revlog.New(db)
+	table := &hookedTable{Table: db, beforeCommit: func() {
+		_, err := appendOnce(reliable, 0, "other", team("b", 2))
 		assert.NilError(t, err)
 	}}
 	_, err := appendOnce(revlog.New(table), 0, "first", team("a", 1))
 	assert.Equal(t, gauge.KindOf(err), gauge.KindConflict)
-	c, err := sure.Change(context.Background(), 1)
+	c, err := reliable.Change(context.Background(), 1)
 	assert.NilError(t, err)
 	assert.Equal(t, c.Submission, "other")
 }
 
-// Symptom: an entry goes back to an older configuration.
-// Sequence: it has a revision in force; the table shows an older one (restored
-// from a copy), or is out while a peer holds an older one.
-// Cause: taking whatever is read.
-func TestNeverBackwards(t *testing.T) {
+// Guards against an entry that returns to an older configuration. It has a revision in force; the
+// table holds an older one (restored from a backup), or is unreachable while a peer has an older
+// one, and the entry adopts whatever it reads.
+func TestFollowerNeverAdoptsOlderRevision(t *testing.T) {
 	ctx := context.Background()
 	db := memdb.New()
 	l := revlog.New(db)
@@ -150,12 +144,12 @@
 		_, err := appendOnce(l, int64(i), fmt.Sprint(i), team("a", i+1))
 		assert.NilError(t, err)
 	}
-	var asked gauge.State
-	var askErr error
-	table := &switched{Table: db}
+	var peerState gauge.State
+	var peerErr error
+	table := &switchedTable{Table: db}
 	f := follow.New(follow.Config{
 		Log: revlog.New(table), Clock: time.Now, Logs: logr.Discard(),
-		Ask: func(context.Context) (gauge.State, error) { return asked, askErr },
+		Ask: func(context.Context) (gauge.State, error) { return peerState, peerErr },
 	})
 	assert.NilError(t, f.Poll(ctx))
 	assert.Equal(t, f.State().Revision, int64(3))
@@ -167,31 +161,30 @@
 	assert.NilError(t, f.Poll(ctx))
 	assert.Equal(t, quota(f.State(), "a"), 3)
 
-	table.out = true
-	asked = gauge.State{Revision: 2}
+	table.unreachable = true
+	peerState = gauge.State{Revision: 2}
 	assert.NilError(t, f.Poll(ctx))
 	assert.Equal(t, f.State().Revision, int64(3))
-	asked = gauge.State{Revision: 5}
+	peerState = gauge.State{Revision: 5}
 	assert.NilError(t, f.Poll(ctx))
 	assert.Equal(t, f.State().Revision, int64(5))
 }
 
-// switched is a table that can be exchanged or taken away.
-type switched struct {
+// switchedTable is a table that can be exchanged or made unreachable.
+type switchedTable struct {
 	gauge.Table
-	out bool
+	unreachable bool
 }
 
-func (s *switched) Get(ctx context.Context, key string) (gauge.Row, error) {
-	if s.out {
+func (s *switchedTable) Get(ctx context.Context, key string) (gauge.Row, error) {
+	if s.unreachable {
 		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "out")
 	}
 	return s.Table.Get(ctx, key)
 }
 
-// A follower that is behind the changes that are kept reads everything anew,
-// and rows that change while it reads do no harm.
-func TestFollowerFarBehind(t *testing.T) {
+// A follower that is behind the oldest change that is kept loads the whole state again.
+func TestFollowerLoadsStateWhenChangesAreTrimmed(t *testing.T) {
 	ctx := context.Background()
 	db := memdb.New()
 	l := revlog.New(db)
@@ -199,14 +192,14 @@
 	_, err := appendOnce(l, 0, "first", team("a", 1))
 	assert.NilError(t, err)
 	assert.NilError(t, f.Poll(ctx))
-	for i := int64(1); i < revlog.Keep+10; i++ {
+	for i := int64(1); i < revlog.RetainedRevisions+10; i++ {
 		_, err := appendOnce(l, i, fmt.Sprint(i), team("a", int(i)))
 		assert.NilError(t, err)
 	}
-	rev, err := l.Submitted(ctx, "first")
+	rev, err := l.SubmissionRevision(ctx, "first")
 	assert.NilError(t, err)
 	assert.Equal(t, rev, int64(0), "trimmed with its revision")
 	assert.NilError(t, f.Poll(ctx))
-	assert.Equal(t, f.State().Revision, int64(revlog.Keep+10))
-	assert.Equal(t, quota(f.State(), "a"), revlog.Keep+9)
+	assert.Equal(t, f.State().Revision, int64(revlog.RetainedRevisions+10))
+	assert.Equal(t, quota(f.State(), "a"), revlog.RetainedRevisions+9)
 }
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -6,17 +6,17 @@
 	gauge "sapphiregauge"
 )
 
-// The layouts below are the wire form of the record files. A field is never
-// given another meaning: a new meaning is a new schema version.
+// The layouts below are the format of the record files. A field never gets another meaning; that
+// takes a new schema version.
 
-// needs is what a host must have.
+// needs is what a host must have at least.
 type needs struct {
 	Cores  int `yaml:"cores"`
 	Memory int `yaml:"memory"`
 	Accels int `yaml:"accels"`
 }
 
-func poolOne(unmarshal func(any) error, r *gauge.Record) error {
+func decodePoolV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head    `yaml:",inline"`
 		Hosts   int          `yaml:"hosts"`
@@ -33,8 +33,9 @@
 	return nil
 }
 
-// poolTwo has the promise as a group of its own and what a host must have.
-func poolTwo(unmarshal func(any) error, r *gauge.Record) error {
+// decodePoolV2 differs from version 1 in that the promise is a group of its own and the pool
+// states what a host must have.
+func decodePoolV2(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head    `yaml:",inline"`
 		Promise struct {
@@ -60,7 +61,7 @@
 	return nil
 }
 
-func serviceOne(unmarshal func(any) error, r *gauge.Record) error {
+func decodeServiceV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head  `yaml:",inline"`
 		Pool  string        `yaml:"pool"`
@@ -80,7 +81,7 @@
 	return nil
 }
 
-func teamOne(unmarshal func(any) error, r *gauge.Record) error {
+func decodeTeamV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head  `yaml:",inline"`
 		Quota int `yaml:"quota"`
@@ -92,7 +93,7 @@
 	return nil
 }
 
-func jobOne(unmarshal func(any) error, r *gauge.Record) error {
+func decodeJobV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head       `yaml:",inline"`
 		Pool       string `yaml:"pool"`
@@ -111,7 +112,7 @@
 	return nil
 }
 
-func waveOne(unmarshal func(any) error, r *gauge.Record) error {
+func decodeWaveV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head   `yaml:",inline"`
 		Pools  []string `yaml:"pools"`
--- a/internal/schema/schema.go
+++ b/internal/schema/schema.go
@@ -1,6 +1,6 @@
-// Package schema reads operators' record files: YAML documents that each state
-// a kind, a schema version and a name. Every version has its own layout and is
-// turned into the one internal form; the text itself is kept as it came.
+// Package schema decodes operators' record files: YAML documents that each state a kind, a schema
+// version and a name. Every version has its own layout and is converted to the common internal
+// form; the original text is kept with it.
 package schema
 
 import (
@@ -14,10 +14,10 @@
 	gauge "sapphiregauge"
 )
 
-// FileLimit is how many bytes a record file may have.
+// FileLimit is the maximum size of a record file in bytes.
 const FileLimit = 1 << 20
 
-// Decoder reads record files.
+// Decoder decodes record files.
 type Decoder struct {
 	versions map[gauge.RecordKind][]layout
 }
@@ -26,39 +26,38 @@
 // the order of the list.
 type layout func(unmarshal func(any) error, r *gauge.Record) error
 
-// New makes a Decoder for all kinds and versions that this program knows.
+// New returns a Decoder for all kinds and versions that this program supports.
 func New() *Decoder {
 	return &Decoder{versions: map[gauge.RecordKind][]layout{
-		gauge.RecordPool:    {poolOne, poolTwo},
-		gauge.RecordService: {serviceOne},
-		gauge.RecordTeam:    {teamOne},
-		gauge.RecordJob:     {jobOne},
-		gauge.RecordWave:    {waveOne},
+		gauge.RecordPool:    {decodePoolV1, decodePoolV2},
+		gauge.RecordService: {decodeServiceV1},
+		gauge.RecordTeam:    {decodeTeamV1},
+		gauge.RecordJob:     {decodeJobV1},
+		gauge.RecordWave:    {decodeWaveV1},
 	}}
 }
 
-// Decode reads one file and returns its records, or all its faults with the
-// file's name as source.
+// Decode returns the records of one file, or all its faults with the file's name as source.
 func (d *Decoder) Decode(file, text string) ([]gauge.Record, gauge.Faults) {
 	var all gauge.Faults
 	if len(text) > FileLimit {
 		all.Add("file", "has %d bytes, at most %d are allowed", len(text), FileLimit)
-		return nil, from(file, "", all)
+		return nil, withSource(file, "", all)
 	}
 	var records []gauge.Record
 	seen := make(map[gauge.RecordID]bool)
 	for _, doc := range split(text) {
-		r, faults := d.document(doc)
+		r, faults := d.decodeDocument(doc)
 		if len(faults) == 0 && seen[r.ID()] {
 			faults.Add("name", "the file has this record twice")
 		}
 		seen[r.ID()] = true
-		all = append(all, from(file, label(r), faults)...)
+		all = append(all, withSource(file, recordLabel(r), faults)...)
 		records = append(records, r)
 	}
 	if len(records) == 0 {
 		all.Add("file", "holds no record")
-		all = from(file, "", all)
+		all = withSource(file, "", all)
 	}
 	if len(all) > 0 {
 		return nil, all
@@ -66,14 +65,14 @@
 	return records, nil
 }
 
-func label(r gauge.Record) string {
+func recordLabel(r gauge.Record) string {
 	if r.Kind == "" && r.Name == "" {
 		return ""
 	}
 	return r.ID().String()
 }
 
-func from(file, record string, fs gauge.Faults) gauge.Faults {
+func withSource(file, record string, fs gauge.Faults) gauge.Faults {
 	for i := range fs {
 		fs[i].Source = file
 		if fs[i].Record == "" {
@@ -83,24 +82,24 @@
 	return fs
 }
 
-// document is one YAML document and the line it begins at.
+// document is one YAML document and the line of the file at which it begins.
 type document struct {
 	text string
 	line int
 }
 
-// split cuts a file at the lines that separate documents, so that each record
-// keeps its own text.
+// split splits a file at the lines that separate documents, so that each record keeps its own
+// text.
 func split(text string) []document {
 	var docs []document
 	var lines []string
-	begin := 1
+	firstLine := 1
 	flush := func(next int) {
 		body := strings.Join(lines, "\n")
 		if hasContent(lines) {
-			docs = append(docs, document{text: body, line: begin})
+			docs = append(docs, document{text: body, line: firstLine})
 		}
-		lines, begin = nil, next
+		lines, firstLine = nil, next
 	}
 	for i, line := range strings.Split(text, "\n") {
 		if strings.TrimRight(line, " \t\r") == "---" {
@@ -123,17 +122,17 @@
 	return false
 }
 
-// head is what every record begins with, whatever its version.
+// head holds the fields that the records of all kinds and versions have.
 type head struct {
 	Kind   gauge.RecordKind `yaml:"kind"`
 	Schema int              `yaml:"schema"`
 	Name   string           `yaml:"name"`
 }
 
-func (d *Decoder) document(doc document) (gauge.Record, gauge.Faults) {
+func (d *Decoder) decodeDocument(doc document) (gauge.Record, gauge.Faults) {
 	var h head
 	var fs gauge.Faults
-	padded := strings.Repeat("\n", doc.line-1) + doc.text // for true line numbers
+	padded := strings.Repeat("\n", doc.line-1) + doc.text // so that errors have the file's line numbers
 	if err := yaml.Unmarshal([]byte(padded), &h); err != nil {
 		return gauge.Record{}, yamlFaults(err)
 	}
@@ -163,7 +162,7 @@
 	wrongType    = regexp.MustCompile("^line (\\d+): cannot unmarshal \\S+ (`.*`) into (\\S+)$")
 )
 
-// yamlFaults puts the library's errors in words that name line and field.
+// yamlFaults converts the library's errors to faults that name line and field.
 func yamlFaults(err error) gauge.Faults {
 	var fs gauge.Faults
 	var te *yaml.TypeError
@@ -185,7 +184,7 @@
 	return fs
 }
 
-// Explain lists the kinds and versions for help texts.
+// Explain returns a list of the kinds and versions, one line each, for help texts.
 func (d *Decoder) Explain() string {
 	var b strings.Builder
 	for _, k := range []gauge.RecordKind{
--- a/internal/schema/schema_test.go
+++ b/internal/schema/schema_test.go
@@ -12,7 +12,7 @@
 	"sapphiregauge/internal/schema"
 )
 
-func TestExamplesAreSound(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../examples/*.yaml")
 	assert.NilError(t, err)
 	assert.Assert(t, len(files) > 0)
@@ -29,20 +29,20 @@
 	assert.NilError(t, state.Validate().Err())
 }
 
-// Old and new schema versions live side by side, each kept as it came.
-func TestVersionsSideBySide(t *testing.T) {
-	const one = "kind: pool\nschema: 1\nname: a\nhosts: 3 # old\n"
-	const two = "kind: pool\nschema: 2\nname: b\npromise: {hosts: 3, domain: zone}\n"
-	records, faults := schema.New().Decode("f", one+"---\n"+two)
+// Old and new schema versions may be mixed in one file, and the text of each record is kept.
+func TestVersionsMixInOneFile(t *testing.T) {
+	const poolV1 = "kind: pool\nschema: 1\nname: a\nhosts: 3 # old\n"
+	const poolV2 = "kind: pool\nschema: 2\nname: b\npromise: {hosts: 3, domain: zone}\n"
+	records, faults := schema.New().Decode("f", poolV1+"---\n"+poolV2)
 	assert.NilError(t, faults.Err())
-	assert.Equal(t, records[0].Source, one)
-	assert.Equal(t, records[1].Source, two)
+	assert.Equal(t, records[0].Source, poolV1)
+	assert.Equal(t, records[1].Source, poolV2)
 	assert.Equal(t, records[0].Pool.Hosts, records[1].Pool.Hosts)
 	assert.Equal(t, records[0].Pool.Domain, gauge.DomainRack)
 	assert.Equal(t, records[1].Pool.Domain, gauge.DomainZone)
 }
 
-// Each fault is told with its file, record, line or field, all at once.
+// All faults of a file are reported at once, each with its file, record, and line or field.
 func TestFaultsAreNamed(t *testing.T) {
 	for _, tt := range []struct{ name, text, want string }{
 		{"unknown kind", "kind: pond\nschema: 1\nname: a\n", `f: pond/a: kind: "pond" is none of`},
@@ -68,8 +68,8 @@
 	}
 }
 
-// FuzzDecode feeds any text to the decoder: it returns records that are sound,
-// or faults, and never both.
+// FuzzDecode decodes arbitrary text: the result is either valid records or faults, never both, and
+// the kept text of a record decodes to the same record.
 func FuzzDecode(f *testing.F) {
 	files, _ := filepath.Glob("../../examples/*.yaml")
 	for _, name := range files {
@@ -88,8 +88,8 @@
 			if fs := r.Validate(); len(fs) > 0 {
 				t.Fatal(fs)
 			}
-			again, fs := schema.New().Decode("f", r.Source)
-			if len(fs) > 0 || len(again) != 1 || again[0].ID() != r.ID() {
+			decoded, fs := schema.New().Decode("f", r.Source)
+			if len(fs) > 0 || len(decoded) != 1 || decoded[0].ID() != r.ID() {
 				t.Fatalf("the kept text does not read the same: %v", fs)
 			}
 		}
