--- a/internal/eject/eject.go
+++ b/internal/eject/eject.go
@@ -36,12 +36,13 @@
 	maxEjected int
 }
 
+// score holds the outcomes at one host. Older outcomes weigh less.
 type score struct {
-	total    float64
-	failures float64
-	until    time.Time // end of the ejection
-	times    int       // ejections in a row
-	probing  bool      // one request is in flight to find out whether the host works again
+	total     float64
+	failures  float64
+	until     time.Time // end of the ejection
+	ejections int       // ejections in a row
+	probing   bool      // one request is in flight to find out whether the host works again
 }
 
 // New returns an Ejector that has seen no outcomes.
@@ -67,87 +68,89 @@
 // Skip reports whether a host is to get no work now. After an ejection a single request is let
 // through as a probe, and its outcome decides.
 func (e *Ejector) Skip(now time.Time, host string) bool {
-	s := e.hosts[host]
-	if s == nil || s.times == 0 {
+	sc := e.hosts[host]
+	if sc == nil || sc.ejections == 0 {
 		return false
 	}
-	return now.Before(s.until) || s.probing
+	return now.Before(sc.until) || sc.probing
 }
 
 // Sent records that a request is sent to a host.
 func (e *Ejector) Sent(now time.Time, host string) {
-	s := e.hosts[host]
-	if s != nil && s.times > 0 && !now.Before(s.until) {
-		s.probing = true
+	sc := e.hosts[host]
+	if sc != nil && sc.ejections > 0 && !now.Before(sc.until) {
+		sc.probing = true
 	}
 }
 
 // Outcome records how a request at a host ended. It reports whether the host is ejected for it.
 func (e *Ejector) Outcome(now time.Time, host string, failed bool) bool {
-	s := e.hosts[host]
-	if s == nil {
-		s = &score{}
-		e.hosts[host] = s
+	sc := e.hosts[host]
+	if sc == nil {
+		sc = &score{}
+		e.hosts[host] = sc
 	}
-	wasProbing := s.probing
-	s.probing = false
-	s.total = s.total*decay + 1
-	s.failures *= decay
+	wasProbing := sc.probing
+	sc.probing = false
+	sc.total = sc.total*decay + 1
+	sc.failures *= decay
 	if failed {
-		s.failures++
+		sc.failures++
 	}
 	if wasProbing && !failed {
-		*s = score{}
+		*sc = score{}
 		return false
 	}
-	if !failed || now.Before(s.until) {
+	if !failed || now.Before(sc.until) {
 		return false
 	}
-	if wasProbing || e.isOutlier(host, s) {
-		return e.eject(now, s)
+	if wasProbing || e.isOutlier(host, sc) {
+		return e.eject(now, sc)
 	}
 	return false
 }
 
-func (s *score) failureRatio() float64 {
-	if s.total == 0 {
+func (sc *score) failureRatio() float64 {
+	if sc.total == 0 {
 		return 0
 	}
-	return s.failures / s.total
+	return sc.failures / sc.total
 }
 
 // isOutlier reports whether a worker fails often, both absolutely and compared with the others.
-// The weights of outcomes sum to at most 1/(1-decay) = 10, so MinOutcomes must be below that.
-func (e *Ejector) isOutlier(host string, s *score) bool {
-	if s.total < float64(e.conf.MinOutcomes)*decay*decay || s.failureRatio() < e.conf.FailureRatio {
+// The weights of outcomes sum to at most 1/(1-decay) = 10, so MinOutcomes must be below that. The
+// first 5 weigh 4.1, just above 5*decay*decay.
+func (e *Ejector) isOutlier(host string, sc *score) bool {
+	if sc.total < float64(e.conf.MinOutcomes)*decay*decay || sc.failureRatio() < e.conf.FailureRatio {
 		return false
 	}
 	var total, failures float64
 	for other, o := range e.hosts {
-		if other != host && o.times == 0 {
+		if other != host && o.ejections == 0 {
 			total += o.total
 			failures += o.failures
 		}
 	}
-	return total == 0 || s.failureRatio() >= peersFactor*failures/total
+	return total == 0 || sc.failureRatio() >= peersFactor*failures/total
 }
 
-func (e *Ejector) eject(now time.Time, s *score) bool {
-	if s.times == 0 && e.countEjected() >= e.maxEjected {
+// eject ejects the host and reports whether it did; the first ejection is subject to maxEjected.
+func (e *Ejector) eject(now time.Time, sc *score) bool {
+	if sc.ejections == 0 && e.countEjected() >= e.maxEjected {
 		return false
 	}
-	length := e.conf.Initial << min(s.times, 16)
-	s.times++
-	s.until = now.Add(min(length, e.conf.Max))
-	s.total, s.failures = 0, 0
+	length := e.conf.Initial << min(sc.ejections, 16) // 16 keeps the shift from overflowing
+	sc.ejections++
+	sc.until = now.Add(min(length, e.conf.Max))
+	sc.total, sc.failures = 0, 0
 	return true
 }
 
 // countEjected counts the workers that are ejected, or whose probe hasn't succeeded yet.
 func (e *Ejector) countEjected() int {
 	n := 0
-	for _, s := range e.hosts {
-		if s.times > 0 {
+	for _, sc := range e.hosts {
+		if sc.ejections > 0 {
 			n++
 		}
 	}
@@ -157,8 +160,8 @@
 // Ejected lists the hosts whose ejection lasts at now.
 func (e *Ejector) Ejected(now time.Time) []string {
 	var out []string
-	for host, s := range e.hosts {
-		if s.times > 0 && now.Before(s.until) {
+	for host, sc := range e.hosts {
+		if sc.ejections > 0 && now.Before(sc.until) {
 			out = append(out, host)
 		}
 	}
--- a/internal/eject/eject_test.go
+++ b/internal/eject/eject_test.go
@@ -36,13 +36,13 @@
 	later := now().Add(6 * time.Second)
 	assert.Assert(t, !e.Skip(later, "3"), "one probe is let through")
 	e.Sent(later, "3")
-	assert.Assert(t, e.Skip(later, "3"), "only one")
+	assert.Assert(t, e.Skip(later, "3"), "only one probe")
 	e.Outcome(later, "3", true)
 	assert.Assert(t, e.Skip(later.Add(6*time.Second), "3"), "twice as long after a failed probe")
 	later = later.Add(11 * time.Second)
 	e.Sent(later, "3")
 	e.Outcome(later, "3", false)
-	assert.Assert(t, !e.Skip(later, "3"), "back after a good probe")
+	assert.Assert(t, !e.Skip(later, "3"), "back after a successful probe")
 }
 
 // Guards against a pool that has too few workers left after a batch of failing requests: many
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -152,15 +152,15 @@
 
 // onAdopted is called with each new state in force, in order, and with the time since it was
 // accepted.
-func (e *Entry) onAdopted(s gauge.State, behind time.Duration) {
+func (e *Entry) onAdopted(s gauge.State, delay time.Duration) {
 	e.broker.Adopt(s)
 	for _, n := range place.New().Unplaceable(s) {
 		e.conf.Logs.V(1).Info(n)
 	}
 	e.meter.Set("", "revision", float64(s.Revision))
-	evidence := fmt.Sprintf("revision %d in force here at most %s after its acceptance", s.Revision, behind.Round(time.Millisecond))
-	e.holds.Note(holds.InForce, behind <= inForceLimit, evidence)
-	e.holds.Note(holds.Leaving, behind <= inForceLimit, evidence)
+	evidence := fmt.Sprintf("revision %d in force here at most %s after its acceptance", s.Revision, delay.Round(time.Millisecond))
+	e.holds.Note(holds.InForce, delay <= inForceLimit, evidence)
+	e.holds.Note(holds.Leaving, delay <= inForceLimit, evidence)
 	// Every entry that adopts a revision notifies its peers, so that the notification also
 	// reaches those that the accepting entry can't connect to.
 	go e.member.Tell(context.Background())
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -65,7 +65,7 @@
 	return burn.Report(e.follow.State(), burn.Sum(series...))
 }
 
-func (e *Entry) holdsReport(ctx context.Context) []holds.Line {
+func (e *Entry) promisesReport(ctx context.Context) []holds.Line {
 	var lines [][]holds.Line
 	for _, r := range e.collectReports(ctx) {
 		lines = append(lines, r.Lines)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -24,7 +24,7 @@
 
 // Unplaceable lists the jobs of a state that fit no host, one sentence each. It returns nil
 // while no host is known.
-func (p *Checker) Unplaceable(s gauge.State) []string {
+func (c *Checker) Unplaceable(s gauge.State) []string {
 	if len(s.ByHost) == 0 {
 		return nil
 	}
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -66,6 +66,6 @@
 // Pause returns how long to wait before the n-th retry (from 1): a random time up to a bound that
 // doubles with n, so that requests that failed together aren't all retried at once.
 func (b *Budget) Pause(n int) time.Duration {
-	bound := b.conf.InitialPause << min(n-1, 16)
+	bound := b.conf.InitialPause << min(n-1, 16) // 16 keeps the shift from overflowing
 	return time.Duration(b.conf.Random.Int64N(int64(min(bound, b.conf.MaxPause)) + 1))
 }
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -14,8 +14,8 @@
 	gauge "sapphiregauge"
 )
 
-// RetainedRevisions is the number of revisions whose changes stay in the table. A follower that is further
-// behind loads the whole state again.
+// RetainedRevisions is the number of revisions whose changes stay in the table. A follower that
+// is further behind loads the whole state again.
 const RetainedRevisions = 4096
 
 const (
@@ -83,8 +83,8 @@
 	return c, decode(row, &c)
 }
 
-// SubmissionRevision returns the revision that a submission was accepted as, or 0 if it wasn't accepted or
-// was trimmed since.
+// SubmissionRevision returns the revision that a submission was accepted as, or 0 if it wasn't
+// accepted or was trimmed since.
 func (l *Log) SubmissionRevision(ctx context.Context, id string) (int64, error) {
 	row, err := l.table.Get(ctx, subKey(id))
 	if err != nil || row.Version == 0 {
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -77,7 +77,7 @@
 	if rev == 0 {
 		state, loadErr = reliable.Load(ctx)
 		assert.NilError(t, loadErr)
-		assert.Equal(t, quota(state, "a"), 0, "a change that failed is half there")
+		assert.Equal(t, quota(state, "a"), 0, "a failed change is stored in part")
 		_, err = appendOnce(reliable, state.Revision, "first", team("a", 1))
 		assert.NilError(t, err)
 	}
--- a/internal/send/fuzz_test.go
+++ b/internal/send/fuzz_test.go
@@ -37,10 +37,10 @@
 		target := gauge.Target{Host: "w", Addr: l.Addr().String()}
 		resp, a, err := s.Dispatch(context.Background(), target, request(false))
 		if err == nil && (resp.Status < 200 || resp.Status >= 500) {
-			t.Fatalf("status %d was told as an answer", resp.Status)
+			t.Fatalf("status %d was returned as an answer", resp.Status)
 		}
 		if !a.Sent {
-			t.Fatal("sent, and told as not sent")
+			t.Fatal("sent, but reported as not sent")
 		}
 	})
 }
--- a/internal/send/send_test.go
+++ b/internal/send/send_test.go
@@ -42,14 +42,14 @@
 		kind       gauge.Kind
 		mayHaveRun bool
 	}{
-		{"own answer", func(w http.ResponseWriter, r *http.Request) {
+		{"matching answer", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 		}, "", true},
-		{"another's answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"answer to another request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Request-Id", "other")
 		}, gauge.KindUnknown, true},
-		{"no label", func(http.ResponseWriter, *http.Request) {}, gauge.KindUnknown, true},
-		{"proved refusal", func(w http.ResponseWriter, r *http.Request) {
+		{"no request id", func(http.ResponseWriter, *http.Request) {}, gauge.KindUnknown, true},
+		{"refusal", func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.Header().Set("X-Ran", "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -62,7 +62,7 @@
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.WriteHeader(http.StatusInternalServerError)
 		}, gauge.KindFailed, true},
-		{"cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, gauge.KindUnknown, true},
+		{"connection aborted", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, gauge.KindUnknown, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			target, _ := newWorker(t, tt.handler)
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -23,35 +23,35 @@
 
 // Accept stores an asynchronous request and starts it. Once it has returned without an
 // error, the request is run even if this entry crashes.
-func (p *Server) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
-	if err := p.begin(); err != nil {
+func (s *Server) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
+	if err := s.begin(); err != nil {
 		return gauge.ClaimKey{}, err
 	}
-	defer p.running.Done()
-	t, err := p.admit(r)
+	defer s.running.Done()
+	c, err := s.admit(r)
 	if err != nil {
 		return gauge.ClaimKey{}, err
 	}
-	key, err := gauge.Key(p.conf.Clock(), r.Team, r.ID)
+	key, err := gauge.Key(s.conf.Clock(), r.Team, r.ID)
 	if err != nil {
 		return key, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, inserted, err := p.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
-		Service: r.Service, Path: r.Path, Type: r.Type, Class: t.declared, Repeatable: r.Repeatable,
-		Timeout: r.Deadline.Sub(t.began), Body: r.Body,
+	held, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
+		Service: r.Service, Path: r.Path, Type: r.Type, Class: c.declared, Repeatable: r.Repeatable,
+		Timeout: r.Deadline.Sub(c.began), Body: r.Body,
 	})
 	if err != nil {
 		return key, err
 	}
 	if !inserted {
-		return key, p.checkReuse(held, requestHash(r))
+		return key, s.checkReuse(held, requestHash(r))
 	}
-	p.inBackground(func(context.Context) { p.runAccepted(t, held) })
+	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
 	return key, nil
 }
 
 // checkReuse returns an error of KindReused if the claim belongs to a request with another hash.
-func (p *Server) checkReuse(h claim.Held, hash uint64) error {
+func (s *Server) checkReuse(h claim.Held, hash uint64) error {
 	if h.Claim.Hash != hash {
 		return gauge.Refuse(nil, gauge.KindReused, "the idempotency key belongs to another request", 0)
 	}
@@ -60,21 +60,21 @@
 
 // runAccepted runs an accepted request to its end. Before anything is dispatched it moves
 // the claim to the state running; if another entry has taken the claim over, it does nothing.
-func (p *Server) runAccepted(t *call, held claim.Held) {
-	ctx, cancel := context.WithDeadline(context.Background(), t.req.Deadline)
+func (s *Server) runAccepted(c *call, held claim.Held) {
+	ctx, cancel := context.WithDeadline(context.Background(), c.req.Deadline)
 	defer cancel()
-	moved, owned, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+	moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
 	if err != nil || !owned {
 		// The claim stays in the state accepted; the search for orphaned claims finds it.
-		p.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
+		s.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
 		return
 	}
-	resp, _, err := p.run(ctx, t)
-	p.recordEnd(t, resp, err)
+	resp, _, err := s.run(ctx, c)
+	s.recordEnd(c, resp, err)
 	store, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
-	if err := p.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
-		p.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
+	if err := s.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
+		s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 	}
 }
 
@@ -82,86 +82,86 @@
 // dispatched yet is run. One that may have been dispatched is run again only if it is
 // repeatable; otherwise it ends with KindUnknown. Writing the claim fences the old entry:
 // if it was only paused, its own write fails.
-func (p *Server) Takeover(ctx context.Context, key gauge.ClaimKey) error {
-	if err := p.begin(); err != nil {
+func (s *Server) Takeover(ctx context.Context, key gauge.ClaimKey) error {
+	if err := s.begin(); err != nil {
 		return err
 	}
-	defer p.running.Done()
-	held, err := p.conf.Claims.Read(ctx, key)
+	defer s.running.Done()
+	held, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return err
 	}
 	a := held.Claim.Accept
-	if a == nil || held.Claim.State == gauge.ClaimDone || p.conf.MayBeAlive(held.Claim.Entry) {
+	if a == nil || held.Claim.State == gauge.ClaimDone || s.conf.MayBeAlive(held.Claim.Entry) {
 		return nil
 	}
 	if held.Claim.State == gauge.ClaimRunning && !a.Repeatable {
-		moved, owned, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+		moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
 		if err != nil || !owned {
 			return err
 		}
 		lost := gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
-		return p.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
+		return s.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
 	}
-	t, err := p.restore(ctx, key, a)
+	c, err := s.restore(ctx, key, a)
 	if err != nil {
 		return err
 	}
-	p.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
-	p.inBackground(func(context.Context) { p.runAccepted(t, held) })
+	s.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
+	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
 	return nil
 }
 
 // restore rebuilds the request from its claim, with its whole timeout before it again.
-func (p *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*call, error) {
-	body, err := p.conf.Claims.Body(ctx, a)
+func (s *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*call, error) {
+	body, err := s.conf.Claims.Body(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	return p.admit(&gauge.Request{
+	return s.admit(&gauge.Request{
 		ID: key.ID, Team: key.Team, Service: a.Service, Path: a.Path, Type: a.Type,
 		Class: a.Class, Repeatable: a.Repeatable, Async: true, Body: body,
-		Deadline: p.conf.Clock().Add(a.Timeout),
+		Deadline: s.conf.Clock().Add(a.Timeout),
 	})
 }
 
 // Lookup returns the stored answer or error of a claimed request, an error of
 // KindProgress while it runs, and one of KindMissing if the key is unknown.
-func (p *Server) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
-	key, err := gauge.Key(p.conf.Clock(), team, id)
+func (s *Server) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
+	key, err := gauge.Key(s.conf.Clock(), team, id)
 	if err != nil {
 		return gauge.Response{}, err
 	}
-	held, err := p.conf.Claims.Read(ctx, key)
+	held, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return gauge.Response{}, gauge.Fail(gauge.KindOutage, "the platform's table does not answer").Because(err).After(time.Second)
 	}
 	if held.Claim.State == "" {
 		return gauge.Response{}, gauge.Fail(gauge.KindMissing, "no request is known by that key")
 	}
-	return p.answerFromClaim(ctx, held, held.Claim.Hash)
+	return s.answerFromClaim(ctx, held, held.Claim.Hash)
 }
 
 // answerFromClaim answers a request from a claim that another request or entry inserted.
-func (p *Server) answerFromClaim(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
-	if err := p.checkReuse(h, hash); err != nil {
+func (s *Server) answerFromClaim(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
+	if err := s.checkReuse(h, hash); err != nil {
 		return gauge.Response{}, err
 	}
 	if h.Claim.State == gauge.ClaimDone {
-		return p.storedAnswer(ctx, h.Claim.Result)
+		return s.storedAnswer(ctx, h.Claim.Result)
 	}
-	if h.Claim.Accept == nil && !p.conf.MayBeAlive(h.Claim.Entry) {
+	if h.Claim.Accept == nil && !s.conf.MayBeAlive(h.Claim.Entry) {
 		return gauge.Response{}, gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
 	}
 	return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the request is running").After(time.Second)
 }
 
 // storedAnswer returns the answer or the error that a finished claim holds.
-func (p *Server) storedAnswer(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
+func (s *Server) storedAnswer(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
 	if err := o.Err(); err != nil {
 		return gauge.Response{}, err
 	}
-	body, err := p.conf.Claims.Answer(ctx, o)
+	body, err := s.conf.Claims.Answer(ctx, o)
 	if err != nil {
 		return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the stored answer can't be read now").Because(err).After(time.Second)
 	}
--- a/internal/serve/current_test.go
+++ b/internal/serve/current_test.go
@@ -28,11 +28,11 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newHarness()
-				g.current, g.teams = tt.current, []string{"t"}
+				h := newHarness()
+				h.current, h.teams = tt.current, []string{"t"}
 				r := request(newKey(), true)
 				r.Service, r.Team = tt.service, tt.team
-				_, err := g.entry("e", g.db).Serve(t.Context(), r)
+				_, err := h.entry("e", h.db).Serve(t.Context(), r)
 				assert.Equal(t, gauge.KindOf(err), tt.want, "%v", err)
 			})
 		})
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -22,7 +22,7 @@
 	"sapphiregauge/internal/slots"
 )
 
-// worker is a fake gauge.Dispatcher. Each call ends in the next way of the list; when the
+// worker is a fake gauge.Dispatcher. Each call has the next outcome of the list; when the
 // list is used up, calls succeed.
 type worker struct {
 	mu       sync.Mutex
@@ -31,7 +31,7 @@
 	runTime  time.Duration
 }
 
-// The ways in which a dispatch ends.
+// Outcomes of a dispatch.
 const (
 	outcomeOK           = "ok"
 	outcomeNoConnection = "connect" // no connection: nothing was sent
@@ -82,7 +82,7 @@
 	default:
 		return gauge.Response{Status: 200, Host: t.Host, Body: r.Body}, a, nil
 	}
-	return gauge.Response{}, a, gauge.Fail(a.Kind, "as told")
+	return gauge.Response{}, a, gauge.Fail(a.Kind, "as configured")
 }
 
 // harness holds entries that share one table and one fake worker.
@@ -103,16 +103,16 @@
 	}
 }
 
-func (g *harness) isAlive(entry string) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return !g.dead[entry]
+func (h *harness) isAlive(entry string) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return !h.dead[entry]
 }
 
-func (g *harness) kill(entry string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.dead[entry] = true
+func (h *harness) kill(entry string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.dead[entry] = true
 }
 
 func state() gauge.State {
@@ -145,28 +145,28 @@
 	return grantLease(d, lease)
 }
 
-// give makes the desk ask for a full lease and grants it.
-func grantLease(d *desk.Desk, g slots.Grant) *desk.Desk {
+// grantLease makes the desk ask for a full lease and grants it.
+func grantLease(d *desk.Desk, lease slots.Grant) *desk.Desk {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		defer close(done)
-		if p, err := d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil); err == nil {
-			d.Release(p)
+		if slot, err := d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil); err == nil {
+			d.Release(slot)
 		}
 	}()
 	synctest.Wait()
 	d.Renew()
-	d.Grant(g)
+	d.Grant(lease)
 	<-done
 	cancel()
 	return d
 }
 
-func (g *harness) entry(name string, table gauge.Table) *serve.Server {
+func (h *harness) entry(name string, table gauge.Table) *serve.Server {
 	d := newDesk(name)
 	s := state()
-	for _, name := range g.teams {
+	for _, name := range h.teams {
 		s.Records[gauge.RecordID{Kind: gauge.RecordTeam, Name: name}] = gauge.Record{Kind: gauge.RecordTeam, Name: name, Team: &gauge.Team{Quota: 1}}
 	}
 	return serve.New(serve.Config{
@@ -177,9 +177,9 @@
 			}
 			return d
 		},
-		Send:   g.worker,
-		Claims: claim.New(claim.Config{Entry: name, Table: table, Objects: g.db, Clock: time.Now}),
-		Meter:  meter.New(), MayBeAlive: g.isAlive, IsStateCurrent: func() bool { return g.current },
+		Send:   h.worker,
+		Claims: claim.New(claim.Config{Entry: name, Table: table, Objects: h.db, Clock: time.Now}),
+		Meter:  meter.New(), MayBeAlive: h.isAlive, IsStateCurrent: func() bool { return h.current },
 		Burn: burn.New(time.Now), Holds: holds.New(time.Now),
 	})
 }
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -13,67 +13,67 @@
 const quotaTimeout = 250 * time.Millisecond
 
 // run dispatches the request to workers until one answers or no further attempt is due.
-func (p *Server) run(ctx context.Context, t *call) (gauge.Response, gauge.Attempts, error) {
-	if t.team != nil {
-		slot, err := p.acquireQuota(ctx, t)
+func (s *Server) run(ctx context.Context, c *call) (gauge.Response, gauge.Attempts, error) {
+	if c.team != nil {
+		slot, err := s.acquireQuota(ctx, c)
 		if err != nil {
 			return gauge.Response{}, nil, err
 		}
-		defer t.team.Release(slot)
+		defer c.team.Release(slot)
 	}
 	var attempts gauge.Attempts
 	for {
-		slot, err := t.desk.Acquire(ctx, t.req.Class, t.req.Deadline, attempts)
+		slot, err := c.desk.Acquire(ctx, c.req.Class, c.req.Deadline, attempts)
 		if err != nil {
 			return gauge.Response{}, attempts, err
 		}
-		resp, a, err := p.dispatch(ctx, t, slot)
+		resp, a, err := s.dispatch(ctx, c, slot)
 		attempts = append(attempts, a)
 		if err == nil {
 			return resp, attempts, nil
 		}
-		if final := p.awaitRetry(ctx, t, attempts, err); final != nil {
+		if final := s.awaitRetry(ctx, c, attempts, err); final != nil {
 			return gauge.Response{}, attempts, final
 		}
 	}
 }
 
 // acquireQuota takes a slot of the team's quota.
-func (p *Server) acquireQuota(ctx context.Context, t *call) (*gauge.Place, error) {
-	if !t.req.Async { // an accepted request waits until its deadline
+func (s *Server) acquireQuota(ctx context.Context, c *call) (*gauge.Place, error) {
+	if !c.req.Async { // an accepted request waits until its deadline
 		quotaCtx, cancel := context.WithTimeout(ctx, quotaTimeout)
 		defer cancel()
 		ctx = quotaCtx
 	}
-	slot, err := t.team.Acquire(ctx, gauge.ClassQuick, t.req.Deadline, nil)
+	slot, err := c.team.Acquire(ctx, gauge.ClassQuick, c.req.Deadline, nil)
 	if gauge.Is(err, gauge.KindFull) {
-		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+t.req.Team+" uses all of its quota", gauge.AsError(err).Retry)
+		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+c.req.Team+" uses all of its quota", gauge.AsError(err).Retry)
 	}
 	return slot, err
 }
 
 // dispatch sends the request once. While it runs, a quick request that exceeds the service's
 // bound for quick requests is reclassified as long.
-func (p *Server) dispatch(ctx context.Context, t *call, slot *gauge.Place) (gauge.Response, gauge.Attempt, error) {
-	defer t.desk.Release(slot)
+func (s *Server) dispatch(ctx context.Context, c *call, slot *gauge.Place) (gauge.Response, gauge.Attempt, error) {
+	defer c.desk.Release(slot)
 	if slot.Class == gauge.ClassQuick {
-		reclassify := time.AfterFunc(t.svc.Quick, func() { t.desk.Turn(slot) })
+		reclassify := time.AfterFunc(c.svc.Quick, func() { c.desk.Turn(slot) })
 		defer reclassify.Stop()
 	}
-	began := p.conf.Clock()
-	resp, a, err := p.conf.Send.Dispatch(ctx, slot.Target, t.req)
-	if t.declared == gauge.ClassQuick && a.MayHaveRun() {
-		p.sizeMu.Lock()
-		p.sizes.Ended(t.req.Service, t.req.Team, p.conf.Clock().Sub(began) > t.svc.Quick)
-		p.sizeMu.Unlock()
+	began := s.conf.Clock()
+	resp, a, err := s.conf.Send.Dispatch(ctx, slot.Target, c.req)
+	if c.declared == gauge.ClassQuick && a.MayHaveRun() {
+		s.sizeMu.Lock()
+		s.sizes.Ended(c.req.Service, c.req.Team, s.conf.Clock().Sub(began) > c.svc.Quick)
+		s.sizeMu.Unlock()
 	}
-	p.conf.Meter.Attempt(t.svc.Pool, err)
+	s.conf.Meter.Attempt(c.svc.Pool, err)
 	if err == nil {
-		p.conf.Holds.Work(holds.Whole, "the last answer was whole and bore its request's id")
+		s.conf.Holds.Work(holds.Whole, "the last answer was whole and bore its request's id")
 	}
-	if counted, failed := workerOutcome(a, err); counted && t.desk.Outcome(slot.Target.Host, failed) {
-		p.conf.Meter.Ejected(t.svc.Pool)
-		p.conf.Logs.Info("worker ejected", "target", slot.Target.Host, "pool", t.svc.Pool)
+	if counted, failed := workerOutcome(a, err); counted && c.desk.Outcome(slot.Target.Host, failed) {
+		s.conf.Meter.Ejected(c.svc.Pool)
+		s.conf.Logs.Info("worker ejected", "target", slot.Target.Host, "pool", c.svc.Pool)
 	}
 	return resp, a, err
 }
@@ -94,18 +94,18 @@
 
 // awaitRetry decides after a failed attempt whether to try another worker. It returns nil
 // after the pause before the retry, or else the final error.
-func (p *Server) awaitRetry(ctx context.Context, t *call, attempts gauge.Attempts, err error) error {
+func (s *Server) awaitRetry(ctx context.Context, c *call, attempts gauge.Attempts, err error) error {
 	last := attempts[len(attempts)-1]
 	if last.Kind == gauge.KindCancelled || last.Kind == gauge.KindExpired || ctx.Err() != nil {
 		return finalError(attempts, err)
 	}
-	if attempts.MayHaveRun() && !t.req.Repeatable {
+	if attempts.MayHaveRun() && !c.req.Repeatable {
 		return finalError(attempts, err)
 	}
-	if len(attempts) >= t.svc.Tries || !t.desk.Untried(attempts) {
+	if len(attempts) >= c.svc.Tries || !c.desk.Untried(attempts) {
 		return exhaustedError(attempts, err)
 	}
-	pause, ok := t.desk.Repeat(len(attempts))
+	pause, ok := c.desk.Repeat(len(attempts))
 	if !ok {
 		return finalError(attempts, err)
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -54,13 +54,13 @@
 
 // Drain refuses new requests from now on and waits for those in progress. It returns an error
 // of KindDraining if ctx ends before they do.
-func (p *Server) Drain(ctx context.Context) error {
-	p.mu.Lock()
-	p.draining = true
-	p.mu.Unlock()
+func (s *Server) Drain(ctx context.Context) error {
+	s.mu.Lock()
+	s.draining = true
+	s.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		p.running.Wait()
+		s.running.Wait()
 		close(done)
 	}()
 	select {
@@ -72,13 +72,13 @@
 }
 
 // begin registers a request, so that Drain waits for it.
-func (p *Server) begin() error {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.draining {
+func (s *Server) begin() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.draining {
 		return gauge.Refuse(nil, gauge.KindDraining, "this entry is shutting down", time.Second)
 	}
-	p.running.Add(1)
+	s.running.Add(1)
 	return nil
 }
 
@@ -93,30 +93,30 @@
 }
 
 // Serve runs a request and returns its answer. Asynchronous requests go to Accept instead.
-func (p *Server) Serve(ctx context.Context, r *gauge.Request) (gauge.Response, error) {
-	if err := p.begin(); err != nil {
+func (s *Server) Serve(ctx context.Context, r *gauge.Request) (gauge.Response, error) {
+	if err := s.begin(); err != nil {
 		return gauge.Response{}, err
 	}
-	defer p.running.Done()
-	t, err := p.admit(r)
+	defer s.running.Done()
+	c, err := s.admit(r)
 	if err != nil {
 		return gauge.Response{}, err
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	resp, err := p.runOnce(ctx, t)
-	p.recordEnd(t, resp, err)
+	resp, err := s.runOnce(ctx, c)
+	s.recordEnd(c, resp, err)
 	return resp, err
 }
 
 // recordEnd counts a request's final answer in the metrics and logs it.
-func (p *Server) recordEnd(t *call, resp gauge.Response, err error) {
-	p.conf.Logs.V(1).Info("request ended", "request", t.req.ID, "service", t.req.Service, "team", t.req.Team,
-		"class", string(t.req.Class), "kind", string(kindOf(err)), "target", resp.Host, "revision", p.conf.State().Revision)
-	p.conf.Meter.Request(t.req.Service, t.req.Class, p.conf.Clock().Sub(t.began), err)
-	p.conf.Burn.Note(t.req.Service, err)
+func (s *Server) recordEnd(c *call, resp gauge.Response, err error) {
+	s.conf.Logs.V(1).Info("request ended", "request", c.req.ID, "service", c.req.Service, "team", c.req.Team,
+		"class", string(c.req.Class), "kind", string(kindOf(err)), "target", resp.Host, "revision", s.conf.State().Revision)
+	s.conf.Meter.Request(c.req.Service, c.req.Class, s.conf.Clock().Sub(c.began), err)
+	s.conf.Burn.Note(c.req.Service, err)
 	if err != nil && gauge.AsError(err).Ran() == gauge.RanNo {
-		p.conf.Holds.Work(holds.NotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
+		s.conf.Holds.Work(holds.NotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
 	}
 }
 
@@ -130,92 +130,92 @@
 
 // admit checks the request against the configuration in force. It bounds the deadline by the
 // service's limit and sets the class that the request is treated as.
-func (p *Server) admit(r *gauge.Request) (*call, error) {
-	s := p.conf.State()
-	if s.Revision == 0 {
+func (s *Server) admit(r *gauge.Request) (*call, error) {
+	state := s.conf.State()
+	if state.Revision == 0 {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "no configuration is in force here yet", time.Second)
 	}
-	svc := s.Service(r.Service)
+	svc := state.Service(r.Service)
 	if svc == nil {
-		return nil, p.refuseUndeclared(gauge.KindMissing, "there is no service "+r.Service)
+		return nil, s.refuseUndeclared(gauge.KindMissing, "there is no service "+r.Service)
 	}
 	if len(r.Body) > svc.Body {
 		return nil, gauge.Refuse(nil, gauge.KindLarge, "the body is over the service's bound", 0)
 	}
-	now := p.conf.Clock()
+	now := s.conf.Clock()
 	if latest := now.Add(svc.Limit); r.Deadline.IsZero() || r.Deadline.After(latest) {
 		r.Deadline = latest
 	}
-	t := &call{req: r, svc: svc, desk: p.conf.Desk(svc.Pool), declared: r.Class, began: now}
-	if t.desk == nil {
+	c := &call{req: r, svc: svc, desk: s.conf.Desk(svc.Pool), declared: r.Class, began: now}
+	if c.desk == nil {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "pool "+svc.Pool+" is not in force here yet", time.Second)
 	}
-	teams := len(s.Names(gauge.RecordTeam))
-	t.team = p.conf.Desk(broker.Quota(r.Team))
-	if teams > 0 && s.Team(r.Team) == nil {
-		return nil, p.refuseUndeclared(gauge.KindDenied, "team "+r.Team+" is not declared")
+	teams := len(state.Names(gauge.RecordTeam))
+	c.team = s.conf.Desk(broker.Quota(r.Team))
+	if teams > 0 && state.Team(r.Team) == nil {
+		return nil, s.refuseUndeclared(gauge.KindDenied, "team "+r.Team+" is not declared")
 	}
-	p.sizeMu.Lock()
-	r.Class = p.sizes.Class(r.Service, r.Team, r.Class)
-	p.sizeMu.Unlock()
-	return t, nil
+	s.sizeMu.Lock()
+	r.Class = s.sizes.Class(r.Service, r.Team, r.Class)
+	s.sizeMu.Unlock()
+	return c, nil
 }
 
 // refuseUndeclared refuses a request for a service or team that isn't in force here. The
 // refusal is permanent, so that callers don't retry, only if the configuration is known to be
 // the newest; otherwise the record may have been added in the meantime.
-func (p *Server) refuseUndeclared(kind gauge.Kind, reason string) error {
-	if p.conf.IsStateCurrent != nil && !p.conf.IsStateCurrent() {
+func (s *Server) refuseUndeclared(kind gauge.Kind, reason string) error {
+	if s.conf.IsStateCurrent != nil && !s.conf.IsStateCurrent() {
 		return gauge.Refuse(nil, gauge.KindUnready, reason+" here, and whether elsewhere isn't known at the moment", time.Second)
 	}
 	return gauge.Refuse(nil, kind, reason, 0)
 }
 
 // runOnce runs the request, under a claim if it is not repeatable.
-func (p *Server) runOnce(ctx context.Context, t *call) (gauge.Response, error) {
-	if t.req.Repeatable {
-		resp, _, err := p.run(ctx, t)
+func (s *Server) runOnce(ctx context.Context, c *call) (gauge.Response, error) {
+	if c.req.Repeatable {
+		resp, _, err := s.run(ctx, c)
 		return resp, err
 	}
-	key, err := gauge.Key(p.conf.Clock(), t.req.Team, t.req.ID)
+	key, err := gauge.Key(s.conf.Clock(), c.req.Team, c.req.ID)
 	if err != nil {
 		return gauge.Response{}, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, inserted, err := p.claim(ctx, key, gauge.ClaimRunning, t.req, nil)
+	held, inserted, err := s.claim(ctx, key, gauge.ClaimRunning, c.req, nil)
 	if err != nil {
 		return gauge.Response{}, err
 	}
 	if !inserted {
-		return p.answerFromClaim(ctx, held, requestHash(t.req))
+		return s.answerFromClaim(ctx, held, requestHash(c.req))
 	}
-	return p.runClaimed(ctx, t, held)
+	return s.runClaimed(ctx, c, held)
 }
 
 // claim inserts the claim of a request and reports whether it did; otherwise it returns the
 // claim that was there. On an error nothing was dispatched.
-func (p *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.Accepted) (claim.Held, bool, error) {
-	held, inserted, err := p.conf.Claims.Claim(ctx, key, state, requestHash(r), a)
+func (s *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.Accepted) (claim.Held, bool, error) {
+	held, inserted, err := s.conf.Claims.Claim(ctx, key, state, requestHash(r), a)
 	if err == nil {
-		p.conf.Holds.Work(holds.Once, "the last claim was confirmed before anything was sent")
+		s.conf.Holds.Work(holds.Once, "the last claim was confirmed before anything was sent")
 		return held, inserted, nil
 	}
 	if held.Claim.Token != "" {
-		p.inBackground(func(ctx context.Context) { p.conf.Claims.Abandon(ctx, held) })
+		s.inBackground(func(ctx context.Context) { s.conf.Claims.Abandon(ctx, held) })
 	}
-	p.conf.Logs.Info("claim failed", "request", key.ID, "reason", err.Error())
+	s.conf.Logs.Info("claim failed", "request", key.ID, "reason", err.Error())
 	return held, false, gauge.Refuse(nil, gauge.KindOutage, "the platform's table does not confirm claims", time.Second)
 }
 
 // runClaimed runs a claimed request and stores its outcome.
-func (p *Server) runClaimed(ctx context.Context, t *call, held claim.Held) (gauge.Response, error) {
-	resp, attempts, err := p.run(ctx, t)
+func (s *Server) runClaimed(ctx context.Context, c *call, held claim.Held) (gauge.Response, error) {
+	resp, attempts, err := s.run(ctx, c)
 	if err != nil && !attempts.MayHaveRun() {
-		p.inBackground(func(ctx context.Context) { _ = p.conf.Claims.Drop(ctx, held) })
+		s.inBackground(func(ctx context.Context) { _ = s.conf.Claims.Drop(ctx, held) })
 		return resp, err
 	}
-	p.inBackground(func(ctx context.Context) {
-		if err := p.conf.Claims.Finish(ctx, held, outcomeOf(resp, err)); err != nil {
-			p.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
+	s.inBackground(func(ctx context.Context) {
+		if err := s.conf.Claims.Finish(ctx, held, outcomeOf(resp, err)); err != nil {
+			s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 		}
 	})
 	return resp, err
@@ -226,10 +226,10 @@
 
 // inBackground runs the work that follows an answer without keeping the caller waiting. A
 // graceful shutdown waits for it.
-func (p *Server) inBackground(work func(context.Context)) {
-	p.running.Add(1)
+func (s *Server) inBackground(work func(context.Context)) {
+	s.running.Add(1)
 	go func() {
-		defer p.running.Done()
+		defer s.running.Done()
 		ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 		defer cancel()
 		work(ctx)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -16,12 +16,12 @@
 )
 
 // settle sends the request through an entry until the answer is final.
-func settle(t *testing.T, g *harness, p *serve.Server, key string) (gauge.Response, error) {
+func settle(t *testing.T, h *harness, p *serve.Server, key string) (gauge.Response, error) {
 	t.Helper()
 	for range 40 {
-		runsBefore := g.worker.runCount(key)
+		runsBefore := h.worker.runCount(key)
 		resp, err := p.Serve(context.Background(), request(key, false))
-		check(t, g, key, runsBefore, resp, err)
+		check(t, h, key, runsBefore, resp, err)
 		if err == nil || !gauge.KindOf(err).Answer().Again {
 			return resp, err
 		}
@@ -33,14 +33,14 @@
 
 // check fails the test if a successful answer belongs to another request, or if an error says
 // that the request did not run although it did.
-func check(t *testing.T, g *harness, key string, runsBefore int, resp gauge.Response, err error) {
+func check(t *testing.T, h *harness, key string, runsBefore int, resp gauge.Response, err error) {
 	t.Helper()
 	if err == nil {
 		assert.Equal(t, string(resp.Body), "of "+key)
 		return
 	}
 	if gauge.AsError(err).Ran() == gauge.RanNo {
-		assert.Equal(t, g.worker.runCount(key), runsBefore, "told not run: %v", err)
+		assert.Equal(t, h.worker.runCount(key), runsBefore, "reported as not run: %v", err)
 	}
 }
 
@@ -67,17 +67,17 @@
 }
 
 func atMostOnce(t *testing.T, fault flaky.Fault, at int, outcome string, pause time.Duration) {
-	g := newHarness(outcome)
-	first := g.entry("a/1", flaky.New(flaky.Config{Table: g.db, At: at, Fault: fault, Clock: time.Now}))
-	second := g.entry("b/1", g.db)
+	h := newHarness(outcome)
+	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, At: at, Fault: fault, Clock: time.Now}))
+	second := h.entry("b/1", h.db)
 	key := newKey()
 	resp, err := first.Serve(context.Background(), request(key, false))
-	check(t, g, key, 0, resp, err)
+	check(t, h, key, 0, resp, err)
 	time.Sleep(pause)
-	_, _ = settle(t, g, second, key)
-	assert.Assert(t, g.worker.runCount(key) <= 1, "ran %d times", g.worker.runCount(key))
+	_, _ = settle(t, h, second, key)
+	assert.Assert(t, h.worker.runCount(key) <= 1, "ran %d times", h.worker.runCount(key))
 	drain(t, first, second)
-	assert.Assert(t, g.worker.runCount(key) <= 1, "ran %d times", g.worker.runCount(key))
+	assert.Assert(t, h.worker.runCount(key) <= 1, "ran %d times", h.worker.runCount(key))
 }
 
 func drain(t *testing.T, ps ...*serve.Server) {
@@ -110,27 +110,27 @@
 }
 
 func takeover(t *testing.T, repeatable bool, fault flaky.Fault, at int, diesAfter time.Duration) {
-	g := newHarness()
-	first := g.entry("a/1", flaky.New(flaky.Config{Table: g.db, At: at, Fault: fault, Clock: time.Now}))
-	second := g.entry("b/1", g.db)
+	h := newHarness()
+	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, At: at, Fault: fault, Clock: time.Now}))
+	second := h.entry("b/1", h.db)
 	key := newKey()
 	r := request(key, repeatable)
 	r.Async = true
-	time.AfterFunc(diesAfter, func() { g.kill("a/1") })
+	time.AfterFunc(diesAfter, func() { h.kill("a/1") })
 	ck, err := first.Accept(context.Background(), r)
 	if err != nil {
 		assert.Equal(t, gauge.AsError(err).Ran(), gauge.RanNo)
 		drain(t, first, second)
-		assert.Equal(t, g.worker.runCount(key), 0, "told not run: %v", err)
+		assert.Equal(t, h.worker.runCount(key), 0, "reported as not run: %v", err)
 		return
 	}
-	reader := claim.New(claim.Config{Table: g.db, Objects: g.db, Clock: time.Now})
+	reader := claim.New(claim.Config{Table: h.db, Objects: h.db, Clock: time.Now})
 	var final error
 	for range 60 {
 		time.Sleep(5 * time.Second)
 		entries, err := reader.Entries(context.Background())
 		assert.NilError(t, err)
-		if !g.isAlive("a/1") && len(entries["a/1"]) > 0 {
+		if !h.isAlive("a/1") && len(entries["a/1"]) > 0 {
 			assert.DeepEqual(t, entries["a/1"], []gauge.ClaimKey{ck})
 			assert.NilError(t, second.Takeover(context.Background(), ck))
 		}
@@ -146,8 +146,8 @@
 	drain(t, first, second)
 	entries, err := reader.Entries(context.Background())
 	assert.NilError(t, err)
-	assert.Equal(t, len(entries), 0, "a done run is still listed")
-	runs := g.worker.runCount(key)
+	assert.Equal(t, len(entries), 0, "a finished request is still listed")
+	runs := h.worker.runCount(key)
 	if !repeatable {
 		assert.Assert(t, runs <= 1, "ran %d times", runs)
 	}
@@ -158,7 +158,7 @@
 }
 
 // Guards against a repeatable request whose caller is told to wait, or gets an error that
-// doesn't say whether the request ran. Each row lists the ways in which its dispatches end.
+// doesn't say whether the request ran. Each row lists the outcomes of its dispatches.
 func TestRepeatableRequestIsRetried(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -169,7 +169,7 @@
 	}{
 		{"first worker can't be reached", []string{outcomeNoConnection}, "", "", 1},
 		{"first worker refuses", []string{outcomeRefused}, "", "", 1},
-		{"first worker cuts", []string{outcomeAnswerLost}, "", "", 2},
+		{"first worker's answer is lost", []string{outcomeAnswerLost}, "", "", 2},
 		{"two workers fail", []string{outcomeError, outcomeError}, "", "", 3},
 		{"all workers fail", []string{outcomeError, outcomeError, outcomeError}, gauge.KindPoison, gauge.RanUnknown, 3},
 		{"no worker can be reached", []string{outcomeNoConnection, outcomeNoConnection, outcomeNoConnection}, gauge.KindEmpty, gauge.RanNo, 0},
@@ -177,10 +177,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newHarness(tt.outcomes...)
-				p := g.entry("a/1", g.db)
+				h := newHarness(tt.outcomes...)
+				p := h.entry("a/1", h.db)
 				_, err := p.Serve(context.Background(), request("id", true))
-				assert.Equal(t, g.worker.runCount("id"), tt.runs)
+				assert.Equal(t, h.worker.runCount("id"), tt.runs)
 				if tt.kind == "" {
 					assert.NilError(t, err)
 					return
@@ -196,8 +196,8 @@
 // another body, and without the hash the stored answer to the first would be returned.
 func TestReusedKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newHarness()
-		p := g.entry("a/1", g.db)
+		h := newHarness()
+		p := h.entry("a/1", h.db)
 		key := newKey()
 		_, err := p.Serve(context.Background(), request(key, false))
 		assert.NilError(t, err)
@@ -206,7 +206,7 @@
 		other.Body = []byte("something else")
 		_, err = p.Serve(context.Background(), other)
 		assert.Equal(t, gauge.KindOf(err), gauge.KindReused)
-		assert.Equal(t, g.worker.runCount(key), 1)
+		assert.Equal(t, h.worker.runCount(key), 1)
 	})
 }
 
@@ -215,8 +215,8 @@
 // whether the first entry is alive.
 func TestTakeoverSkipsLiveEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newHarness()
-		first, second := g.entry("a/1", g.db), g.entry("b/1", g.db)
+		h := newHarness()
+		first, second := h.entry("a/1", h.db), h.entry("b/1", h.db)
 		key := newKey()
 		r := request(key, true)
 		r.Async = true
@@ -225,6 +225,6 @@
 		synctest.Wait()
 		assert.NilError(t, second.Takeover(context.Background(), ck))
 		drain(t, first, second)
-		assert.Equal(t, g.worker.runCount(key), 1)
+		assert.Equal(t, h.worker.runCount(key), 1)
 	})
 }
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -23,5 +23,5 @@
 	for range 20 {
 		s.Ended("desk", "liar", false)
 	}
-	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassQuick, "believed again")
+	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassQuick, "the declared class is used again")
 }
