--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -89,6 +89,7 @@
 	at   time.Time
 }
 
+// maxFrame bounds a message between entries.
 const maxFrame = 16 << 20 // bytes
 
 // New returns an Entry that doesn't run yet.
@@ -141,6 +142,7 @@
 	return e
 }
 
+// maxAnswer bounds a worker's answer.
 const maxAnswer = 16 << 20 // bytes
 
 func (e *Entry) name() string { return e.conf.Self.ID + "/" + e.conf.Self.Run }
@@ -150,8 +152,8 @@
 // inForceLimit is the time within which an accepted change must be in force at every entry.
 const inForceLimit = 5 * time.Second
 
-// onAdopted is called with each new state in force, in order, and with the time since it was
-// accepted.
+// onAdopted is called with each new state in force, in order, and with an upper bound of the time
+// since it was accepted.
 func (e *Entry) onAdopted(s gauge.State, delay time.Duration) {
 	e.broker.Adopt(s)
 	for _, n := range place.New().Unplaceable(s) {
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -43,7 +43,7 @@
 	own := e.follow.State()
 	revisions := e.member.Revisions()
 	if len(revisions) < 2 {
-		return own, gauge.Fail(gauge.KindOutage, "neither the table nor a peer can be heard")
+		return own, gauge.Fail(gauge.KindOutage, "neither the table nor a peer is reachable")
 	}
 	var newest gauge.Member
 	newestRevision := own.Revision
--- a/internal/front/gone.go
+++ b/internal/front/gone.go
@@ -13,7 +13,7 @@
 
 // cancelOnDisconnect returns a context that ends once the caller has closed its connection. The
 // HTTP library doesn't report that: without the check, a burst of callers that leave would keep
-// their slots, and workers busy for answers that nobody reads.
+// their slots, and would keep workers busy with answers that nobody reads.
 func cancelOnDisconnect(ctx context.Context, c net.Conn) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	var check func()
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -72,7 +72,7 @@
 	rev, lookupErr := reliable.SubmissionRevision(ctx, "first")
 	assert.NilError(t, lookupErr)
 	if accepted {
-		assert.Equal(t, rev, first, "an accepted change is gone")
+		assert.Equal(t, rev, first, "an accepted change is lost")
 	}
 	if rev == 0 {
 		state, loadErr = reliable.Load(ctx)
@@ -183,7 +183,8 @@
 	return s.Table.Get(ctx, key)
 }
 
-// A follower that is behind the oldest change that is kept loads the whole state again.
+// A follower that is behind the oldest change that is kept loads the whole state again. Rows
+// that change while it reads do no harm.
 func TestFollowerLoadsStateWhenChangesAreTrimmed(t *testing.T) {
 	ctx := context.Background()
 	db := memdb.New()
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -16,11 +16,11 @@
 )
 
 // settle sends the request through an entry until the answer is final.
-func settle(t *testing.T, h *harness, p *serve.Server, key string) (gauge.Response, error) {
+func settle(t *testing.T, h *harness, s *serve.Server, key string) (gauge.Response, error) {
 	t.Helper()
 	for range 40 {
 		runsBefore := h.worker.runCount(key)
-		resp, err := p.Serve(context.Background(), request(key, false))
+		resp, err := s.Serve(context.Background(), request(key, false))
 		check(t, h, key, runsBefore, resp, err)
 		if err == nil || !gauge.KindOf(err).Answer().Again {
 			return resp, err
@@ -49,9 +49,9 @@
 
 // Guards against a request that is not repeatable and runs twice, or never although its caller
 // was told that it is running. Such a request goes through one entry, with each fault of the
-// table at each of its calls and each way for the dispatch to end, and then through another
-// entry until there is a final answer. The claim may be unconfirmed, lost after it took effect,
-// late, or held by an entry that was paused.
+// table at each of its calls and each outcome of the dispatch, and then through another entry
+// until there is a final answer. The claim may be unconfirmed, lost after it took effect, late,
+// or held by an entry that was paused.
 func TestAtMostOnceUnderEveryFault(t *testing.T) {
 	for _, fault := range flaky.Faults() {
 		for at := range steps {
@@ -80,11 +80,11 @@
 	assert.Assert(t, h.worker.runCount(key) <= 1, "ran %d times", h.worker.runCount(key))
 }
 
-func drain(t *testing.T, ps ...*serve.Server) {
+func drain(t *testing.T, servers ...*serve.Server) {
 	t.Helper()
-	for _, p := range ps {
+	for _, s := range servers {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Hour)
-		assert.NilError(t, p.Drain(ctx))
+		assert.NilError(t, s.Drain(ctx))
 		cancel()
 	}
 	time.Sleep(2 * flaky.FrozenFor) // calls that were frozen in a shared commit continue
@@ -117,7 +117,7 @@
 	r := request(key, repeatable)
 	r.Async = true
 	time.AfterFunc(diesAfter, func() { h.kill("a/1") })
-	ck, err := first.Accept(context.Background(), r)
+	claimKey, err := first.Accept(context.Background(), r)
 	if err != nil {
 		assert.Equal(t, gauge.AsError(err).Ran(), gauge.RanNo)
 		drain(t, first, second)
@@ -131,8 +131,8 @@
 		entries, err := reader.Entries(context.Background())
 		assert.NilError(t, err)
 		if !h.isAlive("a/1") && len(entries["a/1"]) > 0 {
-			assert.DeepEqual(t, entries["a/1"], []gauge.ClaimKey{ck})
-			assert.NilError(t, second.Takeover(context.Background(), ck))
+			assert.DeepEqual(t, entries["a/1"], []gauge.ClaimKey{claimKey})
+			assert.NilError(t, second.Takeover(context.Background(), claimKey))
 		}
 		var resp gauge.Response
 		resp, final = second.Lookup(context.Background(), "t", key)
@@ -178,8 +178,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				h := newHarness(tt.outcomes...)
-				p := h.entry("a/1", h.db)
-				_, err := p.Serve(context.Background(), request("id", true))
+				s := h.entry("a/1", h.db)
+				_, err := s.Serve(context.Background(), request("id", true))
 				assert.Equal(t, h.worker.runCount("id"), tt.runs)
 				if tt.kind == "" {
 					assert.NilError(t, err)
@@ -197,14 +197,14 @@
 func TestReusedKeyIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHarness()
-		p := h.entry("a/1", h.db)
+		s := h.entry("a/1", h.db)
 		key := newKey()
-		_, err := p.Serve(context.Background(), request(key, false))
+		_, err := s.Serve(context.Background(), request(key, false))
 		assert.NilError(t, err)
 		synctest.Wait()
 		other := request(key, false)
 		other.Body = []byte("something else")
-		_, err = p.Serve(context.Background(), other)
+		_, err = s.Serve(context.Background(), other)
 		assert.Equal(t, gauge.KindOf(err), gauge.KindReused)
 		assert.Equal(t, h.worker.runCount(key), 1)
 	})
@@ -220,10 +220,10 @@
 		key := newKey()
 		r := request(key, true)
 		r.Async = true
-		ck, err := first.Accept(context.Background(), r)
+		claimKey, err := first.Accept(context.Background(), r)
 		assert.NilError(t, err)
 		synctest.Wait()
-		assert.NilError(t, second.Takeover(context.Background(), ck))
+		assert.NilError(t, second.Takeover(context.Background(), claimKey))
 		drain(t, first, second)
 		assert.Equal(t, h.worker.runCount(key), 1)
 	})
