--- a/internal/front/gone.go
+++ b/internal/front/gone.go
@@ -8,16 +8,16 @@
 	"sapphiregauge/internal/peek"
 )
 
-// lookEvery is the time between two looks at a caller's connection.
-const lookEvery = 250 * time.Millisecond
+// checkInterval is the time between two checks of a caller's connection.
+const checkInterval = 250 * time.Millisecond
 
-// whileThere returns a context that ends once the caller is gone. The HTTP
-// library does not tell: without a look at the connection a burst of callers
-// that give up would keep their places, and workers busy for nobody.
-func whileThere(ctx context.Context, c net.Conn) (context.Context, context.CancelFunc) {
+// cancelOnDisconnect returns a context that ends once the caller has closed its connection. The
+// HTTP library doesn't report that: without the check, a burst of callers that leave would keep
+// their slots, and would keep workers busy with answers that nobody reads.
+func cancelOnDisconnect(ctx context.Context, c net.Conn) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	var look func()
-	look = func() {
+	var check func()
+	check = func() {
 		if ctx.Err() != nil {
 			return
 		}
@@ -25,8 +25,8 @@
 			cancel()
 			return
 		}
-		time.AfterFunc(lookEvery, look)
+		time.AfterFunc(checkInterval, check)
 	}
-	time.AfterFunc(lookEvery, look)
+	time.AfterFunc(checkInterval, check)
 	return ctx, cancel
 }
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -10,8 +10,9 @@
 	"sapphiregauge/internal/claim"
 )
 
-// hashOf tells two requests under one key apart.
-func hashOf(r *gauge.Request) uint64 {
+// requestHash identifies the content of a request, so that a second, different request
+// under the same idempotency key is noticed.
+func requestHash(r *gauge.Request) uint64 {
 	h := xxhash.New()
 	for _, s := range []string{r.Service, r.Path, r.Type} {
 		_, _ = h.WriteString(s + "\x00")
@@ -20,143 +21,147 @@
 	return h.Sum64()
 }
 
-// Accept stores an asynchronous request and starts it. From then on it is run
-// even if this entry dies.
-func (p *Path) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
-	if err := p.begin(); err != nil {
+// Accept stores an asynchronous request and starts it. Once it has returned without an
+// error, the request is run even if this entry crashes.
+func (s *Server) Accept(ctx context.Context, r *gauge.Request) (gauge.ClaimKey, error) {
+	if err := s.begin(); err != nil {
 		return gauge.ClaimKey{}, err
 	}
-	defer p.running.Done()
-	t, err := p.admit(r)
+	defer s.running.Done()
+	c, err := s.admit(r)
 	if err != nil {
 		return gauge.ClaimKey{}, err
 	}
-	key, err := gauge.Key(p.conf.Clock(), r.Team, r.ID)
+	key, err := gauge.Key(s.conf.Clock(), r.Team, r.ID)
 	if err != nil {
 		return key, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, mine, err := p.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
-		Service: r.Service, Path: r.Path, Type: r.Type, Class: t.declared, Repeatable: r.Repeatable,
-		Timeout: r.Deadline.Sub(t.began), Body: r.Body,
+	held, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
+		Service: r.Service, Path: r.Path, Type: r.Type, Class: c.declared, Repeatable: r.Repeatable,
+		Timeout: r.Deadline.Sub(c.began), Body: r.Body,
 	})
 	if err != nil {
 		return key, err
 	}
-	if !mine {
-		return key, p.reused(held, hashOf(r))
+	if !inserted {
+		return key, s.checkReuse(held, requestHash(r))
 	}
-	p.after(func(context.Context) { p.finish(t, held) })
+	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
 	return key, nil
 }
 
-func (p *Path) reused(h claim.Held, hash uint64) error {
+// checkReuse returns an error of KindReused if the claim belongs to a request with another hash.
+func (s *Server) checkReuse(h claim.Held, hash uint64) error {
 	if h.Claim.Hash != hash {
 		return gauge.Refuse(nil, gauge.KindReused, "the idempotency key belongs to another request", 0)
 	}
 	return nil
 }
 
-// finish runs an accepted request to its end. Before anything is dispatched the
-// claim is moved on; if another entry has taken it over, nothing is done here.
-func (p *Path) finish(t *task, held claim.Held) {
-	ctx, cancel := context.WithDeadline(context.Background(), t.req.Deadline)
+// runAccepted runs an accepted request to its end. Before anything is dispatched it moves
+// the claim to the state running; if another entry has taken the claim over, it does nothing.
+func (s *Server) runAccepted(c *call, held claim.Held) {
+	ctx, cancel := context.WithDeadline(context.Background(), c.req.Deadline)
 	defer cancel()
-	moved, mine, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
-	if err != nil || !mine {
-		// Left as accepted, the claim is found by the search for orphans.
-		p.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", mine)
+	moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+	if err != nil || !owned {
+		// The claim stays in the state accepted; the search for orphaned claims finds it.
+		s.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
 		return
 	}
-	resp, _, err := p.run(ctx, t)
-	p.ended(t, resp, err)
-	store, stop := context.WithTimeout(context.Background(), storeFor)
+	resp, _, err := s.run(ctx, c)
+	s.recordEnd(c, resp, err)
+	store, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
-	if err := p.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
-		p.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
+	if err := s.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
+		s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 	}
 }
 
-// Takeover goes on with a claim whose entry is gone. What was not dispatched
-// yet is run; what may have been dispatched is run again only if it may be
-// repeated, else it ends as unknown. The move of the claim fences the old
-// entry: should it only have been paused, its own move fails.
-func (p *Path) Takeover(ctx context.Context, key gauge.ClaimKey) error {
-	if err := p.begin(); err != nil {
+// Takeover continues an accepted request whose entry is dead. A request that was not
+// dispatched yet is run. One that may have been dispatched is run again only if it is
+// repeatable; otherwise it ends with KindUnknown. Writing the claim fences the old entry:
+// if it was only paused, its own write fails.
+func (s *Server) Takeover(ctx context.Context, key gauge.ClaimKey) error {
+	if err := s.begin(); err != nil {
 		return err
 	}
-	defer p.running.Done()
-	held, err := p.conf.Claims.Read(ctx, key)
+	defer s.running.Done()
+	held, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return err
 	}
 	a := held.Claim.Accept
-	if a == nil || held.Claim.State == gauge.ClaimDone || p.conf.Lives(held.Claim.Entry) {
+	if a == nil || held.Claim.State == gauge.ClaimDone || s.conf.MayBeAlive(held.Claim.Entry) {
 		return nil
 	}
 	if held.Claim.State == gauge.ClaimRunning && !a.Repeatable {
-		moved, mine, err := p.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
-		if err != nil || !mine {
+		moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+		if err != nil || !owned {
 			return err
 		}
 		lost := gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
-		return p.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
+		return s.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
 	}
-	t, err := p.revive(ctx, key, a)
+	c, err := s.restore(ctx, key, a)
 	if err != nil {
 		return err
 	}
-	p.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
-	p.after(func(context.Context) { p.finish(t, held) })
+	s.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
+	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
 	return nil
 }
 
-func (p *Path) revive(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*task, error) {
-	body, err := p.conf.Claims.Body(ctx, a)
+// restore rebuilds the request from its claim, with its whole timeout before it again.
+func (s *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*call, error) {
+	body, err := s.conf.Claims.Body(ctx, a)
 	if err != nil {
 		return nil, err
 	}
-	return p.admit(&gauge.Request{
+	return s.admit(&gauge.Request{
 		ID: key.ID, Team: key.Team, Service: a.Service, Path: a.Path, Type: a.Type,
 		Class: a.Class, Repeatable: a.Repeatable, Async: true, Body: body,
-		Deadline: p.conf.Clock().Add(a.Timeout),
+		Deadline: s.conf.Clock().Add(a.Timeout),
 	})
 }
 
-// Lookup returns what became of a claimed request.
-func (p *Path) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
-	key, err := gauge.Key(p.conf.Clock(), team, id)
+// Lookup returns the stored answer or error of a claimed request, an error of
+// KindProgress while it runs, and one of KindMissing if the key is unknown.
+func (s *Server) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
+	key, err := gauge.Key(s.conf.Clock(), team, id)
 	if err != nil {
 		return gauge.Response{}, err
 	}
-	held, err := p.conf.Claims.Read(ctx, key)
+	held, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return gauge.Response{}, gauge.Fail(gauge.KindOutage, "the platform's table does not answer").Because(err).After(time.Second)
 	}
 	if held.Claim.State == "" {
 		return gauge.Response{}, gauge.Fail(gauge.KindMissing, "no request is known by that key")
 	}
-	return p.told(ctx, held, held.Claim.Hash)
+	return s.answerFromClaim(ctx, held, held.Claim.Hash)
 }
 
-// told answers from a claim that is somebody else's.
-func (p *Path) told(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
-	if err := p.reused(h, hash); err != nil {
+// answerFromClaim answers a request from a claim that another request or entry inserted.
+func (s *Server) answerFromClaim(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
+	if err := s.checkReuse(h, hash); err != nil {
 		return gauge.Response{}, err
 	}
 	if h.Claim.State == gauge.ClaimDone {
-		return p.stored(ctx, h.Claim.Result)
+		return s.storedAnswer(ctx, h.Claim.Result)
 	}
-	if h.Claim.Accept == nil && !p.conf.Lives(h.Claim.Entry) {
+	if h.Claim.Accept == nil && !s.conf.MayBeAlive(h.Claim.Entry) {
 		return gauge.Response{}, gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
 	}
 	return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the request is running").After(time.Second)
 }
 
-func (p *Path) stored(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
+// storedAnswer returns the answer or the error that a finished claim holds.
+func (s *Server) storedAnswer(ctx context.Context, o *gauge.Outcome) (gauge.Response, error) {
 	if err := o.Err(); err != nil {
 		return gauge.Response{}, err
 	}
-	body, err := p.conf.Claims.Answer(ctx, o)
+	body, err := s.conf.Claims.Answer(ctx, o)
 	if err != nil {
 		return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the stored answer can't be read now").Because(err).After(time.Second)
 	}
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -9,10 +9,9 @@
 	"sapphiregauge/internal/sizer"
 )
 
-// Symptom: quick work waits although slots are kept for it.
-// Sequence: a team declares its overnight runs as quick.
-// Cause: believing what is declared.
-func TestWhoDeclaresWronglyIsCountedAsLong(t *testing.T) {
+// Guards against quick requests that wait although slots are reserved for them: a team declares
+// its long requests as quick, and the declared class is trusted.
+func TestMisdeclaredRequestsAreTreatedAsLong(t *testing.T) {
 	s := sizer.New()
 	for range 20 {
 		s.Ended("desk", "liar", true)
@@ -24,5 +23,5 @@
 	for range 20 {
 		s.Ended("desk", "liar", false)
 	}
-	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassQuick, "believed again")
+	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassQuick, "the declared class is used again")
 }
