--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,5 +1,5 @@
-// Package gate tells a loop whether its work is wanted just now. Those who want it open
-// the gate, and the loop waits for that instead of asking again and again.
+// Package gate lets a goroutine block until its work is wanted, without polling: whoever needs
+// the work opens the gate, and closes it when the work is no longer needed.
 package gate
 
 import (
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Gate is open or shut; a new one is shut. It is safe for concurrent use.
+// Gate is open or closed; a new one is closed. It is safe for concurrent use.
 type Gate struct {
 	mu      sync.Mutex
 	open    bool
-	changed chan struct{} // closed at each change, then made anew
+	changed chan struct{} // closed at each change, then replaced
 }
 
-// New makes a Gate that is shut.
+// New makes a Gate that is closed.
 func New() *Gate { return &Gate{changed: make(chan struct{})} }
 
-// Set opens or shuts the gate.
+// Set opens or closes the gate.
 func (g *Gate) Set(open bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -30,28 +30,30 @@
 	g.changed = make(chan struct{})
 }
 
-// Open waits until the gate is open; false: ctx has ended.
+// Open waits until the gate is open. It returns false if ctx ends first.
 func (g *Gate) Open(ctx context.Context) bool { return g.wait(ctx, true) }
 
-// Shut waits until the gate has been shut for some time on end; false: ctx has ended.
-func (g *Gate) Shut(ctx context.Context, lasts time.Duration) bool {
+// Shut waits until the gate has been closed for a time without a break. It returns false if ctx
+// ends first.
+func (g *Gate) Shut(ctx context.Context, period time.Duration) bool {
 	for g.wait(ctx, false) {
-		patience, cancel := context.WithTimeout(ctx, lasts)
-		again := g.wait(patience, true)
+		periodCtx, cancel := context.WithTimeout(ctx, period)
+		reopened := g.wait(periodCtx, true)
 		cancel()
-		if !again {
+		if !reopened {
 			return ctx.Err() == nil
 		}
 	}
 	return false
 }
 
+// wait waits until the gate is open, or closed. It returns false if ctx ends first.
 func (g *Gate) wait(ctx context.Context, open bool) bool {
 	for ctx.Err() == nil {
 		g.mu.Lock()
-		there, changed := g.open == open, g.changed
+		reached, changed := g.open == open, g.changed
 		g.mu.Unlock()
-		if there {
+		if reached {
 			return true
 		}
 		select {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -10,7 +10,7 @@
 	"sapphiregauge/internal/gate"
 )
 
-func TestALoopWaitsForTheGate(t *testing.T) {
+func TestWaitersReturnWhenTheGateChanges(t *testing.T) {
 	g := gate.New()
 	opened := make(chan bool)
 	go func() { opened <- g.Open(t.Context()) }()
@@ -22,7 +22,7 @@
 	assert.Assert(t, <-shut)
 }
 
-func TestAGateThatOpensAgainSoonIsNotShut(t *testing.T) {
+func TestGateThatReopensSoonIsNotClosed(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	g := gate.New()
 	shut := make(chan bool)
@@ -32,12 +32,12 @@
 	assert.Assert(t, !<-shut)
 }
 
-func TestWaitsEndWithTheirContext(t *testing.T) {
+func TestWaitersReturnWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	g := gate.New()
 	assert.Assert(t, !g.Open(ctx))
 	assert.Assert(t, !g.Shut(ctx, time.Hour))
 	g.Set(true)
-	assert.Assert(t, !g.Open(ctx), "a loop would go on for ever")
+	assert.Assert(t, !g.Open(ctx), "a loop on Open would never end")
 }
--- a/internal/lag/behind.go
+++ b/internal/lag/behind.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Said is what there is to tell of an owner.
+// Said is a change of an owner's state that is to be logged. Its value is the log message.
 type Said string
 
-// What there is to tell.
+// The values of Said.
 const (
 	SaidNothing  Said = ""
 	SaidBehind   Said = "owner behind"
@@ -14,40 +14,40 @@
 
 // BeliefConfig sets up a Belief.
 type BeliefConfig struct {
-	Behind time.Duration // an owner whose oldest work has waited so long is behind
-	Again  time.Duration // this is told again, as long as it lasts, after so long
+	Behind time.Duration // an owner whose oldest work has waited at least this long is behind
+	Again  time.Duration // SaidBehind is repeated at this interval while the owner is behind
 }
 
-// Belief is whether an owner is behind, by the age of its oldest work. It is not safe
-// for concurrent use.
+// Belief tracks whether an owner is behind with its work, by the age of its oldest work. It is
+// not safe for concurrent use.
 type Belief struct {
-	conf   BeliefConfig
-	behind bool
-	since  time.Duration
-	told   time.Duration
+	conf        BeliefConfig
+	behind      bool
+	behindSince time.Duration
+	lastReport  time.Duration
 }
 
-// NewBelief makes a Belief that the owner is not behind.
+// NewBelief makes a Belief of an owner that is not behind.
 func NewBelief(c BeliefConfig) *Belief { return &Belief{conf: c} }
 
-// See takes in how long the oldest work has waited, and returns what there is to
-// tell now. An owner has caught up at half the age at which it is behind, so that one
-// near the bound isn't told of all the time.
+// See records how long the oldest work has waited, and returns what is to be logged now. An owner
+// has caught up when its oldest work is less than half as old as the threshold: the hysteresis
+// keeps an owner near the threshold from changing its state all the time.
 func (b *Belief) See(oldest, now time.Duration) Said {
 	switch {
 	case !b.behind && oldest >= b.conf.Behind:
-		b.behind, b.since, b.told = true, now, now
+		b.behind, b.behindSince, b.lastReport = true, now, now
 		return SaidBehind
 	case b.behind && 2*oldest < b.conf.Behind:
 		b.behind = false
 		return SaidCaughtUp
-	case b.behind && now-b.told >= b.conf.Again:
-		b.told = now
+	case b.behind && now-b.lastReport >= b.conf.Again:
+		b.lastReport = now
 		return SaidBehind
 	default:
 		return SaidNothing
 	}
 }
 
-// Lasted is the time since the owner was last seen to get behind.
-func (b *Belief) Lasted(now time.Duration) time.Duration { return now - b.since }
+// Lasted returns the time since the owner last fell behind.
+func (b *Belief) Lasted(now time.Duration) time.Duration { return now - b.behindSince }
--- a/internal/lag/behind_test.go
+++ b/internal/lag/behind_test.go
@@ -9,7 +9,7 @@
 	"sapphiregauge/internal/lag"
 )
 
-func TestAnOwnerIsToldOfWhileItIsBehindAndOnceItHasCaughtUp(t *testing.T) {
+func TestOwnerIsReportedWhileBehindAndOnceCaughtUp(t *testing.T) {
 	const ms = time.Millisecond
 	b := lag.NewBelief(lag.BeliefConfig{Behind: time.Second, Again: time.Second})
 	for i, tt := range []struct {
@@ -22,7 +22,7 @@
 		{1350 * ms, 750 * ms, lag.SaidNothing},
 		{2100 * ms, 1499 * ms, lag.SaidNothing},
 		{2110 * ms, 1500 * ms, lag.SaidBehind},
-		{600 * ms, 1750 * ms, lag.SaidNothing}, // it isn't told twice near the bound
+		{600 * ms, 1750 * ms, lag.SaidNothing}, // still behind: hysteresis near the threshold
 		{1100 * ms, 2000 * ms, lag.SaidNothing},
 		{499 * ms, 2250 * ms, lag.SaidCaughtUp},
 		{600 * ms, 2500 * ms, lag.SaidNothing},
--- a/internal/lag/bench_test.go
+++ b/internal/lag/bench_test.go
@@ -8,7 +8,8 @@
 	"sapphiregauge/internal/lag"
 )
 
-// BenchmarkNote is one order taken in at a busy owner: 3,700 a second to 140 workers.
+// BenchmarkNote measures the recording of one order at a busy owner: 3,700 orders a second to
+// 140 workers.
 func BenchmarkNote(b *testing.B) {
 	peers := make([]string, 140)
 	for i := range peers {
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -1,73 +1,73 @@
-// Package lag tells when a process doesn't get the processor time or the network
-// that it needs: calls that take milliseconds take far longer, to whomever they
-// go. It also tells when an owner is behind with its work, and has caught up.
+// Package lag detects when a process lacks processor time or network bandwidth: calls that usually
+// take milliseconds take far longer, whichever peer they go to. It also detects when an owner falls
+// behind with its work, and when it has caught up.
 package lag
 
 import "time"
 
 // Config sets up a Meter.
 type Config struct {
-	Window time.Duration // of calls that are looked at
+	Window time.Duration // calls that ended within it count
 	Slow   time.Duration // a call that takes longer is slow
-	Calls  int           // so few calls within the window say nothing
-	Peers  int           // slow calls must go to so many different ends, else these are at fault
+	Calls  int           // least number of calls within the window for a verdict
+	Peers  int           // least number of peers with slow calls; with fewer, the peers are at fault
 }
 
-// Meter watches calls. It is not safe for concurrent use. Counts are kept as calls
-// come and go: thousands end each second, and when they are slow there is no
-// processor time to walk them all for each.
+// Meter counts the slow calls of a sliding window. It is not safe for concurrent use. The counts
+// are updated as calls enter and leave the window: thousands of calls end each second, and while
+// they are slow there is no processor time to iterate over all of them at each.
 type Meter struct {
-	conf  Config
-	calls []call
-	slow  int            // of calls
-	peers map[string]int // slow calls by the end that they went to
+	conf      Config
+	calls     []call
+	slowCalls int            // number of slow calls
+	slowPeers map[string]int // number of slow calls by peer
 }
 
 type call struct {
-	at   time.Duration
-	peer string
-	slow bool
+	endedAt time.Duration
+	peer    string
+	slow    bool
 }
 
-// Seen is what a Meter has seen in its window.
+// Seen holds the counts of a Meter's window.
 type Seen struct {
 	Calls int
 	Slow  int
-	Peers int // different ends that slow calls went to
+	Peers int // distinct peers with slow calls
 }
 
 // New makes a Meter.
-func New(c Config) *Meter { return &Meter{conf: c, peers: make(map[string]int)} }
+func New(c Config) *Meter { return &Meter{conf: c, slowPeers: make(map[string]int)} }
 
-// Note takes in a call that has ended; true: most calls are slow now.
+// Note records a call that has ended, and reports whether most calls to several peers are slow now.
 func (m *Meter) Note(peer string, took, now time.Duration) bool {
-	m.forget(now)
-	c := call{at: now, peer: peer, slow: took > m.conf.Slow}
+	m.prune(now)
+	c := call{endedAt: now, peer: peer, slow: took > m.conf.Slow}
 	m.calls = append(m.calls, c)
 	if c.slow {
-		m.slow++
-		m.peers[peer]++
+		m.slowCalls++
+		m.slowPeers[peer]++
 	}
-	return len(m.calls) >= m.conf.Calls && len(m.peers) >= m.conf.Peers && 2*m.slow > len(m.calls)
+	return len(m.calls) >= m.conf.Calls && len(m.slowPeers) >= m.conf.Peers && 2*m.slowCalls > len(m.calls)
 }
 
-// Seen tells what was seen in the window before now.
+// Seen returns the counts of the window that ends now.
 func (m *Meter) Seen(now time.Duration) Seen {
-	m.forget(now)
-	return Seen{Calls: len(m.calls), Slow: m.slow, Peers: len(m.peers)}
+	m.prune(now)
+	return Seen{Calls: len(m.calls), Slow: m.slowCalls, Peers: len(m.slowPeers)}
 }
 
-// forget drops the calls that have left the window.
-func (m *Meter) forget(now time.Duration) {
-	for len(m.calls) > 0 && now-m.calls[0].at > m.conf.Window {
+// prune removes the calls that have left the window.
+func (m *Meter) prune(now time.Duration) {
+	for len(m.calls) > 0 && now-m.calls[0].endedAt > m.conf.Window {
 		c := m.calls[0]
 		m.calls = m.calls[1:]
 		if !c.slow {
 			continue
 		}
-		m.slow--
-		if m.peers[c.peer]--; m.peers[c.peer] == 0 {
-			delete(m.peers, c.peer)
+		m.slowCalls--
+		if m.slowPeers[c.peer]--; m.slowPeers[c.peer] == 0 {
+			delete(m.slowPeers, c.peer)
 		}
 	}
 }
--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -10,11 +10,10 @@
 	"sapphiregauge/internal/lag"
 )
 
-// Symptom: jobs of a pool wait for seconds though its workers are idle.
-// Sequence: the machine of its owner turns slow; each order takes a third of a
-// second, or is given up.
-// Cause: the owner renews its lease all the same, so that nobody takes over.
-func TestLag(t *testing.T) {
+// Guards against jobs that wait for seconds though their pool's workers are idle: the machine of
+// the pool's owner is slow, each order takes a third of a second or times out, but the owner still
+// renews its lease, so that no other entry takes over.
+func TestRecordReportsSlowness(t *testing.T) {
 	const ms = time.Millisecond
 	for _, tt := range []struct {
 		name  string
@@ -23,26 +22,26 @@
 		took  func(i int) time.Duration
 		want  bool
 	}{
-		{"in time", 50, 5, func(int) time.Duration { return 5 * ms }, false},
-		{"slow, to all", 50, 5, func(int) time.Duration { return 300 * ms }, true},
-		{"slow, to one of them", 50, 1, func(int) time.Duration { return 300 * ms }, false},
-		{"a few calls", 5, 5, func(int) time.Duration { return 300 * ms }, false},
-		{"slow at times", 50, 5, func(i int) time.Duration { return time.Duration(i%3/2) * 300 * ms }, false},
-		{"slow some time ago", 50, 5, func(i int) time.Duration { return time.Duration((49-i)/40) * 300 * ms }, false},
+		{"fast", 50, 5, func(int) time.Duration { return 5 * ms }, false},
+		{"slow to all peers", 50, 5, func(int) time.Duration { return 300 * ms }, true},
+		{"slow to one peer", 50, 1, func(int) time.Duration { return 300 * ms }, false},
+		{"too few calls", 5, 5, func(int) time.Duration { return 300 * ms }, false},
+		{"some slow calls", 50, 5, func(i int) time.Duration { return time.Duration(i%3/2) * 300 * ms }, false},
+		{"slow calls outside the window", 50, 5, func(i int) time.Duration { return time.Duration((49-i)/40) * 300 * ms }, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			m := lag.New(lag.Config{Window: time.Second, Slow: 150 * ms, Calls: 10, Peers: 3})
-			lags := false
+			slow := false
 			for i := range tt.calls {
-				lags = m.Note(fmt.Sprint(i%tt.peers), tt.took(i), time.Hour+time.Duration(i)*25*ms)
+				slow = m.Note(fmt.Sprint(i%tt.peers), tt.took(i), time.Hour+time.Duration(i)*25*ms)
 			}
-			assert.Equal(t, lags, tt.want)
+			assert.Equal(t, slow, tt.want)
 		})
 	}
 }
 
-// What is told of the window is what is in it, by whatever calls it was filled.
-func TestSeen(t *testing.T) {
+// The counts cover exactly the calls within the window.
+func TestCountsOfWindow(t *testing.T) {
 	m := lag.New(lag.Config{Window: time.Second, Slow: 150 * time.Millisecond, Calls: 10, Peers: 3})
 	now := time.Hour
 	for i := range 20 {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -19,16 +19,16 @@
 	return gauge.Member{ID: fmt.Sprint("e", i), Run: "r", Zone: fmt.Sprint("z", i%3)}
 }
 
-// group is some entries that have read each other's rows; links[a][b] tells
-// whether b hears a.
-type group struct {
+// cluster is a number of entries that have read each other's rows; links[a][b]
+// reports whether b receives the heartbeats of a.
+type cluster struct {
 	now   time.Time
 	sets  []*peers.Set
 	links [][]bool
 }
 
-func newGroup(n, mesh int) *group {
-	g := &group{now: time.Unix(1000, 0)}
+func newCluster(n, mesh int) *cluster {
+	g := &cluster{now: time.Unix(1000, 0)}
 	var rows []gauge.Member
 	for i := range n {
 		rows = append(rows, entry(i))
@@ -45,7 +45,7 @@
 	return g
 }
 
-func (g *group) rows() {
+func (g *cluster) readRows() {
 	var rows []gauge.Member
 	for i := range g.sets {
 		m := entry(i)
@@ -57,7 +57,7 @@
 	}
 }
 
-func (g *group) beat() {
+func (g *cluster) exchangeHeartbeats() {
 	for i, s := range g.sets {
 		s.Look(g.now)
 		for _, m := range s.Neighbours(g.now) {
@@ -73,25 +73,24 @@
 	}
 }
 
-// Symptom: two entries each hand out all slots of a pool.
-// Sequence: links between entries are cut, also in one direction only, and
-// healed, in any order.
-// Cause: each owner takes the live entries that it sees for all there are.
-func TestSharesOfOneKeyNeverExceedTheWhole(t *testing.T) {
+// Guards against two entries that each grant all slots of a pool: links between
+// entries are cut, also in one direction only, and repaired in any order, while each
+// owner takes the live entries in its view for all that exist.
+func TestSharesOfOneKeyNeverExceedOne(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
 		rapid.Check(t, func(t *rapid.T) {
 			const n = 6
-			g := newGroup(n, mesh)
+			g := newCluster(n, mesh)
 			pick := func() int { return rapid.IntRange(0, n-1).Draw(t, "i") }
 			t.Repeat(map[string]func(*rapid.T){
-				"cut":  func(*rapid.T) { g.links[pick()][pick()] = false },
-				"heal": func(*rapid.T) { g.links[pick()][pick()] = true },
+				"cut":    func(*rapid.T) { g.links[pick()][pick()] = false },
+				"repair": func(*rapid.T) { g.links[pick()][pick()] = true },
 				"run": func(*rapid.T) {
-					for range 8 { // longer than the silence: every view is settled
+					for range 8 { // longer than the heartbeat timeout: every view has converged
 						g.now = g.now.Add(time.Second)
-						g.rows()
-						g.beat()
-						g.beat()
+						g.readRows()
+						g.exchangeHeartbeats()
+						g.exchangeHeartbeats()
 					}
 				},
 				"": func(t *rapid.T) {
@@ -105,7 +104,7 @@
 						}
 					}
 					if total > known {
-						t.Fatalf("%d of %d shares are handed out", total, known)
+						t.Fatalf("%d of %d shares are granted", total, known)
 					}
 				},
 			})
@@ -113,15 +112,15 @@
 	}
 }
 
-// With all links whole, every entry sees all and one owner has the whole, also
-// where entries hear of others only through a third.
-func TestAllAgreeWhenAllIsWell(t *testing.T) {
+// While all links work, every entry's view holds all entries and one owner has the
+// whole share, also where entries hear of others only through a third.
+func TestViewsAgreeWhileAllLinksWork(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
-		g := newGroup(9, mesh)
+		g := newCluster(9, mesh)
 		for range 6 {
 			g.now = g.now.Add(time.Second)
-			g.beat()
-			g.beat()
+			g.exchangeHeartbeats()
+			g.exchangeHeartbeats()
 		}
 		for _, s := range g.sets {
 			_, live := s.Look(g.now)
@@ -133,27 +132,26 @@
 	}
 }
 
-// Symptom: after the table was out for an hour all entries take each other for
-// dead.
-// Sequence: rows can't be read or written; they come back; an entry that was
-// cut off from its peers too writes its row a moment later than it is read.
-// Cause: counting the outage as silence.
-func TestOutageKillsNobody(t *testing.T) {
-	g := newGroup(2, 16)
+// Guards against entries that take each other for dead after a table outage of an hour:
+// rows can be neither read nor written; afterwards an entry that was cut off from its peers
+// too writes its row a moment later than it is read. The time of the outage must not count
+// towards the term.
+func TestOutageMakesNoRowStale(t *testing.T) {
+	g := newCluster(2, 16)
 	s := g.sets[0]
 	old := []gauge.Member{entry(0), entry(1)}
 	g.now = g.now.Add(time.Hour)
 	assert.Equal(t, len(s.Rows(g.now, old)), 0)
 	g.now = g.now.Add(10 * time.Second)
-	assert.Equal(t, len(s.Rows(g.now, old)), 0, "the term begins with the end of the outage")
+	assert.Equal(t, len(s.Rows(g.now, old)), 0, "the term starts at the end of the outage")
 	g.now = g.now.Add(6 * time.Second)
-	assert.Equal(t, len(s.Rows(g.now, old)), 1, "unchanged for a term of readable table: gone")
+	assert.Equal(t, len(s.Rows(g.now, old)), 1, "unchanged for a term while the table was readable: stale")
 }
 
-// An entry that can reach neither the table nor a peer hands out nothing and is
+// An entry that can reach neither the table nor a peer grants nothing and is
 // not ready.
-func TestEntryAloneHasNoShare(t *testing.T) {
-	g := newGroup(3, 16)
+func TestIsolatedEntryHasNoShare(t *testing.T) {
+	g := newCluster(3, 16)
 	g.now = g.now.Add(20 * time.Second)
 	same, _ := g.sets[0].Share(g.now)
 	assert.Equal(t, same, 0)
--- a/internal/timely/timely.go
+++ b/internal/timely/timely.go
@@ -1,13 +1,11 @@
-// Package timely finds out why a transaction has no answer yet, so that each case
-// is waited for as long as it deserves.
+// Package timely finds out why a transaction has no answer yet, and sets its timeout accordingly.
 //
-// An answer that is lost on its way never comes; one of a slow table comes after
-// most of a second, and giving it up has the table do the work for nothing, again
-// and again. One bound can't serve both: a long one has a queue's hand-ins, or a
-// lease that must be renewed within its term, stand still for each lost answer; a
-// short one has every write of a slow spell fail. So when an answer is late, a read
-// of a row of the transaction tells the cases apart: answered fast, the answer is
-// lost; answered slowly, the table is slow; not answered, it is away.
+// A lost answer never comes. A slow table answers after most of a second, and each attempt that
+// times out before makes it do the work in vain. No single timeout fits both: a long one blocks
+// a queue's submissions, or the renewal of a lease within its term, for each lost answer; a short
+// one fails every write while the table is slow. So when an answer is late, a read of a row of
+// the transaction tells the cases apart: if the read is fast, the answer is lost; if it is slow,
+// the table is slow; if it has no answer, the table is unreachable.
 package timely
 
 import (
@@ -20,15 +18,15 @@
 // Config sets up a Table.
 type Config struct {
 	Store gauge.Parted
-	Late  time.Duration // an answer that takes longer is looked into
+	Late  time.Duration // after this long without an answer the cause is checked by a read
 	Fast  time.Duration // a read that takes no longer shows that the table isn't slow
-	Away  time.Duration // a read that takes longer shows that it is away
-	Most  time.Duration // a slow table's answer is waited for no longer
+	Away  time.Duration // timeout of the read; after it the table counts as unreachable
+	Most  time.Duration // timeout of a transaction on a slow table
 	Now   func() time.Duration
 }
 
-// Table is a gauge.Parted whose Commit gives up an answer that won't come. The
-// reads are passed on as they are.
+// Table is a gauge.Parted whose Commit stops waiting for an answer that won't come. Reads are
+// passed through unchanged.
 type Table struct {
 	gauge.Parted
 	conf Config
@@ -37,21 +35,22 @@
 // New makes a Table.
 func New(c Config) *Table { return &Table{Parted: c.Store, conf: c} }
 
-// Commit is that of gauge.Parted. An answer that was given up is one of KindUnknown.
+// Commit implements gauge.Parted. When it stops waiting for the answer, the error is of
+// KindUnknown: the transaction may or may not be stored.
 func (t *Table) Commit(ctx context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.conf.Most)
 	defer cancel()
-	look := time.AfterFunc(t.conf.Late, func() {
-		if len(txn.Checks) > 0 && !t.slow(ctx, txn.Checks[0].RowKey) {
+	check := time.AfterFunc(t.conf.Late, func() {
+		if len(txn.Checks) > 0 && !t.isSlow(ctx, txn.Checks[0].RowKey) {
 			cancel()
 		}
 	})
-	defer look.Stop()
+	defer check.Stop()
 	return t.Parted.Commit(ctx, txn)
 }
 
-// slow tells whether the part of the table with a row answers, but slowly.
-func (t *Table) slow(ctx context.Context, row gauge.RowKey) bool {
+// isSlow reports whether the partition that holds a row answers a read, but slowly.
+func (t *Table) isSlow(ctx context.Context, row gauge.RowKey) bool {
 	ctx, cancel := context.WithTimeout(ctx, t.conf.Away)
 	defer cancel()
 	sent := t.conf.Now()
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -1,6 +1,6 @@
-// Package watch follows a table: all of it once, then each change. A feed that
-// has lost its history, or an answer that doesn't come, leads back to the start;
-// whoever is told of rows sees each state at least once.
+// Package watch follows a table: it reads the whole table once, then every change from
+// the table's change feed. It reads the whole table again when the feed's history has been
+// compacted, or when the feed has failed for too long. Each state is delivered at least once.
 package watch
 
 import (
@@ -18,150 +18,155 @@
 // Config sets up a Table.
 type Config struct {
 	Name   string
-	Parted bool // its rows are in many parts, else all are in the unnamed one
+	Parted bool // the rows are in many partitions; otherwise all are in the unnamed one
 	Store  gauge.Parted
-	Wait   time.Duration        // how long a feed waits for a change; 0: it is asked each Pause
-	Renew  bool                 // all is to be known anew each Wait, also while rows change
-	Pause  func() time.Duration // between two questions
+	Wait   time.Duration        // how long a feed call waits for a change; 0: it returns at once
+	Renew  bool                 // confirms every Wait that all rows are known, also while rows change
+	Pause  func() time.Duration // returns the delay between two calls
 	Logs   logr.Logger
 	Now    func() time.Duration
-	// Tell gets all rows (whole), or those that have changed.
+	// Tell receives all rows (whole), or those that have changed.
 	Tell func(rows []gauge.PartRow, whole bool)
-	// Stamp gets each reading of the table's clock, with when it was asked for.
+	// Stamp receives each reading of the table's clock and the time at which the call
+	// was sent, by Now.
 	Stamp func(s gauge.Stamp, sent time.Duration)
-	// Seen gets, after each round that was answered, as of when all that the table holds has
-	// been told, at the least, by this entry's clock; nil: nobody asks.
+	// Seen receives, after each successful call, a time by Now: all that the table held then
+	// has been delivered. It may be nil.
 	Seen func(asOf time.Duration)
 }
 
 // Table follows one table.
 type Table struct {
-	conf Config
-	at   int64 // version that has been told
-	lack int   // rounds in a row that failed
-	read bool  // all rows have been told, and the changes since are to be had
-	lost bool
-	last time.Duration // when a round was last answered
-	asOf time.Duration // as of when all is known
+	conf        Config
+	version     int64         // version that has been delivered
+	failures    int           // consecutive failed calls
+	hasRows     bool          // all rows have been delivered, so the feed can go on from version
+	unreachable bool          // since the last call failed
+	lastAnswer  time.Duration // when a call last succeeded
+	knownAsOf   time.Duration // all rows of this time have been delivered
 }
 
 const (
-	// feedBehind is how far a feed may be behind. Rows of leases are rewritten some
-	// hundred times a second, with 5 KB each: the changes of 2 s are a megabyte, which a
-	// link of 10 Mbit/s brings just within a read's bound. All rows as they are now are a
-	// tenth of that.
-	feedBehind = 2 * time.Second
-	// firstPause and lastPause bound the wait after a failure. They are random in
-	// between, so that entries don't come back together after an outage.
-	firstPause = 50 * time.Millisecond
-	lastPause  = 400 * time.Millisecond
+	// maxFeedLag is how far a feed may be behind before the whole table is read instead.
+	// Lease rows of 5 KB are rewritten about a hundred times a second: the changes of 2 s
+	// are a megabyte, which a link of 10 Mbit/s transfers just within a read's timeout.
+	// All current rows are a tenth of that.
+	maxFeedLag = 2 * time.Second
+	// minRetryDelay and lastPause bound the random delay after a failure. The jitter keeps
+	// entries from calling all at once after an outage.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
 )
 
 // New makes a Table.
 func New(c Config) *Table { return &Table{conf: c} }
 
-// Run follows until ctx ends.
+// Run follows the table until ctx ends.
 func (t *Table) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := t.bounded(ctx)
+		err := t.callWithTimeout(ctx)
 		if err == nil {
-			t.last = t.conf.Now()
+			t.lastAnswer = t.conf.Now()
 		}
 		pause := t.conf.Pause()
 		if err != nil && ctx.Err() == nil {
-			pause = t.failed(err)
-		} else if t.lost {
-			t.lost, t.lack = false, 0
-			t.conf.Logs.Info("dependency regained", "table", t.conf.Name, "version", t.at)
+			pause = t.recordFailure(err)
+		} else if t.unreachable {
+			t.unreachable, t.failures = false, 0
+			t.conf.Logs.Info("dependency regained", "table", t.conf.Name, "version", t.version)
 		}
 		sleep(ctx, pause)
 	}
 }
 
-func (t *Table) failed(err error) time.Duration {
+// recordFailure records a failed call and returns the delay before the next one.
+func (t *Table) recordFailure(err error) time.Duration {
 	if gauge.Is(err, gauge.KindCompacted) {
-		t.conf.Logs.Info("history lost", "table", t.conf.Name, "version", t.at)
-		t.read = false
+		t.conf.Logs.Info("table history compacted; reading the whole table", "table", t.conf.Name, "version", t.version)
+		t.hasRows = false
 		return 0
 	}
-	t.lack++
-	if t.read && t.conf.Now()-t.last > feedBehind {
-		// Each try at the changes since would be cut short, and take the link from others.
-		t.conf.Logs.Info("feed given up", "table", t.conf.Name, "version", t.at, "behind", t.conf.Now()-t.last)
-		t.read = false
+	t.failures++
+	if t.hasRows && t.conf.Now()-t.lastAnswer > maxFeedLag {
+		// Every attempt to read the changes since then would time out, and use up the link's
+		// bandwidth meanwhile.
+		t.conf.Logs.Info("feed given up", "table", t.conf.Name, "version", t.version, "behind", t.conf.Now()-t.lastAnswer)
+		t.hasRows = false
 	}
-	if !t.lost {
-		t.lost = true
-		t.conf.Logs.Info("dependency lost", "table", t.conf.Name, "version", t.at, "error", err.Error())
+	if !t.unreachable {
+		t.unreachable = true
+		t.conf.Logs.Info("dependency lost", "table", t.conf.Name, "version", t.version, "error", err.Error())
 	}
-	return firstPause + rand.N(lastPause-firstPause)
+	return minRetryDelay + rand.N(maxRetryDelay-minRetryDelay)
 }
 
-// bounded does one round. While the table is away most rounds are cut short: one that
-// was begun before it is back would hang on long after. Some aren't, as a slow table
-// takes longer to answer.
-func (t *Table) bounded(ctx context.Context) error {
-	if !t.lost || t.lack%patientRound == 0 {
-		return t.round(ctx)
+// callWithTimeout makes one call. While the table is unreachable most calls get a short timeout,
+// as a call sent before the table is back may hang until long after. Some calls get the full
+// time, as a slow table takes longer to answer.
+func (t *Table) callWithTimeout(ctx context.Context) error {
+	if !t.unreachable || t.failures%fullTimeoutEvery == 0 {
+		return t.call(ctx)
 	}
-	ctx, cancel := context.WithTimeout(ctx, hurriedWait)
+	ctx, cancel := context.WithTimeout(ctx, outageTimeout)
 	defer cancel()
-	return t.round(ctx)
+	return t.call(ctx)
 }
 
 const (
-	// hurriedWait bounds a round while the table is away. A read takes 4 ms, in a slow
-	// spell 60 to 90 times as long.
-	hurriedWait = 400 * time.Millisecond
-	// patientRound: each so many rounds one is not cut short.
-	patientRound = 3
+	// outageTimeout is the timeout of a call while the table is unreachable. A read takes
+	// 4 ms, and 60 to 90 times as long while the table is slow.
+	outageTimeout = 400 * time.Millisecond
+	// fullTimeoutEvery is the number of calls of which one gets the full time while the table is
+	// unreachable.
+	fullTimeoutEvery = 3
 )
 
-func (t *Table) round(ctx context.Context) error {
-	if !t.read {
+// call reads the whole table, or the next changes from the feed.
+func (t *Table) call(ctx context.Context) error {
+	if !t.hasRows {
 		return t.readAll(ctx)
 	}
 	sent := t.conf.Now()
-	wait := t.wait(sent)
-	rows, stamp, err := t.conf.Store.Feed(ctx, t.conf.Name, t.at, wait)
+	wait := t.feedWait(sent)
+	rows, stamp, err := t.conf.Store.Feed(ctx, t.conf.Name, t.version, wait)
 	if err != nil {
 		return err
 	}
 	t.conf.Stamp(stamp, sent)
-	t.at = max(t.at, stamp.Version)
+	t.version = max(t.version, stamp.Version)
 	if len(rows) > 0 {
 		t.conf.Tell(rows, false)
 	}
-	t.seen(t.complete(sent, wait, len(rows)))
+	t.reportAsOf(t.coveredUntil(sent, wait, len(rows)))
 	return nil
 }
 
-// wait is how long a feed that is asked for now waits. After a change, or an answer that
-// took long, one that waited in full would leave open for nearly twice Wait whether there
-// has been another.
-func (t *Table) wait(now time.Duration) time.Duration {
-	if t.lost {
+// feedWait returns how long a feed call that is sent now should wait for a change. After a
+// change, or a slow answer, a call that waited for all of Wait would leave it unknown for nearly
+// twice Wait whether there has been another change.
+func (t *Table) feedWait(now time.Duration) time.Duration {
+	if t.unreachable {
 		return 0
 	}
 	if t.conf.Renew {
 		// The table counts whole milliseconds.
-		return min(max(0, t.asOf+t.conf.Wait-now), t.conf.Wait).Truncate(time.Millisecond)
+		return min(max(0, t.knownAsOf+t.conf.Wait-now), t.conf.Wait).Truncate(time.Millisecond)
 	}
 	return t.conf.Wait
 }
 
-// complete is as of when a feed's answer tells all. The table answers with the first change, so
-// that one with rows says nothing of the time after it was asked for; one without has been
-// held back until the wait was over.
-func (t *Table) complete(sent, wait time.Duration, rows int) time.Duration {
-	if held := sent + wait; rows == 0 && t.conf.Now() >= held {
-		return held
+// coveredUntil returns the time up to which a feed's answer covers all changes. The table answers
+// at the first change, so an answer with rows covers only the time until the call was sent; an
+// answer without rows was held back until the wait was over, and covers the wait as well.
+func (t *Table) coveredUntil(sent, wait time.Duration, rows int) time.Duration {
+	if waited := sent + wait; rows == 0 && t.conf.Now() >= waited {
+		return waited
 	}
 	return sent
 }
 
-func (t *Table) seen(asOf time.Duration) {
-	t.asOf = asOf
+func (t *Table) reportAsOf(asOf time.Duration) {
+	t.knownAsOf = asOf
 	if t.conf.Seen != nil {
 		t.conf.Seen(asOf)
 	}
@@ -178,27 +183,27 @@
 		if err != nil {
 			return err
 		}
-		more, err := t.readParts(ctx, parts)
+		more, err := t.readPartitions(ctx, parts)
 		if err != nil {
 			return err
 		}
 		rows = append(rows, more...)
 	}
-	t.at, t.read = stamp.Version, true
+	t.version, t.hasRows = stamp.Version, true
 	t.conf.Tell(rows, true)
-	// Not before: whoever is stamped takes the rows for seen as of then.
+	// Only after Tell: the receiver of the stamp counts the rows as read at that time.
 	t.conf.Stamp(stamp, sent)
-	t.seen(sent)
+	t.reportAsOf(sent)
 	return nil
 }
 
-// partsAtOnce parts are read at a time. There is one for each entry and pool, and in a
-// slow spell a read takes 0.2 to 0.4 s.
-const partsAtOnce = 8
+// maxConcurrentReads is how many partitions are read concurrently. There is one for each entry and
+// pool, and a read takes 0.2 to 0.4 s while the table is slow.
+const maxConcurrentReads = 8
 
-// readParts reads the parts that have a name.
-func (t *Table) readParts(ctx context.Context, parts []string) ([]gauge.PartRow, error) {
-	reads := pool.NewWithResults[[]gauge.PartRow]().WithContext(ctx).WithMaxGoroutines(partsAtOnce).WithCancelOnError()
+// readPartitions reads the named partitions.
+func (t *Table) readPartitions(ctx context.Context, parts []string) ([]gauge.PartRow, error) {
+	reads := pool.NewWithResults[[]gauge.PartRow]().WithContext(ctx).WithMaxGoroutines(maxConcurrentReads).WithCancelOnError()
 	for _, part := range parts {
 		if part == "" {
 			continue
