--- a/internal/exch/exch.go
+++ b/internal/exch/exch.go
@@ -1,10 +1,10 @@
-// Package exch does single HTTP exchanges over connections that it owns.
+// Package exch makes single HTTP exchanges, without retries, over a pool of connections.
 //
-// fasthttp's own clients repeat requests by themselves and, on a timeout, give
-// the buffers back while the late answer is still to come: the next user of
-// the buffer then reads somebody else's answer. Here fasthttp only encodes and
-// decodes. One exchange owns one connection until the whole answer is in; a
-// connection on which anything went wrong is closed and never used again.
+// fasthttp's own clients retry requests by themselves and, on a timeout, release
+// the buffers while the late answer may still arrive: the next user of the buffer
+// then reads the answer to another request. Here fasthttp only encodes and decodes.
+// One exchange owns one connection until the whole answer has been read; after any
+// error the connection is closed and never reused.
 package exch
 
 import (
@@ -23,77 +23,77 @@
 
 // Config sets up a Pool.
 type Config struct {
-	Dial    time.Duration // longest time to connect; default 1 s
-	Idle    time.Duration // longest time a connection rests before it is closed; default 20 s
-	Answer  int           // longest answer body, bytes; default 1 MiB
-	Resting int           // connections kept resting per address; default 16
+	Dial    time.Duration // timeout for connecting; default 1 s
+	Idle    time.Duration // an idle connection is closed after this time; default 20 s
+	Answer  int           // greatest size of a response body, in bytes; default 1 MiB
+	Resting int           // greatest number of idle connections per address; default 16
 	Clock   gauge.Clock
 }
 
 const (
-	defaultDial    = time.Second
-	defaultIdle    = 20 * time.Second
-	defaultAnswer  = 1 << 20
-	defaultResting = 16
-	keepProbe      = time.Second
-	keepCount      = 4
-	bufferSize     = 4 << 10
+	defaultDialTimeout    = time.Second
+	defaultIdleTimeout    = 20 * time.Second
+	defaultMaxBody        = 1 << 20
+	defaultMaxIdlePerAddr = 16
+	keepAliveInterval     = time.Second
+	keepAliveProbes       = 4
+	bufferSize            = 4 << 10
 )
 
-// Pool keeps resting connections by address.
+// Pool keeps idle connections by address. It is safe for concurrent use.
 type Pool struct {
-	conf   Config
-	mu     sync.Mutex
-	idle   map[string][]*conn
-	pruned time.Time // when old connections were last looked for
+	conf      Config
+	mu        sync.Mutex
+	idle      map[string][]*conn
+	lastPrune time.Time // when expired idle connections were last closed
 }
 
 type conn struct {
 	net.Conn
-	br     *bufio.Reader
-	bw     *bufio.Writer
-	rested time.Time
-	addr   string
+	br        *bufio.Reader
+	bw        *bufio.Writer
+	idleSince time.Time
+	addr      string
 }
 
 // New makes a Pool.
 func New(c Config) *Pool {
-	fill.Zero(&c.Dial, defaultDial)
-	fill.Zero(&c.Idle, defaultIdle)
-	fill.Zero(&c.Answer, defaultAnswer)
-	fill.Zero(&c.Resting, defaultResting)
+	fill.Zero(&c.Dial, defaultDialTimeout)
+	fill.Zero(&c.Idle, defaultIdleTimeout)
+	fill.Zero(&c.Answer, defaultMaxBody)
+	fill.Zero(&c.Resting, defaultMaxIdlePerAddr)
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
 	return &Pool{conf: c, idle: make(map[string][]*conn)}
 }
 
-// Do sends req to addr and reads the whole answer into resp before ctx ends.
-// Sent is false only if no byte of the request left this process. With fresh
-// set a new connection is made: the way to tell a silent connection from a
-// silent host, and the only safe way for a request that must not be repeated,
-// since a resting connection may have been closed at the other end.
+// Do sends req to addr and reads the whole answer into resp before ctx ends. Sent is
+// false only if no byte of the request left this process; the error is then of
+// KindOutage, otherwise of KindUnknown. With fresh set a new connection is made: this
+// tells a silent connection from a silent host, and it is the only safe way for a
+// request that isn't idempotent, since the other end may have closed an idle connection.
 func (p *Pool) Do(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response, fresh bool) (sent bool, err error) {
 	c, err := p.connect(ctx, addr, fresh)
 	if err != nil {
 		return false, gauge.Fail(gauge.KindOutage, "exch.Do: connect to %s", addr).Because(err)
 	}
-	return p.use(ctx, c, req, resp)
+	return p.exchangeOn(ctx, c, req, resp)
 }
 
-// DoResting is Do on a connection that rests: it reaches the process that has answered on it,
-// or nobody, where a new one may reach another process that has the address now. Without one
-// nothing is sent, and the kind is KindOutage.
+// DoResting is like Do, but uses only an idle connection. It reaches the process that has answered
+// on that connection or none, whereas a new connection may reach another process that has the
+// address now. If no connection to addr is idle, nothing is sent and the error is of KindOutage.
 func (p *Pool) DoResting(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
-	c := p.wake(addr)
+	c := p.takeIdle(addr)
 	if c == nil {
-		return false, gauge.Fail(gauge.KindOutage, "exch.DoResting: no connection to %s rests", addr)
+		return false, gauge.Fail(gauge.KindOutage, "exch.DoResting: no idle connection to %s", addr)
 	}
-	return p.use(ctx, c, req, resp)
+	return p.exchangeOn(ctx, c, req, resp)
 }
 
-// use sends req on a connection and reads the whole answer into resp before ctx ends.
-func (p *Pool) use(ctx context.Context, c *conn, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
+// exchangeOn sends req on a connection and reads the whole answer into resp before ctx ends.
+func (p *Pool) exchangeOn(ctx context.Context, c *conn, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	err = c.exchange(req, resp, p.conf.Answer)
 	inTime := stop()
@@ -105,12 +105,12 @@
 		_ = c.Close()
 		return true, nil
 	}
-	p.rest(c)
+	p.putIdle(c)
 	return true, nil
 }
 
-// Drop closes all resting connections to an address, since one of them was
-// found silent while a new one worked.
+// Drop closes all idle connections to an address. It is for an address where one of them was
+// silent while a new connection worked.
 func (p *Pool) Drop(addr string) {
 	p.mu.Lock()
 	old := p.idle[addr]
@@ -121,7 +121,7 @@
 	}
 }
 
-// Close closes every resting connection.
+// Close closes all idle connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	old := p.idle
@@ -134,16 +134,18 @@
 	}
 }
 
+// connect returns a connection to addr: an idle one if there is any and fresh is false, otherwise
+// a new one.
 func (p *Pool) connect(ctx context.Context, addr string, fresh bool) (*conn, error) {
 	if !fresh {
-		if c := p.wake(addr); c != nil {
+		if c := p.takeIdle(addr); c != nil {
 			return c, nil
 		}
 	}
 	d := net.Dialer{
 		Timeout:         p.conf.Dial,
-		Control:         control,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepProbe, Interval: keepProbe, Count: keepCount},
+		Control:         setUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -156,12 +158,12 @@
 	}, nil
 }
 
-// wake takes the connection that rested shortest. Those over the bound are
-// closed, since tables between the two ends forget idle connections; so are
-// those that the other end closed, or on which there are bytes that nobody asked
-// for. A close that arrives later is not seen, so the caller may rely on this
-// only for repeatable work.
-func (p *Pool) wake(addr string) *conn {
+// takeIdle takes the connection that was used last out of the idle ones, or returns nil. It
+// closes those that have been idle for too long, since firewalls in between drop the state of
+// idle connections, those that the other end has closed, and those with unexpected bytes to
+// read. The other end may still close the connection just afterwards, so only idempotent
+// requests should be sent on it.
+func (p *Pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	cs := p.idle[addr]
@@ -169,7 +171,7 @@
 		c := cs[len(cs)-1]
 		cs = cs[:len(cs)-1]
 		p.idle[addr] = cs
-		if p.conf.Clock().Sub(c.rested) < p.conf.Idle && peek.Look(c.Conn) == peek.Quiet {
+		if p.conf.Clock().Sub(c.idleSince) < p.conf.Idle && peek.Look(c.Conn) == peek.Quiet {
 			return c
 		}
 		_ = c.Close()
@@ -177,30 +179,31 @@
 	return nil
 }
 
-func (p *Pool) rest(c *conn) {
+// putIdle adds a connection to the idle ones, or closes it if there are enough.
+func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.idle[c.addr]) >= p.conf.Resting || c.br.Buffered() > 0 {
-		// Bytes nobody asked for would be read as the next answer.
+		// Unexpected bytes would be read as the next answer.
 		_ = c.Close()
 		return
 	}
-	c.rested = p.conf.Clock()
+	c.idleSince = p.conf.Clock()
 	p.idle[c.addr] = append(p.idle[c.addr], c)
-	p.prune(c.rested)
+	p.prune(c.idleSince)
 }
 
-// prune closes connections that have rested too long, to whatever address: those
-// to a worker that is gone would never be woken, and hold their descriptors.
+// prune closes the connections that have been idle for too long, to all addresses: those to a
+// worker that no longer exists are never taken again, and would keep their file descriptors.
 func (p *Pool) prune(now time.Time) {
-	if now.Sub(p.pruned) < p.conf.Idle/pruneShare {
+	if now.Sub(p.lastPrune) < p.conf.Idle/prunesPerIdleTimeout {
 		return
 	}
-	p.pruned = now
+	p.lastPrune = now
 	for addr, cs := range p.idle {
 		keep := cs[:0]
 		for _, c := range cs {
-			if now.Sub(c.rested) < p.conf.Idle {
+			if now.Sub(c.idleSince) < p.conf.Idle {
 				keep = append(keep, c)
 				continue
 			}
@@ -212,17 +215,17 @@
 	}
 }
 
-// pruneShare: so many times within the longest rest old connections are looked for.
-const pruneShare = 4
+// prunesPerIdleTimeout is how many times within Config.Idle prune looks for expired connections.
+const prunesPerIdleTimeout = 4
 
-// exchange writes the request and reads the answer. The caller counts the
-// request as sent from here on: a failed write may have left in part.
-func (c *conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, most int) error {
+// exchange writes the request and reads the answer, with a body of at most maxBody bytes. The
+// caller treats the request as sent from here on, as a failed write may have sent a part of it.
+func (c *conn) exchange(req *fasthttp.Request, resp *fasthttp.Response, maxBody int) error {
 	if err := req.Write(c.bw); err != nil {
 		return err
 	}
 	if err := c.bw.Flush(); err != nil {
 		return err
 	}
-	return resp.ReadLimitBody(c.br, most)
+	return resp.ReadLimitBody(c.br, maxBody)
 }
--- a/internal/exch/exch_test.go
+++ b/internal/exch/exch_test.go
@@ -16,8 +16,8 @@
 	"sapphiregauge/internal/exch"
 )
 
-// server answers each connection with a function that gets the n-th request's
-// body and the connection.
+// server starts a server that passes each request's number, its body and its connection to answer.
+// It returns its address and the number of accepted connections.
 func server(t *testing.T, answer func(n int64, body string, c net.Conn)) (addr string, conns *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,7 +47,7 @@
 	return l.Addr().String(), &count
 }
 
-func ok(body string) string {
+func okResponse(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -60,19 +60,17 @@
 	return string(resp.Body()), sent, err
 }
 
-// Symptom: a caller gets the answer to another caller's request.
-// Sequence: a request is given up on; its answer comes late; the next request
-// goes to the same worker.
-// Cause: a connection, or a buffer, that is used again although an answer on it
-// is still to come.
-func TestLateAnswerReachesNobody(t *testing.T) {
+// Guards against a caller that gets the answer to another caller's request: a request is
+// cancelled, its answer comes late, and the next request to the same worker reuses a connection
+// or a buffer for which that answer is still to come.
+func TestLateAnswerIsDiscarded(t *testing.T) {
 	got, late := make(chan struct{}), make(chan struct{})
 	addr, _ := server(t, func(n int64, body string, c net.Conn) {
 		if n == 1 {
 			close(got)
 			<-late
 		}
-		_, _ = c.Write([]byte(ok(body)))
+		_, _ = c.Write([]byte(okResponse(body)))
 	})
 	p := exch.New(exch.Config{})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -94,14 +92,13 @@
 	}
 }
 
-// Symptom: every caller gets the answer to the request before.
-// Sequence: a worker sends one answer too many.
-// Cause: a connection that is used again with bytes on it that nobody asked for.
-func TestStrayAnswerReachesNobody(t *testing.T) {
+// Guards against callers that each get the answer to the previous request: a worker sends one
+// answer too many, and the connection is reused with unexpected bytes to read.
+func TestUnexpectedAnswerIsDiscarded(t *testing.T) {
 	addr, _ := server(t, func(n int64, body string, c net.Conn) {
-		text := ok(body)
+		text := okResponse(body)
 		if n == 1 {
-			text += ok("stray")
+			text += okResponse("stray")
 		}
 		_, _ = c.Write([]byte(text))
 	})
@@ -114,14 +111,14 @@
 	}
 }
 
-// An answer that is cut short or too long is an error, and none of it is used.
-func TestHalfAnswersAreErrors(t *testing.T) {
+// An answer that is truncated or too long is an error, and none of it is used.
+func TestIncompleteAnswersAreErrors(t *testing.T) {
 	for _, tt := range []struct{ name, answer string }{
-		{"cut in the head", "HTTP/1.1 200 OK\r\nConte"},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"},
-		{"cut between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
-		{"too long", ok(strings.Repeat("x", 2000))},
-		{"no HTTP", "hello\r\n\r\n"},
+		{"truncated header", "HTTP/1.1 200 OK\r\nConte"},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"},
+		{"truncated between chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n"},
+		{"too long", okResponse(strings.Repeat("x", 2000))},
+		{"not HTTP", "hello\r\n\r\n"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			addr, _ := server(t, func(_ int64, _ string, c net.Conn) {
@@ -136,10 +133,9 @@
 	}
 }
 
-// Symptom: a print job comes out twice.
-// Sequence: the worker closes the connection after it has read the request.
-// Cause: a client library that repeats by itself.
-func TestNothingIsRepeated(t *testing.T) {
+// Guards against a print job that is printed twice: the worker closes the connection after it has
+// read the request, and a client library retries by itself.
+func TestRequestIsNotRetried(t *testing.T) {
 	var requests atomic.Int64
 	addr, _ := server(t, func(_ int64, _ string, c net.Conn) {
 		requests.Add(1)
@@ -151,12 +147,12 @@
 	assert.Equal(t, requests.Load(), int64(1))
 }
 
-// Resting connections are used again, but not one that the other end closed,
-// and not for a fresh exchange.
-func TestRestingConnections(t *testing.T) {
+// Idle connections are reused, but not one that the other end has closed, and not for
+// a fresh exchange.
+func TestIdleConnectionsAreReused(t *testing.T) {
 	closed := make(chan struct{})
 	addr, conns := server(t, func(n int64, body string, c net.Conn) {
-		_, _ = c.Write([]byte(ok(body)))
+		_, _ = c.Write([]byte(okResponse(body)))
 		if n == 2 {
 			_ = c.Close()
 			close(closed)
@@ -176,8 +172,8 @@
 	assert.Equal(t, conns.Load(), int64(3))
 }
 
-// A worker that can't be reached is told apart from one that did not answer.
-func TestUnsentIsKnown(t *testing.T) {
+// A worker that can't be reached is distinguished from one that didn't answer.
+func TestFailedConnectIsReportedAsUnsent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	addr := l.Addr().String()
@@ -188,12 +184,10 @@
 	assert.Assert(t, !sent)
 }
 
-// Symptom: an entry runs out of descriptors after some thousand workers have come
-// and gone.
-// Sequence: a worker ends; nobody calls its address again, so that its resting
-// connections are never looked at.
-// Cause: connections are only closed when they are woken.
-func TestConnectionsToAddressesNobodyCallsAreClosed(t *testing.T) {
+// Guards against an entry that runs out of file descriptors after some thousand workers have
+// come and gone: no call goes to the address of a worker that has ended, so its idle connections
+// would never be closed if that happened only when they are reused.
+func TestIdleConnectionsToUnusedAddressesAreClosed(t *testing.T) {
 	now := time.Unix(0, 0)
 	pool := exch.New(exch.Config{Idle: time.Second, Clock: func() time.Time { return now }})
 	defer pool.Close()
@@ -223,14 +217,14 @@
 		_, err := pool.Do(context.Background(), addr, req, resp, false)
 		assert.NilError(t, err)
 	}
-	gone, ended := serve()
+	unused, ended := serve()
 	other, _ := serve()
-	call(gone)
+	call(unused)
 	now = now.Add(2 * time.Second)
 	call(other)
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection to the address that nobody calls stays open")
+		t.Fatal("the idle connection to the unused address stays open")
 	}
 }
--- a/internal/exch/option.go
+++ b/internal/exch/option.go
@@ -6,18 +6,18 @@
 	"golang.org/x/sys/unix"
 )
 
-// unackedMillis is how long sent bytes may stay unacknowledged, and how long a
-// connection may go on without an answer to keepalive probes.
-const unackedMillis = 5000
+// userTimeoutMillis is how long sent data may stay unacknowledged, and keepalive probes unanswered,
+// before the kernel closes the connection.
+const userTimeoutMillis = 5000
 
-// control sets what net.Dialer has no field for. A firewall that has forgotten a
-// connection drops its packets without a word; the kernel would go on sending
-// for a quarter of an hour, and the request wait until its deadline. A worker
-// that only takes long acknowledges, and is not cut off.
-func control(_, _ string, raw syscall.RawConn) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, for which net.Dialer has no field. A firewall that has lost
+// a connection's state drops its packets silently; the kernel would retransmit for a quarter of an
+// hour, and the request would wait until its deadline. A slow worker still acknowledges the data,
+// so its connection stays open.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var err error
 	ctlErr := raw.Control(func(fd uintptr) {
-		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unackedMillis)
+		err = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMillis)
 	})
 	if ctlErr != nil {
 		return ctlErr
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,7 +1,7 @@
 // Package frame reads and writes the frames that entries send each other over
 // TCP: four bytes of length, then one msgpack array. A frame that is too long,
-// cut short, malformed or of a later version is an error before anything of it
-// is used, and its length is checked before memory is taken for it.
+// truncated, malformed or of another version is rejected before any of it is
+// used, and its length is checked before memory is allocated for it.
 package frame
 
 import (
@@ -14,13 +14,14 @@
 	gauge "sapphiregauge"
 )
 
-// Version is the newest frame layout that this program reads and writes.
+// Version is the version of the frame layout that this package reads and writes.
 const Version = 1
 
-const headSize = 4
+const prefixSize = 4
 
-// Frame is one message. Method is empty in an answer; Fault is the error kind
-// of a failed answer.
+// Frame is one message, encoded as an array in the order of the fields. ID pairs an answer with its
+// request. Method is empty in an answer. Fault is the gauge.Kind of an error answer, whose body is
+// the error text; otherwise it is empty.
 type Frame struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by msgpack
 	Version  int
@@ -30,15 +31,16 @@
 	Body     msgpack.RawMessage
 }
 
-// Write sends one frame. It returns the bytes sent.
+// Write sends one frame of at most limit bytes without its length prefix, and returns the number of
+// bytes sent. A longer frame is an error of gauge.KindLarge.
 func Write(w io.Writer, f Frame, limit int) (int, error) {
 	f.Version = Version
 	var buf bytes.Buffer
-	buf.Write(make([]byte, headSize))
+	buf.Write(make([]byte, prefixSize))
 	if err := msgpack.NewEncoder(&buf).Encode(&f); err != nil {
 		return 0, gauge.Fail(gauge.KindInternal, "frame.Write").Because(err)
 	}
-	size := buf.Len() - headSize
+	size := buf.Len() - prefixSize
 	if size > limit {
 		return 0, gauge.Fail(gauge.KindLarge, "frame of %d bytes, limit %d", size, limit)
 	}
@@ -46,14 +48,15 @@
 	return w.Write(buf.Bytes())
 }
 
-// Read reads one frame.
+// Read reads one frame. A frame of more than limit bytes is an error of gauge.KindLarge, a malformed
+// one or one of another version of gauge.KindInvalid; errors of r are returned as they are.
 func Read(r io.Reader, limit int) (Frame, error) {
 	var f Frame
-	var head [headSize]byte
-	if _, err := io.ReadFull(r, head[:]); err != nil {
+	var prefix [prefixSize]byte
+	if _, err := io.ReadFull(r, prefix[:]); err != nil {
 		return f, err
 	}
-	size := binary.BigEndian.Uint32(head[:])
+	size := binary.BigEndian.Uint32(prefix[:])
 	if int64(size) > int64(limit) {
 		return f, gauge.Fail(gauge.KindLarge, "frame of %d bytes, limit %d", size, limit)
 	}
@@ -65,12 +68,12 @@
 		return f, err
 	}
 	if f.Version != Version {
-		return f, gauge.Fail(gauge.KindInvalid, "frame version %d, this program knows %d", f.Version, Version)
+		return f, gauge.Fail(gauge.KindInvalid, "frame version %d, supported version is %d", f.Version, Version)
 	}
 	return f, nil
 }
 
-// Encode makes the body of a frame.
+// Encode encodes a value as the body of a frame.
 func Encode(v any) (msgpack.RawMessage, error) {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
@@ -79,15 +82,15 @@
 	return b, nil
 }
 
-// Decode reads the body of a frame. Whatever the bytes, it returns an error
-// rather than panic, and bytes left over are an error.
+// Decode decodes the body of a frame into v. It never panics, whatever the input; trailing bytes are
+// an error.
 func Decode(b []byte, v any) error {
 	r := bytes.NewReader(b)
 	if err := msgpack.NewDecoder(r).Decode(v); err != nil {
 		return gauge.Fail(gauge.KindInvalid, "frame.Decode").Because(err)
 	}
 	if r.Len() > 0 {
-		return gauge.Fail(gauge.KindInvalid, "frame.Decode: %d bytes left over", r.Len())
+		return gauge.Fail(gauge.KindInvalid, "frame.Decode: %d trailing bytes", r.Len())
 	}
 	return nil
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -22,7 +22,7 @@
 	return b.Bytes()
 }
 
-func TestFrameComesBack(t *testing.T) {
+func TestFrameRoundTrip(t *testing.T) {
 	body, err := frame.Encode(&slots.Ask{Holder: "e/1", Pool: "p", Seq: 7})
 	assert.NilError(t, err)
 	f, err := frame.Read(bytes.NewReader(encoded(t, frame.Frame{ID: 9, Method: broker.MethodAsk, Body: body})), limit)
@@ -33,13 +33,13 @@
 	assert.Equal(t, a.Seq, uint64(7))
 }
 
-// A frame that is too long, cut short or malformed is an error.
-func TestBadFrames(t *testing.T) {
+// A frame that is too long, truncated or malformed is an error.
+func TestMalformedFramesAreErrors(t *testing.T) {
 	good := encoded(t, frame.Frame{ID: 1, Method: "m"})
-	huge := append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...)
+	tooLong := append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...)
 	for name, b := range map[string][]byte{
-		"empty": {}, "cut head": good[:3], "cut body": good[:len(good)-1], "huge": huge,
-		"not msgpack": {0, 0, 0, 1, 0xc1}, "left over": {0, 0, 0, 2, 0x90, 0x90},
+		"empty": {}, "truncated length": good[:3], "truncated body": good[:len(good)-1], "too long": tooLong,
+		"not msgpack": {0, 0, 0, 1, 0xc1}, "trailing bytes": {0, 0, 0, 2, 0x90, 0x90},
 	} {
 		_, err := frame.Read(bytes.NewReader(b), limit)
 		assert.Assert(t, err != nil, name)
@@ -49,8 +49,8 @@
 	assert.Equal(t, gauge.KindOf(err), gauge.KindLarge)
 }
 
-// FuzzRead feeds any bytes to the reader of frames and the decoders of the
-// messages; none may panic or take memory beyond the limit.
+// FuzzRead feeds arbitrary bytes to Read and to the decoders of the messages; none may
+// panic or allocate memory beyond the limit.
 func FuzzRead(f *testing.F) {
 	beat, _ := frame.Encode(&peers.Beat{From: gauge.Member{ID: "e"}, Own: []string{"a"}})
 	ask, _ := frame.Encode(&slots.Ask{Holder: "e/1", Have: []slots.Lot{{Host: "h", Quick: 1}}})
@@ -58,14 +58,14 @@
 	for _, body := range [][]byte{beat, ask, grant, nil} {
 		f.Add(encoded(f, frame.Frame{ID: 1, Method: "m", Body: body}))
 	}
-	f.Add([]byte{0, 0, 0, 5, 0xdd, 0xff, 0xff, 0xff, 0xff}) // an array said to be huge
+	f.Add([]byte{0, 0, 0, 5, 0xdd, 0xff, 0xff, 0xff, 0xff}) // an array whose header claims a huge length
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, err := frame.Read(bytes.NewReader(b), limit)
 		if err != nil {
 			return
 		}
 		if got.Version != frame.Version {
-			t.Fatalf("version %d was let through", got.Version)
+			t.Fatalf("version %d was accepted", got.Version)
 		}
 		_ = frame.Decode(got.Body, &peers.Beat{})
 		_ = frame.Decode(got.Body, &slots.Ask{})
--- a/internal/logs/bound.go
+++ b/internal/logs/bound.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// queueLines is how many lines may wait to be written: half a second of an owner
-	// that starts and ends 3,700 tasks a second, at about 300 bytes each.
-	queueLines = 4096
-	// writeGap is the least time between two writes. Each wakes the writer up and has a
-	// system call, which costs an owner as much as making the line: what comes in
-	// between goes together. A line that comes alone is written at once.
-	writeGap = 10 * time.Millisecond
+	// maxQueuedLines is how many lines may wait to be written: the output of half a second of an
+	// owner that starts and ends 3,700 tasks a second, at about 300 bytes a line.
+	maxQueuedLines = 4096
+	// minWriteInterval is the least time between two writes. Each write needs a goroutine switch
+	// and a system call, which cost an owner as much as formatting the line: the lines that arrive
+	// in between are written together. A single line is written at once.
+	minWriteInterval = 10 * time.Millisecond
 )
 
-// Bounded passes lines on without ever making the caller wait: while the
-// receiver is slow they queue, beyond the bound they are dropped and counted.
+// Bounded is an io.Writer that never blocks: while the underlying writer is slow, lines are
+// queued, and when the queue is full, they are dropped and counted. It is safe for concurrent
+// use.
 type Bounded struct {
 	out     io.Writer
-	wake    chan struct{} // lines wait
+	queued  chan struct{} // signals that lines are queued
 	closing chan struct{}
 	dropped atomic.Int64
 	done    sync.WaitGroup
@@ -33,28 +34,28 @@
 
 // NewBounded makes a Bounded that writes to out.
 func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, wake: make(chan struct{}, 1), closing: make(chan struct{})}
+	b := &Bounded{out: out, queued: make(chan struct{}, 1), closing: make(chan struct{})}
 	b.done.Go(b.run)
 	return b
 }
 
-// Write queues one line, or drops it.
+// Write queues one line, or drops it if the queue is full. It returns no error in either case.
 func (b *Bounded) Write(line []byte) (int, error) {
-	if !b.add(line) {
+	if !b.enqueue(line) {
 		b.dropped.Add(1)
 		return len(line), nil
 	}
 	select {
-	case b.wake <- struct{}{}:
+	case b.queued <- struct{}{}:
 	default:
 	}
 	return len(line), nil
 }
 
-func (b *Bounded) add(line []byte) bool {
+func (b *Bounded) enqueue(line []byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lines >= queueLines {
+	if b.lines >= maxQueuedLines {
 		return false
 	}
 	b.buf = append(b.buf, line...)
@@ -62,10 +63,10 @@
 	return true
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of lines that were dropped so far.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// Close writes what is queued. Nothing may be written after it.
+// Close writes the queued lines and ends the goroutine. Write must not be called after it.
 func (b *Bounded) Close() {
 	close(b.closing)
 	b.done.Wait()
@@ -75,9 +76,9 @@
 	var spare []byte
 	for {
 		select {
-		case <-b.wake:
+		case <-b.queued:
 			spare = b.flush(spare)
-			b.rest()
+			b.waitInterval()
 		case <-b.closing:
 			b.flush(spare)
 			return
@@ -85,9 +86,9 @@
 	}
 }
 
-// rest lets lines gather, unless no more will come.
-func (b *Bounded) rest() {
-	timer := time.NewTimer(writeGap)
+// waitInterval waits for minWriteInterval, or until Close is called, while lines are queued.
+func (b *Bounded) waitInterval() {
+	timer := time.NewTimer(minWriteInterval)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -95,19 +96,19 @@
 	}
 }
 
-// flush writes what has gathered, while more may gather in the spare buffer; it
-// returns the one that is spare then.
+// flush swaps the buffer of queued lines for the spare one and writes it. It returns the written
+// buffer, which is the next spare one.
 func (b *Bounded) flush(spare []byte) []byte {
 	b.mu.Lock()
-	full, lines := b.buf, b.lines
+	pending, lines := b.buf, b.lines
 	b.buf, b.lines = spare[:0], 0
 	b.mu.Unlock()
 	if lines == 0 {
-		return full
+		return pending
 	}
-	// With nowhere to tell of it, lines that can't be written are dropped too.
-	if _, err := b.out.Write(full); err != nil {
+	// The error can't be logged either; the lines count as dropped.
+	if _, err := b.out.Write(pending); err != nil {
 		b.dropped.Add(int64(lines))
 	}
-	return full
+	return pending
 }
--- a/internal/logs/bound_test.go
+++ b/internal/logs/bound_test.go
@@ -12,33 +12,33 @@
 	"sapphiregauge/internal/logs"
 )
 
-// slow is a receiver that takes a write only when it is let.
+// slow is a writer whose writes block until release is closed.
 type slow struct {
-	mu     sync.Mutex
-	let    chan struct{}
-	began  chan struct{} // a write has begun
-	writes int
-	got    bytes.Buffer
+	mu      sync.Mutex
+	release chan struct{}
+	began   chan struct{} // receives when a write has started
+	writes  int
+	got     bytes.Buffer
 }
 
-func newSlow() *slow { return &slow{let: make(chan struct{}), began: make(chan struct{}, 1)} }
+func newSlow() *slow { return &slow{release: make(chan struct{}), began: make(chan struct{}, 1)} }
 
 func (s *slow) Write(p []byte) (int, error) {
 	select {
 	case s.began <- struct{}{}:
 	default:
 	}
-	<-s.let
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes++
 	return s.got.Write(p)
 }
 
-// Symptom: an owner's host has no processor time left for its pool.
-// Sequence: thousands of tasks a second start and end, each with its line.
-// Cause: each line wakes the writer up and has a system call of its own.
-func TestLinesThatWaitAreWrittenTogether(t *testing.T) {
+// Guards against an owner's host that has no processor time left for its pool: thousands of tasks a
+// second start and end, each logs its lines, and each line costs a goroutine switch and a system
+// call of its own.
+func TestQueuedLinesAreWrittenTogether(t *testing.T) {
 	s := newSlow()
 	b := logs.NewBounded(s)
 	_, _ = b.Write([]byte("0\n"))
@@ -51,15 +51,15 @@
 		_, err := b.Write([]byte(line))
 		assert.NilError(t, err)
 	}
-	close(s.let)
+	close(s.release)
 	b.Close()
 	assert.Equal(t, s.got.String(), want.String())
 	assert.Equal(t, b.Dropped(), int64(0))
 	assert.Assert(t, s.writes <= 3, "%d writes", s.writes)
 }
 
-// Whoever logs never waits for the receiver, and what doesn't fit is counted.
-func TestLinesBeyondTheBoundAreDroppedAndCounted(t *testing.T) {
+// A caller never waits for the underlying writer, and lines that don't fit the queue are counted.
+func TestLinesBeyondTheQueueAreDroppedAndCounted(t *testing.T) {
 	s := newSlow()
 	b := logs.NewBounded(s)
 	_, _ = b.Write([]byte("x\n"))
@@ -69,7 +69,7 @@
 	}
 	dropped := b.Dropped()
 	assert.Assert(t, dropped > 0 && dropped < 10000)
-	close(s.let)
+	close(s.release)
 	b.Close()
 	assert.Equal(t, int64(strings.Count(s.got.String(), "x\n")), 10001-dropped)
 }
--- a/internal/logs/line.go
+++ b/internal/logs/line.go
@@ -16,44 +16,44 @@
 	"github.com/go-logr/logr"
 )
 
-// sink writes one JSON line a call, in the form of the standard library's handler.
-// That handler takes over twice as long: it looks up where it was called from and
+// sink is a logr.LogSink that writes one JSON line for each call, in the format of
+// slog.JSONHandler. That handler takes more than twice as long: it looks up its caller and
 // copies all fields first. An owner writes two lines for each task.
 type sink struct {
-	out    *output
-	least  slog.Level
-	name   string
-	fields []byte // those of all its lines, encoded
+	out      *output
+	minLevel slog.Level
+	name     string
+	fields   []byte // fields of every line, encoded
 }
 
-// output is shared by all sinks of a logger.
+// output is the writer that all sinks of a logger share.
 type output struct {
 	mu    sync.Mutex
-	to    io.Writer
+	w     io.Writer
 	lines sync.Pool // of *[]byte
 }
 
 const (
-	// lineSize is the room for a usual line; longer ones grow.
-	lineSize = 512
-	// mostKept: a line that needed more doesn't keep its room.
-	mostKept = 16 << 10
+	// initialLineSize is the initial capacity of a line's buffer, in bytes.
+	initialLineSize = 512
+	// maxPooledLine is the greatest capacity of a buffer that is reused, in bytes.
+	maxPooledLine = 16 << 10
 )
 
-func newSink(w io.Writer, least slog.Level) *sink {
-	o := &output{to: w}
+func newSink(w io.Writer, minLevel slog.Level) *sink {
+	o := &output{w: w}
 	o.lines.New = func() any {
-		line := make([]byte, 0, lineSize)
+		line := make([]byte, 0, initialLineSize)
 		return &line
 	}
-	return &sink{out: o, least: least}
+	return &sink{out: o, minLevel: minLevel}
 }
 
 // Init implements logr.LogSink.
 func (s *sink) Init(logr.RuntimeInfo) {}
 
 // Enabled implements logr.LogSink.
-func (s *sink) Enabled(level int) bool { return slog.Level(-level) >= s.least }
+func (s *sink) Enabled(level int) bool { return slog.Level(-level) >= s.minLevel }
 
 // Info implements logr.LogSink.
 func (s *sink) Info(level int, msg string, fields ...any) {
@@ -100,20 +100,20 @@
 	}
 	line = appendFields(line, fields)
 	line = append(line, "}\n"...)
-	s.out.pass(line)
-	if cap(line) <= mostKept {
+	s.out.write(line)
+	if cap(line) <= maxPooledLine {
 		*buf = line
 		s.out.lines.Put(buf)
 	}
 }
 
-func (o *output) pass(line []byte) {
+func (o *output) write(line []byte) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	_, _ = o.to.Write(line) // there is nowhere to tell of a line that can't be written
+	_, _ = o.w.Write(line) // an error of the log's own writer can't be logged
 }
 
-// badKey is the key of a value that has none.
+// badKey is the key that is logged for a value without a key.
 const badKey = "!BADKEY"
 
 func appendFields(line []byte, fields []any) []byte {
@@ -154,15 +154,15 @@
 	case error:
 		return appendText(line, textOf(v))
 	}
-	// The project's words, such as kinds and endings, are texts of their own types.
+	// Such as gauge.Kind: named string types.
 	if r := reflect.ValueOf(value); r.Kind() == reflect.String {
 		return appendText(line, r.String())
 	}
 	return appendAny(line, value)
 }
 
-// textOf is an error's text. One that panics, such as a nil pointer, must not end the
-// program for the sake of a line.
+// textOf returns an error's text. An Error method that panics, as on a nil pointer, must not end the
+// program for the sake of a log line.
 func textOf(err error) (text string) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -175,6 +175,7 @@
 	return err.Error()
 }
 
+// appendAny appends a value as encoding/json encodes it, or the text of its error.
 func appendAny(line []byte, value any) []byte {
 	var body bytes.Buffer
 	e := json.NewEncoder(&body)
@@ -187,10 +188,10 @@
 
 const hex = "0123456789abcdef"
 
-// appendText writes a text as JSON.
+// appendText appends a text as a JSON string.
 func appendText(line []byte, text string) []byte {
 	line = append(line, '"')
-	plain := 0 // most texts are plain throughout
+	plain := 0 // length of the prefix that needs no escaping: mostly the whole text
 	for plain < len(text) && isPlain(text[plain]) {
 		plain++
 	}
@@ -222,9 +223,11 @@
 	return append(line, '"')
 }
 
+// isPlain reports whether a byte is ASCII and needs no escaping.
 func isPlain(c byte) bool { return c >= ' ' && c < utf8.RuneSelf && c != '"' && c != '\\' }
 
-// appendRune writes what isn't ASCII. Two separators end lines for some readers.
+// appendRune appends a rune that isn't ASCII. Invalid UTF-8 becomes U+FFFD; U+2028 and U+2029 are
+// escaped, as some readers take them for the end of a line.
 func appendRune(line []byte, r rune, text string) []byte {
 	switch {
 	case r == utf8.RuneError && len(text) == 1:
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,5 +1,5 @@
-// Package logs makes the program's structured logger: logr with JSON lines in the
-// form of the standard library's. Keys of secrets are never logged by any caller.
+// Package logs makes the program's structured logger: a logr.Logger that writes JSON lines in the
+// format of slog.JSONHandler. Callers must never log secrets.
 package logs
 
 import (
@@ -9,11 +9,11 @@
 	"github.com/go-logr/logr"
 )
 
-// debugLevel is where logr's V(1) ends up in slog.
+// debugLevel is the slog level of logr's V(1).
 const debugLevel = slog.Level(-1)
 
-// New makes a Logger that writes JSON lines. With debug set it also writes
-// what is normal but may help to find a fault.
+// New makes a Logger that writes JSON lines to w. With debug set it also writes the lines of level
+// V(1), which record normal operation and may help to find a fault.
 func New(w io.Writer, debug bool) logr.Logger {
 	level := slog.LevelInfo
 	if debug {
--- a/internal/mesh/prove.go
+++ b/internal/mesh/handshake.go
@@ -11,23 +11,24 @@
 )
 
 const (
-	nonceSize  = 16
-	proveLimit = 256 // bytes of a frame before the key is proved
+	nonceSize    = 16
+	maxProofSize = 256 // greatest size of a handshake frame, in bytes
 )
 
-// proof is one step of the handshake: a nonce for the other end and, from the
-// second step on, the other end's nonce under the shared key.
+// proof is one message of the handshake: a nonce for the other end, if it has yet to prove the key,
+// and, from the second message on, the MAC of the other end's nonce.
 type proof struct {
 	Nonce []byte `msgpack:"n"`
-	Mac   []byte `msgpack:"m"`
+	MAC   []byte `msgpack:"m"`
 }
 
-// The roles are part of what is signed, so that an answer can't be reflected.
+// The role is part of the MAC's input, so that a proof can't be reflected to its sender.
 const (
 	roleCaller = "caller"
 	roleServer = "server"
 )
 
+// mac returns the HMAC-SHA256 of the sender's role and the receiver's nonce under the shared key.
 func (n *Node) mac(role string, nonce []byte) []byte {
 	h := hmac.New(sha256.New, n.conf.Key)
 	h.Write([]byte(role))
@@ -41,7 +42,7 @@
 	return b
 }
 
-// proveAsServer sends a nonce, checks the caller's proof and gives its own.
+// proveAsServer sends a nonce, checks the caller's proof and sends its own.
 func (n *Node) proveAsServer(c net.Conn) error {
 	nonce := newNonce()
 	if err := sendProof(c, proof{Nonce: nonce}); err != nil {
@@ -51,26 +52,27 @@
 	if err != nil {
 		return err
 	}
-	if !hmac.Equal(p.Mac, n.mac(roleCaller, nonce)) {
+	if !hmac.Equal(p.MAC, n.mac(roleCaller, nonce)) {
 		return gauge.Fail(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
 	}
-	return sendProof(c, proof{Mac: n.mac(roleServer, p.Nonce)})
+	return sendProof(c, proof{MAC: n.mac(roleServer, p.Nonce)})
 }
 
+// proveAsCaller answers the server's nonce with a proof and a nonce, and checks the server's proof.
 func (n *Node) proveAsCaller(c net.Conn) error {
 	theirs, err := readProof(c)
 	if err != nil {
 		return err
 	}
 	nonce := newNonce()
-	if err := sendProof(c, proof{Nonce: nonce, Mac: n.mac(roleCaller, theirs.Nonce)}); err != nil {
+	if err := sendProof(c, proof{Nonce: nonce, MAC: n.mac(roleCaller, theirs.Nonce)}); err != nil {
 		return err
 	}
 	p, err := readProof(c)
 	if err != nil {
 		return gauge.Fail(gauge.KindDenied, "peer at %s did not accept the key", c.RemoteAddr()).Because(err)
 	}
-	if !hmac.Equal(p.Mac, n.mac(roleServer, nonce)) {
+	if !hmac.Equal(p.MAC, n.mac(roleServer, nonce)) {
 		return gauge.Fail(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
 	}
 	return nil
@@ -81,13 +83,13 @@
 	if err != nil {
 		return err
 	}
-	_, err = frame.Write(c, frame.Frame{Method: "prove", Body: body}, proveLimit)
+	_, err = frame.Write(c, frame.Frame{Method: "prove", Body: body}, maxProofSize)
 	return err
 }
 
 func readProof(c net.Conn) (proof, error) {
 	var p proof
-	f, err := frame.Read(c, proveLimit)
+	f, err := frame.Read(c, maxProofSize)
 	if err != nil {
 		return p, err
 	}
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -10,41 +10,41 @@
 	"sapphiregauge/internal/frame"
 )
 
-// link is the connection to one peer for the calls made there.
+// link is the connection to one peer, for calls from this entry to it.
 type link struct {
 	node *Node
 	addr string
 
-	opening chan struct{} // room for one: who connects
-	writing sync.Mutex
+	connecting chan struct{} // semaphore: held by the goroutine that connects
+	writeMu    sync.Mutex    // serialises writes to conn
 
-	mu      sync.Mutex
-	conn    net.Conn
-	err     error
-	last    uint64
-	waiting map[uint64]chan frame.Frame
-	heard   time.Time // when the last frame came in
+	mu           sync.Mutex
+	conn         net.Conn
+	err          error
+	lastID       uint64
+	pending      map[uint64]chan frame.Frame
+	lastReceived time.Time // when the last frame was received
 }
 
 func newLink(n *Node, addr string) *link {
-	return &link{node: n, addr: addr, opening: make(chan struct{}, 1), waiting: make(map[uint64]chan frame.Frame)}
+	return &link{node: n, addr: addr, connecting: make(chan struct{}, 1), pending: make(map[uint64]chan frame.Frame)}
 }
 
-func (k *link) dead() bool {
+func (k *link) isClosed() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.err != nil
 }
 
-// open connects once; callers that come meanwhile wait for it, no longer than they
-// have time: a host without power doesn't even refuse a connection.
-func (k *link) open(ctx context.Context) error {
+// connect connects once. Concurrent callers wait for the result until their context ends, as a host
+// without power doesn't even refuse a connection.
+func (k *link) connect(ctx context.Context) error {
 	select {
-	case k.opening <- struct{}{}:
+	case k.connecting <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-k.opening }()
+	defer func() { <-k.connecting }()
 	k.mu.Lock()
 	conn, err := k.conn, k.err
 	k.mu.Unlock()
@@ -67,11 +67,12 @@
 	k.mu.Lock()
 	k.conn = c
 	k.mu.Unlock()
-	k.node.group.Go(k.read)
+	k.node.group.Go(k.readAnswers)
 	return nil
 }
 
-func (k *link) read() {
+// readAnswers passes each answer to the call that waits for it, until the connection fails.
+func (k *link) readAnswers() {
 	for {
 		f, err := frame.Read(k.conn, k.node.conf.Limit)
 		if err != nil {
@@ -79,12 +80,12 @@
 			return
 		}
 		k.mu.Lock()
-		k.heard = time.Now()
-		ch := k.waiting[f.ID]
-		delete(k.waiting, f.ID)
+		k.lastReceived = time.Now()
+		ch := k.pending[f.ID]
+		delete(k.pending, f.ID)
 		k.mu.Unlock()
 		if ch != nil {
-			ch <- f // room for one: never waits
+			ch <- f // buffered: never blocks
 		}
 	}
 }
@@ -99,10 +100,10 @@
 	if k.conn != nil {
 		_ = k.conn.Close()
 	}
-	for _, ch := range k.waiting {
+	for _, ch := range k.pending {
 		close(ch)
 	}
-	k.waiting = nil
+	k.pending = nil
 	if k.conn != nil && k.node.conf.Closed != nil {
 		go k.node.conf.Closed(k.addr)
 	}
@@ -116,42 +117,42 @@
 		k.mu.Unlock()
 		return frame.Frame{}, gauge.Fail(gauge.KindOutage, "mesh.Call: %s", k.addr).Because(err)
 	}
-	k.last++
-	id := k.last
-	k.waiting[id] = ch
+	k.lastID++
+	id := k.lastID
+	k.pending[id] = ch
 	k.mu.Unlock()
 
-	began := time.Now()
-	k.writing.Lock()
+	sentAt := time.Now()
+	k.writeMu.Lock()
 	k.node.write(k.conn, frame.Frame{ID: id, Method: method, Body: body})
-	k.writing.Unlock()
+	k.writeMu.Unlock()
 
-	quiet := time.NewTimer(k.node.conf.Quiet)
-	defer quiet.Stop()
+	timeout := time.NewTimer(k.node.conf.Quiet)
+	defer timeout.Stop()
 	select {
 	case f, ok := <-ch:
 		if !ok {
 			return f, gauge.Fail(gauge.KindUnknown, "mesh.Call: connection to %s ended", k.addr)
 		}
 		return f, nil
-	case <-quiet.C:
-		k.closeIfSilent(began)
+	case <-timeout.C:
+		k.closeIfSilent(sentAt)
 	case <-ctx.Done():
 	}
 	k.mu.Lock()
-	delete(k.waiting, id)
+	delete(k.pending, id)
 	k.mu.Unlock()
 	return frame.Frame{}, gauge.Fail(gauge.KindUnknown, "mesh.Call: no answer to %s from %s", method, k.addr)
 }
 
-// closeIfSilent ends a connection on which nothing has come since a call went
-// out. A firewall between the two ends may have forgotten it: it would stay
-// silent for good while a new one works, and calls on it would all time out.
+// closeIfSilent closes the connection if no frame has been received since a call was sent. A
+// firewall between the two ends may have dropped its state: all calls on it would time out, while
+// a new connection would work.
 func (k *link) closeIfSilent(since time.Time) {
 	k.mu.Lock()
-	silent := k.heard.Before(since)
+	silent := k.lastReceived.Before(since)
 	k.mu.Unlock()
 	if silent {
-		k.close(gauge.Fail(gauge.KindOutage, "connection to %s went silent", k.addr))
+		k.close(gauge.Fail(gauge.KindOutage, "connection to %s is silent", k.addr))
 	}
 }
--- a/internal/mesh/connect_test.go
+++ b/internal/mesh/link_test.go
@@ -13,9 +13,9 @@
 	"sapphiregauge/internal/mesh"
 )
 
-// deaf is an address that takes no connections, and doesn't refuse them either, as
-// that of a host without power: the queue of new connections is full.
-func deaf(t *testing.T) string {
+// unresponsiveAddr returns an address that neither accepts nor refuses connections, like that of a
+// host without power: the listener's backlog is full.
+func unresponsiveAddr(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	assert.NilError(t, err)
@@ -34,17 +34,15 @@
 	}
 }
 
-// Symptom: for a second after all entries have started again, jobs wait that their
-// pool's owner doesn't know of.
-// Sequence: an entry is up before another and connects to it; the kernel asks again
-// after a second only.
-// Cause: the first try to connect is waited for, though a new one would do.
-func TestHostThatDoesNotAnswerIsGivenUpSoon(t *testing.T) {
+// Guards against jobs that their pool's owner learns of only a second after all entries have been
+// restarted: an entry connects to another that isn't up yet, and the kernel repeats the connection
+// request only after a second, while a new attempt would succeed sooner.
+func TestConnectToUnresponsiveHostTimesOutSoon(t *testing.T) {
 	n := mesh.New(mesh.Config{Dial: time.Hour})
 	defer n.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	err := n.Open(ctx, deaf(t))
+	err := n.Open(ctx, unresponsiveAddr(t))
 	assert.Assert(t, err != nil)
-	assert.NilError(t, ctx.Err(), "given up before the caller's time was over")
+	assert.NilError(t, ctx.Err(), "the attempt must time out before the caller's context")
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -1,6 +1,6 @@
-// Package mesh carries calls between entries: msgpack frames over TCP, one
-// connection to each peer for the calls made there. Both ends prove that they
-// have the shared key before anything else is read.
+// Package mesh carries calls between entries: msgpack frames over TCP, with one
+// connection to each peer for the calls to it. Both ends prove that they have the
+// shared key before anything else is read.
 package mesh
 
 import (
@@ -21,30 +21,33 @@
 // Config sets up a Node.
 type Config struct {
 	Key   []byte        // shared by all entries
-	Limit int           // bytes of a frame; default 1 MiB
-	Dial  time.Duration // longest time to prove the key; default 1 s
-	// Connect is the longest time to connect; default 250 ms. A host that has no power
-	// doesn't answer, and the kernel asks again only after a second: tried for longer,
-	// an entry that has just started again isn't reached for that second.
+	Limit int           // greatest size of a frame, in bytes; default 1 MiB
+	Dial  time.Duration // timeout of the handshake; default 1 s
+	// Connect is the timeout for establishing a TCP connection; default 250 ms. A host without
+	// power doesn't answer, and the kernel repeats the request only after a second: with a longer
+	// timeout, an entry that has just been restarted isn't reached for that second.
 	Connect time.Duration
-	Quiet   time.Duration // a call unanswered so long closes its connection; default 2 s
-	// Closed is told that the connection for calls to a peer has ended; nil: nobody is.
+	// Quiet is the timeout of a call, and of writing a frame; default 2 s. A call without an
+	// answer in this time closes its connection if nothing else was received on it.
+	Quiet time.Duration
+	// Closed is called when the connection for calls to a peer has ended; it may be nil.
 	Closed func(addr string)
 }
 
 const (
-	defaultLimit = 1 << 20
-	defaultDial  = time.Second
-	// defaultConnect: data centres are 3 ms apart there and back, and an entry's
-	// kernel answers also while its process is slow.
-	defaultConnect = 250 * time.Millisecond
-	defaultQuiet   = 2 * time.Second
-	// callsAtOnce bounds the calls of one connection that run at once, so that
-	// a peer gone mad takes no more than its share of memory.
-	callsAtOnce = 256
+	defaultLimit            = 1 << 20
+	defaultHandshakeTimeout = time.Second
+	// defaultConnectTimeout is ample: the round trip between data centres takes 3 ms, and an entry's
+	// kernel answers even while its process is slow.
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultCallTimeout    = 2 * time.Second
+	// maxConcurrentCalls bounds the concurrent calls of one connection, so that a misbehaving
+	// peer can't use up the memory.
+	maxConcurrentCalls = 256
 )
 
-// Handler answers one method. The body is the caller's request.
+// Handler answers calls of one method. The body is the encoded request; the result is encoded as
+// the answer, and of an error the kind and the text are sent.
 type Handler func(ctx context.Context, body []byte) (any, error)
 
 // Node is one entry's end of the mesh. It implements gauge.Peers.
@@ -55,35 +58,36 @@
 	bytes    atomic.Int64
 	calls    atomic.Int64
 
-	mu     sync.Mutex
-	links  map[string]*link
-	served map[net.Conn]bool
-	listen net.Listener
-	closed bool
+	mu       sync.Mutex
+	links    map[string]*link
+	accepted map[net.Conn]bool
+	listener net.Listener
+	closed   bool
 }
 
-// New makes a Node that handles nothing yet.
+// New makes a Node without handlers.
 func New(c Config) *Node {
 	fill.Zero(&c.Limit, defaultLimit)
-	fill.Zero(&c.Dial, defaultDial)
-	fill.Zero(&c.Connect, defaultConnect)
-	fill.Zero(&c.Quiet, defaultQuiet)
+	fill.Zero(&c.Dial, defaultHandshakeTimeout)
+	fill.Zero(&c.Connect, defaultConnectTimeout)
+	fill.Zero(&c.Quiet, defaultCallTimeout)
 	return &Node{
 		conf: c, handlers: make(map[string]Handler),
-		links: make(map[string]*link), served: make(map[net.Conn]bool),
+		links: make(map[string]*link), accepted: make(map[net.Conn]bool),
 	}
 }
 
-// Handle sets the handler of a method. It is called before Serve.
+// Handle sets the handler of a method. It must be called before Serve.
 func (n *Node) Handle(method string, h Handler) { n.handlers[method] = h }
 
-// Open connects to a peer if there is no connection yet, so that its end is told.
+// Open connects to a peer if there is no connection yet, so that Config.Closed is called when the
+// connection ends.
 func (n *Node) Open(ctx context.Context, addr string) error {
 	_, err := n.link(ctx, addr)
 	return err
 }
 
-// Bytes returns all bytes written so far, both as caller and as called.
+// Bytes returns the number of bytes written so far, as client and as server.
 func (n *Node) Bytes() int64 { return n.bytes.Load() }
 
 // Calls returns the number of calls made so far.
@@ -92,7 +96,7 @@
 // Serve answers calls until Close.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
 	n.mu.Lock()
-	n.listen = l
+	n.listener = l
 	n.mu.Unlock()
 	for {
 		c, err := l.Accept()
@@ -110,21 +114,21 @@
 	}
 }
 
-// Close ends all connections and waits for what runs.
+// Close closes all connections and waits for running calls to end.
 func (n *Node) Close() {
 	n.mu.Lock()
 	n.closed = true
-	if n.listen != nil {
-		_ = n.listen.Close()
+	if n.listener != nil {
+		_ = n.listener.Close()
 	}
-	for c := range n.served {
+	for c := range n.accepted {
 		_ = c.Close()
 	}
 	links := n.links
 	n.links = make(map[string]*link)
 	n.mu.Unlock()
 	for _, k := range links {
-		k.close(gauge.Fail(gauge.KindOutage, "this entry is closing"))
+		k.close(gauge.Fail(gauge.KindOutage, "this entry is shutting down"))
 	}
 	n.group.Wait()
 }
@@ -141,7 +145,7 @@
 	if n.closed {
 		return false
 	}
-	n.served[c] = true
+	n.accepted[c] = true
 	return true
 }
 
@@ -149,7 +153,7 @@
 	defer func() {
 		_ = c.Close()
 		n.mu.Lock()
-		delete(n.served, c)
+		delete(n.accepted, c)
 		n.mu.Unlock()
 	}()
 	_ = c.SetDeadline(time.Now().Add(n.conf.Dial))
@@ -157,27 +161,27 @@
 		return
 	}
 	_ = c.SetDeadline(time.Time{})
-	var write sync.Mutex
+	var writeMu sync.Mutex
 	var running conc.WaitGroup
 	defer running.Wait()
-	room := make(chan struct{}, callsAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for {
 		f, err := frame.Read(c, n.conf.Limit)
 		if err != nil {
 			return
 		}
-		room <- struct{}{}
+		slots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			answer := n.answer(ctx, f)
-			write.Lock()
-			defer write.Unlock()
+			writeMu.Lock()
+			defer writeMu.Unlock()
 			n.write(c, answer)
 		})
 	}
 }
 
-// write sends a frame; a failure closes the connection, which the reader sees.
+// write sends a frame. A failure closes the connection, which ends the goroutine that reads it.
 func (n *Node) write(c net.Conn, f frame.Frame) {
 	_ = c.SetWriteDeadline(time.Now().Add(n.conf.Quiet))
 	sent, err := frame.Write(c, f, n.conf.Limit)
@@ -191,23 +195,24 @@
 	out := frame.Frame{ID: f.ID}
 	h := n.handlers[f.Method]
 	if h == nil {
-		// A newer peer may know methods that this one doesn't: not an error of
-		// the connection.
-		return faultFrame(out, gauge.Fail(gauge.KindMissing, "method %q", f.Method))
+		// A newer peer may call methods that this version doesn't have: the connection is
+		// still good.
+		return errorFrame(out, gauge.Fail(gauge.KindMissing, "method %q", f.Method))
 	}
 	resp, err := h(ctx, f.Body)
 	if err != nil {
-		return faultFrame(out, err)
+		return errorFrame(out, err)
 	}
 	body, err := frame.Encode(resp)
 	if err != nil {
-		return faultFrame(out, err)
+		return errorFrame(out, err)
 	}
 	out.Body = body
 	return out
 }
 
-func faultFrame(f frame.Frame, err error) frame.Frame {
+// errorFrame adds the kind and the text of an error to an answer.
+func errorFrame(f frame.Frame, err error) frame.Frame {
 	f.Fault = string(gauge.KindOf(err))
 	text, encErr := msgpack.Marshal(err.Error())
 	if encErr == nil {
@@ -216,7 +221,9 @@
 	return f
 }
 
-// Call asks a peer and decodes its answer into resp.
+// Call calls a method of the peer at addr and decodes the answer into resp. An error of the peer
+// keeps its kind. Of the errors of this end, KindOutage means that the request was not sent, and
+// KindUnknown that the peer may have executed it.
 func (n *Node) Call(ctx context.Context, addr, method string, req, resp any) error {
 	body, err := frame.Encode(req)
 	if err != nil {
@@ -239,18 +246,18 @@
 	return frame.Decode(f.Body, resp)
 }
 
-// link returns the connection to a peer, made anew if there is none.
+// link returns the connection to a peer; it connects if there is none.
 func (n *Node) link(ctx context.Context, addr string) (*link, error) {
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
-		return nil, gauge.Fail(gauge.KindDraining, "this entry is closing")
+		return nil, gauge.Fail(gauge.KindDraining, "this entry is shutting down")
 	}
 	k := n.links[addr]
-	if k == nil || k.dead() {
+	if k == nil || k.isClosed() {
 		k = newLink(n, addr)
 		n.links[addr] = k
 	}
 	n.mu.Unlock()
-	return k, k.open(ctx)
+	return k, k.connect(ctx)
 }
--- a/internal/meter/owner.go
+++ b/internal/meter/owner.go
@@ -6,28 +6,28 @@
 	gauge "sapphiregauge"
 )
 
-// owners has what waits at the owners of this entry's pools, by pool.
-type owners struct {
+// ownerMetrics holds the gauges of the backlog at the ownerMetrics that run on this entry, by pool.
+type ownerMetrics struct {
 	changes, changeAge, ends, endAge, starts, startAge, queued, silent, slow *prometheus.GaugeVec
 	oldest                                                                   prometheus.Histogram
 }
 
-// pools turns a name and a help text into a gauge by pool.
-func pools(name, help string) *prometheus.GaugeVec {
+// newPoolGauge makes a gauge with the label pool.
+func newPoolGauge(name, help string) *prometheus.GaugeVec {
 	return prometheus.NewGaugeVec(prometheus.GaugeOpts{Name: prefix + "owner_" + name, Help: help}, []string{"pool"})
 }
 
-func newOwners() *owners {
-	return &owners{
-		changes:   pools("unwritten_changes", "Jobs with changes that the table doesn't have yet."),
-		changeAge: pools("oldest_change_seconds", "How long the oldest of these has waited."),
-		ends:      pools("unacknowledged_ends", "Ends taken in from workers that are not yet to be acknowledged."),
-		endAge:    pools("oldest_end_seconds", "How long the oldest of these has waited."),
-		starts:    pools("unanswered_starts", "Starts ordered that have no answer yet."),
-		startAge:  pools("oldest_start_seconds", "How long the oldest of these has waited."),
-		queued:    pools("queued_orders", "Orders that wait for their turn at a worker."),
-		silent:    pools("silent_workers", "Workers on the platform's list whose holds get no answer."),
-		slow:      pools("slow_calls_ratio", "Share of the orders within the last second that were slow."),
+func newOwnerMetrics() *ownerMetrics {
+	return &ownerMetrics{
+		changes:   newPoolGauge("unwritten_changes", "Jobs with changes that the table doesn't have yet."),
+		changeAge: newPoolGauge("oldest_change_seconds", "How long the oldest of these has waited."),
+		ends:      newPoolGauge("unacknowledged_ends", "Ends taken in from workers that are not yet to be acknowledged."),
+		endAge:    newPoolGauge("oldest_end_seconds", "How long the oldest of these has waited."),
+		starts:    newPoolGauge("unanswered_starts", "Starts ordered that have no answer yet."),
+		startAge:  newPoolGauge("oldest_start_seconds", "How long the oldest of these has waited."),
+		queued:    newPoolGauge("queued_orders", "Orders that wait for their turn at a worker."),
+		silent:    newPoolGauge("silent_workers", "Workers on the platform's list whose holds get no answer."),
+		slow:      newPoolGauge("slow_calls_ratio", "Share of the orders within the last second that were slow."),
 		oldest: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Name: prefix + "owner_oldest_seconds", Help: "Age of whatever has waited longest at an owner, each quarter of a second.",
 			Buckets: prometheus.ExponentialBuckets(0.0625, 2, 12),
@@ -35,19 +35,19 @@
 	}
 }
 
-func (o *owners) gauges() []*prometheus.GaugeVec {
+func (o *ownerMetrics) gauges() []*prometheus.GaugeVec {
 	return []*prometheus.GaugeVec{o.changes, o.changeAge, o.ends, o.endAge, o.starts, o.startAge, o.queued, o.silent, o.slow}
 }
 
-func (o *owners) register(r *prometheus.Registry) {
+func (o *ownerMetrics) register(r *prometheus.Registry) {
 	r.MustRegister(o.oldest)
 	for _, g := range o.gauges() {
 		r.MustRegister(g)
 	}
 }
 
-// Backlog notes what waits at the owner of a pool; nil: the pool isn't owned here any
-// more, and has no figures.
+// Backlog sets the backlog of a pool's owner. With nil the pool is no longer owned here, and its
+// gauges are deleted.
 func (m *Meter) Backlog(pool string, b *gauge.Backlog) {
 	o := m.owners
 	if b == nil {
--- a/internal/meter/owner_test.go
+++ b/internal/meter/owner_test.go
@@ -14,8 +14,8 @@
 	"sapphiregauge/internal/meter"
 )
 
-// What waits at an owner is told while its pool is owned here, and no longer.
-func TestBacklogIsToldWhileThePoolIsOwnedHere(t *testing.T) {
+// An owner's backlog is exported only while its pool is owned here.
+func TestBacklogIsExportedOnlyWhileThePoolIsOwned(t *testing.T) {
 	m := meter.New()
 	m.Backlog("a", &gauge.Backlog{
 		Changes: 3, ChangeAge: 1500 * time.Millisecond, Ends: 20, EndAge: 2 * time.Second, Starts: 7, StartAge: 250 * time.Millisecond,
@@ -38,7 +38,7 @@
 	assert.Assert(t, strings.Contains(text, `pool="b"`), text)
 }
 
-// scrape is the metrics as an operator gets them.
+// scrape returns the metrics as text, as a Prometheus server scrapes them.
 func scrape(m *meter.Meter) string {
 	answer := httptest.NewRecorder()
 	promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{}).ServeHTTP(answer, httptest.NewRequest(http.MethodGet, "/metrics", http.NoBody))
--- a/internal/meter/followed.go
+++ b/internal/meter/tableages.go
@@ -6,15 +6,16 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// followed tells at each scrape how old what is known of the tables is.
-type followed struct {
+// tableAges is a collector of the age of this entry's view of each table that it follows.
+type tableAges struct {
 	age  *prometheus.Desc
 	ages func() map[string]time.Duration
 }
 
-// Followed has the age of what is known of each table told, as a function gives it.
+// Followed registers a gauge of the age of this entry's view of each followed table. ages returns
+// the ages by table at each scrape.
 func (m *Meter) Followed(ages func() map[string]time.Duration) {
-	m.Registry.MustRegister(&followed{
+	m.Registry.MustRegister(&tableAges{
 		age: prometheus.NewDesc(prefix+"followed_age_seconds",
 			"How long ago all that a table holds was known here, by table that is followed.", []string{"table"}, nil),
 		ages: ages,
@@ -22,10 +23,10 @@
 }
 
 // Describe implements prometheus.Collector.
-func (f *followed) Describe(out chan<- *prometheus.Desc) { out <- f.age }
+func (f *tableAges) Describe(out chan<- *prometheus.Desc) { out <- f.age }
 
 // Collect implements prometheus.Collector.
-func (f *followed) Collect(out chan<- prometheus.Metric) {
+func (f *tableAges) Collect(out chan<- prometheus.Metric) {
 	for table, age := range f.ages() {
 		out <- prometheus.MustNewConstMetric(f.age, prometheus.GaugeValue, age.Seconds(), table)
 	}
--- a/internal/meter/followed_test.go
+++ b/internal/meter/tableages_test.go
@@ -10,9 +10,9 @@
 	"sapphiregauge/internal/meter"
 )
 
-// How old what is known of a table is, is told as of the scrape, and no longer than the
+// The age of a followed table is that at the time of the scrape, and is exported only while the
 // table is followed.
-func TestAgesOfFollowedTablesAreToldAsOfTheScrape(t *testing.T) {
+func TestAgesOfFollowedTablesAreCurrentAtEachScrape(t *testing.T) {
 	m := meter.New()
 	ages := map[string]time.Duration{"leases": 250 * time.Millisecond, "workers": time.Second}
 	m.Followed(func() map[string]time.Duration { return ages })
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -38,12 +38,12 @@
 // Table follows one table.
 type Table struct {
 	conf        Config
-	version     int64         // version that has been delivered
+	version     int64         // table version up to which rows have been delivered
 	failures    int           // consecutive failed calls
 	hasRows     bool          // all rows have been delivered, so the feed can go on from version
-	unreachable bool          // since the last call failed
+	unreachable bool          // set by a failed call, until one succeeds
 	lastAnswer  time.Duration // when a call last succeeded
-	knownAsOf   time.Duration // all rows of this time have been delivered
+	knownAsOf   time.Duration // the rows as of this time have been delivered
 }
 
 const (
@@ -52,7 +52,7 @@
 	// are a megabyte, which a link of 10 Mbit/s transfers just within a read's timeout.
 	// All current rows are a tenth of that.
 	maxFeedLag = 2 * time.Second
-	// minRetryDelay and lastPause bound the random delay after a failure. The jitter keeps
+	// minRetryDelay and maxRetryDelay bound the random delay after a failure. The jitter keeps
 	// entries from calling all at once after an outage.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
@@ -165,6 +165,7 @@
 	return sent
 }
 
+// reportAsOf records and reports that the rows as of a time have been delivered.
 func (t *Table) reportAsOf(asOf time.Duration) {
 	t.knownAsOf = asOf
 	if t.conf.Seen != nil {
@@ -172,6 +173,7 @@
 	}
 }
 
+// readAll reads and delivers the whole table.
 func (t *Table) readAll(ctx context.Context) error {
 	sent := t.conf.Now()
 	rows, stamp, err := t.conf.Store.Range(ctx, t.conf.Name, "", "", "")
