--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,6 +1,6 @@
-// Package broker moves slot leases between entries: in rounds it sends the
-// desks' asks to the pools' owners, one message per owner, and for the pools
-// that this entry owns it answers the others' asks.
+// Package broker exchanges slot leases between entries. In rounds it sends the dispatchers' lease
+// requests to the pools' owners, one message per owner, and it answers the other entries' requests
+// for the pools that this entry owns.
 package broker
 
 import (
@@ -33,7 +33,7 @@
 	Seed  uint64
 }
 
-// The names under which the messages go over the mesh.
+// The method names of the messages between entries.
 const (
 	MethodAsk   = "ask"
 	MethodGrant = "grant"
@@ -42,12 +42,12 @@
 const (
 	defaultTerm  = 3 * time.Second
 	defaultRound = time.Second
-	// soon is the pause between a need of slots and the ask, so that the needs
+	// requestDelay is the pause between a need for slots and the lease request, so that the needs
 	// of a burst go into one message.
 	soon = 2 * time.Millisecond
 )
 
-// asks and grants are the messages.
+// requestMsg and grantMsg are the messages between entries.
 type asks struct {
 	Asks []slots.Ask `msgpack:"a"`
 }
@@ -56,10 +56,10 @@
 	Grants []slots.Grant `msgpack:"g"`
 }
 
-// nothing is the answer to a message that needs none.
+// emptyReply answers a message that needs no answer.
 type nothing struct{}
 
-// Broker has the desks and owners of this entry.
+// Broker has the dispatchers of this entry, and the owners of the pools that it owns.
 type Broker struct {
 	conf Config
 	kick chan struct{}
@@ -67,27 +67,27 @@
 	mu     sync.RWMutex
 	desks  map[string]*desk.Desk
 	owners map[string]*owner
-	fleets map[string]fleet // by pool, of the state in force
+	fleets map[string]fleet // by pool, of the configuration in force
 }
 
-// fleet is what can be handed out under one name: a pool's slots, or a team's
-// quota as the slots of one room.
+// leasable is what can be leased out under one name: a pool's slots, or a team's quota as the slots
+// of a single made-up host.
 type fleet struct {
 	slots.Fleet
 	limit time.Duration // longest run of a request
 }
 
-// Quota is the name under which a team's quota is handed out.
+// Quota is the name under which a team's quota is leased out.
 func Quota(team string) string { return "team/" + team }
 
-// owner is one pool that this entry owns, under its own lock.
+// owner leases out one pool that this entry owns, under its own lock.
 type owner struct {
 	mu    sync.Mutex
 	slots *slots.Owner
-	sure  time.Time // when this entry was last seen to be the owner
+	sure  time.Time // when this entry was last known to be the owner
 }
 
-// New makes a Broker without desks.
+// New returns a Broker without dispatchers.
 func New(c Config) *Broker {
 	fill.Zero(&c.Term, defaultTerm)
 	fill.Zero(&c.Round, defaultRound)
@@ -106,7 +106,7 @@
 	}
 }
 
-// Adopt gives the desks the hosts and quotas of a new state.
+// Adopt gives the dispatchers the hosts and quotas of a new configuration state.
 func (b *Broker) Adopt(s gauge.State) {
 	byPool := make(map[string]gauge.Hosts)
 	rooms := make(map[string][]slots.Room)
@@ -134,11 +134,11 @@
 	b.mu.Unlock()
 }
 
-// quotaHost is the one room that a team's quota is made of.
+// quotaHost is the made-up host whose slots are a team's quota.
 const quotaHost = "quota"
 
-// bounds returns for each pool how many requests may wait at one entry and how
-// long one may run.
+// poolLimits returns for each pool how many requests may wait at one entry and how long one may
+// run.
 func bounds(s gauge.State) (lengths map[string]int, limits map[string]time.Duration) {
 	lengths, limits = make(map[string]int), make(map[string]time.Duration)
 	for _, name := range s.Names(gauge.RecordService) {
@@ -163,14 +163,14 @@
 	return d
 }
 
-// Desk returns a pool's desk; nil if there is no such pool.
+// Desk returns a pool's dispatcher; nil if there is no such pool.
 func (b *Broker) Desk(pool string) *desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.desks[pool]
 }
 
-// Counts returns what each desk is doing now.
+// Counts returns the current state of each dispatcher.
 func (b *Broker) Counts() []desk.Counts {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -181,8 +181,8 @@
 	return out
 }
 
-// Run makes rounds until ctx ends: leases are renewed at each tick, and changes
-// told as soon as there are some.
+// Run makes rounds until ctx ends: leases are renewed at each tick, and changes are sent as soon as
+// there are some.
 func (b *Broker) Run(ctx context.Context) {
 	tick := time.NewTicker(b.conf.Round)
 	defer tick.Stop()
@@ -202,7 +202,7 @@
 	}
 }
 
-// round sends what the desks have to say, one message per owner.
+// sendRequests sends the dispatchers' lease requests, one message per owner.
 func (b *Broker) round(ctx context.Context, group *conc.WaitGroup, say func(*desk.Desk) (slots.Ask, bool)) {
 	view := b.conf.View()
 	byOwner := make(map[string]*asks)
@@ -240,13 +240,13 @@
 	return out
 }
 
-// send asks an owner. A message that is lost is made good by the next renewal.
+// sendToOwner sends lease requests to an owner. The next renewal makes up for a lost message.
 func (b *Broker) send(ctx context.Context, addr string, msg *asks) {
 	ctx, cancel := context.WithTimeout(ctx, b.conf.Round)
 	defer cancel()
 	var back grants
 	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &back); err != nil {
-		b.conf.Logs.V(1).Info("owner does not answer", "addr", addr, "reason", err.Error())
+		b.conf.Logs.V(1).Info("pool owner did not answer", "addr", addr, "reason", err.Error())
 		return
 	}
 	b.take(back)
@@ -260,7 +260,7 @@
 	}
 }
 
-// HandleAsk answers another entry's asks.
+// HandleAsk answers another entry's lease requests.
 func (b *Broker) HandleAsk(ctx context.Context, body []byte) (any, error) {
 	var msg asks
 	if err := frame.Decode(body, &msg); err != nil {
@@ -270,7 +270,7 @@
 	return &back, nil
 }
 
-// HandleGrant takes in what an owner gives without being asked now.
+// HandleGrant takes in slots that an owner grants after it answered the request.
 func (b *Broker) HandleGrant(_ context.Context, body []byte) (any, error) {
 	var msg grants
 	if err := frame.Decode(body, &msg); err != nil {
@@ -315,7 +315,7 @@
 	return o.slots.Ask(b.conf.Clock(), a)
 }
 
-// push sends slots that came free to an entry that waits for some.
+// pushGrants sends slots that came free to an entry that waits for some.
 func (b *Broker) push(ctx context.Context, holder string, g *grants, view member.View) {
 	if holder == b.name() {
 		b.take(*g)
@@ -333,10 +333,10 @@
 	}
 }
 
-// own returns the owner of a pool, made anew if this entry was not the owner
-// all the time up to now: then it waits out the leases of the owner before it.
-// A paused entry wakes with old leases in its memory, while another may have
-// been the owner; a gap of a term shows that.
+// currentOwner returns the owner of a pool. It is created anew if this entry wasn't the owner all
+// the time up to now, and then waits until the leases of the previous owner have expired. An entry
+// that was paused still has old leases in memory, while another may have been the owner; a gap of
+// more than a lease duration shows that.
 func (b *Broker) own(pool string, limit time.Duration) *owner {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -347,14 +347,14 @@
 			Pool: pool, Term: b.conf.Term, Limit: limit, Start: now,
 		})}
 		b.owners[pool] = o
-		b.conf.Logs.V(1).Info("hands out slots", "pool", pool)
+		b.conf.Logs.V(1).Info("leasing out slots as pool owner", "pool", pool)
 	}
 	o.sure = now
 	return o
 }
 
-// review looks in every round which names are this entry's, so that the wait
-// for the owner before it is over before the first ask comes.
+// updateOwners determines in every round which pools are this entry's, so that the wait for the
+// previous owner's leases is over before the first request comes.
 func (b *Broker) review(view member.View) {
 	b.mu.RLock()
 	fleets := b.fleets
@@ -368,15 +368,15 @@
 	}
 }
 
-// disown forgets a pool that is now another's: what was granted here is known
-// to the holders, who tell the new owner.
+// dropOwner forgets a pool that another entry owns now. Its holders know what was granted here and
+// report it to the new owner.
 func (b *Broker) disown(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.owners, pool)
 }
 
-// Seen passes the platform's host list to the owners.
+// ObserveHosts passes the platform's host list to the owners.
 func (b *Broker) Seen(list gauge.Sightings) {
 	b.mu.RLock()
 	owners := make([]*owner, 0, len(b.owners))
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim lets a request run at most once. Before anything is dispatched
-// its claim row is inserted where there is none, and the insertion confirmed.
-// A claim stays: a second request with the same key gets the stored answer, or
-// is told that the first one is running or that its outcome is unknown; it is
-// never dispatched, since a paused holder may wake and dispatch.
+// Package claim makes a request run at most once. Before it is dispatched, its claim row is
+// inserted where there is none, and the insertion is confirmed. The claim row stays: a second
+// request with the same key gets the stored answer, or is told that the first one is running or
+// that its outcome is unknown. It is never dispatched, since a paused holder of the claim may
+// resume and dispatch.
 package claim
 
 import (
@@ -19,11 +19,11 @@
 
 // Config sets up Claims.
 type Config struct {
-	Entry   string // id/run of this entry
+	Entry   string // ID/start ID of this entry
 	Table   gauge.Table
 	Objects gauge.Objects
 	Timeout time.Duration // of one transaction; default 2 s
-	Inline  int           // bytes of a body kept in the row; longer ones go to the object store; default 32 KiB
+	Inline  int           // most bytes of a body kept in the row; longer ones go to the object store; default 32 KiB
 	Clock   gauge.Clock
 }
 
@@ -39,37 +39,36 @@
 	group *group
 }
 
-// Held is a claim as it was read, with the version to write it on.
+// Held is a claim as it was read, with the version that a write must find.
 type Held struct {
 	Key     gauge.ClaimKey
 	Claim   gauge.Claim
 	version int64
 }
 
-// New makes Claims.
+// New returns Claims.
 func New(c Config) *Claims {
 	fill.Zero(&c.Timeout, defaultTimeout)
 	fill.Zero(&c.Inline, defaultInline)
 	return &Claims{conf: c, group: &group{table: c.Table, timeout: c.Timeout}}
 }
 
-// Counts returns the transactions made and the writes that they carried.
+// CommitCounts returns the number of transactions made and of the writes that they carried.
 func (c *Claims) Counts() (commits, writes int) { return c.group.counts() }
 
 func rowKey(k gauge.ClaimKey) string { return "claim/" + k.Day + "/" + k.Team + "/" + k.ID }
 
-// asyncKey lists an asynchronous claim under the entry that runs it, so that
-// what a dead entry leaves behind is found without a look at all claims.
+// asyncKey lists an asynchronous claim under the entry that runs it, so that what a dead entry
+// leaves behind is found without reading all claims.
 func asyncKey(entry string, k gauge.ClaimKey) string {
 	return "async/" + entry + "/" + k.Day + "/" + k.Team + "/" + k.ID
 }
 
-// Claim inserts a claim. It returns the claim that is there and whether it is
-// ours and new. An error means that nothing may be dispatched; the caller may
-// then say "not run", and passes what is returned to Abandon if it has a token.
+// Insert inserts a claim. It returns the claim that is stored, and whether that is the new one. An
+// error means that nothing may be dispatched: the caller may then answer "not run", and passes what
+// is returned to Abandon if it has a token.
 //
-// If the answer of the insertion is lost, the row is read back and the token
-// tells whose it is.
+// If the insertion isn't answered, the row is read back, and its token shows whose it is.
 func (c *Claims) Claim(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.Accepted) (Held, bool, error) {
 	want := gauge.Claim{Token: uuid.NewString(), Entry: c.conf.Entry, State: state, Hash: hash, Accept: accept}
 	if err := c.spill(ctx, k, want.Accept); err != nil {
@@ -112,8 +111,8 @@
 	return append(puts, index), nil
 }
 
-// readBack reads the row after a lost answer, a few times: the table may be
-// slow, and the answer decides whether the request runs.
+// readBack reads the row after an unanswered write. It tries a few times: the table may be slow,
+// and the result decides whether the request runs.
 func (c *Claims) readBack(ctx context.Context, k gauge.ClaimKey) (Held, error) {
 	return backoff.Retry(ctx, func() (Held, error) {
 		return c.Read(ctx, k)
@@ -127,7 +126,7 @@
 	return b
 }
 
-// Read reads a claim; without a row its state is empty.
+// Read reads a claim. Without a row its state is empty.
 func (c *Claims) Read(ctx context.Context, k gauge.ClaimKey) (Held, error) {
 	h := Held{Key: k}
 	row, err := c.conf.Table.Get(ctx, rowKey(k))
@@ -141,9 +140,8 @@
 	return h, nil
 }
 
-// Move writes a claim on from the state in which it was read, if nobody else
-// has. False means that another entry has it now, and nothing may be
-// dispatched here.
+// Transition writes a claim's next state if the claim hasn't changed since it was read. False means
+// that another entry has it now, and nothing may be dispatched here.
 func (c *Claims) Move(ctx context.Context, h Held, state gauge.ClaimState) (Held, bool, error) {
 	if h.version == 0 {
 		read, err := c.Read(ctx, h.Key)
@@ -176,9 +174,9 @@
 	return read, read.Claim.Token == next.Token, nil
 }
 
-// Finish stores the outcome of a claim, and keeps trying while the table is
-// out, until ctx ends: the request has run, and whoever asks again is to get
-// its answer. A claim that another entry took over meanwhile is left alone.
+// StoreOutcome stores the outcome of a claim. It retries during a table outage until ctx ends: the
+// request has run, and a repeated request must get its answer. A claim that another entry took over
+// meanwhile is left alone.
 func (c *Claims) Finish(ctx context.Context, h Held, o gauge.Outcome) error {
 	if err := c.spillOutcome(ctx, h.Key, &o); err != nil {
 		return err
@@ -206,13 +204,12 @@
 	return c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version}, puts...)
 }
 
-// abandonFor is how long a transaction whose answer was lost may still arrive.
+// maxCommitDelay is how long an unanswered transaction may still take effect.
 const abandonFor = time.Minute
 
-// Abandon takes back a claim whose insertion was not confirmed. It may still
-// take effect after its caller was told "not run"; left there, it would show
-// the caller's next try as running for ever. The row is looked for until it
-// turns up or can no longer come.
+// Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
+// after the caller was told "not run"; left there, the row would make the caller's next try appear
+// to be running for ever. Abandon looks for the row until it turns up or can no longer come.
 func (c *Claims) Abandon(ctx context.Context, h Held) {
 	ctx, cancel := context.WithTimeout(ctx, abandonFor)
 	defer cancel()
@@ -222,14 +219,14 @@
 			return struct{}{}, err
 		}
 		if read.Claim.Token != h.Claim.Token {
-			return struct{}{}, gauge.Fail(gauge.KindMissing, "not there yet")
+			return struct{}{}, gauge.Fail(gauge.KindMissing, "claim row not found yet")
 		}
 		return struct{}{}, c.Drop(ctx, h)
 	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(abandonFor))
 }
 
-// Drop removes a claim whose request was proved not to have run, so that the
-// caller may ask again under the same key.
+// Delete removes a claim whose request was proved not to have run, so that the caller may retry
+// under the same key.
 func (c *Claims) Drop(ctx context.Context, h Held) error {
 	read, err := c.readBack(ctx, h.Key)
 	if err != nil {
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -8,9 +8,9 @@
 	gauge "sapphiregauge"
 )
 
-// group commits the writes of many requests in shared transactions: while one
-// is under way, the next gathers. The table takes several hundred writes a
-// second; a transaction counts as one.
+// groupCommitter commits the writes of many requests in shared transactions: while one transaction
+// is under way, the writes for the next are collected. The table takes several hundred transactions
+// per second, however many writes each carries.
 type group struct {
 	table   gauge.Table
 	timeout time.Duration
@@ -22,7 +22,7 @@
 	writes  int
 }
 
-// write is one conditional write with the channel that gets its result.
+// write is one conditional write, with the channel that gets its result.
 type write struct {
 	check gauge.Check
 	put   []gauge.Put
@@ -31,8 +31,9 @@
 
 const mostInGroup = 100
 
-// do writes once, with others where they come together. The result is of kind
-// conflict if the check failed, and unknown if that can't be told.
+// commitWrite makes one conditional write, in one transaction with others that come at the same
+// time. It returns an error of kind conflict if the check failed, and unknown if it can't be known
+// whether the write took effect.
 func (g *group) do(ctx context.Context, check gauge.Check, puts ...gauge.Put) error {
 	w := &write{check: check, put: puts, done: make(chan error, 1)}
 	g.mu.Lock()
@@ -60,8 +61,8 @@
 	}
 }
 
-// next takes the writes that wait. Two on the same row don't go into one
-// transaction, since the second's check is of the row before the first.
+// nextBatch takes the waiting writes. Two writes of the same row never go into one transaction,
+// since the second one's check is of the row before the first write.
 func (g *group) next() []*write {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,7 +96,7 @@
 	}
 	err := g.table.Commit(ctx, t)
 	if gauge.Is(err, gauge.KindConflict) && len(batch) > 1 {
-		// One of them lost its race; the others must not fail with it.
+		// One of the checks failed; the other writes must not fail with it.
 		for _, w := range batch {
 			g.commit([]*write{w})
 		}
@@ -106,7 +107,7 @@
 	}
 }
 
-// counts returns the transactions made and the writes they carried.
+// counts returns the transactions made and the writes that they carried.
 func (g *group) counts() (commits, writes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -9,8 +9,8 @@
 	gauge "sapphiregauge"
 )
 
-// spill moves a long body into the object store. Its name holds the whole key,
-// so a repeat writes the same object.
+// storeLongBody moves a long body into the object store. The object's name holds the whole key, so
+// a retry writes the same object.
 func (c *Claims) spill(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
 	if a == nil || len(a.Body) <= c.conf.Inline {
 		return nil
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// Body returns the body of an accepted request.
+// FetchBody returns the body of an accepted request.
 func (c *Claims) Body(ctx context.Context, a *gauge.Accepted) ([]byte, error) {
 	if a.Object == "" {
 		return a.Body, nil
@@ -46,7 +46,7 @@
 	return c.conf.Objects.Fetch(ctx, a.Object)
 }
 
-// Answer returns the body of a stored answer.
+// FetchAnswer returns the body of a stored answer.
 func (c *Claims) Answer(ctx context.Context, o *gauge.Outcome) ([]byte, error) {
 	if o.Object == "" {
 		return o.Body, nil
@@ -54,7 +54,7 @@
 	return c.conf.Objects.Fetch(ctx, o.Object)
 }
 
-// Entries lists the entries (id/run) that have asynchronous claims not done.
+// UnfinishedByEntry lists the asynchronous claims that aren't done, by entry (ID/start ID).
 func (c *Claims) Entries(ctx context.Context) (map[string][]gauge.ClaimKey, error) {
 	rows, err := c.conf.Table.Scan(ctx, "async/")
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	out := make(map[string][]gauge.ClaimKey)
 	for _, r := range rows {
-		const parts = 6 // async, id, run, day, team, key
+		const parts = 6 // async, ID, start ID, day, team, key
 		p := strings.Split(r.Key, "/")
 		if len(p) != parts {
 			continue
@@ -73,11 +73,11 @@
 	return out, nil
 }
 
-// sweepAtOnce bounds one transaction of a sweep.
+// sweepBatch bounds one transaction of a sweep.
 const sweepAtOnce = 100
 
-// Sweep drops the claims of a day whose keys are no longer accepted. It
-// returns how many it dropped.
+// Sweep deletes the claims of a day whose keys are no longer accepted. It returns how many it
+// deleted.
 func (c *Claims) Sweep(ctx context.Context, day string) (int, error) {
 	rows, err := c.conf.Table.Scan(ctx, "claim/"+day+"/")
 	if err != nil {
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -1,8 +1,8 @@
-// Package ctrl carries out plans: for each pool, and for the fleet as a whole,
-// one entry at a time has the lease and writes the steps that package plan
-// decides. A step is written before the platform is asked to act, and what came
-// of it is read off the platform's list, so that the controller may die at any
-// moment and the next one goes on.
+// Package ctrl carries out plans. There is one unit of control for each pool and one for the whole
+// fleet; each is controlled by one entry at a time, which holds the unit's lease and writes the
+// steps that package plan decides. A step is written before the platform is asked to act, and its
+// result is read from the platform's host list, so that the controller may die at any moment and
+// the next one goes on.
 package ctrl
 
 import (
@@ -28,53 +28,53 @@
 	Platform  gauge.Platform
 	Planner   *plan.Planner
 	State     func() gauge.State
-	Sighted   func() (gauge.Sightings, time.Time) // the last list and when it was read
-	Confirmed func(revision int64) bool           // every entry has it in force or is gone
+	Sighted   func() (gauge.Sightings, time.Time) // the last host list and when it was read
+	Confirmed func(revision int64) bool           // every entry has the revision in force or is gone
 	Mine      func(unit string) bool              // whether this entry is to control a unit
 	Wake      func(revision int64)
-	Moved     func(pool string) // a host came into a pool
+	Moved     func(pool string) // a host was added to a pool
 	Clock     gauge.Clock
 	Logs      logr.Logger
 	Every     time.Duration // between two rounds; default 1 s
-	Patience  time.Duration // how long a failed host stays its pool's; default 10 min
+	Patience  time.Duration // how long a failed host stays in its pool; default 10 min
 }
 
 const (
 	defaultEvery    = time.Second
 	defaultPatience = 10 * time.Minute
-	// stale is how old the platform's list may be to act on it.
+	// maxListAge is how old the platform's host list may be to act on it.
 	stale = 15 * time.Second
-	// mostSteps bounds the hosts of one revision.
+	// maxHostsPerRevision bounds the hosts changed by one revision.
 	mostSteps = 200
 	fleetUnit = "fleet"
 )
 
-// Controller runs the units that are this entry's.
+// Controller controls the units that are assigned to this entry.
 type Controller struct {
 	conf Config
 	held map[string]gauge.Check
 
-	// The platform's list in this round and when it was read.
+	// The platform's host list in this round and when it was read.
 	list gauge.Sightings
 	seen map[string]gauge.Sighting
 	read time.Time
 
-	// What was seen when: kept in memory only. After a takeover the waits begin
-	// anew, which delays a step and never hastens one.
-	quit   map[string]moment // when a host's leaving was found confirmed
-	failed map[string]moment // since when a host is seen failed
+	// What was first observed when; kept in memory only. After a takeover the waits start again,
+	// which delays a step and never hastens one.
+	quit   map[string]moment // when a host's leaving was found to be confirmed by all entries
+	failed map[string]moment // since when a host is seen as failed
 
 	mu    sync.Mutex
 	waits map[string][]plan.Wait // by unit
 }
 
-// moment is when something was first seen of a host's row.
+// observation is when something was first observed at an epoch of a host's row.
 type moment struct {
 	epoch int64
 	at    time.Time
 }
 
-// New makes a Controller.
+// New returns a Controller.
 func New(c Config) *Controller {
 	fill.Zero(&c.Every, defaultEvery)
 	fill.Zero(&c.Patience, defaultPatience)
@@ -87,7 +87,7 @@
 // Run makes rounds until ctx ends.
 func (c *Controller) Run(ctx context.Context) { ticks.Every(ctx, c.conf.Every, c.Round) }
 
-// Waits lists what the units of this entry wait for.
+// Waits lists what the units of this entry are waiting for.
 func (c *Controller) Waits() []plan.Wait {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,7 +98,7 @@
 	return out
 }
 
-// Round goes once over all units.
+// Round controls each unit once.
 func (c *Controller) Round(ctx context.Context) {
 	s := c.conf.State()
 	if s.Revision == 0 {
@@ -116,11 +116,11 @@
 func (c *Controller) unit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) {
 	err := c.tryUnit(ctx, unit, decide)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) {
-		// While the table is out nothing new is begun; what runs goes on.
-		c.conf.Logs.V(1).Info("unit not controlled", "unit", unit, "reason", err.Error())
+		// During a table outage no new step begins, and those under way continue.
+		c.conf.Logs.V(1).Info("unit could not be controlled", "unit", unit, "reason", err.Error())
 	}
 	if err != nil {
-		delete(c.held, unit) // look again who has it
+		delete(c.held, unit) // read again which entry has the lease
 	}
 }
 
@@ -140,12 +140,12 @@
 			return err
 		}
 		c.held[unit] = check
-		c.conf.Logs.Info("controls", "unit", unit)
+		c.conf.Logs.Info("controlling unit", "unit", unit)
 	}
 	return c.act(ctx, unit, c.held[unit], decide)
 }
 
-// act plans and carries out one round of a unit.
+// planAndApply plans and carries out one round of a unit.
 func (c *Controller) act(ctx context.Context, unit string, check gauge.Check, decide func(plan.Input) plan.Plan) error {
 	if c.conf.Clock().Sub(c.read) > stale {
 		return gauge.Fail(gauge.KindOutage, "the platform's host list is too old to act on")
@@ -169,7 +169,8 @@
 	c.waits[unit] = w
 }
 
-// write appends the steps as one revision, under the lease.
+// appendSteps appends the steps as one revision, on the condition that this entry still has the
+// lease.
 func (c *Controller) write(ctx context.Context, s gauge.State, check gauge.Check, steps []plan.Step) error {
 	change := gauge.Change{}
 	for _, st := range steps {
@@ -197,9 +198,9 @@
 	return nil
 }
 
-// reboot asks the platform for the reboots whose rows are written already. The
-// token names the host and when its maintenance began, so that asking again, by
-// this or another controller, reboots once.
+// requestReboots asks the platform for the reboots whose rows are already written. The token names
+// the host and when its maintenance began, so that repeated calls, by this or another controller,
+// reboot the host once.
 func (c *Controller) reboot(ctx context.Context, steps []plan.Step) error {
 	for _, st := range steps {
 		if !st.Reboot || st.Why != "" {
@@ -213,7 +214,7 @@
 	return nil
 }
 
-// notice remembers since when hosts are failed, or surely given no new work.
+// updateObservations records since when hosts are failed, or are sure to get no new requests.
 func (c *Controller) notice(s gauge.State) {
 	now := c.conf.Clock()
 	for id, h := range s.ByHost {
@@ -232,8 +233,8 @@
 	}
 }
 
-// hasQuit tells whether the list's reading of a host was taken after every
-// entry had stopped sending to it.
+// isQuiesced reports whether the host list's reading of a host was taken after every entry had
+// stopped sending requests to it.
 func (c *Controller) hasQuit(h gauge.Host) bool {
 	m, ok := c.quit[h.ID]
 	if !ok || m.epoch != h.Epoch {
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -16,12 +16,10 @@
 
 func TestMain(m *testing.M) { fixed.Run{Checks: "200", Steps: "200"}.Main(m) }
 
-// Symptom: a pool has less than it promised, a task is cut off by a reboot, a
-// host is in two pools, or a host is rebooted twice.
-// Sequence: any order of rounds by controllers that all think they are in
-// charge, entries that lag behind, hosts and racks that fail and come back, an
-// old host list, a table that is out, waves and pools that change.
-// Cause: acting on what is no longer so.
+// Guards against acting on outdated state, so that a pool has fewer hosts than promised, a task is
+// cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
+// believe to be in charge, lagging entries, failing and returning hosts and racks, old host lists,
+// table outages, and changing waves and pools come in any order.
 func TestAnyOrderKeepsThePromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(3, 16, 4)
@@ -101,10 +99,9 @@
 	})
 }
 
-// Symptom: a wave stops for good, or goes over a host twice.
-// Sequence: the controller meets each fault at each of its calls to the table,
-// and is gone for good at some; another takes over.
-// Cause: an action that was not written before it was begun, or not read back.
+// Guards against a wave that stops for good or goes over a host twice, because an action wasn't
+// written before it began or its result wasn't read back. The controller meets each fault at each
+// of its calls to the table, and in half of the cases dies there, so that another takes over.
 func TestWaveGoesOnAfterEachFault(t *testing.T) {
 	const calls = 24
 	for _, fault := range []flaky.Fault{flaky.Down, flaky.Lost, flaky.Gone, flaky.Outage} {
@@ -133,10 +130,9 @@
 	}
 }
 
-// Symptom: a controller that was paused changes hosts that another controls.
-// Sequence: the first has the lease and is paused; the second takes it; the
-// first wakes and writes.
-// Cause: writes that don't carry the lease.
+// Guards against a paused controller that changes hosts which another one controls by now. The
+// first has the lease and is paused, the second takes the lease, and the first resumes and writes;
+// its writes must fail, since they carry the old lease.
 func TestPausedControllerIsFenced(t *testing.T) {
 	s := newSite(2, 8, 2)
 	s.records(t, pool("a", 2, gauge.PreferBuffer))
@@ -152,7 +148,7 @@
 	s.adopt(first)
 	s.look(first)
 	before, _ := s.log.Head(context.Background())
-	first.ctrl.Round(context.Background()) // wakes with what it held
+	first.ctrl.Round(context.Background()) // resumes with the lease version that it had before
 	after, _ := s.log.Head(context.Background())
 	assert.Equal(t, after, before, "the paused controller wrote")
 	assert.Assert(t, st.Revision < after)
@@ -162,8 +158,8 @@
 	assert.Equal(t, done, all)
 }
 
-// leavingHost brings a host of a pool into leaving, with an entry that does not
-// know it yet.
+// leavingHost brings a host of a pool into the leaving state, with an entry that doesn't know it
+// yet.
 func leavingHost(t *testing.T) (s *site, first, lagging *entry, host string) {
 	s = newSite(2, 8, 2)
 	s.records(t, pool("a", 2, gauge.PreferSpeed))
@@ -190,10 +186,9 @@
 	return st.ByHost[host].State
 }
 
-// Symptom: a task is cut off by a reboot.
-// Sequence: a host leaves; an entry that lags behind still sends to it, after
-// the controller has seen it idle.
-// Cause: taking the host's idleness for the end of its work.
+// Guards against a task that is cut off by a reboot because an idle host was taken for one that
+// gets no more tasks. A host leaves, and a lagging entry still sends to it after the controller has
+// seen it idle.
 func TestLeavingWaitsForTheLastEntry(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	for range 5 {
@@ -213,10 +208,9 @@
 	assert.Equal(t, s.state(host), gauge.HostRebooting)
 }
 
-// Symptom: a task is cut off by a reboot.
-// Sequence: the list is read; an entry sends a task, then adopts the revision;
-// the controller finds all confirmed and looks at the list from before.
-// Cause: a list that is older than the last confirmation.
+// Guards against a task that is cut off by a reboot because the host list was older than the last
+// confirmation. The list is read, then an entry sends a task and adopts the revision, and the
+// controller finds all entries confirmed while it has the list from before.
 func TestOldListDoesNotProveIdleness(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	s.now = s.now.Add(time.Second)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -17,17 +17,17 @@
 	"sapphiregauge/internal/revlog"
 )
 
-// machine is a host as it really is.
+// machine is the true state of a host.
 type machine struct {
 	seen    gauge.Sighting
-	running []int           // revision that the entry had in force when it sent the task
+	running []int           // revisions that the sending entries had in force, one for each running task
 	tokens  map[string]bool // one for each reboot
-	boots   int             // when it last began to leave for a wave
+	boots   int             // boot count when it last began to leave for a wave
 	down    bool
 	booting bool
 }
 
-// entry is an entry with its own view of what is in force, and a controller.
+// entry has its own view of the configuration in force, and a controller.
 type entry struct {
 	name  string
 	state gauge.State
@@ -37,7 +37,7 @@
 	dead  bool
 }
 
-// site is a fleet with some entries on made-up time, one step at a time.
+// site is a fleet with some entries on simulated time, advanced one step at a time.
 type site struct {
 	now      time.Time
 	db       *memdb.DB
@@ -49,7 +49,7 @@
 	mine     func(e *entry, unit string) bool
 }
 
-// outs is a table that can be out.
+// outageTable is a table that can be made unreachable.
 type outs struct {
 	gauge.Table
 	out bool
@@ -110,8 +110,8 @@
 	return false
 }
 
-// confirmed asks all entries, also those taken for dead: they may only be
-// paused, and package peers forgets them only after the term.
+// confirmed asks all entries, also those that seem dead: they may only be paused, and package peers
+// forgets them only after the lease duration.
 func (s *site) confirmed(revision int64) bool {
 	for _, e := range s.entries {
 		if e.state.Revision < revision {
@@ -172,8 +172,8 @@
 
 func (s *site) look(e *entry) { e.list, _ = s.List(context.Background()); e.read = s.now }
 
-// spare is how many serving hosts a pool has over its promise after the worst
-// rack is lost; negative if it has too few.
+// spareHosts is how many serving hosts a pool has beyond its promise after losing its worst rack;
+// negative if it has too few.
 func spare(st gauge.State, name string) int {
 	counts, total, worst := make(map[string]int), 0, 0
 	for _, h := range st.Hosts().InPool(name) {
@@ -186,7 +186,7 @@
 	return total - worst - st.Pool(name).Hosts
 }
 
-// check holds each new revision against the promises.
+// check checks each new revision against the promises.
 func (s *site) check(t *rapid.T) {
 	out := s.table.out
 	s.table.out = false
@@ -240,7 +240,7 @@
 	}
 }
 
-// settle lets everything go well until nothing changes any more.
+// settle lets everything go well for some rounds.
 func (s *site) settle(rounds int) {
 	for range rounds {
 		for _, m := range s.machines {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -1,5 +1,5 @@
-// Package desk is one pool at one entry, under one lock: the slots held, the
-// requests that wait for one, the workers ejected and the budget of repeats.
+// Package desk dispatches the requests of one pool at one entry, under one lock: the leased slots,
+// the requests that wait for one, the ejected workers and the retry budget.
 package desk
 
 import (
@@ -16,17 +16,17 @@
 	"sapphiregauge/internal/slots"
 )
 
-// Config sets up a Desk.
+// Config sets up a Dispatcher.
 type Config struct {
 	Pool   string
-	Name   string // of this entry: id and run
+	Name   string // ID and start ID of this entry
 	Length int    // most requests that wait here
 	Clock  gauge.Clock
 	Random *rand.Rand
-	Kick   func() // there is need of slots: ask soon
+	Kick   func() // called when slots are needed, to send a lease request soon
 }
 
-// Desk is one pool at one entry.
+// Dispatcher hands out the slots of one pool at one entry. It is safe for concurrent use.
 type Desk struct {
 	conf Config
 
@@ -36,12 +36,12 @@
 	ejects *eject.Ejector
 	budget *retry.Budget
 	hosts  int
-	picky  int // waiting repeats that can't use what is idle
+	picky  int // waiting retries that can't use the idle slots
 
-	renewed time.Time // when the last full ask was made
+	renewed time.Time // when the last full lease request was made
 }
 
-// Counts is what a desk is doing now.
+// Counts is the current state of a Dispatcher, in slots, requests and hosts.
 type Counts struct {
 	Pool    string
 	Held    int
@@ -52,7 +52,7 @@
 	Ejected int
 }
 
-// New makes a Desk without hosts.
+// New returns a Dispatcher without hosts.
 func New(c Config) *Desk {
 	now := c.Clock()
 	return &Desk{
@@ -64,8 +64,8 @@
 	}
 }
 
-// Set tells which hosts serve the pool and how many were promised. Hosts that
-// are leaving get nothing from here on.
+// SetHosts sets the hosts that serve the pool and how many were promised. Hosts that are leaving
+// get no requests from here on.
 func (d *Desk) Set(hosts gauge.Hosts, promised int) {
 	targets := make(map[string]gauge.Target, len(hosts))
 	for _, h := range hosts {
@@ -74,14 +74,14 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.hosts = len(targets)
-	d.slots.Set(targets)
+	d.slots.SetTargets(targets)
 	d.ejects.Cap(len(targets), promised)
 	d.ejects.Keep(func(host string) bool { _, ok := targets[host]; return ok })
 	d.pump()
 }
 
-// Acquire returns a place, after waiting for one if need be. It refuses at once
-// what can't start before its deadline.
+// Acquire returns a slot, after waiting for one if necessary. It refuses at once a request that
+// can't start before its deadline.
 func (d *Desk) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Place, error) {
 	it := &queue.Item{Class: class, Deadline: deadline, Ready: make(chan *gauge.Place, 1), Earlier: earlier}
 	p, err := d.takeOrWait(it)
@@ -95,10 +95,10 @@
 	case <-ctx.Done():
 	}
 	if p := d.leave(it); p != nil {
-		d.Release(p) // it came at the same moment
+		d.Release(p) // it was granted at the same moment
 	}
 	if ctx.Err() == context.Canceled {
-		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller left while the request waited", 0)
+		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller cancelled while the request was waiting", 0)
 	}
 	return nil, gauge.Refuse(earlier, gauge.KindFull, "no worker came free before the deadline", d.again(class))
 }
@@ -119,7 +119,7 @@
 	if !ok {
 		return nil, gauge.Refuse(it.Earlier, gauge.KindFull, "no worker comes free in time", max(wait, leastAgain))
 	}
-	d.pump() // those before it may be repeats that can't use what is idle
+	d.pump() // those ahead of it may be retries that can't use the idle slots
 	return nil, nil
 }
 
@@ -139,7 +139,7 @@
 	return p, ok
 }
 
-// leave stops waiting; a place that came meanwhile is returned.
+// stopWaiting removes a request from the queue. If a slot was granted meanwhile, it returns that.
 func (d *Desk) leave(it *queue.Item) *gauge.Place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -149,10 +149,10 @@
 	return <-it.Ready
 }
 
-// pump gives idle slots to those that wait. A repeat can't use slots of the
-// hosts that it was tried on: it steps aside for those behind it, and is counted,
-// so that slots of other hosts are asked for although some are idle. Without
-// that it would wait next to idle slots until its deadline.
+// assignIdle gives idle slots to the waiting requests. A retry can't use slots of the hosts where
+// it was tried: it is passed over for the requests behind it and counted, so that slots of other
+// hosts are requested although some are idle. Otherwise it would wait next to idle slots until its
+// deadline.
 func (d *Desk) pump() {
 	now := d.conf.Clock()
 	d.picky = 0
@@ -177,31 +177,30 @@
 	}
 }
 
-// waiting is how many requests wait for slots of each class. For those that
-// can't use the idle ones, as many more are wanted.
+// waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
+// slots, as many more are counted as there are idle ones.
 func (d *Desk) waiting() (quick, long int) {
 	quick, long = d.queue.Len(gauge.ClassQuick), d.queue.Len(gauge.ClassLong)
 	if d.picky == 0 {
 		return quick, long
 	}
 	if quick > 0 {
-		quick += d.slots.Idle(gauge.ClassQuick)
+		quick += d.slots.IdleCount(gauge.ClassQuick)
 	}
 	if long > 0 {
-		long += d.slots.Idle(gauge.ClassLong)
+		long += d.slots.IdleCount(gauge.ClassLong)
 	}
 	return quick, long
 }
 
-// Untried tells whether there is a host that a request was not tried on.
+// HasUntriedHost reports whether there is a host that a request wasn't tried on.
 func (d *Desk) Untried(tried gauge.Attempts) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return tried.Hosts() < d.hosts
 }
 
-// Release gives a place back and passes it on, here or, while slots are scarce,
-// to another entry.
+// Release returns a slot for the next request, here or, while slots are scarce, at another entry.
 func (d *Desk) Release(p *gauge.Place) {
 	if d.release(p) {
 		d.conf.Kick()
@@ -214,18 +213,18 @@
 	d.queue.Finished(d.conf.Clock(), p.Class)
 	d.slots.Done(p)
 	d.pump()
-	return d.slots.Short()
+	return d.slots.IsScarce()
 }
 
-// Turn makes a quick place count as long.
+// CountAsLong counts a quick slot as long from now on.
 func (d *Desk) Turn(p *gauge.Place) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.Turn(p)
 }
 
-// Outcome judges the worker by how a request ended there, and earns repeats.
-// It returns true if the worker is ejected for it.
+// RecordOutcome rates a worker by how a request ended there; successes add to the retry budget. It
+// returns true if the worker is ejected for it.
 func (d *Desk) Outcome(host string, failed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -235,8 +234,8 @@
 	return d.ejects.Outcome(d.conf.Clock(), host, failed)
 }
 
-// Repeat takes one repeat out of the budget and returns how long to wait
-// before it; false: the budget is spent.
+// SpendRetry takes the n-th retry of a request out of the budget and returns how long to wait
+// before it, or false if the budget is spent.
 func (d *Desk) Repeat(n int) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -246,53 +245,53 @@
 	return d.budget.Pause(n), true
 }
 
-// Renew makes the ask that renews the lease; false if there is nothing to renew
-// or to wait for.
+// RenewRequest returns the lease request that renews the lease, or false if there is nothing to
+// renew or to wait for.
 func (d *Desk) Renew() (slots.Ask, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	quick, long := d.waiting()
-	if d.slots.Idles() && quick+long == 0 {
+	if d.slots.IsEmpty() && quick+long == 0 {
 		return slots.Ask{}, false
 	}
 	now := d.conf.Clock()
 	d.renewed = now
-	return d.slots.Full(now, quick, long), true
+	return d.slots.FullRequest(now, quick, long), true
 }
 
-// firstAgain is how soon a desk without a lease may ask again for one.
+// minFullInterval is how soon a dispatcher without a lease may request one again.
 const firstAgain = 100 * time.Millisecond
 
-// Ask makes an ask between two renewals; false if there is nothing to tell.
+// NextRequest returns a lease request between two renewals, or false if nothing has changed.
 func (d *Desk) Ask() (slots.Ask, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
 	quick, long := d.waiting()
-	if a, ok := d.slots.Change(now, quick, long); ok {
+	if a, ok := d.slots.DeltaRequest(now, quick, long); ok {
 		return a, true
 	}
-	if d.slots.Leased(now) || quick+long == 0 || now.Sub(d.renewed) < firstAgain {
+	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.renewed) < firstAgain {
 		return slots.Ask{}, false
 	}
 	d.renewed = now
-	return d.slots.Full(now, quick, long), true
+	return d.slots.FullRequest(now, quick, long), true
 }
 
-// Grant takes in what the owner gives.
+// ApplyGrant takes in slots that the owner grants.
 func (d *Desk) Grant(g slots.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slots.Grant(g)
+	d.slots.ApplyGrant(g)
 	d.pump()
 }
 
-// Counts returns what the desk is doing now.
+// Counts returns the current state.
 func (d *Desk) Counts() Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Counts{
-		Pool: d.conf.Pool, Held: d.slots.Held(), Used: d.slots.Used(), Hosts: d.hosts,
+		Pool: d.conf.Pool, Held: d.slots.LeasedCount(), Used: d.slots.UsedCount(), Hosts: d.hosts,
 		Quick: d.queue.Len(gauge.ClassQuick), Long: d.queue.Len(gauge.ClassLong),
 		Ejected: len(d.ejects.Ejected(d.conf.Clock())),
 	}
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -14,12 +14,10 @@
 	"sapphiregauge/internal/slots"
 )
 
-// Symptom: a repeat waits until its deadline, a minute, while the pool is idle,
-// and what comes after it waits too.
-// Sequence: the entry holds slots of one host only; a request fails there; its
-// repeat may not go to the same host, and no other slots are asked for since
-// some are idle.
-// Cause: counting idle slots for requests that can't use them.
+// Guards against a retry that waits until its deadline, a minute, while the pool is idle, with all
+// later requests waiting behind it. The entry holds slots of one host only, a request fails there,
+// and its retry may not go to the same host; the idle slots must not count as usable by it, or no
+// other slots would be requested.
 func TestRepeatAsksForSlotsOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
@@ -48,8 +46,8 @@
 	})
 }
 
-// A request that can't be had a place for is refused at its deadline at the
-// latest, as not run, with a time to ask again.
+// A request that gets no slot is refused at its deadline at the latest, as not run and with a time
+// to retry after.
 func TestRefusedAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -22,16 +22,15 @@
 // leased returns a Holder with a lease of three seconds from now.
 func leased(now time.Time, lots ...slots.Lot) *hold.Holder {
 	h := hold.New(hold.Config{Name: "e", Pool: "p"})
-	h.Set(targets("a", "b", "c"))
-	h.Full(now, 1, 0)
-	h.Grant(slots.Grant{Seq: 1, Full: true, Term: 3 * time.Second, Lots: lots, Free: 8})
+	h.SetTargets(targets("a", "b", "c"))
+	h.FullRequest(now, 1, 0)
+	h.ApplyGrant(slots.Grant{Seq: 1, Full: true, Term: 3 * time.Second, Lots: lots, Free: 8})
 	return h
 }
 
-// Symptom: a worker is overfull for a moment after a slow answer or a pause.
-// Sequence: an ask is sent, its answer comes two seconds later, the holder goes
-// on for a full term from then.
-// Cause: a lease that counts from the answer outlives the owner's.
+// Guards against a worker that is overfull for a moment after a slow answer or a pause. The answer
+// to a request comes two seconds late; a lease that counted from the answer would outlive the
+// owner's.
 func TestLeaseCountsFromBeforeTheAsk(t *testing.T) {
 	began := time.Unix(1000, 0)
 	h := leased(began, slots.Lot{Host: "a", Quick: 2}) // whenever the answer came
@@ -41,21 +40,20 @@
 	assert.Assert(t, !ok)
 }
 
-// Symptom: a leaving target gets new work.
-// Sequence: a slot of it is held idle when the host begins to leave.
-// Cause: a holder that looks only at its slots.
+// Guards against a leaving target that gets new requests, because one of its slots was held idle
+// when the host began to leave.
 func TestLeavingHostGetsNothing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := leased(now, slots.Lot{Host: "a", Quick: 2})
-	h.Set(targets("b"))
+	h.SetTargets(targets("b"))
 	_, ok := h.Take(now, gauge.ClassQuick, nil, nil)
 	assert.Assert(t, !ok)
-	a, ok := h.Change(now, 0, 0)
+	a, ok := h.DeltaRequest(now, 0, 0)
 	assert.Assert(t, ok)
 	assert.DeepEqual(t, a.Have, []slots.Lot{{Host: "a", Quick: 2}})
 }
 
-// A repeat goes to another host, and to another rack where there is one.
+// A retry goes to another host, and to another rack where there is one.
 func TestRepeatAvoidsHostAndRack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, tt := range []struct {
@@ -73,7 +71,7 @@
 			for host, rack := range tt.racks {
 				set[host] = gauge.Target{Host: host, Rack: rack}
 			}
-			h.Set(set)
+			h.SetTargets(set)
 			earlier := gauge.Attempts{{Target: gauge.Target{Host: "a", Rack: "r1"}}}
 			p, ok := h.Take(now, gauge.ClassQuick, earlier, nil)
 			assert.Equal(t, ok, tt.want != "")
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -1,5 +1,5 @@
-// Package holds keeps the record of the promises: for each, whether a breach was
-// seen here, when, and what it rests on.
+// Package holds records how well the promises to users are kept: for each, how often it was
+// checked, whether and when this entry saw it broken, and the evidence.
 package holds
 
 import (
@@ -9,22 +9,22 @@
 	gauge "sapphiregauge"
 )
 
-// Promise is one of the promises of the project.
+// Promise names one of the promises that the software makes to its users.
 type Promise string
 
 // The promises, in the order of the report.
 const (
 	Budget   Promise = "budget"   // each pool's availability budget holds
 	Single   Promise = "single"   // a host belongs to exactly one pool
-	Whole    Promise = "whole"    // whole and own answers only
-	NotRun   Promise = "notrun"   // "not run" is true
-	Once     Promise = "once"     // what must not be repeated runs at most once
-	Leaving  Promise = "leaving"  // a leaving target gets no new work after a few seconds
-	Graceful Promise = "graceful" // a graceful shutdown cuts off nothing
-	InForce  Promise = "inforce"  // configuration is in force within seconds, never backwards
+	Whole    Promise = "whole"    // callers only get complete answers, and only their own
+	NotRun   Promise = "notrun"   // an answer that says "not run" is true
+	Once     Promise = "once"     // a request that must not be repeated runs at most once
+	Leaving  Promise = "leaving"  // a leaving target gets no new requests after a few seconds
+	Graceful Promise = "graceful" // a graceful shutdown cuts off no request
+	InForce  Promise = "inforce"  // configuration is in force within seconds and never reverts to an older revision
 )
 
-// Promises lists all.
+// Promises lists all promises, in the order of the report.
 func Promises() []Promise {
 	return []Promise{Budget, Single, Whole, NotRun, Once, Leaving, Graceful, InForce}
 }
@@ -32,14 +32,14 @@
 // Line is what one entry has seen of a promise.
 type Line struct {
 	Promise  Promise   `json:"promise" msgpack:"p"`
-	Checks   int64     `json:"checks" msgpack:"c"`   // how often it was looked at and could have been found broken
-	Events   int64     `json:"events" msgpack:"n"`   // how often the mechanism that keeps it was at work
+	Checks   int64     `json:"checks" msgpack:"c"`   // how often it was checked and could have been found broken
+	Events   int64     `json:"events" msgpack:"n"`   // how often the mechanism that keeps it took effect
 	Breaches int64     `json:"breaches" msgpack:"b"` // how often it was found broken
 	Last     time.Time `json:"last,omitzero" msgpack:"l"`
-	Evidence string    `json:"evidence" msgpack:"e"` // what the last breach, else the last check, showed
+	Evidence string    `json:"evidence" msgpack:"e"` // what the last breach showed or, without one, the last check or event
 }
 
-// Book keeps the lines of this entry. Safe for concurrent use.
+// Book keeps this entry's results. It is safe for concurrent use.
 type Book struct {
 	clock gauge.Clock
 
@@ -47,7 +47,7 @@
 	lines map[Promise]*Line
 }
 
-// New makes a Book in which nothing was looked at yet.
+// New returns a Book without any checks.
 func New(clock gauge.Clock) *Book {
 	b := &Book{clock: clock, lines: make(map[Promise]*Line)}
 	for _, p := range Promises() {
@@ -56,7 +56,7 @@
 	return b
 }
 
-// Note writes down one look at a promise.
+// RecordCheck records one check of a promise.
 func (b *Book) Note(p Promise, held bool, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,9 +71,9 @@
 	}
 }
 
-// Work writes down that the mechanism that keeps a promise was at work. That is
-// no look at the promise: an entry can't see for itself that an answer was
-// somebody else's, or that a request ran elsewhere as well.
+// RecordEvent records that the mechanism that keeps a promise took effect. That is no check of the
+// promise: an entry can't see for itself that an answer was meant for another caller, or that a
+// request ran elsewhere as well.
 func (b *Book) Work(p Promise, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +81,7 @@
 	b.lines[p].Evidence = evidence
 }
 
-// Lines returns all lines in order.
+// Results returns the results of all promises, in the order of the report.
 func (b *Book) Lines() []Line {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,7 +92,7 @@
 	return out
 }
 
-// Sum adds entries' lines up; the evidence is that of the last breach.
+// Sum adds up the results of several entries; the evidence is that of the last breach.
 func Sum(all ...[]Line) []Line {
 	out := make([]Line, len(Promises()))
 	for i, p := range Promises() {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,9 +1,8 @@
-// Package lease says which entry controls what. A lease is a row that changes
-// only when control changes hands; it needs no renewal, since the holder's
-// member row already tells whether it lives. Every write of a controller checks
-// the lease's version, so the writes of a holder that was paused while another
-// took over fail. The version serves as the epoch: it grows with every write of
-// the table and is never used twice.
+// Package lease determines which entry controls a unit: a pool or the whole fleet. A lease is a row
+// that changes only when control passes to another entry; it needs no renewal, since the holder's
+// member row already shows whether it is alive. Every write of a controller checks the lease's
+// version, so that writes of a holder fail if it was paused while another took over. The version
+// serves as the fencing token: it grows with every write of the table and is never used twice.
 package lease
 
 import (
@@ -15,7 +14,7 @@
 
 // Config sets up Leases.
 type Config struct {
-	Entry string // id/run of this entry
+	Entry string // ID/start ID of this entry
 	Table gauge.Table
 	Lives func(entry string) bool
 }
@@ -30,14 +29,14 @@
 	Entry string `json:"entry"`
 }
 
-// New makes Leases.
+// New returns Leases.
 func New(c Config) *Leases { return &Leases{conf: c} }
 
 const prefix = "lease/"
 
-// Hold returns the check that this entry's writes for a unit must carry, after
-// taking the lease if it is free or its holder is gone. False: another live
-// entry has it.
+// Acquire returns the check that this entry's writes for a unit must carry. It takes the lease if
+// that is free or its holder is gone, and then returns false until the next call reads the new
+// version back. It also returns false if another live entry has the lease.
 func (l *Leases) Hold(ctx context.Context, unit string) (gauge.Check, bool, error) {
 	key := prefix + unit
 	stored, err := l.conf.Table.Get(ctx, key)
@@ -47,7 +46,7 @@
 	var r row
 	if stored.Version > 0 {
 		if err := json.Unmarshal(stored.Value, &r); err != nil {
-			return gauge.Check{}, false, gauge.Fail(gauge.KindInvalid, "row %s", key).Because(err)
+			return gauge.Check{}, false, gauge.Fail(gauge.KindInvalid, "lease row %s is malformed", key).Because(err)
 		}
 	}
 	if r.Entry == l.conf.Entry {
@@ -59,10 +58,10 @@
 	if err := l.write(ctx, key, stored.Version, row{Entry: l.conf.Entry}); err != nil {
 		return gauge.Check{}, false, err
 	}
-	return gauge.Check{}, false, nil // read back in the next round: the version is needed
+	return gauge.Check{}, false, nil // the next round reads back the version
 }
 
-// Give gives a lease up, if this entry has it.
+// Release gives up a lease that this entry has.
 func (l *Leases) Give(ctx context.Context, unit string, held gauge.Check) error {
 	return l.conf.Table.Commit(ctx, gauge.Txn{
 		Checks: []gauge.Check{held},
@@ -70,12 +69,12 @@
 	})
 }
 
-// write changes a lease if nobody else has. An answer that is lost does no
-// harm: the next round reads what came of it.
+// write changes a lease if nobody else has changed it. An unanswered write does no harm: the next
+// round reads its result.
 func (l *Leases) write(ctx context.Context, key string, version int64, r row) error {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "lease").Because(err)
+		return gauge.Fail(gauge.KindInternal, "encode lease row").Because(err)
 	}
 	return l.conf.Table.Commit(ctx, gauge.Txn{
 		Checks: []gauge.Check{{Key: key, Version: version}},
--- a/internal/orphan/orphan.go
+++ b/internal/orphan/orphan.go
@@ -1,5 +1,5 @@
-// Package orphan finds the accepted requests of entries that are gone and hands
-// them on, so that a killed entry loses none.
+// Package orphan finds the accepted requests of entries that are gone and has them taken over, so
+// that none is lost when an entry is killed.
 package orphan
 
 import (
@@ -15,45 +15,45 @@
 
 // Config sets up a Finder.
 type Config struct {
-	Every    time.Duration // between two looks; default 5 s
+	Every    time.Duration // between two scans; default 5 s
 	Logs     logr.Logger
-	Mine     func() bool // whether this entry is the one that looks
+	Mine     func() bool // whether this entry is the one that scans
 	Entries  func(ctx context.Context) (map[string][]gauge.ClaimKey, error)
 	Lives    func(entry string) bool
 	Takeover func(ctx context.Context, key gauge.ClaimKey) error
-	Sweep    func(ctx context.Context) error // drops claims that are no longer kept
+	Sweep    func(ctx context.Context) error // deletes claims that are no longer kept
 }
 
 const (
 	defaultEvery = 5 * time.Second
-	// looksPerSweep is how many looks pass between two sweeps.
+	// scansPerSweep is how many scans pass between two sweeps.
 	looksPerSweep = 720
 )
 
-// Finder looks for orphans.
+// Finder looks for accepted requests of entries that are gone.
 type Finder struct {
 	conf Config
 	look int
 }
 
-// New makes a Finder.
+// New returns a Finder.
 func New(c Config) *Finder {
 	fill.Zero(&c.Every, defaultEvery)
 	return &Finder{conf: c}
 }
 
-// Run looks until ctx ends.
+// Run scans until ctx ends.
 func (f *Finder) Run(ctx context.Context) { ticks.Every(ctx, f.conf.Every, f.Look) }
 
-// Look looks once. Should two entries look at once, the claim's row decides
-// between them.
+// Scan scans once. If two entries scan at the same time, the claim's row decides which of them
+// takes a request over.
 func (f *Finder) Look(ctx context.Context) {
 	if !f.conf.Mine() {
 		return
 	}
 	entries, err := f.conf.Entries(ctx)
 	if err != nil {
-		f.conf.Logs.V(1).Info("accepted requests not read", "reason", err.Error())
+		f.conf.Logs.V(1).Info("accepted requests could not be read", "reason", err.Error())
 		return
 	}
 	for entry, keys := range entries {
@@ -69,7 +69,7 @@
 	f.look++
 	if f.look%looksPerSweep == 1 {
 		if err := f.conf.Sweep(ctx); err != nil {
-			f.conf.Logs.Info("old claims not dropped", "reason", err.Error())
+			f.conf.Logs.Info("expired claims could not be deleted", "reason", err.Error())
 		}
 	}
 }
--- a/internal/slots/doubt.go
+++ b/internal/slots/doubt.go
@@ -5,77 +5,77 @@
 	"time"
 )
 
-// doubt is slots of a holder that let its lease lapse: a request that it
-// started may still be running there.
-type doubt struct {
-	host   string
-	holder string
-	slots  int
-	lapsed time.Time
-	until  time.Time
+// unconfirmedSlots are slots of a holder whose lease expired: a request that it started may still
+// be running there.
+type unconfirmedSlots struct {
+	host      string
+	holder    string
+	slots     int
+	expiredAt time.Time
+	until     time.Time
 }
 
-// settle puts in doubt what nobody has named by the end of the first term: an
-// entry that held slots under the owner before and is gone, often that owner
-// itself, may have requests running still.
-func (o *Owner) settle(now time.Time) {
+// markUnreported marks as unconfirmed all slots that no holder has named by the end of the first
+// lease duration: an entry that held slots under the previous owner and is gone, often that owner
+// itself, may still have requests running.
+func (o *Owner) markUnreported(now time.Time) {
 	end := o.conf.Start.Add(o.conf.Term)
-	if o.settled || now.Before(end) {
+	if o.firstTermOver || now.Before(end) {
 		return
 	}
-	o.settled = true
+	o.firstTermOver = true
 	for _, r := range o.fleet.Hosts {
-		if n := r.Slots - o.sums[r.Host].total(); n > 0 {
-			o.doubts = append(o.doubts, doubt{
-				host: r.Host, slots: n, lapsed: end, until: end.Add(o.conf.Limit),
+		if n := r.Slots - o.leasedByHost[r.Host].total(); n > 0 {
+			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
+				host: r.Host, slots: n, expiredAt: end, until: end.Add(o.conf.Limit),
 			})
 		}
 	}
 }
 
-// lapse takes back the leases that ran out. What was started under them may
-// run on, so the slots stay in doubt: for the longest run of a request, or
-// until the platform reports the worker less used.
-func (o *Owner) lapse(now time.Time) {
+// expireLeases takes back the leases that expired. Requests started under them may still run, so
+// the slots stay unconfirmed for the longest run of a request, or until the platform reports fewer
+// slots of the worker in use.
+func (o *Owner) expireLeases(now time.Time) {
 	for name, h := range o.holders {
 		if now.Before(h.expires) {
 			continue
 		}
-		for host, t := range h.lots {
-			o.doubts = append(o.doubts, doubt{
+		for host, t := range h.byHost {
+			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
 				host: host, holder: name, slots: t.total(),
-				lapsed: now, until: now.Add(o.conf.Limit),
+				expiredAt: now, until: now.Add(o.conf.Limit),
 			})
 		}
-		o.clear(h)
+		o.clearLeases(h)
 		delete(o.holders, name)
 	}
-	o.doubts = slices.DeleteFunc(o.doubts, func(d doubt) bool { return !now.Before(d.until) })
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return !now.Before(d.until) })
 }
 
-// forgive drops the doubts about a holder that is back: what it still uses it
-// names itself.
-func (o *Owner) forgive(holder string) {
-	o.doubts = slices.DeleteFunc(o.doubts, func(d doubt) bool { return d.holder == holder })
+// clearUnconfirmed drops the unconfirmed slots of a holder that is back: its request names those
+// that it still uses.
+func (o *Owner) clearUnconfirmed(holder string) {
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.holder == holder })
 }
 
-// Seen takes in how many slots of a host the platform saw in use at a time.
-// Slots in doubt before that time can't be more.
+// ObserveUsage takes in how many slots of a host the platform saw in use at a time. The slots that
+// became unconfirmed before that time can't be more.
 func (o *Owner) Seen(host string, used int, at time.Time) {
-	for i := range o.doubts {
-		d := &o.doubts[i]
-		if d.host != host || !d.lapsed.Before(at) {
+	for i := range o.unconfirmed {
+		d := &o.unconfirmed[i]
+		if d.host != host || !d.expiredAt.Before(at) {
 			continue
 		}
 		d.slots = min(d.slots, used)
 		used -= d.slots
 	}
-	o.doubts = slices.DeleteFunc(o.doubts, func(d doubt) bool { return d.slots == 0 })
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.slots == 0 })
 }
 
-func (o *Owner) doubtful(host string) int {
+func (o *Owner) unconfirmedCount(host string) int {
 	n := 0
-	for _, d := range o.doubts {
+	for _, d := range o.unconfirmed {
 		if d.host == host {
 			n += d.slots
 		}
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,11 +1,10 @@
-// Package slots decides which entry may use which slots of a pool's workers.
-// The owner of a pool leases slots to the other entries: what a request needs,
-// and while there are enough a few in reserve, so that most requests need no
-// round trip. It is a state machine without input or output.
+// Package slots decides which entry may use which slots of a pool's workers. The owner of a pool
+// leases slots to the other entries: as many as waiting requests need and, while there are enough,
+// a few more to keep idle, so that most requests start without a round trip to the owner. It is a
+// state machine without input or output.
 //
-// It keeps: the slots leased on a worker, plus those that a vanished holder may
-// still be using, never exceed what the worker has, times this owner's share
-// (see package peers).
+// Invariant: the slots leased on a worker, plus those that an expired holder may still be using,
+// never exceed the worker's slots times this owner's share (see package peers).
 package slots
 
 import (
@@ -20,20 +19,20 @@
 type Config struct {
 	Pool  string
 	Term  time.Duration // of a lease
-	Limit time.Duration // longest run of a request: how long a lapsed slot may still be in use
+	Limit time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
 	Start time.Time     // when this entry became the owner
 }
 
-// Fleet is what an owner may hand out.
+// Fleet is the capacity that an owner may lease out.
 type Fleet struct {
 	Hosts   []Room
-	Reserve int // slots of each worker kept from long work
-	Floor   int // slots of each worker kept from quick work
-	Same    int // this owner's share is Same of Known
+	Reserve int // slots of each worker that long requests may not use
+	Floor   int // slots of each worker that quick requests may not use
+	Same    int // this owner's share of each worker is SameViewCount of KnownCount
 	Known   int
 }
 
-// Room is a worker that may be given work, with all its slots.
+// HostCapacity is a worker that may be given requests, with all its slots.
 type Room struct {
 	Host  string
 	Slots int
@@ -41,54 +40,54 @@
 
 // Owner leases out the slots of one pool.
 type Owner struct {
-	conf    Config
-	fleet   Fleet
-	sums    map[string]tally   // leased, by host
-	holders map[string]*holder // by entry
-	doubts  []doubt
-	settled bool // the doubts of the time before this owner are set
-	all     int  // slots that this owner may hand out
-	leased  int  // slots leased
+	conf          Config
+	fleet         Fleet
+	leasedByHost  map[string]classCounts  // leased, by host
+	holders       map[string]*holderState // by entry
+	unconfirmed   []unconfirmedSlots
+	firstTermOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
+	capacity      int  // slots that this owner may lease out
+	leasedCount   int  // slots leased
 }
 
-type tally struct{ quick, long int }
+type classCounts struct{ quick, long int }
 
-func (t tally) total() int { return t.quick + t.long }
+func (t classCounts) total() int { return t.quick + t.long }
 
-type holder struct {
+type holderState struct {
 	seq     uint64
-	lots    map[string]tally
+	byHost  map[string]classCounts
 	total   int
-	want    tally
+	want    classCounts
 	expires time.Time
 }
 
-// New makes an Owner that knows of no lease. Leases of an owner before it may
-// be out: for one term it grants nothing, and learns of them from the asks.
+// New returns an Owner that knows of no lease. Leases granted by a previous owner may still be in
+// force, so for one lease duration it grants nothing and learns of them from the holders' requests.
 func New(c Config) *Owner {
-	return &Owner{conf: c, sums: make(map[string]tally), holders: make(map[string]*holder)}
+	return &Owner{conf: c, leasedByHost: make(map[string]classCounts), holders: make(map[string]*holderState)}
 }
 
-// Set tells what may be handed out from now on.
+// SetFleet sets the capacity that may be leased out from now on.
 func (o *Owner) Set(f Fleet) {
 	o.fleet = f
-	o.all = 0
+	o.capacity = 0
 	for _, r := range f.Hosts {
-		o.all += o.limit(r.Slots)
+		o.capacity += o.share(r.Slots)
 	}
 }
 
-// Ask takes in what a holder has, gives back and wants. It returns the answer
-// and what comes free for others. An ask that is older than one already seen
-// was overtaken on the way and changes nothing.
+// HandleRequest records what a holder has, gives back and wants. It returns the answer and the
+// grants that this makes possible for other holders. A request with a sequence number that isn't
+// above the last one seen was overtaken on the way: it changes nothing and is rejected.
 func (o *Owner) Ask(now time.Time, a Ask) (Grant, []Push) {
-	o.lapse(now)
+	o.expireLeases(now)
 	h := o.holders[a.Holder]
 	if h == nil && !a.Full {
 		return Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
 	}
 	if h == nil {
-		h = &holder{}
+		h = &holderState{}
 		o.holders[a.Holder] = h
 	}
 	if a.Seq <= h.seq {
@@ -96,84 +95,84 @@
 	}
 	h.seq = a.Seq
 	if a.Full {
-		o.renew(now, h, a)
+		o.applyFull(now, h, a)
 	} else {
-		o.change(h, a)
+		o.applyDelta(h, a)
 	}
-	o.settle(now)
-	fair := o.fair()
-	given := o.serve(fair)
-	most := 0
-	if o.starved(fair) {
-		most = fair
+	o.markUnreported(now)
+	fair := o.fairShare()
+	given := o.grantFree(fair)
+	maxUsed := 0
+	if o.hasStarvedHolder(fair) {
+		maxUsed = fair
 	}
-	g := o.answer(h, given[a.Holder], most)
+	g := o.grantFor(h, given[a.Holder], maxUsed)
 	g.Full, g.Term = a.Full, o.conf.Term
 	delete(given, a.Holder)
 	var pushes []Push
-	for name, lots := range given {
-		pushes = append(pushes, Push{Holder: name, Grant: o.answer(o.holders[name], lots, most)})
+	for name, granted := range given {
+		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], granted, maxUsed)})
 	}
 	return g, pushes
 }
 
-// renew takes a full ask: what the holder had and doesn't name is given back.
-func (o *Owner) renew(now time.Time, h *holder, a Ask) {
+// applyFull applies a full request: slots that the holder had and doesn't name are given back.
+func (o *Owner) applyFull(now time.Time, h *holderState, a Ask) {
 	h.expires = now.Add(o.conf.Term)
-	o.clear(h)
+	o.clearLeases(h)
 	for _, l := range a.Have {
-		// It only ever names what this owner or the one before it granted.
-		o.add(h, l.Host, tally{max(0, l.Quick), max(0, l.Long)})
+		// A holder only ever names slots that this owner or the previous one granted.
+		o.addLease(h, l.Host, classCounts{max(0, l.Quick), max(0, l.Long)})
 	}
-	o.forgive(a.Holder)
-	h.want = tally{max(0, a.Quick), max(0, a.Long)}
+	o.clearUnconfirmed(a.Holder)
+	h.want = classCounts{max(0, a.Quick), max(0, a.Long)}
 }
 
-// change takes an ask that tells what has changed.
-func (o *Owner) change(h *holder, a Ask) {
+// applyDelta applies a request that names only what changed since the one before it.
+func (o *Owner) applyDelta(h *holderState, a Ask) {
 	for _, l := range a.Have {
-		had := h.lots[l.Host]
-		back := tally{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
-		o.add(h, l.Host, tally{-back.quick, -back.long})
+		had := h.byHost[l.Host]
+		back := classCounts{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
+		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
 	}
-	h.want = tally{max(0, h.want.quick+a.Quick), max(0, h.want.long+a.Long)}
+	h.want = classCounts{max(0, h.want.quick+a.Quick), max(0, h.want.long+a.Long)}
 }
 
-func (o *Owner) answer(h *holder, lots map[string]tally, most int) Grant {
-	g := Grant{Pool: o.conf.Pool, Seq: h.seq, Lots: list(lots), Free: o.free()}
-	if h.total > most {
-		g.Cap = most
+func (o *Owner) grantFor(h *holderState, granted map[string]classCounts, limit int) Grant {
+	g := Grant{Pool: o.conf.Pool, Seq: h.seq, Lots: sortedSlots(granted), Free: o.maxIdle()}
+	if h.total > limit {
+		g.Cap = limit
 	}
 	return g
 }
 
-// serve gives the slots that are free to those that want them: those that have
-// least first, and none over a fair part while others are below theirs.
-func (o *Owner) serve(fair int) map[string]map[string]tally {
-	given := make(map[string]map[string]tally)
-	names := o.wanting()
-	if !o.settled || len(names) == 0 || o.leased >= o.all {
+// grantFree grants free slots to the holders that want some: those with the fewest first, and to
+// none more than its fair share while others are below theirs.
+func (o *Owner) grantFree(fair int) map[string]map[string]classCounts {
+	given := make(map[string]map[string]classCounts)
+	names := o.waitingHolders()
+	if !o.firstTermOver || len(names) == 0 || o.leasedCount >= o.capacity {
 		return given
 	}
-	rooms := o.rooms()
-	for _, most := range []int{fair, math.MaxInt} {
+	hosts := o.freeHosts()
+	for _, maxTotal := range []int{fair, math.MaxInt} {
 		for _, name := range names {
 			h := o.holders[name]
-			lots := o.grant(h, rooms, most-h.total)
-			for host, t := range lots {
+			granted := o.grantTo(h, hosts, maxTotal-h.total)
+			for host, t := range granted {
 				if given[name] == nil {
-					given[name] = make(map[string]tally)
+					given[name] = make(map[string]classCounts)
 				}
 				sum := given[name][host]
-				given[name][host] = tally{sum.quick + t.quick, sum.long + t.long}
+				given[name][host] = classCounts{sum.quick + t.quick, sum.long + t.long}
 			}
 		}
 	}
 	return given
 }
 
-// wanting lists the holders that want slots, those with the fewest first.
-func (o *Owner) wanting() []string {
+// waitingHolders lists the holders that want slots, those with the fewest first.
+func (o *Owner) waitingHolders() []string {
 	var names []string
 	for name, h := range o.holders {
 		if h.want.total() > 0 {
@@ -186,69 +185,69 @@
 	return names
 }
 
-// grant gives one holder what it wants, one slot at a time from the hosts with
-// the most room, so that the work spreads.
-func (o *Owner) grant(h *holder, rooms []room, most int) map[string]tally {
-	lots := make(map[string]tally)
-	quick := o.give(h, rooms, min(h.want.quick, most), tally{quick: 1}, lots)
-	long := o.give(h, rooms, min(h.want.long, most-quick), tally{long: 1}, lots)
-	h.want = tally{h.want.quick - quick, h.want.long - long}
-	return lots
+// grantTo grants one holder what it wants, one slot at a time from the hosts with the most free
+// slots, so that the requests spread over the hosts.
+func (o *Owner) grantTo(h *holderState, hosts []freeHost, maxTotal int) map[string]classCounts {
+	granted := make(map[string]classCounts)
+	quick := o.grantClass(h, hosts, min(h.want.quick, maxTotal), classCounts{quick: 1}, granted)
+	long := o.grantClass(h, hosts, min(h.want.long, maxTotal-quick), classCounts{long: 1}, granted)
+	h.want = classCounts{h.want.quick - quick, h.want.long - long}
+	return granted
 }
 
-// room is what is left on a host.
-type room struct {
+// freeHost is what is left to lease on a host.
+type freeHost struct {
 	host  string
-	left  int
+	total int
 	quick int
 	long  int
 }
 
-// rooms lists the hosts that have something left, those with most first.
-func (o *Owner) rooms() []room {
-	out := make([]room, 0, len(o.fleet.Hosts))
+// freeHosts lists the hosts with free slots, those with the most first.
+func (o *Owner) freeHosts() []freeHost {
+	out := make([]freeHost, 0, len(o.fleet.Hosts))
 	for _, r := range o.fleet.Hosts {
-		limit := o.limit(r.Slots)
-		sum := o.sums[r.Host]
-		left := limit - sum.total() - o.doubtful(r.Host)
+		limit := o.share(r.Slots)
+		sum := o.leasedByHost[r.Host]
+		left := limit - sum.total() - o.unconfirmedCount(r.Host)
 		if left <= 0 {
 			continue
 		}
-		out = append(out, room{
-			host: r.Host, left: left,
-			quick: atMostBut(limit, o.fleet.Floor) - sum.quick,
-			long:  atMostBut(limit, o.fleet.Reserve) - sum.long,
+		out = append(out, freeHost{
+			host: r.Host, total: left,
+			quick: classLimit(limit, o.fleet.Floor) - sum.quick,
+			long:  classLimit(limit, o.fleet.Reserve) - sum.long,
 		})
 	}
-	slices.SortFunc(out, func(a, b room) int {
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(a.host, b.host))
+	slices.SortFunc(out, func(a, b freeHost) int {
+		return cmp.Or(cmp.Compare(b.total, a.total), cmp.Compare(a.host, b.host))
 	})
 	return out
 }
 
-// limit is this owner's share of a worker's slots.
-func (o *Owner) limit(slots int) int {
+// share returns how many of a worker's slots are this owner's to lease out.
+func (o *Owner) share(slots int) int {
 	if o.fleet.Known <= 0 {
 		return 0
 	}
 	return slots * o.fleet.Same / o.fleet.Known
 }
 
-// atMostBut is the limit less what is kept for the other class, but never so
-// little that a class is shut out of a small share.
-func atMostBut(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
+// classLimit is the limit of one class: the total less the slots kept for the other class, but at
+// least one, so that a small share shuts out neither class.
+func classLimit(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
 
-func (o *Owner) give(h *holder, rooms []room, want int, one tally, lots map[string]tally) (given int) {
+func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, one classCounts, granted map[string]classCounts) (given int) {
 	for given < want {
 		before := given
-		for i := range rooms {
+		for i := range hosts {
 			if given == want {
 				return given
 			}
-			if rooms[i].take(one) {
-				o.add(h, rooms[i].host, one)
-				sum := lots[rooms[i].host]
-				lots[rooms[i].host] = tally{sum.quick + one.quick, sum.long + one.long}
+			if hosts[i].reserve(one) {
+				o.addLease(h, hosts[i].host, one)
+				sum := granted[hosts[i].host]
+				granted[hosts[i].host] = classCounts{sum.quick + one.quick, sum.long + one.long}
 				given++
 			}
 		}
@@ -259,63 +258,66 @@
 	return given
 }
 
-func (r *room) take(one tally) bool {
-	if r.left < 1 || (one.quick > 0 && r.quick < 1) || (one.long > 0 && r.long < 1) {
+func (r *freeHost) reserve(one classCounts) bool {
+	if r.total < 1 || (one.quick > 0 && r.quick < 1) || (one.long > 0 && r.long < 1) {
 		return false
 	}
-	r.left--
+	r.total--
 	r.quick -= one.quick
 	r.long -= one.long
 	return true
 }
 
-func (o *Owner) add(h *holder, host string, t tally) {
-	if h.lots == nil {
-		h.lots = make(map[string]tally)
+func (o *Owner) addLease(h *holderState, host string, t classCounts) {
+	if h.byHost == nil {
+		h.byHost = make(map[string]classCounts)
 	}
-	put(h.lots, host, t)
-	put(o.sums, host, t)
+	addCounts(h.byHost, host, t)
+	addCounts(o.leasedByHost, host, t)
 	h.total += t.total()
-	o.leased += t.total()
+	o.leasedCount += t.total()
 }
 
-// put adds to an entry of a map; what has become nothing is dropped.
-func put(m map[string]tally, host string, t tally) {
-	sum := tally{m[host].quick + t.quick, m[host].long + t.long}
-	if sum == (tally{}) {
+// addCounts adds to an entry of a map, and deletes the entry when it becomes zero.
+func addCounts(m map[string]classCounts, host string, t classCounts) {
+	sum := classCounts{m[host].quick + t.quick, m[host].long + t.long}
+	if sum == (classCounts{}) {
 		delete(m, host)
 		return
 	}
 	m[host] = sum
 }
 
-func (o *Owner) clear(h *holder) {
-	for host, t := range h.lots {
-		put(o.sums, host, tally{-t.quick, -t.long})
+func (o *Owner) clearLeases(h *holderState) {
+	for host, t := range h.byHost {
+		addCounts(o.leasedByHost, host, classCounts{-t.quick, -t.long})
 	}
-	o.leased -= h.total
-	h.lots = nil
+	o.leasedCount -= h.total
+	h.byHost = nil
 	h.total = 0
 }
 
-// Leased returns the slots of a host that are leased or in doubt.
-func (o *Owner) Leased(host string) int { return o.sums[host].total() + o.doubtful(host) }
+// UnavailableCount returns the slots of a host that are leased, or unconfirmed after a lease
+// expired.
+func (o *Owner) Leased(host string) int {
+	return o.leasedByHost[host].total() + o.unconfirmedCount(host)
+}
 
-// fair is an equal part of all slots for each holder that has or wants some.
-func (o *Owner) fair() int {
+// fairShare is an equal part of all slots for each holder that has or wants some.
+func (o *Owner) fairShare() int {
 	active := 0
 	for _, h := range o.holders {
 		if h.total+h.want.total() > 0 {
 			active++
 		}
 	}
-	return max(1, o.all/max(1, active))
+	return max(1, o.capacity/max(1, active))
 }
 
-// starved tells whether a holder that has less than a fair part wants more and
-// can't get it. Only then are the others bound to theirs: a bound that always
-// held would leave slots idle while one entry has much to do.
-func (o *Owner) starved(fair int) bool {
+// hasStarvedHolder reports whether a holder with less than a fair share wants more and can't get
+// it. Only then are the others limited to their share: a permanent limit would leave slots idle
+// while one entry has many requests.
+func (o *Owner) hasStarvedHolder(fair int) bool {
 	for _, h := range o.holders {
 		if h.want.total() > 0 && h.total < fair {
 			return true
@@ -324,18 +326,18 @@
 	return false
 }
 
-// keptFree is the part of the free slots that the holders together may keep in
-// reserve; the rest stays with the owner for whoever comes.
-const keptFree = 2
+// idleDivisor determines which part of the free slots the holders together may keep idle; the rest
+// stays with the owner for whichever entry asks next.
+const idleDivisor = 2
 
-// free is how many idle slots each holder may keep.
-func (o *Owner) free() int {
-	return max(0, (o.all-o.leased)/(keptFree*max(1, len(o.holders))))
+// maxIdle is how many idle slots each holder may keep.
+func (o *Owner) maxIdle() int {
+	return max(0, (o.capacity-o.leasedCount)/(idleDivisor*max(1, len(o.holders))))
 }
 
-func list(lots map[string]tally) []Lot {
-	out := make([]Lot, 0, len(lots))
-	for host, t := range lots {
+func sortedSlots(byHost map[string]classCounts) []Lot {
+	out := make([]Lot, 0, len(byHost))
+	for host, t := range byHost {
 		out = append(out, Lot{Host: host, Quick: t.quick, Long: t.long})
 	}
 	slices.SortFunc(out, func(a, b Lot) int { return strings.Compare(a.Host, b.Host) })
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -17,44 +17,44 @@
 )
 
 const (
-	term  = 3 * time.Second
-	limit = 10 * time.Second
-	size  = 8
+	leaseDuration  = 3 * time.Second
+	maxRunTime     = 10 * time.Second
+	slotsPerWorker = 8
 )
 
 func TestMain(m *testing.M) { fixed.Run{Checks: "5000", Steps: "60"}.Main(m) }
 
-// request is one that runs at a worker, whatever becomes of its holder.
+// request runs on a worker, whatever becomes of its holder.
 type request struct {
-	place  *gauge.Place
-	holder int
-	ends   time.Time
-	over   bool // its holder has seen its end
+	place   *gauge.Place
+	holder  int
+	ends    time.Time
+	endSeen bool // its holder has seen its end
 }
 
-// world is some holders, one owner at a time, and messages that may be lost,
-// late or out of order.
+// world has several holders, one owner at a time, and messages that may be lost, delayed or
+// reordered.
 type world struct {
-	now     time.Time
-	owner   *slots.Owner
-	holders []*hold.Holder
-	asks    []slots.Ask
-	grants  []addressed
-	running []*request
-	hosts   int
-	size    int
-	kept    int // of each class
+	now      time.Time
+	owner    *slots.Owner
+	holders  []*hold.Holder
+	requests []slots.Ask
+	grants   []addressedGrant
+	running  []*request
+	hosts    int
+	size     int
+	keptLong int // slots of each worker kept for long requests, and half of those kept for quick ones
 }
 
-type addressed struct {
+type addressedGrant struct {
 	holder int
 	grant  slots.Grant
 }
 
-func newWorld(holders int) *world { return newSized(holders, 3, size, 1) }
+func newWorld(holders int) *world { return newSized(holders, 3, slotsPerWorker, 1) }
 
 func newSized(holders, hosts, size, kept int) *world {
-	w := &world{now: time.Unix(1_000_000, 0), hosts: hosts, size: size, kept: kept}
+	w := &world{now: time.Unix(1_000_000, 0), hosts: hosts, size: size, keptLong: kept}
 	targets := make(map[string]gauge.Target)
 	for i := range hosts {
 		id := fmt.Sprintf("w%d", i)
@@ -62,66 +62,66 @@
 	}
 	for i := range holders {
 		h := hold.New(hold.Config{Name: fmt.Sprintf("e%d", i), Pool: "p"})
-		h.Set(targets)
+		h.SetTargets(targets)
 		w.holders = append(w.holders, h)
 	}
-	w.change()
+	w.changeOwner()
 	return w
 }
 
-// change makes another entry the owner: it knows of no lease.
-func (w *world) change() {
-	w.owner = slots.New(slots.Config{Pool: "p", Term: term, Limit: limit, Start: w.now})
-	w.asks = nil // they were sent to the old one
+// changeOwner makes another entry the owner, which knows of no lease.
+func (w *world) changeOwner() {
+	w.owner = slots.New(slots.Config{Pool: "p", Term: leaseDuration, Limit: maxRunTime, Start: w.now})
+	w.requests = nil // they were sent to the previous owner
 }
 
 func (w *world) fleet() slots.Fleet {
-	f := slots.Fleet{Reserve: 2 * w.kept, Floor: w.kept, Same: 1, Known: 1}
+	f := slots.Fleet{Reserve: 2 * w.keptLong, Floor: w.keptLong, Same: 1, Known: 1}
 	for i := range w.hosts {
 		f.Hosts = append(f.Hosts, slots.Room{Host: fmt.Sprintf("w%d", i), Slots: w.size})
 	}
 	return f
 }
 
-func (w *world) ask(i, quick, long int) {
-	w.asks = append(w.asks, w.holders[i].Full(w.now, quick, long))
+func (w *world) sendFull(i, quick, long int) {
+	w.requests = append(w.requests, w.holders[i].FullRequest(w.now, quick, long))
 }
 
-func (w *world) tell(i, quick, long int) {
-	if a, ok := w.holders[i].Change(w.now, quick, long); ok {
-		w.asks = append(w.asks, a)
+func (w *world) sendDelta(i, quick, long int) {
+	if a, ok := w.holders[i].DeltaRequest(w.now, quick, long); ok {
+		w.requests = append(w.requests, a)
 	}
 }
 
-func (w *world) deliverAsk(i int) {
-	a := w.asks[i]
+func (w *world) deliverRequest(i int) {
+	a := w.requests[i]
 	w.owner.Set(w.fleet())
 	g, pushes := w.owner.Ask(w.now, a)
-	w.grants = append(w.grants, addressed{number(a.Holder), g})
+	w.grants = append(w.grants, addressedGrant{holderIndex(a.Holder), g})
 	for _, p := range pushes {
-		w.grants = append(w.grants, addressed{number(p.Holder), p.Grant})
+		w.grants = append(w.grants, addressedGrant{holderIndex(p.Holder), p.Grant})
 	}
 }
 
-// deliverGrant brings one answer to its holder, once.
+// deliverGrant delivers one answer to its holder, once.
 func (w *world) deliverGrant(i int) {
 	g := w.grants[i]
 	w.grants = slices.Delete(w.grants, i, i+1)
-	w.holders[g.holder].Grant(g.grant)
+	w.holders[g.holder].ApplyGrant(g.grant)
 }
 
-// deliverAll brings all messages in the order in which they were sent.
+// deliverAll delivers all messages in the order in which they were sent.
 func (w *world) deliverAll() {
-	for len(w.asks) > 0 {
-		w.deliverAsk(0)
-		w.asks = w.asks[1:]
+	for len(w.requests) > 0 {
+		w.deliverRequest(0)
+		w.requests = w.requests[1:]
 	}
 	for len(w.grants) > 0 {
 		w.deliverGrant(0)
 	}
 }
 
-func number(holder string) int {
+func holderIndex(holder string) int {
 	n, _ := strconv.Atoi(holder[1:])
 	return n
 }
@@ -134,7 +134,7 @@
 	return ok
 }
 
-// report gives the owner a reading of all workers, taken now.
+// report gives the owner the platform's readings of all workers, taken now.
 func (w *world) report() {
 	for i := range w.hosts {
 		host := fmt.Sprintf("w%d", i)
@@ -148,17 +148,17 @@
 	}
 }
 
-// finish lets the holders that are awake see which of their requests ended.
+// finish reports to one holder which of its requests ended.
 func (w *world) finish(i int) {
 	for _, r := range w.running {
-		if r.holder == i && !r.over && !w.now.Before(r.ends) {
+		if r.holder == i && !r.endSeen && !w.now.Before(r.ends) {
 			w.holders[i].Done(r.place)
-			r.over = true
+			r.endSeen = true
 		}
 	}
 }
 
-// overfull returns a worker that runs more than it has slots for.
+// overfull returns a worker that runs more requests than it has slots, or an empty string.
 func (w *world) overfull() string {
 	at := make(map[string]int)
 	for _, r := range w.running {
@@ -172,12 +172,11 @@
 	return ""
 }
 
-// Symptom: a worker runs more requests than it has slots.
-// Sequence: any order of asks and answers that are lost, late or overtaken,
-// holders that pause and wake, owners that change, leases that lapse.
-// Cause: a slot would be handed out again while the entry that had it before
-// may still use it.
-func TestNeverMoreThanTheSlots(t *testing.T) {
+// Guards against a worker that runs more requests than it has slots, because a slot is granted
+// again while the entry that had it before may still use it. Requests for leases and their answers
+// are lost, delayed and reordered, holders pause and resume, owners change and leases expire, in
+// any order.
+func TestNeverMoreRequestsThanSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSized(2, 1, 2, 0) // small, so that few steps fill it
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "i") }
@@ -185,17 +184,17 @@
 			"ask": func(*rapid.T) {
 				i := pick(len(w.holders))
 				w.finish(i)
-				w.ask(i, pick(4), pick(3))
+				w.sendFull(i, pick(4), pick(3))
 			},
 			"tell": func(*rapid.T) {
 				i := pick(len(w.holders))
 				w.finish(i)
-				w.tell(i, pick(4), pick(3))
+				w.sendDelta(i, pick(4), pick(3))
 			},
 			"inOrder": func(*rapid.T) { w.deliverAll() },
 			"askArrives": func(*rapid.T) {
-				if len(w.asks) > 0 {
-					w.deliverAsk(pick(len(w.asks)))
+				if len(w.requests) > 0 {
+					w.deliverRequest(pick(len(w.requests)))
 				}
 			},
 			"grantArrives": func(*rapid.T) {
@@ -204,19 +203,19 @@
 				}
 			},
 			"lose": func(*rapid.T) {
-				w.asks, w.grants = nil, nil
+				w.requests, w.grants = nil, nil
 			},
 			"take": func(*rapid.T) {
 				i := pick(len(w.holders))
 				class := rapid.SampledFrom([]gauge.Class{gauge.ClassQuick, gauge.ClassLong}).Draw(t, "class")
 				for range 1 + pick(3) {
-					w.take(i, class, time.Duration(pick(int(limit/time.Second)))*time.Second)
+					w.take(i, class, time.Duration(pick(int(maxRunTime/time.Second)))*time.Second)
 				}
 			},
 			"turn": func(*rapid.T) {
 				if len(w.running) > 0 {
 					r := w.running[pick(len(w.running))]
-					if !r.over {
+					if !r.endSeen {
 						w.holders[r.holder].Turn(r.place)
 					}
 				}
@@ -226,7 +225,7 @@
 				w.now = w.now.Add(time.Duration(pick(4000)) * time.Millisecond)
 			},
 			"report": func(*rapid.T) { w.report() },
-			"change": func(*rapid.T) { w.change() },
+			"change": func(*rapid.T) { w.changeOwner() },
 			"": func(t *rapid.T) {
 				if host := w.overfull(); host != "" {
 					t.Fatalf("%s is overfull", host)
@@ -236,38 +235,39 @@
 	})
 }
 
-// settle lets the first term pass and the platform report idle workers.
-func (w *world) settle() {
-	w.now = w.now.Add(term)
+// passFirstTerm lets the first lease duration pass, after which the platform reports all workers
+// idle.
+func (w *world) passFirstTerm() {
+	w.now = w.now.Add(leaseDuration)
 	w.renew(0, 0)
 	w.now = w.now.Add(time.Millisecond)
 	w.report()
 }
 
-// renew lets every holder ask once and hear at once.
+// renew lets every holder send a full request, and delivers the answers at once.
 func (w *world) renew(quick, long int) {
 	for i := range w.holders {
 		w.finish(i)
-		w.ask(i, quick, long)
+		w.sendFull(i, quick, long)
 		w.deliverAll()
 	}
 }
 
-// Symptom: quick work waits while long work has all the slots, or the reverse.
-// Sequence: one class asks for everything, again and again.
-// Cause: without the reserve and the floor the first class to ask takes all.
-func TestEachClassHasItsSlots(t *testing.T) {
+// Guards against quick requests waiting while long ones have all the slots, or the reverse. One
+// class asks for all slots again and again; without the reserve and the floor, the class that asks
+// first would get them all.
+func TestClassesKeepTheirSlots(t *testing.T) {
 	for _, tt := range []struct {
 		class       gauge.Class
 		quick, long int
 		most        int
 	}{
-		{gauge.ClassLong, 0, 100, 3 * (size - 2)},
-		{gauge.ClassQuick, 100, 0, 3 * (size - 1)},
+		{gauge.ClassLong, 0, 100, 3 * (slotsPerWorker - 2)},
+		{gauge.ClassQuick, 100, 0, 3 * (slotsPerWorker - 1)},
 	} {
 		t.Run(string(tt.class), func(t *testing.T) {
 			w := newWorld(1)
-			w.settle()
+			w.passFirstTerm()
 			taken := 0
 			for range 5 {
 				w.renew(tt.quick, tt.long)
@@ -280,13 +280,12 @@
 	}
 }
 
-// Symptom: one entry has all the slots, the others' requests wait for good.
-// Sequence: the first entry takes everything for work that comes without end,
-// then the others ask.
-// Cause: without a fair share the slots that come free go back to their holder.
-func TestSlotsAreSharedFairly(t *testing.T) {
+// Guards against one entry keeping all the slots while the others' requests wait for ever. The
+// first entry takes everything for an endless flow of requests before the others ask; without a
+// fair share, each slot that comes free would go back to its last holder.
+func TestFairShare(t *testing.T) {
 	w := newWorld(3)
-	w.settle()
+	w.passFirstTerm()
 	running := func(i int) int {
 		n := 0
 		for _, r := range w.running {
@@ -299,10 +298,10 @@
 	for round := range 40 {
 		for i := range w.holders {
 			if i > 0 && round < 10 {
-				continue // the first is alone at first
+				continue // the first entry is alone for ten rounds
 			}
 			w.finish(i)
-			w.ask(i, 30, 0)
+			w.sendFull(i, 30, 0)
 			w.deliverAll()
 			for w.take(i, gauge.ClassQuick, 500*time.Millisecond) {
 			}
@@ -316,51 +315,47 @@
 			}
 		}
 	}
-	total := 3 * (size - 1)
+	total := 3 * (slotsPerWorker - 1)
 	for i := range w.holders {
 		assert.Assert(t, running(i) >= total/3-2, "entry %d has %d of %d slots", i, running(i), total)
 	}
 }
 
-// Symptom: a worker's slots stay unused long after the entry that had them died.
-// Sequence: an entry takes slots and dies; its lease lapses; the platform then
-// reports the worker idle.
-// Cause: without the report the slots would stay in doubt for the longest run.
-func TestReportEndsTheDoubt(t *testing.T) {
+// Guards against a worker's slots staying unused long after the entry that had them died. The entry
+// takes slots and dies, its lease expires, and the platform then reports the worker idle; without
+// that report the slots would stay unconfirmed for the longest run of a request.
+func TestUsageReportConfirmsIdleSlots(t *testing.T) {
 	w := newWorld(2)
-	w.settle()
+	w.passFirstTerm()
 	w.renew(20, 0)
-	w.now = w.now.Add(term)
-	w.ask(1, 0, 0)
+	w.now = w.now.Add(leaseDuration)
+	w.sendFull(1, 0, 0)
 	w.deliverAll()
 	assert.Assert(t, w.owner.Leased("w0") > 0)
-	w.owner.Seen("w0", 0, w.now.Add(-time.Second)) // read before the lapse: proves nothing
+	w.owner.Seen("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
 	assert.Assert(t, w.owner.Leased("w0") > 0)
 	w.owner.Seen("w0", 0, w.now.Add(time.Second))
 	assert.Equal(t, w.owner.Leased("w0"), 0)
 }
 
-// Symptom: a worker is overfull for as long as a request runs, after an entry
-// died.
-// Sequence: the owner of a pool dies with requests of its own running; another
-// becomes the owner and hands out all the slots.
-// Cause: without the doubt the new owner would know nothing of the dead one's
-// requests.
-func TestNewOwnerDoubtsWhatNobodyNames(t *testing.T) {
+// Guards against a worker that is overfull for as long as a request runs after an entry died. The
+// owner of a pool dies with requests of its own running, and the next owner, which knows nothing of
+// them, would grant all the slots if it didn't take those that no holder reports as unconfirmed.
+func TestNewOwnerKeepsUnreportedSlots(t *testing.T) {
 	w := newWorld(2)
-	w.settle()
+	w.passFirstTerm()
 	w.renew(9, 0)
-	for w.take(0, gauge.ClassQuick, limit) {
+	for w.take(0, gauge.ClassQuick, maxRunTime) {
 	}
-	w.change() // entry 0 is dead from here on
+	w.changeOwner() // entry 0 is dead from here on
 	for range 8 {
 		w.now = w.now.Add(time.Second)
-		w.ask(1, 100, 0)
+		w.sendFull(1, 100, 0)
 		w.deliverAll()
 		w.report()
-		for w.take(1, gauge.ClassQuick, limit) {
+		for w.take(1, gauge.ClassQuick, maxRunTime) {
 		}
 		assert.Equal(t, w.overfull(), "")
 	}
-	assert.Assert(t, w.holders[1].Used() > 0)
+	assert.Assert(t, w.holders[1].UsedCount() > 0)
 }
