--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -44,37 +44,37 @@
 	defaultRound = time.Second
 	// requestDelay is the pause between a need for slots and the lease request, so that the needs
 	// of a burst go into one message.
-	soon = 2 * time.Millisecond
+	requestDelay = 2 * time.Millisecond
 )
 
 // requestMsg and grantMsg are the messages between entries.
-type asks struct {
-	Asks []slots.Ask `msgpack:"a"`
+type requestMsg struct {
+	Requests []slots.Ask `msgpack:"a"`
 }
 
-type grants struct {
+type grantMsg struct {
 	Grants []slots.Grant `msgpack:"g"`
 }
 
 // emptyReply answers a message that needs no answer.
-type nothing struct{}
+type emptyReply struct{}
 
-// Broker has the dispatchers of this entry, and the owners of the pools that it owns.
+// Broker has the dispatchers of this entry and the owners of the pools that it owns.
 type Broker struct {
 	conf Config
-	kick chan struct{}
+	wake chan struct{}
 
-	mu     sync.RWMutex
-	desks  map[string]*desk.Desk
-	owners map[string]*owner
-	fleets map[string]fleet // by pool, of the configuration in force
+	mu             sync.RWMutex
+	dispatchers    map[string]*desk.Desk
+	owners         map[string]*owner
+	leasableByName map[string]leasable // of the configuration in force
 }
 
 // leasable is what can be leased out under one name: a pool's slots, or a team's quota as the slots
 // of a single made-up host.
-type fleet struct {
+type leasable struct {
 	slots.Fleet
-	limit time.Duration // longest run of a request
+	maxRunTime time.Duration // longest run of a request
 }
 
 // Quota is the name under which a team's quota is leased out.
@@ -82,9 +82,9 @@
 
 // owner leases out one pool that this entry owns, under its own lock.
 type owner struct {
-	mu    sync.Mutex
-	slots *slots.Owner
-	sure  time.Time // when this entry was last known to be the owner
+	mu            sync.Mutex
+	slots         *slots.Owner
+	lastConfirmed time.Time // when this entry was last known to be the owner
 }
 
 // New returns a Broker without dispatchers.
@@ -92,16 +92,16 @@
 	fill.Zero(&c.Term, defaultTerm)
 	fill.Zero(&c.Round, defaultRound)
 	return &Broker{
-		conf: c, kick: make(chan struct{}, 1),
-		desks: make(map[string]*desk.Desk), owners: make(map[string]*owner),
+		conf: c, wake: make(chan struct{}, 1),
+		dispatchers: make(map[string]*desk.Desk), owners: make(map[string]*owner),
 	}
 }
 
-func (b *Broker) name() string { return b.conf.Self.ID + "/" + b.conf.Self.Run }
+func (b *Broker) holderName() string { return b.conf.Self.ID + "/" + b.conf.Self.Run }
 
-func (b *Broker) kicked() {
+func (b *Broker) requestSoon() {
 	select {
-	case b.kick <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default: // a round is due already
 	}
 }
@@ -114,23 +114,23 @@
 		byPool[h.Pool] = append(byPool[h.Pool], h)
 		rooms[h.Pool] = append(rooms[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
 	}
-	lengths, limits := bounds(s)
-	fleets := make(map[string]fleet)
+	lengths, limits := poolLimits(s)
+	fleets := make(map[string]leasable)
 	for _, name := range s.Names(gauge.RecordPool) {
 		p := s.Pool(name)
-		fleets[name] = fleet{
-			Fleet: slots.Fleet{Hosts: rooms[name], Reserve: p.Reserve, Floor: p.Floor},
-			limit: limits[name],
+		fleets[name] = leasable{
+			Fleet:      slots.Fleet{Hosts: rooms[name], Reserve: p.Reserve, Floor: p.Floor},
+			maxRunTime: limits[name],
 		}
-		b.deskFor(name, lengths[name]).Set(byPool[name], p.Hosts)
+		b.dispatcherFor(name, lengths[name]).Set(byPool[name], p.Hosts)
 	}
 	for _, name := range s.Names(gauge.RecordTeam) {
 		quota := s.Team(name).Quota
-		fleets[Quota(name)] = fleet{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
-		b.deskFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
+		fleets[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
+		b.dispatcherFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
 	}
 	b.mu.Lock()
-	b.fleets = fleets
+	b.leasableByName = fleets
 	b.mu.Unlock()
 }
 
@@ -139,7 +139,7 @@
 
 // poolLimits returns for each pool how many requests may wait at one entry and how long one may
 // run.
-func bounds(s gauge.State) (lengths map[string]int, limits map[string]time.Duration) {
+func poolLimits(s gauge.State) (lengths map[string]int, limits map[string]time.Duration) {
 	lengths, limits = make(map[string]int), make(map[string]time.Duration)
 	for _, name := range s.Names(gauge.RecordService) {
 		svc := s.Service(name)
@@ -149,16 +149,16 @@
 	return lengths, limits
 }
 
-func (b *Broker) deskFor(pool string, length int) *desk.Desk {
+func (b *Broker) dispatcherFor(pool string, length int) *desk.Desk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.desks[pool]
+	d := b.dispatchers[pool]
 	if d == nil {
 		d = desk.New(desk.Config{
-			Pool: pool, Name: b.name(), Length: max(1, length), Clock: b.conf.Clock,
-			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.desks)))), Kick: b.kicked,
+			Pool: pool, Name: b.holderName(), Length: max(1, length), Clock: b.conf.Clock,
+			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.dispatchers)))), Kick: b.requestSoon,
 		})
-		b.desks[pool] = d
+		b.dispatchers[pool] = d
 	}
 	return d
 }
@@ -167,15 +167,15 @@
 func (b *Broker) Desk(pool string) *desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.desks[pool]
+	return b.dispatchers[pool]
 }
 
 // Counts returns the current state of each dispatcher.
 func (b *Broker) Counts() []desk.Counts {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make([]desk.Counts, 0, len(b.desks))
-	for _, d := range b.desks {
+	out := make([]desk.Counts, 0, len(b.dispatchers))
+	for _, d := range b.dispatchers {
 		out = append(out, d.Counts())
 	}
 	return out
@@ -186,129 +186,129 @@
 func (b *Broker) Run(ctx context.Context) {
 	tick := time.NewTicker(b.conf.Round)
 	defer tick.Stop()
-	var group conc.WaitGroup
-	defer group.Wait()
+	var calls conc.WaitGroup
+	defer calls.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			b.review(b.conf.View())
-			b.round(ctx, &group, (*desk.Desk).Renew)
-		case <-b.kick:
-			time.Sleep(soon)
-			b.round(ctx, &group, (*desk.Desk).Ask)
+			b.updateOwners(b.conf.View())
+			b.sendRequests(ctx, &calls, (*desk.Desk).Renew)
+		case <-b.wake:
+			time.Sleep(requestDelay)
+			b.sendRequests(ctx, &calls, (*desk.Desk).Ask)
 		}
 	}
 }
 
 // sendRequests sends the dispatchers' lease requests, one message per owner.
-func (b *Broker) round(ctx context.Context, group *conc.WaitGroup, say func(*desk.Desk) (slots.Ask, bool)) {
+func (b *Broker) sendRequests(ctx context.Context, calls *conc.WaitGroup, nextRequest func(*desk.Desk) (slots.Ask, bool)) {
 	view := b.conf.View()
-	byOwner := make(map[string]*asks)
+	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
-	for pool, d := range b.all() {
-		a, ok := say(d)
+	for pool, d := range b.allDispatchers() {
+		a, ok := nextRequest(d)
 		if !ok {
 			continue
 		}
 		m := peers.Owner(view.Live, pool)
 		if byOwner[m.ID] == nil {
-			byOwner[m.ID] = &asks{}
+			byOwner[m.ID] = &requestMsg{}
 			addrs[m.ID] = m.Peer
 		}
-		byOwner[m.ID].Asks = append(byOwner[m.ID].Asks, a)
+		byOwner[m.ID].Requests = append(byOwner[m.ID].Requests, a)
 	}
 	for id, msg := range byOwner {
-		group.Go(func() {
+		calls.Go(func() {
 			if id == b.conf.Self.ID {
-				b.take(b.answer(ctx, *msg, view))
+				b.applyGrants(b.answerRequests(ctx, *msg, view))
 				return
 			}
-			b.send(ctx, addrs[id], msg)
+			b.sendToOwner(ctx, addrs[id], msg)
 		})
 	}
 }
 
-func (b *Broker) all() map[string]*desk.Desk {
+func (b *Broker) allDispatchers() map[string]*desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make(map[string]*desk.Desk, len(b.desks))
-	for pool, d := range b.desks {
+	out := make(map[string]*desk.Desk, len(b.dispatchers))
+	for pool, d := range b.dispatchers {
 		out[pool] = d
 	}
 	return out
 }
 
 // sendToOwner sends lease requests to an owner. The next renewal makes up for a lost message.
-func (b *Broker) send(ctx context.Context, addr string, msg *asks) {
+func (b *Broker) sendToOwner(ctx context.Context, addr string, msg *requestMsg) {
 	ctx, cancel := context.WithTimeout(ctx, b.conf.Round)
 	defer cancel()
-	var back grants
-	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &back); err != nil {
+	var reply grantMsg
+	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &reply); err != nil {
 		b.conf.Logs.V(1).Info("pool owner did not answer", "addr", addr, "reason", err.Error())
 		return
 	}
-	b.take(back)
+	b.applyGrants(reply)
 }
 
-func (b *Broker) take(g grants) {
-	for _, one := range g.Grants {
-		if d := b.Desk(one.Pool); d != nil {
-			d.Grant(one)
+func (b *Broker) applyGrants(g grantMsg) {
+	for _, grant := range g.Grants {
+		if d := b.Desk(grant.Pool); d != nil {
+			d.Grant(grant)
 		}
 	}
 }
 
 // HandleAsk answers another entry's lease requests.
 func (b *Broker) HandleAsk(ctx context.Context, body []byte) (any, error) {
-	var msg asks
+	var msg requestMsg
 	if err := frame.Decode(body, &msg); err != nil {
 		return nil, err
 	}
-	back := b.answer(ctx, msg, b.conf.View())
-	return &back, nil
+	reply := b.answerRequests(ctx, msg, b.conf.View())
+	return &reply, nil
 }
 
 // HandleGrant takes in slots that an owner grants after it answered the request.
 func (b *Broker) HandleGrant(_ context.Context, body []byte) (any, error) {
-	var msg grants
+	var msg grantMsg
 	if err := frame.Decode(body, &msg); err != nil {
 		return nil, err
 	}
-	b.take(msg)
-	return &nothing{}, nil
+	b.applyGrants(msg)
+	return &emptyReply{}, nil
 }
 
-func (b *Broker) answer(ctx context.Context, msg asks, view member.View) grants {
-	var out grants
-	others := make(map[string]*grants)
-	for _, a := range msg.Asks {
-		g, pushes := b.answerOne(a, view)
+func (b *Broker) answerRequests(ctx context.Context, msg requestMsg, view member.View) grantMsg {
+	var out grantMsg
+	others := make(map[string]*grantMsg)
+	for _, a := range msg.Requests {
+		g, pushes := b.answerRequest(a, view)
 		out.Grants = append(out.Grants, g)
 		for _, p := range pushes {
 			if others[p.Holder] == nil {
-				others[p.Holder] = &grants{}
+				others[p.Holder] = &grantMsg{}
 			}
 			others[p.Holder].Grants = append(others[p.Holder].Grants, p.Grant)
 		}
 	}
 	for holder, g := range others {
-		b.push(ctx, holder, g, view)
+		b.pushGrants(ctx, holder, g, view)
 	}
 	return out
 }
 
-func (b *Broker) answerOne(a slots.Ask, view member.View) (slots.Grant, []slots.Push) {
+func (b *Broker) answerRequest(a slots.Ask, view member.View) (slots.Grant, []slots.Push) {
 	b.mu.RLock()
-	f, ok := b.fleets[a.Pool]
+	f, ok := b.leasableByName[a.Pool]
 	b.mu.RUnlock()
 	if !ok || peers.Owner(view.Live, a.Pool).ID != b.conf.Self.ID {
-		b.disown(a.Pool)
+		b.dropOwner(a.Pool)
 		return slots.Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
 	}
 	f.Same, f.Known = view.Same, view.Known
-	o := b.own(a.Pool, f.limit)
+	o := b.currentOwner(a.Pool, f.maxRunTime)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.slots.Set(f.Fleet)
@@ -316,9 +316,9 @@
 }
 
 // pushGrants sends slots that came free to an entry that waits for some.
-func (b *Broker) push(ctx context.Context, holder string, g *grants, view member.View) {
-	if holder == b.name() {
-		b.take(*g)
+func (b *Broker) pushGrants(ctx context.Context, holder string, g *grantMsg, view member.View) {
+	if holder == b.holderName() {
+		b.applyGrants(*g)
 		return
 	}
 	for _, m := range view.Live {
@@ -328,7 +328,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.conf.Round)
 			defer cancel()
-			_ = b.conf.Peers.Call(ctx, m.Peer, MethodGrant, g, &nothing{})
+			_ = b.conf.Peers.Call(ctx, m.Peer, MethodGrant, g, &emptyReply{})
 		}()
 	}
 }
@@ -337,40 +337,40 @@
 // the time up to now, and then waits until the leases of the previous owner have expired. An entry
 // that was paused still has old leases in memory, while another may have been the owner; a gap of
 // more than a lease duration shows that.
-func (b *Broker) own(pool string, limit time.Duration) *owner {
+func (b *Broker) currentOwner(pool string, limit time.Duration) *owner {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.conf.Clock()
 	o := b.owners[pool]
-	if o == nil || now.Sub(o.sure) > b.conf.Term {
+	if o == nil || now.Sub(o.lastConfirmed) > b.conf.Term {
 		o = &owner{slots: slots.New(slots.Config{
 			Pool: pool, Term: b.conf.Term, Limit: limit, Start: now,
 		})}
 		b.owners[pool] = o
 		b.conf.Logs.V(1).Info("leasing out slots as pool owner", "pool", pool)
 	}
-	o.sure = now
+	o.lastConfirmed = now
 	return o
 }
 
 // updateOwners determines in every round which pools are this entry's, so that the wait for the
 // previous owner's leases is over before the first request comes.
-func (b *Broker) review(view member.View) {
+func (b *Broker) updateOwners(view member.View) {
 	b.mu.RLock()
-	fleets := b.fleets
+	fleets := b.leasableByName
 	b.mu.RUnlock()
 	for name, f := range fleets {
 		if peers.Owner(view.Live, name).ID == b.conf.Self.ID {
-			b.own(name, f.limit)
+			b.currentOwner(name, f.maxRunTime)
 		} else {
-			b.disown(name)
+			b.dropOwner(name)
 		}
 	}
 }
 
 // dropOwner forgets a pool that another entry owns now. Its holders know what was granted here and
 // report it to the new owner.
-func (b *Broker) disown(pool string) {
+func (b *Broker) dropOwner(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.owners, pool)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -30,13 +30,13 @@
 const (
 	defaultTimeout = 2 * time.Second
 	defaultInline  = 32 << 10
-	readBacks      = 4
+	maxReadBacks   = 4
 )
 
 // Claims reads and writes claim rows.
 type Claims struct {
-	conf  Config
-	group *group
+	conf      Config
+	committer *groupCommitter
 }
 
 // Held is a claim as it was read, with the version that a write must find.
@@ -50,17 +50,17 @@
 func New(c Config) *Claims {
 	fill.Zero(&c.Timeout, defaultTimeout)
 	fill.Zero(&c.Inline, defaultInline)
-	return &Claims{conf: c, group: &group{table: c.Table, timeout: c.Timeout}}
+	return &Claims{conf: c, committer: &groupCommitter{table: c.Table, timeout: c.Timeout}}
 }
 
 // CommitCounts returns the number of transactions made and of the writes that they carried.
-func (c *Claims) Counts() (commits, writes int) { return c.group.counts() }
+func (c *Claims) Counts() (commits, writes int) { return c.committer.counts() }
 
 func rowKey(k gauge.ClaimKey) string { return "claim/" + k.Day + "/" + k.Team + "/" + k.ID }
 
-// asyncKey lists an asynchronous claim under the entry that runs it, so that what a dead entry
+// asyncRowKey lists an asynchronous claim under the entry that runs it, so that what a dead entry
 // leaves behind is found without reading all claims.
-func asyncKey(entry string, k gauge.ClaimKey) string {
+func asyncRowKey(entry string, k gauge.ClaimKey) string {
 	return "async/" + entry + "/" + k.Day + "/" + k.Team + "/" + k.ID
 }
 
@@ -71,14 +71,14 @@
 // If the insertion isn't answered, the row is read back, and its token shows whose it is.
 func (c *Claims) Claim(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.Accepted) (Held, bool, error) {
 	want := gauge.Claim{Token: uuid.NewString(), Entry: c.conf.Entry, State: state, Hash: hash, Accept: accept}
-	if err := c.spill(ctx, k, want.Accept); err != nil {
+	if err := c.storeLongBody(ctx, k, want.Accept); err != nil {
 		return Held{}, false, err
 	}
-	puts, err := c.puts(k, want)
+	puts, err := c.rowPuts(k, want)
 	if err != nil {
 		return Held{}, false, err
 	}
-	err = c.group.do(ctx, gauge.Check{Key: rowKey(k)}, puts...)
+	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(k)}, puts...)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
 		return Held{}, false, err
 	}
@@ -95,7 +95,7 @@
 	return h, h.Claim.Token == want.Token, nil
 }
 
-func (c *Claims) puts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
+func (c *Claims) rowPuts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
 	body, err := json.Marshal(cl)
 	if err != nil {
 		return nil, gauge.Fail(gauge.KindInternal, "claim.puts").Because(err)
@@ -104,7 +104,7 @@
 	if cl.Accept == nil {
 		return puts, nil
 	}
-	index := gauge.Put{Key: asyncKey(cl.Entry, k)}
+	index := gauge.Put{Key: asyncRowKey(cl.Entry, k)}
 	if cl.State != gauge.ClaimDone {
 		index.Value = []byte("{}")
 	}
@@ -116,10 +116,10 @@
 func (c *Claims) readBack(ctx context.Context, k gauge.ClaimKey) (Held, error) {
 	return backoff.Retry(ctx, func() (Held, error) {
 		return c.Read(ctx, k)
-	}, backoff.WithMaxTries(readBacks), backoff.WithBackOff(pauses()))
+	}, backoff.WithMaxTries(maxReadBacks), backoff.WithBackOff(retryBackOff()))
 }
 
-func pauses() backoff.BackOff {
+func retryBackOff() backoff.BackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 20 * time.Millisecond
 	b.MaxInterval = 5 * time.Second
@@ -154,16 +154,16 @@
 		h = read
 	}
 	next := h.Claim
-	before := next.Entry
+	previous := next.Entry
 	next.Token, next.Entry, next.State = uuid.NewString(), c.conf.Entry, state
-	puts, err := c.puts(h.Key, next)
+	puts, err := c.rowPuts(h.Key, next)
 	if err != nil {
 		return h, false, err
 	}
-	if before != next.Entry {
-		puts = append(puts, gauge.Put{Key: asyncKey(before, h.Key)})
+	if previous != next.Entry {
+		puts = append(puts, gauge.Put{Key: asyncRowKey(previous, h.Key)})
 	}
-	err = c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: h.version}, puts...)
+	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: h.version}, puts...)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
 		return h, false, err
 	}
@@ -178,16 +178,16 @@
 // request has run, and a repeated request must get its answer. A claim that another entry took over
 // meanwhile is left alone.
 func (c *Claims) Finish(ctx context.Context, h Held, o gauge.Outcome) error {
-	if err := c.spillOutcome(ctx, h.Key, &o); err != nil {
+	if err := c.storeLongOutcome(ctx, h.Key, &o); err != nil {
 		return err
 	}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		return struct{}{}, c.finishOnce(ctx, h, o)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(0))
+		return struct{}{}, c.tryStoreOutcome(ctx, h, o)
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(0))
 	return err
 }
 
-func (c *Claims) finishOnce(ctx context.Context, h Held, o gauge.Outcome) error {
+func (c *Claims) tryStoreOutcome(ctx context.Context, h Held, o gauge.Outcome) error {
 	read, err := c.Read(ctx, h.Key)
 	if err != nil {
 		return err
@@ -197,32 +197,32 @@
 	}
 	next := read.Claim
 	next.State, next.Result = gauge.ClaimDone, &o
-	puts, err := c.puts(h.Key, next)
+	puts, err := c.rowPuts(h.Key, next)
 	if err != nil {
 		return backoff.Permanent(err)
 	}
-	return c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version}, puts...)
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version}, puts...)
 }
 
 // maxCommitDelay is how long an unanswered transaction may still take effect.
-const abandonFor = time.Minute
+const maxCommitDelay = time.Minute
 
 // Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
 // after the caller was told "not run"; left there, the row would make the caller's next try appear
 // to be running for ever. Abandon looks for the row until it turns up or can no longer come.
-func (c *Claims) Abandon(ctx context.Context, h Held) {
-	ctx, cancel := context.WithTimeout(ctx, abandonFor)
+func (c *Claims) Abandon(ctx context.Context, stored Held) {
+	ctx, cancel := context.WithTimeout(ctx, maxCommitDelay)
 	defer cancel()
 	_, _ = backoff.Retry(ctx, func() (struct{}, error) {
-		read, err := c.Read(ctx, h.Key)
+		read, err := c.Read(ctx, stored.Key)
 		if err != nil {
 			return struct{}{}, err
 		}
-		if read.Claim.Token != h.Claim.Token {
+		if read.Claim.Token != stored.Claim.Token {
 			return struct{}{}, gauge.Fail(gauge.KindMissing, "claim row not found yet")
 		}
-		return struct{}{}, c.Drop(ctx, h)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(abandonFor))
+		return struct{}{}, c.Drop(ctx, stored)
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(maxCommitDelay))
 }
 
 // Delete removes a claim whose request was proved not to have run, so that the caller may retry
@@ -235,6 +235,6 @@
 	if read.Claim.Token != h.Claim.Token {
 		return nil
 	}
-	return c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version},
-		gauge.Put{Key: rowKey(h.Key)}, gauge.Put{Key: asyncKey(h.Claim.Entry, h.Key)})
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version},
+		gauge.Put{Key: rowKey(h.Key)}, gauge.Put{Key: asyncRowKey(h.Claim.Entry, h.Key)})
 }
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -11,49 +11,49 @@
 // groupCommitter commits the writes of many requests in shared transactions: while one transaction
 // is under way, the writes for the next are collected. The table takes several hundred transactions
 // per second, however many writes each carries.
-type group struct {
+type groupCommitter struct {
 	table   gauge.Table
 	timeout time.Duration
 
 	mu      sync.Mutex
 	waiting []*write
-	busy    bool
+	running bool
 	commits int
 	writes  int
 }
 
 // write is one conditional write, with the channel that gets its result.
 type write struct {
-	check gauge.Check
-	put   []gauge.Put
-	done  chan error
+	check  gauge.Check
+	puts   []gauge.Put
+	result chan error
 }
 
-const mostInGroup = 100
+const maxBatchWrites = 100
 
 // commitWrite makes one conditional write, in one transaction with others that come at the same
 // time. It returns an error of kind conflict if the check failed, and unknown if it can't be known
 // whether the write took effect.
-func (g *group) do(ctx context.Context, check gauge.Check, puts ...gauge.Put) error {
-	w := &write{check: check, put: puts, done: make(chan error, 1)}
+func (g *groupCommitter) commitWrite(ctx context.Context, check gauge.Check, puts ...gauge.Put) error {
+	w := &write{check: check, puts: puts, result: make(chan error, 1)}
 	g.mu.Lock()
 	g.waiting = append(g.waiting, w)
-	if !g.busy {
-		g.busy = true
+	if !g.running {
+		g.running = true
 		go g.run()
 	}
 	g.mu.Unlock()
 	select {
-	case err := <-w.done:
+	case err := <-w.result:
 		return err
 	case <-ctx.Done():
 		return gauge.Fail(gauge.KindUnknown, "claim not confirmed in time").Because(ctx.Err())
 	}
 }
 
-func (g *group) run() {
+func (g *groupCommitter) run() {
 	for {
-		batch := g.next()
+		batch := g.nextBatch()
 		if batch == nil {
 			return
 		}
@@ -63,17 +63,17 @@
 
 // nextBatch takes the waiting writes. Two writes of the same row never go into one transaction,
 // since the second one's check is of the row before the first write.
-func (g *group) next() []*write {
+func (g *groupCommitter) nextBatch() []*write {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if len(g.waiting) == 0 {
-		g.busy = false
+		g.running = false
 		return nil
 	}
 	var batch, later []*write
 	rows := make(map[string]bool)
 	for _, w := range g.waiting {
-		if len(batch) == mostInGroup || rows[w.check.Key] {
+		if len(batch) == maxBatchWrites || rows[w.check.Key] {
 			later = append(later, w)
 			continue
 		}
@@ -86,13 +86,13 @@
 	return batch
 }
 
-func (g *group) commit(batch []*write) {
+func (g *groupCommitter) commit(batch []*write) {
 	ctx, cancel := context.WithTimeout(context.Background(), g.timeout)
 	defer cancel()
 	var t gauge.Txn
 	for _, w := range batch {
 		t.Checks = append(t.Checks, w.check)
-		t.Puts = append(t.Puts, w.put...)
+		t.Puts = append(t.Puts, w.puts...)
 	}
 	err := g.table.Commit(ctx, t)
 	if gauge.Is(err, gauge.KindConflict) && len(batch) > 1 {
@@ -103,12 +103,12 @@
 		return
 	}
 	for _, w := range batch {
-		w.done <- err
+		w.result <- err
 	}
 }
 
 // counts returns the transactions made and the writes that they carried.
-func (g *group) counts() (commits, writes int) {
+func (g *groupCommitter) counts() (commits, writes int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.commits, g.writes
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -11,7 +11,7 @@
 
 // storeLongBody moves a long body into the object store. The object's name holds the whole key, so
 // a retry writes the same object.
-func (c *Claims) spill(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
+func (c *Claims) storeLongBody(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
 	if a == nil || len(a.Body) <= c.conf.Inline {
 		return nil
 	}
@@ -23,14 +23,14 @@
 	return nil
 }
 
-func (c *Claims) spillOutcome(ctx context.Context, k gauge.ClaimKey, o *gauge.Outcome) error {
+func (c *Claims) storeLongOutcome(ctx context.Context, k gauge.ClaimKey, o *gauge.Outcome) error {
 	if len(o.Body) <= c.conf.Inline {
 		return nil
 	}
 	name := "answer/" + k.Day + "/" + k.Team + "/" + k.ID
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		return struct{}{}, c.conf.Objects.Store(ctx, name, o.Body)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(0))
 	if err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 }
 
 // sweepBatch bounds one transaction of a sweep.
-const sweepAtOnce = 100
+const sweepBatch = 100
 
 // Sweep deletes the claims of a day whose keys are no longer accepted. It returns how many it
 // deleted.
@@ -83,9 +83,9 @@
 	if err != nil {
 		return 0, err
 	}
-	for begin := 0; begin < len(rows); begin += sweepAtOnce {
+	for begin := 0; begin < len(rows); begin += sweepBatch {
 		var t gauge.Txn
-		for _, r := range rows[begin:min(begin+sweepAtOnce, len(rows))] {
+		for _, r := range rows[begin:min(begin+sweepBatch, len(rows))] {
 			t.Puts = append(t.Puts, gauge.Put{Key: r.Key})
 		}
 		if err := c.conf.Table.Commit(ctx, t); err != nil {
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -40,47 +40,47 @@
 }
 
 const (
-	defaultEvery    = time.Second
-	defaultPatience = 10 * time.Minute
+	defaultRoundInterval  = time.Second
+	defaultFailureTimeout = 10 * time.Minute
 	// maxListAge is how old the platform's host list may be to act on it.
-	stale = 15 * time.Second
+	maxListAge = 15 * time.Second
 	// maxHostsPerRevision bounds the hosts changed by one revision.
-	mostSteps = 200
-	fleetUnit = "fleet"
+	maxHostsPerRevision = 200
+	fleetUnit           = "fleet"
 )
 
 // Controller controls the units that are assigned to this entry.
 type Controller struct {
-	conf Config
-	held map[string]gauge.Check
+	conf   Config
+	leases map[string]gauge.Check
 
 	// The platform's host list in this round and when it was read.
-	list gauge.Sightings
-	seen map[string]gauge.Sighting
-	read time.Time
+	hostList   gauge.Sightings
+	hostsByID  map[string]gauge.Sighting
+	listReadAt time.Time
 
 	// What was first observed when; kept in memory only. After a takeover the waits start again,
 	// which delays a step and never hastens one.
-	quit   map[string]moment // when a host's leaving was found to be confirmed by all entries
-	failed map[string]moment // since when a host is seen as failed
+	quiescedSince map[string]observation // when a host's leaving was found to be confirmed by all entries
+	failedSince   map[string]observation // since when a host is seen as failed
 
 	mu    sync.Mutex
 	waits map[string][]plan.Wait // by unit
 }
 
 // observation is when something was first observed at an epoch of a host's row.
-type moment struct {
+type observation struct {
 	epoch int64
 	at    time.Time
 }
 
 // New returns a Controller.
 func New(c Config) *Controller {
-	fill.Zero(&c.Every, defaultEvery)
-	fill.Zero(&c.Patience, defaultPatience)
+	fill.Zero(&c.Every, defaultRoundInterval)
+	fill.Zero(&c.Patience, defaultFailureTimeout)
 	return &Controller{
-		conf: c, held: make(map[string]gauge.Check), quit: make(map[string]moment),
-		failed: make(map[string]moment), waits: make(map[string][]plan.Wait),
+		conf: c, leases: make(map[string]gauge.Check), quiescedSince: make(map[string]observation),
+		failedSince: make(map[string]observation), waits: make(map[string][]plan.Wait),
 	}
 }
 
@@ -104,59 +104,59 @@
 	if s.Revision == 0 {
 		return
 	}
-	c.list, c.read = c.conf.Sighted()
-	c.seen = c.list.ByID()
-	c.notice(s)
-	c.unit(ctx, fleetUnit, c.conf.Planner.Fleet)
+	c.hostList, c.listReadAt = c.conf.Sighted()
+	c.hostsByID = c.hostList.ByID()
+	c.updateObservations(s)
+	c.controlUnit(ctx, fleetUnit, c.conf.Planner.Fleet)
 	for _, pool := range s.Names(gauge.RecordPool) {
-		c.unit(ctx, "pool/"+pool, func(in plan.Input) plan.Plan { return c.conf.Planner.Pool(in, pool) })
+		c.controlUnit(ctx, "pool/"+pool, func(in plan.Input) plan.Plan { return c.conf.Planner.Pool(in, pool) })
 	}
 }
 
-func (c *Controller) unit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) {
-	err := c.tryUnit(ctx, unit, decide)
+func (c *Controller) controlUnit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) {
+	err := c.tryControlUnit(ctx, unit, decide)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) {
 		// During a table outage no new step begins, and those under way continue.
 		c.conf.Logs.V(1).Info("unit could not be controlled", "unit", unit, "reason", err.Error())
 	}
 	if err != nil {
-		delete(c.held, unit) // read again which entry has the lease
+		delete(c.leases, unit) // read again which entry has the lease
 	}
 }
 
-func (c *Controller) tryUnit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) error {
-	check, held := c.held[unit]
+func (c *Controller) tryControlUnit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) error {
+	check, held := c.leases[unit]
 	if !c.conf.Mine(unit) {
 		c.setWaits(unit, nil)
 		if !held {
 			return nil
 		}
-		delete(c.held, unit)
-		return c.conf.Leases.Give(ctx, unit, check)
+		delete(c.leases, unit)
+		return c.conf.Leases.Release(ctx, unit, check)
 	}
 	if !held {
-		check, ok, err := c.conf.Leases.Hold(ctx, unit)
+		check, ok, err := c.conf.Leases.Acquire(ctx, unit)
 		if err != nil || !ok {
 			return err
 		}
-		c.held[unit] = check
+		c.leases[unit] = check
 		c.conf.Logs.Info("controlling unit", "unit", unit)
 	}
-	return c.act(ctx, unit, c.held[unit], decide)
+	return c.planAndApply(ctx, unit, c.leases[unit], decide)
 }
 
 // planAndApply plans and carries out one round of a unit.
-func (c *Controller) act(ctx context.Context, unit string, check gauge.Check, decide func(plan.Input) plan.Plan) error {
-	if c.conf.Clock().Sub(c.read) > stale {
+func (c *Controller) planAndApply(ctx context.Context, unit string, check gauge.Check, decide func(plan.Input) plan.Plan) error {
+	if c.conf.Clock().Sub(c.listReadAt) > maxListAge {
 		return gauge.Fail(gauge.KindOutage, "the platform's host list is too old to act on")
 	}
 	s := c.conf.State()
-	p := decide(plan.Input{State: s, List: c.list, Seen: c.seen, Quit: c.hasQuit, Lost: c.isLost})
+	p := decide(plan.Input{State: s, List: c.hostList, Seen: c.hostsByID, Quit: c.isQuiesced, Lost: c.isLost})
 	c.setWaits(unit, p.Waits)
-	if err := c.write(ctx, s, check, p.Steps); err != nil {
+	if err := c.appendSteps(ctx, s, check, p.Steps); err != nil {
 		return err
 	}
-	return c.reboot(ctx, p.Steps)
+	return c.requestReboots(ctx, p.Steps)
 }
 
 func (c *Controller) setWaits(unit string, w []plan.Wait) {
@@ -171,10 +171,10 @@
 
 // appendSteps appends the steps as one revision, on the condition that this entry still has the
 // lease.
-func (c *Controller) write(ctx context.Context, s gauge.State, check gauge.Check, steps []plan.Step) error {
+func (c *Controller) appendSteps(ctx context.Context, s gauge.State, check gauge.Check, steps []plan.Step) error {
 	change := gauge.Change{}
 	for _, st := range steps {
-		if st.Why != "" && len(change.Hosts) < mostSteps {
+		if st.Why != "" && len(change.Hosts) < maxHostsPerRevision {
 			change.Hosts = append(change.Hosts, st.Host)
 		}
 	}
@@ -201,7 +201,7 @@
 // requestReboots asks the platform for the reboots whose rows are already written. The token names
 // the host and when its maintenance began, so that repeated calls, by this or another controller,
 // reboot the host once.
-func (c *Controller) reboot(ctx context.Context, steps []plan.Step) error {
+func (c *Controller) requestReboots(ctx context.Context, steps []plan.Step) error {
 	for _, st := range steps {
 		if !st.Reboot || st.Why != "" {
 			continue // a new intent is in force only from the next round on
@@ -215,36 +215,36 @@
 }
 
 // updateObservations records since when hosts are failed, or are sure to get no new requests.
-func (c *Controller) notice(s gauge.State) {
+func (c *Controller) updateObservations(s gauge.State) {
 	now := c.conf.Clock()
 	for id, h := range s.ByHost {
-		note(c.failed, id, h, now, h.State == gauge.HostFailed)
-		note(c.quit, id, h, now, h.State == gauge.HostLeaving && c.conf.Confirmed(h.Since))
+		recordObservation(c.failedSince, id, h, now, h.State == gauge.HostFailed)
+		recordObservation(c.quiescedSince, id, h, now, h.State == gauge.HostLeaving && c.conf.Confirmed(h.Since))
 	}
 }
 
-func note(seen map[string]moment, id string, h gauge.Host, now time.Time, is bool) {
-	m, there := seen[id]
+func recordObservation(seen map[string]observation, id string, h gauge.Host, now time.Time, observed bool) {
+	m, known := seen[id]
 	switch {
-	case !is:
+	case !observed:
 		delete(seen, id)
-	case !there || m.epoch != h.Epoch:
-		seen[id] = moment{h.Epoch, now}
+	case !known || m.epoch != h.Epoch:
+		seen[id] = observation{h.Epoch, now}
 	}
 }
 
 // isQuiesced reports whether the host list's reading of a host was taken after every entry had
 // stopped sending requests to it.
-func (c *Controller) hasQuit(h gauge.Host) bool {
-	m, ok := c.quit[h.ID]
+func (c *Controller) isQuiesced(h gauge.Host) bool {
+	m, ok := c.quiescedSince[h.ID]
 	if !ok || m.epoch != h.Epoch {
 		return false
 	}
-	s, ok := c.seen[h.ID]
-	return ok && c.read.Add(-s.Age).After(m.at)
+	s, ok := c.hostsByID[h.ID]
+	return ok && c.listReadAt.Add(-s.Age).After(m.at)
 }
 
 func (c *Controller) isLost(h gauge.Host) bool {
-	m, ok := c.failed[h.ID]
+	m, ok := c.failedSince[h.ID]
 	return ok && m.epoch == h.Epoch && c.conf.Clock().Sub(m.at) > c.conf.Patience
 }
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -20,7 +20,7 @@
 // cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
 // believe to be in charge, lagging entries, failing and returning hosts and racks, old host lists,
 // table outages, and changing waves and pools come in any order.
-func TestAnyOrderKeepsThePromises(t *testing.T) {
+func TestAnyEventOrderKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(3, 16, 4)
 		s.records(t, pool("a", 3, gauge.PreferBuffer), pool("b", 2, gauge.PreferSpeed))
@@ -35,19 +35,19 @@
 					for _, e := range s.entries {
 						s.adopt(e)
 						s.now = s.now.Add(time.Second)
-						s.look(e)
+						s.readHostList(e)
 						e.ctrl.Round(context.Background())
 					}
 				}
 			},
 			"adopt": func(*rapid.T) { s.adopt(anyEntry()) },
-			"look":  func(*rapid.T) { s.look(anyEntry()) },
+			"look":  func(*rapid.T) { s.readHostList(anyEntry()) },
 			"pass":  func(*rapid.T) { s.now = s.now.Add(time.Duration(pick(20)) * time.Second) },
 			"fail":  func(*rapid.T) { m := anyHost(); m.down, m.running = true, nil },
 			"rack": func(*rapid.T) {
 				rack := fmt.Sprint("r", pick(4))
 				for _, m := range s.machines {
-					if m.seen.Rack == rack {
+					if m.listed.Rack == rack {
 						m.down, m.running = true, nil
 					}
 				}
@@ -56,7 +56,7 @@
 				for _, m := range s.machines {
 					if m.down {
 						m.down = false
-						m.seen.Boots++ // it was powered off and on
+						m.listed.Boots++ // it was powered off and on
 					}
 				}
 			},
@@ -64,7 +64,7 @@
 				for _, m := range s.machines {
 					if m.booting {
 						m.booting = false
-						m.seen.Boots++
+						m.listed.Boots++
 					}
 				}
 			},
@@ -82,9 +82,9 @@
 				}
 			},
 			"dead": func(*rapid.T) { e := anyEntry(); e.dead = !e.dead },
-			"out":  func(*rapid.T) { s.table.out = !s.table.out },
+			"out":  func(*rapid.T) { s.table.unreachable = !s.table.unreachable },
 			"wave": func(t *rapid.T) {
-				if !s.table.out && waves < 3 {
+				if !s.table.unreachable && waves < 3 {
 					waves++
 					s.records(t, wave(fmt.Sprint("w", waves), "a", "b"))
 				}
@@ -102,7 +102,7 @@
 // Guards against a wave that stops for good or goes over a host twice, because an action wasn't
 // written before it began or its result wasn't read back. The controller meets each fault at each
 // of its calls to the table, and in half of the cases dies there, so that another takes over.
-func TestWaveGoesOnAfterEachFault(t *testing.T) {
+func TestWaveCompletesAfterEachFault(t *testing.T) {
 	const calls = 24
 	for _, fault := range []flaky.Fault{flaky.Down, flaky.Lost, flaky.Gone, flaky.Outage} {
 		for at := range calls {
@@ -110,15 +110,15 @@
 				t.Run(fmt.Sprintf("%s/%d/dies=%t", fault, at, dies), func(t *testing.T) {
 					s := newSite(0, 8, 2)
 					s.records(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
-					bad := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
-					first := s.addEntry("e0", bad)
+					faulty := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
+					first := s.addEntry("e0", faulty)
 					s.addEntry("e1", s.table)
 					s.mine = func(e *entry, _ string) bool { return first.dead || e == first }
 					for range 60 {
-						first.dead = first.dead || (dies && bad.Calls() > at)
+						first.dead = first.dead || (dies && faulty.Calls() > at)
 						s.settle(1)
 					}
-					done, all := s.done("a", "w")
+					done, all := s.countDone("a", "w")
 					assert.Assert(t, all >= 5, "the pool has %d hosts", all)
 					assert.Equal(t, done, all)
 					for id, m := range s.machines {
@@ -146,7 +146,7 @@
 	assert.NilError(t, err)
 	s.records(t, wave("w", "a"))
 	s.adopt(first)
-	s.look(first)
+	s.readHostList(first)
 	before, _ := s.log.Head(context.Background())
 	first.ctrl.Round(context.Background()) // resumes with the lease version that it had before
 	after, _ := s.log.Head(context.Background())
@@ -154,7 +154,7 @@
 	assert.Assert(t, st.Revision < after)
 	second.dead = false
 	s.settle(20)
-	done, all := s.done("a", "w")
+	done, all := s.countDone("a", "w")
 	assert.Equal(t, done, all)
 }
 
@@ -169,7 +169,7 @@
 	s.records(t, wave("w", "a"))
 	s.adopt(first)
 	s.adopt(lagging)
-	s.look(first)
+	s.readHostList(first)
 	first.ctrl.Round(context.Background())
 	s.adopt(first)
 	for _, h := range first.state.Hosts() {
@@ -189,11 +189,11 @@
 // Guards against a task that is cut off by a reboot because an idle host was taken for one that
 // gets no more tasks. A host leaves, and a lagging entry still sends to it after the controller has
 // seen it idle.
-func TestLeavingWaitsForTheLastEntry(t *testing.T) {
+func TestLeavingWaitsForLaggingEntry(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	for range 5 {
 		s.now = s.now.Add(time.Second)
-		s.look(first)
+		s.readHostList(first)
 		assert.Assert(t, lagging.state.ByHost[host].Serves())
 		first.ctrl.Round(context.Background())
 		assert.Equal(t, s.state(host), gauge.HostLeaving)
@@ -201,7 +201,7 @@
 	s.adopt(lagging)
 	for range 3 {
 		s.now = s.now.Add(time.Second)
-		s.look(first)
+		s.readHostList(first)
 		s.adopt(first)
 		first.ctrl.Round(context.Background())
 	}
@@ -211,10 +211,10 @@
 // Guards against a task that is cut off by a reboot because the host list was older than the last
 // confirmation. The list is read, then an entry sends a task and adopts the revision, and the
 // controller finds all entries confirmed while it has the list from before.
-func TestOldListDoesNotProveIdleness(t *testing.T) {
+func TestOldHostListDoesNotProveIdle(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	s.now = s.now.Add(time.Second)
-	s.look(first)
+	s.readHostList(first)
 	s.machines[host].running = []int{int(lagging.state.Revision)}
 	s.now = s.now.Add(time.Second)
 	s.adopt(lagging)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -19,12 +19,12 @@
 
 // machine is the true state of a host.
 type machine struct {
-	seen    gauge.Sighting
-	running []int           // revisions that the sending entries had in force, one for each running task
-	tokens  map[string]bool // one for each reboot
-	boots   int             // boot count when it last began to leave for a wave
-	down    bool
-	booting bool
+	listed         gauge.Sighting
+	running        []int           // revisions that the sending entries had in force, one for each running task
+	tokens         map[string]bool // one for each reboot
+	bootsAtLeaving int             // boot count when it last began to leave for a wave
+	down           bool
+	booting        bool
 }
 
 // entry has its own view of the configuration in force, and a controller.
@@ -41,29 +41,29 @@
 type site struct {
 	now      time.Time
 	db       *memdb.DB
-	table    *outs
+	table    *outageTable
 	log      *revlog.Log
 	machines map[string]*machine
 	entries  []*entry
-	last     gauge.State
+	checked  gauge.State
 	mine     func(e *entry, unit string) bool
 }
 
 // outageTable is a table that can be made unreachable.
-type outs struct {
+type outageTable struct {
 	gauge.Table
-	out bool
+	unreachable bool
 }
 
-func (o *outs) Get(ctx context.Context, key string) (gauge.Row, error) {
-	if o.out {
+func (o *outageTable) Get(ctx context.Context, key string) (gauge.Row, error) {
+	if o.unreachable {
 		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "out")
 	}
 	return o.Table.Get(ctx, key)
 }
 
-func (o *outs) Commit(ctx context.Context, t gauge.Txn) error {
-	if o.out {
+func (o *outageTable) Commit(ctx context.Context, t gauge.Txn) error {
+	if o.unreachable {
 		return gauge.Fail(gauge.KindOutage, "out")
 	}
 	return o.Table.Commit(ctx, t)
@@ -71,12 +71,12 @@
 
 func newSite(entries, hosts, perRack int) *site {
 	db := memdb.New()
-	s := &site{now: time.Unix(1_000_000, 0), db: db, table: &outs{Table: db}, machines: make(map[string]*machine)}
+	s := &site{now: time.Unix(1_000_000, 0), db: db, table: &outageTable{Table: db}, machines: make(map[string]*machine)}
 	s.log = revlog.New(s.table)
 	s.mine = func(*entry, string) bool { return true }
 	for i := range hosts {
 		id := fmt.Sprintf("h%02d", i)
-		s.machines[id] = &machine{tokens: make(map[string]bool), seen: gauge.Sighting{
+		s.machines[id] = &machine{tokens: make(map[string]bool), listed: gauge.Sighting{
 			ID: id, Zone: "z", Rack: fmt.Sprint("r", i/perRack), Slots: 8, Status: gauge.StatusLive,
 		}}
 	}
@@ -91,7 +91,7 @@
 	log := revlog.New(table)
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: log, Platform: s, Planner: plan.New(plan.Config{}),
-		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.lives}),
+		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.isAlive}),
 		State:     func() gauge.State { return e.state },
 		Sighted:   func() (gauge.Sightings, time.Time) { return e.list, e.read },
 		Confirmed: s.confirmed, Mine: func(unit string) bool { return s.mine(e, unit) },
@@ -101,7 +101,7 @@
 	return e
 }
 
-func (s *site) lives(name string) bool {
+func (s *site) isAlive(name string) bool {
 	for _, e := range s.entries {
 		if e.name == name {
 			return !e.dead
@@ -124,7 +124,7 @@
 func (s *site) List(context.Context) (gauge.Sightings, error) {
 	var out gauge.Sightings
 	for _, m := range s.machines {
-		seen := m.seen
+		seen := m.listed
 		seen.Used = len(m.running)
 		switch {
 		case m.down:
@@ -170,11 +170,11 @@
 	}
 }
 
-func (s *site) look(e *entry) { e.list, _ = s.List(context.Background()); e.read = s.now }
+func (s *site) readHostList(e *entry) { e.list, _ = s.List(context.Background()); e.read = s.now }
 
 // spareHosts is how many serving hosts a pool has beyond its promise after losing its worst rack;
 // negative if it has too few.
-func spare(st gauge.State, name string) int {
+func spareHosts(st gauge.State, name string) int {
 	counts, total, worst := make(map[string]int), 0, 0
 	for _, h := range st.Hosts().InPool(name) {
 		if h.Serves() {
@@ -188,19 +188,19 @@
 
 // check checks each new revision against the promises.
 func (s *site) check(t *rapid.T) {
-	out := s.table.out
-	s.table.out = false
-	defer func() { s.table.out = out }()
+	out := s.table.unreachable
+	s.table.unreachable = false
+	defer func() { s.table.unreachable = out }()
 	for {
-		c, err := s.log.Change(context.Background(), s.last.Revision+1)
+		c, err := s.log.Change(context.Background(), s.checked.Revision+1)
 		if gauge.Is(err, gauge.KindMissing) {
 			return
 		}
 		assert.NilError(t, err)
-		next, err := s.last.Apply(c)
+		next, err := s.checked.Apply(c)
 		assert.NilError(t, err)
-		s.checkChange(t, s.last, next, c)
-		s.last = next
+		s.checkChange(t, s.checked, next, c)
+		s.checked = next
 	}
 }
 
@@ -224,9 +224,9 @@
 			}
 		}
 		if h.Begun != old.Begun {
-			s.machines[h.ID].boots = s.machines[h.ID].seen.Boots
+			s.machines[h.ID].bootsAtLeaving = s.machines[h.ID].listed.Boots
 		}
-		if h.Waved != old.Waved && s.machines[h.ID].seen.Boots <= s.machines[h.ID].boots {
+		if h.Waved != old.Waved && s.machines[h.ID].listed.Boots <= s.machines[h.ID].bootsAtLeaving {
 			t.Fatalf("%s counts as done for wave %s but was not rebooted", h.ID, h.Wave)
 		}
 		if h.State == gauge.HostRebooting && old.State != h.State && len(s.machines[h.ID].running) > 0 {
@@ -234,8 +234,8 @@
 		}
 	}
 	for name := range taken {
-		if after.Pool(name) != nil && spare(after, name) < 0 {
-			t.Fatalf("pool %s keeps its promise no more: spare %d", name, spare(after, name))
+		if after.Pool(name) != nil && spareHosts(after, name) < 0 {
+			t.Fatalf("pool %s keeps its promise no more: spare %d", name, spareHosts(after, name))
 		}
 	}
 }
@@ -246,13 +246,13 @@
 		for _, m := range s.machines {
 			if m.booting {
 				m.booting = false
-				m.seen.Boots++
+				m.listed.Boots++
 			}
 		}
 		for _, e := range s.entries {
 			s.adopt(e)
 			s.now = s.now.Add(time.Second)
-			s.look(e)
+			s.readHostList(e)
 			if !e.dead {
 				e.ctrl.Round(context.Background())
 			}
@@ -260,7 +260,7 @@
 	}
 }
 
-func (s *site) done(name, wave string) (done, all int) {
+func (s *site) countDone(name, wave string) (done, all int) {
 	st, _ := s.log.Load(context.Background())
 	w := st.Records[gauge.RecordID{Kind: gauge.RecordWave, Name: wave}]
 	for _, h := range st.Hosts().InPool(name) {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -30,15 +30,15 @@
 type Desk struct {
 	conf Config
 
-	mu     sync.Mutex
-	slots  *hold.Holder
-	queue  *queue.Queue
-	ejects *eject.Ejector
-	budget *retry.Budget
-	hosts  int
-	picky  int // waiting retries that can't use the idle slots
+	mu             sync.Mutex
+	slots          *hold.Holder
+	queue          *queue.Queue
+	ejects         *eject.Ejector
+	budget         *retry.Budget
+	hosts          int
+	blockedRetries int // waiting retries that can't use the idle slots
 
-	renewed time.Time // when the last full lease request was made
+	lastFull time.Time // when the last full lease request was made
 }
 
 // Counts is the current state of a Dispatcher, in slots, requests and hosts.
@@ -77,14 +77,14 @@
 	d.slots.SetTargets(targets)
 	d.ejects.Cap(len(targets), promised)
 	d.ejects.Keep(func(host string) bool { _, ok := targets[host]; return ok })
-	d.pump()
+	d.assignIdle()
 }
 
 // Acquire returns a slot, after waiting for one if necessary. It refuses at once a request that
 // can't start before its deadline.
 func (d *Desk) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Place, error) {
 	it := &queue.Item{Class: class, Deadline: deadline, Ready: make(chan *gauge.Place, 1), Earlier: earlier}
-	p, err := d.takeOrWait(it)
+	p, err := d.takeOrEnqueue(it)
 	if p != nil || err != nil {
 		return p, err
 	}
@@ -94,44 +94,44 @@
 		return p, nil
 	case <-ctx.Done():
 	}
-	if p := d.leave(it); p != nil {
+	if p := d.stopWaiting(it); p != nil {
 		d.Release(p) // it was granted at the same moment
 	}
 	if ctx.Err() == context.Canceled {
-		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller cancelled while the request was waiting", 0)
+		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller left while the request waited", 0)
 	}
-	return nil, gauge.Refuse(earlier, gauge.KindFull, "no worker came free before the deadline", d.again(class))
+	return nil, gauge.Refuse(earlier, gauge.KindFull, "no worker came free before the deadline", d.retryAfter(class))
 }
 
-func (d *Desk) takeOrWait(it *queue.Item) (*gauge.Place, error) {
+func (d *Desk) takeOrEnqueue(item *queue.Item) (*gauge.Place, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
 	if d.hosts == 0 {
-		return nil, gauge.Refuse(it.Earlier, gauge.KindEmpty, "pool "+d.conf.Pool+" has no serving worker", leastAgain)
+		return nil, gauge.Refuse(item.Earlier, gauge.KindEmpty, "pool "+d.conf.Pool+" has no serving worker", minRetryAfter)
 	}
-	if d.queue.Len(it.Class) == 0 {
-		if p, ok := d.take(now, it); ok {
+	if d.queue.Len(item.Class) == 0 {
+		if p, ok := d.takeSlot(now, item); ok {
 			return p, nil
 		}
 	}
-	wait, ok := d.queue.Add(now, it)
+	wait, ok := d.queue.Add(now, item)
 	if !ok {
-		return nil, gauge.Refuse(it.Earlier, gauge.KindFull, "no worker comes free in time", max(wait, leastAgain))
+		return nil, gauge.Refuse(item.Earlier, gauge.KindFull, "no worker comes free in time", max(wait, minRetryAfter))
 	}
-	d.pump() // those ahead of it may be retries that can't use the idle slots
+	d.assignIdle() // those ahead of it may be retries that can't use the idle slots
 	return nil, nil
 }
 
-const leastAgain = time.Second
+const minRetryAfter = time.Second
 
-func (d *Desk) again(c gauge.Class) time.Duration {
+func (d *Desk) retryAfter(c gauge.Class) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(leastAgain, d.queue.Wait(d.conf.Clock(), c))
+	return max(minRetryAfter, d.queue.Wait(d.conf.Clock(), c))
 }
 
-func (d *Desk) take(now time.Time, it *queue.Item) (*gauge.Place, bool) {
+func (d *Desk) takeSlot(now time.Time, it *queue.Item) (*gauge.Place, bool) {
 	p, ok := d.slots.Take(now, it.Class, it.Earlier, func(host string) bool { return d.ejects.Skip(now, host) })
 	if ok {
 		d.ejects.Sent(now, p.Target.Host)
@@ -140,7 +140,7 @@
 }
 
 // stopWaiting removes a request from the queue. If a slot was granted meanwhile, it returns that.
-func (d *Desk) leave(it *queue.Item) *gauge.Place {
+func (d *Desk) stopWaiting(it *queue.Item) *gauge.Place {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.queue.Remove(it) {
@@ -153,13 +153,13 @@
 // it was tried: it is passed over for the requests behind it and counted, so that slots of other
 // hosts are requested although some are idle. Otherwise it would wait next to idle slots until its
 // deadline.
-func (d *Desk) pump() {
+func (d *Desk) assignIdle() {
 	now := d.conf.Clock()
-	d.picky = 0
+	d.blockedRetries = 0
 	for _, c := range []gauge.Class{gauge.ClassQuick, gauge.ClassLong} {
-		var aside []*queue.Item
+		var skipped []*queue.Item
 		for it := d.queue.Next(c); it != nil; it = d.queue.Next(c) {
-			p, ok := d.take(now, it)
+			p, ok := d.takeSlot(now, it)
 			if !ok && len(it.Earlier) == 0 {
 				break
 			}
@@ -168,20 +168,20 @@
 				it.Ready <- p
 				continue
 			}
-			aside = append(aside, it)
+			skipped = append(skipped, it)
 		}
-		for _, it := range aside {
+		for _, it := range skipped {
 			d.queue.Return(it)
 		}
-		d.picky += len(aside)
+		d.blockedRetries += len(skipped)
 	}
 }
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
 // slots, as many more are counted as there are idle ones.
-func (d *Desk) waiting() (quick, long int) {
+func (d *Desk) waitingCounts() (quick, long int) {
 	quick, long = d.queue.Len(gauge.ClassQuick), d.queue.Len(gauge.ClassLong)
-	if d.picky == 0 {
+	if d.blockedRetries == 0 {
 		return quick, long
 	}
 	if quick > 0 {
@@ -212,11 +212,11 @@
 	defer d.mu.Unlock()
 	d.queue.Finished(d.conf.Clock(), p.Class)
 	d.slots.Done(p)
-	d.pump()
+	d.assignIdle()
 	return d.slots.IsScarce()
 }
 
-// CountAsLong counts a quick slot as long from now on.
+// CountAsLong counts a quick slot as long from the next lease renewal on.
 func (d *Desk) Turn(p *gauge.Place) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -250,31 +250,31 @@
 func (d *Desk) Renew() (slots.Ask, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	quick, long := d.waiting()
+	quick, long := d.waitingCounts()
 	if d.slots.IsEmpty() && quick+long == 0 {
 		return slots.Ask{}, false
 	}
 	now := d.conf.Clock()
-	d.renewed = now
+	d.lastFull = now
 	return d.slots.FullRequest(now, quick, long), true
 }
 
 // minFullInterval is how soon a dispatcher without a lease may request one again.
-const firstAgain = 100 * time.Millisecond
+const minFullInterval = 100 * time.Millisecond
 
 // NextRequest returns a lease request between two renewals, or false if nothing has changed.
 func (d *Desk) Ask() (slots.Ask, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
-	quick, long := d.waiting()
+	quick, long := d.waitingCounts()
 	if a, ok := d.slots.DeltaRequest(now, quick, long); ok {
 		return a, true
 	}
-	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.renewed) < firstAgain {
+	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.lastFull) < minFullInterval {
 		return slots.Ask{}, false
 	}
-	d.renewed = now
+	d.lastFull = now
 	return d.slots.FullRequest(now, quick, long), true
 }
 
@@ -283,7 +283,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.ApplyGrant(g)
-	d.pump()
+	d.assignIdle()
 }
 
 // Counts returns the current state.
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -18,7 +18,7 @@
 // later requests waiting behind it. The entry holds slots of one host only, a request fails there,
 // and its retry may not go to the same host; the idle slots must not count as usable by it, or no
 // other slots would be requested.
-func TestRepeatAsksForSlotsOfOtherHosts(t *testing.T) {
+func TestRetryRequestsSlotsOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
 			Pool: "p", Name: "e", Length: 10, Clock: time.Now,
@@ -39,16 +39,16 @@
 		d.Grant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, Term: time.Minute, Free: 4, Lots: []slots.Lot{{Host: "a", Quick: 4}}}) // more than the reserve
 		go acquire(nil)
 		assert.Equal(t, <-got, "a", "what comes after the repeat goes on")
-		again, ok := d.Ask()
-		assert.Assert(t, ok && again.Quick > 0, "slots of other hosts are asked for: %+v", again)
-		d.Grant(slots.Grant{Pool: "p", Seq: again.Seq, Free: 4, Lots: []slots.Lot{{Host: "b", Quick: 1}}})
+		next, ok := d.Ask()
+		assert.Assert(t, ok && next.Quick > 0, "slots of other hosts are asked for: %+v", next)
+		d.Grant(slots.Grant{Pool: "p", Seq: next.Seq, Free: 4, Lots: []slots.Lot{{Host: "b", Quick: 1}}})
 		assert.Equal(t, <-got, "b")
 	})
 }
 
 // A request that gets no slot is refused at its deadline at the latest, as not run and with a time
 // to retry after.
-func TestRefusedAtTheDeadline(t *testing.T) {
+func TestRefusedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
 			Pool: "p", Name: "e", Length: 1, Clock: time.Now,
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -31,7 +31,7 @@
 // Guards against a worker that is overfull for a moment after a slow answer or a pause. The answer
 // to a request comes two seconds late; a lease that counted from the answer would outlive the
 // owner's.
-func TestLeaseCountsFromBeforeTheAsk(t *testing.T) {
+func TestLeaseCountsFromBeforeRequest(t *testing.T) {
 	began := time.Unix(1000, 0)
 	h := leased(began, slots.Lot{Host: "a", Quick: 2}) // whenever the answer came
 	_, ok := h.Take(began.Add(2999*time.Millisecond), gauge.ClassQuick, nil, nil)
@@ -42,7 +42,7 @@
 
 // Guards against a leaving target that gets new requests, because one of its slots was held idle
 // when the host began to leave.
-func TestLeavingHostGetsNothing(t *testing.T) {
+func TestLeavingHostGetsNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := leased(now, slots.Lot{Host: "a", Quick: 2})
 	h.SetTargets(targets("b"))
@@ -54,7 +54,7 @@
 }
 
 // A retry goes to another host, and to another rack where there is one.
-func TestRepeatAvoidsHostAndRack(t *testing.T) {
+func TestRetryAvoidsHostAndRack(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, tt := range []struct {
 		name  string
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -37,7 +37,7 @@
 // Acquire returns the check that this entry's writes for a unit must carry. It takes the lease if
 // that is free or its holder is gone, and then returns false until the next call reads the new
 // version back. It also returns false if another live entry has the lease.
-func (l *Leases) Hold(ctx context.Context, unit string) (gauge.Check, bool, error) {
+func (l *Leases) Acquire(ctx context.Context, unit string) (gauge.Check, bool, error) {
 	key := prefix + unit
 	stored, err := l.conf.Table.Get(ctx, key)
 	if err != nil {
@@ -62,9 +62,9 @@
 }
 
 // Release gives up a lease that this entry has.
-func (l *Leases) Give(ctx context.Context, unit string, held gauge.Check) error {
+func (l *Leases) Release(ctx context.Context, unit string, check gauge.Check) error {
 	return l.conf.Table.Commit(ctx, gauge.Txn{
-		Checks: []gauge.Check{held},
+		Checks: []gauge.Check{check},
 		Puts:   []gauge.Put{{Key: prefix + unit}},
 	})
 }
--- a/internal/orphan/orphan.go
+++ b/internal/orphan/orphan.go
@@ -25,29 +25,29 @@
 }
 
 const (
-	defaultEvery = 5 * time.Second
+	defaultScanInterval = 5 * time.Second
 	// scansPerSweep is how many scans pass between two sweeps.
-	looksPerSweep = 720
+	scansPerSweep = 720
 )
 
 // Finder looks for accepted requests of entries that are gone.
 type Finder struct {
-	conf Config
-	look int
+	conf  Config
+	scans int
 }
 
 // New returns a Finder.
 func New(c Config) *Finder {
-	fill.Zero(&c.Every, defaultEvery)
+	fill.Zero(&c.Every, defaultScanInterval)
 	return &Finder{conf: c}
 }
 
 // Run scans until ctx ends.
-func (f *Finder) Run(ctx context.Context) { ticks.Every(ctx, f.conf.Every, f.Look) }
+func (f *Finder) Run(ctx context.Context) { ticks.Every(ctx, f.conf.Every, f.Scan) }
 
 // Scan scans once. If two entries scan at the same time, the claim's row decides which of them
 // takes a request over.
-func (f *Finder) Look(ctx context.Context) {
+func (f *Finder) Scan(ctx context.Context) {
 	if !f.conf.Mine() {
 		return
 	}
@@ -66,8 +66,8 @@
 			}
 		}
 	}
-	f.look++
-	if f.look%looksPerSweep == 1 {
+	f.scans++
+	if f.scans%scansPerSweep == 1 {
 		if err := f.conf.Sweep(ctx); err != nil {
 			f.conf.Logs.Info("expired claims could not be deleted", "reason", err.Error())
 		}
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -101,16 +101,16 @@
 	}
 	o.markUnreported(now)
 	fair := o.fairShare()
-	given := o.grantFree(fair)
+	granted := o.grantFree(fair)
 	maxUsed := 0
 	if o.hasStarvedHolder(fair) {
 		maxUsed = fair
 	}
-	g := o.grantFor(h, given[a.Holder], maxUsed)
+	g := o.grantFor(h, granted[a.Holder], maxUsed)
 	g.Full, g.Term = a.Full, o.conf.Term
-	delete(given, a.Holder)
+	delete(granted, a.Holder)
 	var pushes []Push
-	for name, granted := range given {
+	for name, granted := range granted {
 		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], granted, maxUsed)})
 	}
 	return g, pushes
