--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -109,28 +109,28 @@
 // Adopt gives the dispatchers the hosts and quotas of a new configuration state.
 func (b *Broker) Adopt(s gauge.State) {
 	byPool := make(map[string]gauge.Hosts)
-	rooms := make(map[string][]slots.Room)
+	capacities := make(map[string][]slots.Room)
 	for _, h := range s.Hosts().Serving() {
 		byPool[h.Pool] = append(byPool[h.Pool], h)
-		rooms[h.Pool] = append(rooms[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
+		capacities[h.Pool] = append(capacities[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
 	}
-	lengths, limits := poolLimits(s)
-	fleets := make(map[string]leasable)
+	maxWaiting, maxRunTimes := poolLimits(s)
+	byName := make(map[string]leasable)
 	for _, name := range s.Names(gauge.RecordPool) {
 		p := s.Pool(name)
-		fleets[name] = leasable{
-			Fleet:      slots.Fleet{Hosts: rooms[name], Reserve: p.Reserve, Floor: p.Floor},
-			maxRunTime: limits[name],
+		byName[name] = leasable{
+			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.Reserve, Floor: p.Floor},
+			maxRunTime: maxRunTimes[name],
 		}
-		b.dispatcherFor(name, lengths[name]).Set(byPool[name], p.Hosts)
+		b.dispatcherFor(name, maxWaiting[name]).Set(byPool[name], p.Hosts)
 	}
 	for _, name := range s.Names(gauge.RecordTeam) {
 		quota := s.Team(name).Quota
-		fleets[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
+		byName[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
 		b.dispatcherFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
 	}
 	b.mu.Lock()
-	b.leasableByName = fleets
+	b.leasableByName = byName
 	b.mu.Unlock()
 }
 
@@ -139,23 +139,23 @@
 
 // poolLimits returns for each pool how many requests may wait at one entry and how long one may
 // run.
-func poolLimits(s gauge.State) (lengths map[string]int, limits map[string]time.Duration) {
-	lengths, limits = make(map[string]int), make(map[string]time.Duration)
+func poolLimits(s gauge.State) (maxWaiting map[string]int, maxRunTimes map[string]time.Duration) {
+	maxWaiting, maxRunTimes = make(map[string]int), make(map[string]time.Duration)
 	for _, name := range s.Names(gauge.RecordService) {
 		svc := s.Service(name)
-		lengths[svc.Pool] = max(lengths[svc.Pool], svc.Queue)
-		limits[svc.Pool] = max(limits[svc.Pool], svc.Limit)
+		maxWaiting[svc.Pool] = max(maxWaiting[svc.Pool], svc.Queue)
+		maxRunTimes[svc.Pool] = max(maxRunTimes[svc.Pool], svc.Limit)
 	}
-	return lengths, limits
+	return maxWaiting, maxRunTimes
 }
 
-func (b *Broker) dispatcherFor(pool string, length int) *desk.Desk {
+func (b *Broker) dispatcherFor(pool string, maxWaiting int) *desk.Desk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d := b.dispatchers[pool]
 	if d == nil {
 		d = desk.New(desk.Config{
-			Pool: pool, Name: b.holderName(), Length: max(1, length), Clock: b.conf.Clock,
+			Pool: pool, Name: b.holderName(), Length: max(1, maxWaiting), Clock: b.conf.Clock,
 			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.dispatchers)))), Kick: b.requestSoon,
 		})
 		b.dispatchers[pool] = d
@@ -208,7 +208,7 @@
 	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
 	for pool, d := range b.allDispatchers() {
-		a, ok := nextRequest(d)
+		request, ok := nextRequest(d)
 		if !ok {
 			continue
 		}
@@ -217,7 +217,7 @@
 			byOwner[m.ID] = &requestMsg{}
 			addrs[m.ID] = m.Peer
 		}
-		byOwner[m.ID].Requests = append(byOwner[m.ID].Requests, a)
+		byOwner[m.ID].Requests = append(byOwner[m.ID].Requests, request)
 	}
 	for id, msg := range byOwner {
 		calls.Go(func() {
@@ -283,8 +283,8 @@
 func (b *Broker) answerRequests(ctx context.Context, msg requestMsg, view member.View) grantMsg {
 	var out grantMsg
 	others := make(map[string]*grantMsg)
-	for _, a := range msg.Requests {
-		g, pushes := b.answerRequest(a, view)
+	for _, request := range msg.Requests {
+		g, pushes := b.answerRequest(request, view)
 		out.Grants = append(out.Grants, g)
 		for _, p := range pushes {
 			if others[p.Holder] == nil {
@@ -299,20 +299,20 @@
 	return out
 }
 
-func (b *Broker) answerRequest(a slots.Ask, view member.View) (slots.Grant, []slots.Push) {
+func (b *Broker) answerRequest(request slots.Ask, view member.View) (slots.Grant, []slots.Push) {
 	b.mu.RLock()
-	f, ok := b.leasableByName[a.Pool]
+	f, ok := b.leasableByName[request.Pool]
 	b.mu.RUnlock()
-	if !ok || peers.Owner(view.Live, a.Pool).ID != b.conf.Self.ID {
-		b.dropOwner(a.Pool)
-		return slots.Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
+	if !ok || peers.Owner(view.Live, request.Pool).ID != b.conf.Self.ID {
+		b.dropOwner(request.Pool)
+		return slots.Grant{Pool: request.Pool, Seq: request.Seq, Not: true}, nil
 	}
 	f.Same, f.Known = view.Same, view.Known
-	o := b.currentOwner(a.Pool, f.maxRunTime)
+	o := b.currentOwner(request.Pool, f.maxRunTime)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.slots.Set(f.Fleet)
-	return o.slots.Ask(b.conf.Clock(), a)
+	return o.slots.Ask(b.conf.Clock(), request)
 }
 
 // pushGrants sends slots that came free to an entry that waits for some.
@@ -337,14 +337,14 @@
 // the time up to now, and then waits until the leases of the previous owner have expired. An entry
 // that was paused still has old leases in memory, while another may have been the owner; a gap of
 // more than a lease duration shows that.
-func (b *Broker) currentOwner(pool string, limit time.Duration) *owner {
+func (b *Broker) currentOwner(pool string, maxRunTime time.Duration) *owner {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.conf.Clock()
 	o := b.owners[pool]
 	if o == nil || now.Sub(o.lastConfirmed) > b.conf.Term {
 		o = &owner{slots: slots.New(slots.Config{
-			Pool: pool, Term: b.conf.Term, Limit: limit, Start: now,
+			Pool: pool, Term: b.conf.Term, Limit: maxRunTime, Start: now,
 		})}
 		b.owners[pool] = o
 		b.conf.Logs.V(1).Info("leasing out slots as pool owner", "pool", pool)
@@ -357,9 +357,9 @@
 // previous owner's leases is over before the first request comes.
 func (b *Broker) updateOwners(view member.View) {
 	b.mu.RLock()
-	fleets := b.leasableByName
+	byName := b.leasableByName
 	b.mu.RUnlock()
-	for name, f := range fleets {
+	for name, f := range byName {
 		if peers.Owner(view.Live, name).ID == b.conf.Self.ID {
 			b.currentOwner(name, f.maxRunTime)
 		} else {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -85,14 +85,14 @@
 	if err == nil {
 		return Held{Key: k, Claim: want}, true, nil
 	}
-	h, readErr := c.readBack(ctx, k)
+	stored, readErr := c.readBack(ctx, k)
 	if readErr != nil {
 		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
 	}
-	if h.version == 0 {
+	if stored.version == 0 {
 		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(err)
 	}
-	return h, h.Claim.Token == want.Token, nil
+	return stored, stored.Claim.Token == want.Token, nil
 }
 
 func (c *Claims) rowPuts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
@@ -128,48 +128,48 @@
 
 // Read reads a claim. Without a row its state is empty.
 func (c *Claims) Read(ctx context.Context, k gauge.ClaimKey) (Held, error) {
-	h := Held{Key: k}
+	out := Held{Key: k}
 	row, err := c.conf.Table.Get(ctx, rowKey(k))
 	if err != nil || row.Version == 0 {
-		return h, err
+		return out, err
 	}
-	h.version = row.Version
-	if err := json.Unmarshal(row.Value, &h.Claim); err != nil {
-		return h, gauge.Fail(gauge.KindInternal, "claim row %s is malformed", row.Key).Because(err)
+	out.version = row.Version
+	if err := json.Unmarshal(row.Value, &out.Claim); err != nil {
+		return out, gauge.Fail(gauge.KindInternal, "claim row %s is malformed", row.Key).Because(err)
 	}
-	return h, nil
+	return out, nil
 }
 
 // Transition writes a claim's next state if the claim hasn't changed since it was read. False means
 // that another entry has it now, and nothing may be dispatched here.
-func (c *Claims) Move(ctx context.Context, h Held, state gauge.ClaimState) (Held, bool, error) {
-	if h.version == 0 {
-		read, err := c.Read(ctx, h.Key)
+func (c *Claims) Move(ctx context.Context, row Held, state gauge.ClaimState) (Held, bool, error) {
+	if row.version == 0 {
+		read, err := c.Read(ctx, row.Key)
 		if err != nil {
-			return h, false, err
+			return row, false, err
 		}
-		if read.Claim.Token != h.Claim.Token {
+		if read.Claim.Token != row.Claim.Token {
 			return read, false, nil
 		}
-		h = read
+		row = read
 	}
-	next := h.Claim
+	next := row.Claim
 	previous := next.Entry
 	next.Token, next.Entry, next.State = uuid.NewString(), c.conf.Entry, state
-	puts, err := c.rowPuts(h.Key, next)
+	puts, err := c.rowPuts(row.Key, next)
 	if err != nil {
-		return h, false, err
+		return row, false, err
 	}
 	if previous != next.Entry {
-		puts = append(puts, gauge.Put{Key: asyncRowKey(previous, h.Key)})
+		puts = append(puts, gauge.Put{Key: asyncRowKey(previous, row.Key)})
 	}
-	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: h.version}, puts...)
+	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: row.version}, puts...)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
-		return h, false, err
+		return row, false, err
 	}
-	read, readErr := c.readBack(ctx, h.Key)
+	read, readErr := c.readBack(ctx, row.Key)
 	if readErr != nil {
-		return h, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
+		return row, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
 	}
 	return read, read.Claim.Token == next.Token, nil
 }
@@ -177,31 +177,31 @@
 // StoreOutcome stores the outcome of a claim. It retries during a table outage until ctx ends: the
 // request has run, and a repeated request must get its answer. A claim that another entry took over
 // meanwhile is left alone.
-func (c *Claims) Finish(ctx context.Context, h Held, o gauge.Outcome) error {
-	if err := c.storeLongOutcome(ctx, h.Key, &o); err != nil {
+func (c *Claims) Finish(ctx context.Context, row Held, o gauge.Outcome) error {
+	if err := c.storeLongOutcome(ctx, row.Key, &o); err != nil {
 		return err
 	}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		return struct{}{}, c.tryStoreOutcome(ctx, h, o)
+		return struct{}{}, c.tryStoreOutcome(ctx, row, o)
 	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(0))
 	return err
 }
 
-func (c *Claims) tryStoreOutcome(ctx context.Context, h Held, o gauge.Outcome) error {
-	read, err := c.Read(ctx, h.Key)
+func (c *Claims) tryStoreOutcome(ctx context.Context, row Held, o gauge.Outcome) error {
+	read, err := c.Read(ctx, row.Key)
 	if err != nil {
 		return err
 	}
-	if read.version == 0 || read.Claim.Token != h.Claim.Token || read.Claim.State == gauge.ClaimDone {
+	if read.version == 0 || read.Claim.Token != row.Claim.Token || read.Claim.State == gauge.ClaimDone {
 		return nil
 	}
 	next := read.Claim
 	next.State, next.Result = gauge.ClaimDone, &o
-	puts, err := c.rowPuts(h.Key, next)
+	puts, err := c.rowPuts(row.Key, next)
 	if err != nil {
 		return backoff.Permanent(err)
 	}
-	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version}, puts...)
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: read.version}, puts...)
 }
 
 // maxCommitDelay is how long an unanswered transaction may still take effect.
@@ -210,31 +210,31 @@
 // Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
 // after the caller was told "not run"; left there, the row would make the caller's next try appear
 // to be running for ever. Abandon looks for the row until it turns up or can no longer come.
-func (c *Claims) Abandon(ctx context.Context, stored Held) {
+func (c *Claims) Abandon(ctx context.Context, row Held) {
 	ctx, cancel := context.WithTimeout(ctx, maxCommitDelay)
 	defer cancel()
 	_, _ = backoff.Retry(ctx, func() (struct{}, error) {
-		read, err := c.Read(ctx, stored.Key)
+		read, err := c.Read(ctx, row.Key)
 		if err != nil {
 			return struct{}{}, err
 		}
-		if read.Claim.Token != stored.Claim.Token {
+		if read.Claim.Token != row.Claim.Token {
 			return struct{}{}, gauge.Fail(gauge.KindMissing, "claim row not found yet")
 		}
-		return struct{}{}, c.Drop(ctx, stored)
+		return struct{}{}, c.Drop(ctx, row)
 	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(maxCommitDelay))
 }
 
 // Delete removes a claim whose request was proved not to have run, so that the caller may retry
 // under the same key.
-func (c *Claims) Drop(ctx context.Context, h Held) error {
-	read, err := c.readBack(ctx, h.Key)
+func (c *Claims) Drop(ctx context.Context, row Held) error {
+	read, err := c.readBack(ctx, row.Key)
 	if err != nil {
 		return err
 	}
-	if read.Claim.Token != h.Claim.Token {
+	if read.Claim.Token != row.Claim.Token {
 		return nil
 	}
-	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version},
-		gauge.Put{Key: rowKey(h.Key)}, gauge.Put{Key: asyncRowKey(h.Claim.Entry, h.Key)})
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: read.version},
+		gauge.Put{Key: rowKey(row.Key)}, gauge.Put{Key: asyncRowKey(row.Claim.Entry, row.Key)})
 }
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -23,7 +23,7 @@
 func TestAnyEventOrderKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(3, 16, 4)
-		s.records(t, pool("a", 3, gauge.PreferBuffer), pool("b", 2, gauge.PreferSpeed))
+		s.appendRecords(t, pool("a", 3, gauge.PreferBuffer), pool("b", 2, gauge.PreferSpeed))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "i") }
 		anyEntry := func() *entry { return s.entries[pick(len(s.entries))] }
 		anyHost := func() *machine { return s.machines[fmt.Sprintf("h%02d", pick(16))] }
@@ -86,7 +86,7 @@
 			"wave": func(t *rapid.T) {
 				if !s.table.unreachable && waves < 3 {
 					waves++
-					s.records(t, wave(fmt.Sprint("w", waves), "a", "b"))
+					s.appendRecords(t, wave(fmt.Sprint("w", waves), "a", "b"))
 				}
 			},
 			"": s.check,
@@ -109,11 +109,11 @@
 			for _, dies := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/dies=%t", fault, at, dies), func(t *testing.T) {
 					s := newSite(0, 8, 2)
-					s.records(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
+					s.appendRecords(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
 					faulty := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
 					first := s.addEntry("e0", faulty)
 					s.addEntry("e1", s.table)
-					s.mine = func(e *entry, _ string) bool { return first.dead || e == first }
+					s.isAssigned = func(e *entry, _ string) bool { return first.dead || e == first }
 					for range 60 {
 						first.dead = first.dead || (dies && faulty.Calls() > at)
 						s.settle(1)
@@ -135,16 +135,16 @@
 // its writes must fail, since they carry the old lease.
 func TestPausedControllerIsFenced(t *testing.T) {
 	s := newSite(2, 8, 2)
-	s.records(t, pool("a", 2, gauge.PreferBuffer))
+	s.appendRecords(t, pool("a", 2, gauge.PreferBuffer))
 	first, second := s.entries[0], s.entries[1]
-	s.mine = func(e *entry, _ string) bool { return e == first }
+	s.isAssigned = func(e *entry, _ string) bool { return e == first }
 	s.settle(4)
 	first.dead = true
-	s.mine = func(*entry, string) bool { return true }
+	s.isAssigned = func(*entry, string) bool { return true }
 	s.settle(4)
 	st, err := s.log.Load(context.Background())
 	assert.NilError(t, err)
-	s.records(t, wave("w", "a"))
+	s.appendRecords(t, wave("w", "a"))
 	s.adopt(first)
 	s.readHostList(first)
 	before, _ := s.log.Head(context.Background())
@@ -162,11 +162,11 @@
 // yet.
 func leavingHost(t *testing.T) (s *site, first, lagging *entry, host string) {
 	s = newSite(2, 8, 2)
-	s.records(t, pool("a", 2, gauge.PreferSpeed))
+	s.appendRecords(t, pool("a", 2, gauge.PreferSpeed))
 	first, lagging = s.entries[0], s.entries[1]
-	s.mine = func(e *entry, _ string) bool { return e == first }
+	s.isAssigned = func(e *entry, _ string) bool { return e == first }
 	s.settle(6)
-	s.records(t, wave("w", "a"))
+	s.appendRecords(t, wave("w", "a"))
 	s.adopt(first)
 	s.adopt(lagging)
 	s.readHostList(first)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -39,14 +39,14 @@
 
 // site is a fleet with some entries on simulated time, advanced one step at a time.
 type site struct {
-	now      time.Time
-	db       *memdb.DB
-	table    *outageTable
-	log      *revlog.Log
-	machines map[string]*machine
-	entries  []*entry
-	checked  gauge.State
-	mine     func(e *entry, unit string) bool
+	now        time.Time
+	db         *memdb.DB
+	table      *outageTable
+	log        *revlog.Log
+	machines   map[string]*machine
+	entries    []*entry
+	checked    gauge.State
+	isAssigned func(e *entry, unit string) bool
 }
 
 // outageTable is a table that can be made unreachable.
@@ -73,7 +73,7 @@
 	db := memdb.New()
 	s := &site{now: time.Unix(1_000_000, 0), db: db, table: &outageTable{Table: db}, machines: make(map[string]*machine)}
 	s.log = revlog.New(s.table)
-	s.mine = func(*entry, string) bool { return true }
+	s.isAssigned = func(*entry, string) bool { return true }
 	for i := range hosts {
 		id := fmt.Sprintf("h%02d", i)
 		s.machines[id] = &machine{tokens: make(map[string]bool), listed: gauge.Sighting{
@@ -94,7 +94,7 @@
 		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.isAlive}),
 		State:     func() gauge.State { return e.state },
 		Sighted:   func() (gauge.Sightings, time.Time) { return e.list, e.read },
-		Confirmed: s.confirmed, Mine: func(unit string) bool { return s.mine(e, unit) },
+		Confirmed: s.isConfirmed, Mine: func(unit string) bool { return s.isAssigned(e, unit) },
 		Wake: func(int64) {}, Moved: func(string) {}, Clock: func() time.Time { return s.now }, Logs: logr.Discard(),
 	})
 	s.entries = append(s.entries, e)
@@ -110,9 +110,9 @@
 	return false
 }
 
-// confirmed asks all entries, also those that seem dead: they may only be paused, and package peers
+// isConfirmed asks all entries, also those that seem dead: they may only be paused, and package peers
 // forgets them only after the lease duration.
-func (s *site) confirmed(revision int64) bool {
+func (s *site) isConfirmed(revision int64) bool {
 	for _, e := range s.entries {
 		if e.state.Revision < revision {
 			return false
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (s *site) records(t assert.TestingT, records ...gauge.Record) {
+func (s *site) appendRecords(t assert.TestingT, records ...gauge.Record) {
 	state, err := s.log.Load(context.Background())
 	assert.NilError(t, err)
 	_, err = s.log.Append(context.Background(), state.Revision, gauge.Change{Records: records})
@@ -188,9 +188,9 @@
 
 // check checks each new revision against the promises.
 func (s *site) check(t *rapid.T) {
-	out := s.table.unreachable
+	wasUnreachable := s.table.unreachable
 	s.table.unreachable = false
-	defer func() { s.table.unreachable = out }()
+	defer func() { s.table.unreachable = wasUnreachable }()
 	for {
 		c, err := s.log.Change(context.Background(), s.checked.Revision+1)
 		if gauge.Is(err, gauge.KindMissing) {
@@ -205,12 +205,12 @@
 }
 
 func (s *site) checkChange(t *rapid.T, before, after gauge.State, c gauge.Change) {
-	taken, once := make(map[string]bool), make(map[string]bool)
+	taken, seen := make(map[string]bool), make(map[string]bool)
 	for _, h := range c.Hosts {
-		if once[h.ID] {
+		if seen[h.ID] {
 			t.Fatalf("%s is changed twice by one revision", h.ID)
 		}
-		once[h.ID] = true
+		seen[h.ID] = true
 		old := before.ByHost[h.ID]
 		if old.Serves() && h.State == gauge.HostLeaving {
 			taken[old.Pool] = true
@@ -235,7 +235,7 @@
 	}
 	for name := range taken {
 		if after.Pool(name) != nil && spareHosts(after, name) < 0 {
-			t.Fatalf("pool %s keeps its promise no more: spare %d", name, spareHosts(after, name))
+			t.Fatalf("pool %s no longer keeps its promise: %d spare hosts", name, spareHosts(after, name))
 		}
 	}
 }
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -33,8 +33,8 @@
 	mu             sync.Mutex
 	slots          *hold.Holder
 	queue          *queue.Queue
-	ejects         *eject.Ejector
-	budget         *retry.Budget
+	ejector        *eject.Ejector
+	retryBudget    *retry.Budget
 	hosts          int
 	blockedRetries int // waiting retries that can't use the idle slots
 
@@ -56,11 +56,11 @@
 func New(c Config) *Desk {
 	now := c.Clock()
 	return &Desk{
-		conf:   c,
-		slots:  hold.New(hold.Config{Name: c.Name, Pool: c.Pool}),
-		queue:  queue.New(queue.Config{Length: c.Length, Start: now}),
-		ejects: eject.New(eject.Config{}),
-		budget: retry.New(retry.Config{Random: c.Random, Start: now}),
+		conf:        c,
+		slots:       hold.New(hold.Config{Name: c.Name, Pool: c.Pool}),
+		queue:       queue.New(queue.Config{Length: c.Length, Start: now}),
+		ejector:     eject.New(eject.Config{}),
+		retryBudget: retry.New(retry.Config{Random: c.Random, Start: now}),
 	}
 }
 
@@ -75,8 +75,8 @@
 	defer d.mu.Unlock()
 	d.hosts = len(targets)
 	d.slots.SetTargets(targets)
-	d.ejects.Cap(len(targets), promised)
-	d.ejects.Keep(func(host string) bool { _, ok := targets[host]; return ok })
+	d.ejector.Cap(len(targets), promised)
+	d.ejector.Keep(func(host string) bool { _, ok := targets[host]; return ok })
 	d.assignIdle()
 }
 
@@ -132,9 +132,9 @@
 }
 
 func (d *Desk) takeSlot(now time.Time, it *queue.Item) (*gauge.Place, bool) {
-	p, ok := d.slots.Take(now, it.Class, it.Earlier, func(host string) bool { return d.ejects.Skip(now, host) })
+	p, ok := d.slots.Take(now, it.Class, it.Earlier, func(host string) bool { return d.ejector.Skip(now, host) })
 	if ok {
-		d.ejects.Sent(now, p.Target.Host)
+		d.ejector.Sent(now, p.Target.Host)
 	}
 	return p, ok
 }
@@ -229,9 +229,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !failed {
-		d.budget.Success()
+		d.retryBudget.Success()
 	}
-	return d.ejects.Outcome(d.conf.Clock(), host, failed)
+	return d.ejector.Outcome(d.conf.Clock(), host, failed)
 }
 
 // SpendRetry takes the n-th retry of a request out of the budget and returns how long to wait
@@ -239,10 +239,10 @@
 func (d *Desk) Repeat(n int) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.budget.Spend(d.conf.Clock()) {
+	if !d.retryBudget.Spend(d.conf.Clock()) {
 		return 0, false
 	}
-	return d.budget.Pause(n), true
+	return d.retryBudget.Pause(n), true
 }
 
 // RenewRequest returns the lease request that renews the lease, or false if there is nothing to
@@ -268,8 +268,8 @@
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
 	quick, long := d.waitingCounts()
-	if a, ok := d.slots.DeltaRequest(now, quick, long); ok {
-		return a, true
+	if req, ok := d.slots.DeltaRequest(now, quick, long); ok {
+		return req, true
 	}
 	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.lastFull) < minFullInterval {
 		return slots.Ask{}, false
@@ -293,6 +293,6 @@
 	return Counts{
 		Pool: d.conf.Pool, Held: d.slots.LeasedCount(), Used: d.slots.UsedCount(), Hosts: d.hosts,
 		Quick: d.queue.Len(gauge.ClassQuick), Long: d.queue.Len(gauge.ClassLong),
-		Ejected: len(d.ejects.Ejected(d.conf.Clock())),
+		Ejected: len(d.ejector.Ejected(d.conf.Clock())),
 	}
 }
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -43,15 +43,15 @@
 type Book struct {
 	clock gauge.Clock
 
-	mu    sync.Mutex
-	lines map[Promise]*Line
+	mu      sync.Mutex
+	results map[Promise]*Line
 }
 
 // New returns a Book without any checks.
 func New(clock gauge.Clock) *Book {
-	b := &Book{clock: clock, lines: make(map[Promise]*Line)}
+	b := &Book{clock: clock, results: make(map[Promise]*Line)}
 	for _, p := range Promises() {
-		b.lines[p] = &Line{Promise: p}
+		b.results[p] = &Line{Promise: p}
 	}
 	return b
 }
@@ -60,7 +60,7 @@
 func (b *Book) Note(p Promise, held bool, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.lines[p]
+	l := b.results[p]
 	l.Checks++
 	if !held {
 		l.Breaches++
@@ -77,17 +77,17 @@
 func (b *Book) Work(p Promise, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lines[p].Events++
-	b.lines[p].Evidence = evidence
+	b.results[p].Events++
+	b.results[p].Evidence = evidence
 }
 
 // Results returns the results of all promises, in the order of the report.
 func (b *Book) Lines() []Line {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Line, 0, len(b.lines))
+	out := make([]Line, 0, len(b.results))
 	for _, p := range Promises() {
-		out = append(out, *b.lines[p])
+		out = append(out, *b.results[p])
 	}
 	return out
 }
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	oneWay        = 1500 * time.Microsecond // network delay between two data centres
+	networkDelay  = 1500 * time.Microsecond // network delay between two data centres
 	simulated     = 60 * time.Second
 	pauseFrom     = 20 * time.Second
 	pauseTo       = 25 * time.Second
@@ -36,16 +36,16 @@
 
 // event is an action at a simulated time.
 type event struct {
-	time   time.Duration
-	order  int
-	action func()
+	time     time.Duration
+	sequence int
+	action   func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(a, b int) bool {
-	return e[a].time < e[b].time || (e[a].time == e[b].time && e[a].order < e[b].order)
+	return e[a].time < e[b].time || (e[a].time == e[b].time && e[a].sequence < e[b].sequence)
 }
 func (e events) Swap(a, b int) { e[a], e[b] = e[b], e[a] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -57,24 +57,24 @@
 
 // simulation is one run of one way of sharing, in one goroutine on simulated time.
 type simulation struct {
-	sharing     string
-	load        float64
-	workers     []gauge.Host
-	random      *rand.Rand
-	queue       events
-	order       int
-	now         time.Duration
-	entries     []*simEntry
-	owner       *slots.Owner
-	ticketQueue []*simRequest // waiting at the owner that issues the tickets
-	running     map[string]int
-	total       int
-	waiting     int
+	sharing      string
+	load         float64
+	workers      []gauge.Host
+	random       *rand.Rand
+	queue        events
+	nextSequence int
+	now          time.Duration
+	entries      []*simEntry
+	owner        *slots.Owner
+	ticketQueue  []*simRequest // waiting at the owner that issues the tickets
+	running      map[string]int
+	total        int
+	waiting      int
 
-	overfull, wasted float64 // in slot-seconds
-	bytes            int
-	waits            *hdrhistogram.Histogram
-	lastEvent        time.Duration
+	overfull, wastedIdle float64 // in slot-seconds
+	bytes                int
+	waits                *hdrhistogram.Histogram
+	lastEvent            time.Duration
 }
 
 type simEntry struct {
@@ -96,9 +96,9 @@
 
 func base() time.Time { return time.Unix(1_000_000, 0) }
 
-func newSimulation(way string, entries, workers int, load float64) *simulation {
+func newSimulation(sharing string, entries, workers int, load float64) *simulation {
 	w := &simulation{
-		sharing: way, load: load, random: rand.New(rand.NewPCG(1, 2)),
+		sharing: sharing, load: load, random: rand.New(rand.NewPCG(1, 2)),
 		running: make(map[string]int), waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 	}
 	targets := make(map[string]gauge.Target)
@@ -113,7 +113,7 @@
 	w.owner.Set(f)
 	for i := range entries {
 		e := &simEntry{queues: make(map[gauge.Class][]*simRequest)}
-		if way == sharingLease {
+		if sharing == sharingLease {
 			e.holder = hold.New(hold.Config{Name: fmt.Sprint(i), Pool: "p"})
 			e.holder.SetTargets(targets)
 			e.slots = e.holder
@@ -125,15 +125,15 @@
 	return w
 }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{w.now + d, w.order, do})
+func (w *simulation) schedule(d time.Duration, do func()) {
+	w.nextSequence++
+	heap.Push(&w.queue, event{w.now + d, w.nextSequence, do})
 }
 
 // atEntry runs a function at an entry once that entry isn't paused. Only the second entry pauses.
 func (w *simulation) atEntry(i int, do func()) {
 	if i == 1 && w.now >= pauseFrom && w.now < pauseTo {
-		w.after(pauseTo-w.now, do)
+		w.schedule(pauseTo-w.now, do)
 		return
 	}
 	do()
@@ -142,9 +142,9 @@
 func (w *simulation) run() {
 	mean := (1-longShare)*quickMean.Seconds() + longShare*longMean.Seconds()
 	rate := w.load * float64(len(w.workers)*slotsPerWorker) / mean
-	w.after(0, func() { w.arrive(rate) })
+	w.schedule(0, func() { w.arrive(rate) })
 	for i := range w.entries {
-		w.after(time.Duration(i)*time.Millisecond, func() { w.renewRound(i) })
+		w.schedule(time.Duration(i)*time.Millisecond, func() { w.renewRound(i) })
 	}
 	if w.sharing == sharingLease {
 		// Skips the first lease duration and reports all workers idle.
@@ -178,7 +178,7 @@
 	}
 	idle := len(w.workers)*slotsPerWorker - (w.total - over)
 	w.overfull += float64(over) * dt
-	w.wasted += float64(min(idle, w.waiting)) * dt
+	w.wastedIdle += float64(min(idle, w.waiting)) * dt
 }
 
 func (w *simulation) arrive(rate float64) {
@@ -191,13 +191,13 @@
 	r.duration = time.Duration(w.random.ExpFloat64() * float64(mean))
 	w.waiting++
 	w.atEntry(r.entry, func() { w.accept(r) })
-	w.after(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(rate) })
+	w.schedule(time.Duration(w.random.ExpFloat64()/rate*float64(time.Second)), func() { w.arrive(rate) })
 }
 
 func (w *simulation) accept(r *simRequest) {
 	if w.sharing == sharingTicket {
 		w.bytes += 3 * (frameOverhead + 40)
-		w.after(oneWay, func() { w.ticketQueue = append(w.ticketQueue, r); w.issueTickets() })
+		w.schedule(networkDelay, func() { w.ticketQueue = append(w.ticketQueue, r); w.issueTickets() })
 		return
 	}
 	e := w.entries[r.entry]
@@ -225,18 +225,18 @@
 		r.place = &gauge.Place{Target: gauge.Target{Host: best}}
 		w.running[best]++ // occupied from now on
 		w.total++
-		w.after(oneWay, func() {
+		w.schedule(networkDelay, func() {
 			w.atEntry(r.entry, func() {
-				w.started(r)
-				w.after(r.duration, func() {
-					w.after(oneWay, func() { w.running[best]--; w.total--; w.issueTickets() })
+				w.recordStart(r)
+				w.schedule(r.duration, func() {
+					w.schedule(networkDelay, func() { w.running[best]--; w.total--; w.issueTickets() })
 				})
 			})
 		})
 	}
 }
 
-func (w *simulation) started(r *simRequest) {
+func (w *simulation) recordStart(r *simRequest) {
 	w.waiting--
 	if r.class == gauge.ClassQuick && !r.paused {
 		_ = w.waits.RecordValue(max(1, int64((w.now-r.arrivedAt)/time.Microsecond)))
@@ -259,10 +259,10 @@
 }
 
 func (w *simulation) start(i int, r *simRequest, p *gauge.Place) {
-	w.started(r)
+	w.recordStart(r)
 	w.running[p.Target.Host]++
 	w.total++
-	w.after(r.duration, func() {
+	w.schedule(r.duration, func() {
 		w.running[p.Target.Host]--
 		w.total--
 		w.atEntry(i, func() {
@@ -281,7 +281,7 @@
 		return
 	}
 	w.atEntry(i, func() { w.sendRequest(i, true) })
-	w.after(time.Second, func() { w.renewRound(i) })
+	w.schedule(time.Second, func() { w.renewRound(i) })
 }
 
 func (w *simulation) sendRequestSoon(i int) {
@@ -290,7 +290,7 @@
 		return
 	}
 	e.requestPlanned = true
-	w.after(2*time.Millisecond, func() { w.atEntry(i, func() { e.requestPlanned = false; w.sendRequest(i, false) }) })
+	w.schedule(2*time.Millisecond, func() { w.atEntry(i, func() { e.requestPlanned = false; w.sendRequest(i, false) }) })
 }
 
 func (w *simulation) sendRequest(i int, full bool) {
@@ -303,8 +303,8 @@
 	if !ok {
 		return
 	}
-	w.count(a)
-	w.after(oneWay, func() {
+	w.countBytes(a)
+	w.schedule(networkDelay, func() {
 		g, pushes := w.owner.Ask(base().Add(w.now), a)
 		w.deliver(i, g)
 		for _, p := range pushes {
@@ -314,8 +314,8 @@
 }
 
 func (w *simulation) deliver(i int, g slots.Grant) {
-	w.count(g)
-	w.after(oneWay, func() {
+	w.countBytes(g)
+	w.schedule(networkDelay, func() {
 		w.atEntry(i, func() {
 			w.entries[i].holder.ApplyGrant(g)
 			w.startQueued(i)
@@ -324,7 +324,7 @@
 	})
 }
 
-func (w *simulation) count(v any) {
+func (w *simulation) countBytes(v any) {
 	b, _ := msgpack.Marshal(v)
 	w.bytes += len(b) + frameOverhead
 }
@@ -335,13 +335,13 @@
 func BenchmarkShare(b *testing.B) {
 	for _, n := range []struct{ entries, workers int }{{8, 50}, {32, 50}, {128, 50}, {128, 400}} {
 		for _, load := range []float64{0.7, 0.95} {
-			for _, way := range []string{sharingUncoordinated, sharingTicket, sharingLease} {
-				b.Run(fmt.Sprintf("%dx%d/load=%v/%s", n.entries, n.workers, load, way), func(b *testing.B) {
+			for _, sharing := range []string{sharingUncoordinated, sharingTicket, sharingLease} {
+				b.Run(fmt.Sprintf("%dx%d/load=%v/%s", n.entries, n.workers, load, sharing), func(b *testing.B) {
 					for b.Loop() {
-						w := newSimulation(way, n.entries, n.workers, load)
+						w := newSimulation(sharing, n.entries, n.workers, load)
 						w.run()
 						b.ReportMetric(w.overfull, "overfull-slot-s")
-						b.ReportMetric(w.wasted, "idle-slot-s")
+						b.ReportMetric(w.wastedIdle, "idle-slot-s")
 						b.ReportMetric(float64(w.waits.ValueAtQuantile(50))/1000, "p50-ms")
 						b.ReportMetric(float64(w.waits.ValueAtQuantile(99))/1000, "p99-ms")
 						b.ReportMetric(float64(w.bytes)/simulated.Seconds()/float64(n.entries), "B/s/entry")
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -55,10 +55,10 @@
 func (t classCounts) total() int { return t.quick + t.long }
 
 type holderState struct {
-	seq     uint64
+	lastSeq uint64
 	byHost  map[string]classCounts
 	total   int
-	want    classCounts
+	wanted  classCounts
 	expires time.Time
 }
 
@@ -80,24 +80,24 @@
 // HandleRequest records what a holder has, gives back and wants. It returns the answer and the
 // grants that this makes possible for other holders. A request with a sequence number that isn't
 // above the last one seen was overtaken on the way: it changes nothing and is rejected.
-func (o *Owner) Ask(now time.Time, a Ask) (Grant, []Push) {
+func (o *Owner) Ask(now time.Time, req Ask) (Grant, []Push) {
 	o.expireLeases(now)
-	h := o.holders[a.Holder]
-	if h == nil && !a.Full {
-		return Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
+	h := o.holders[req.Holder]
+	if h == nil && !req.Full {
+		return Grant{Pool: req.Pool, Seq: req.Seq, Not: true}, nil
 	}
 	if h == nil {
 		h = &holderState{}
-		o.holders[a.Holder] = h
+		o.holders[req.Holder] = h
 	}
-	if a.Seq <= h.seq {
-		return Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
+	if req.Seq <= h.lastSeq {
+		return Grant{Pool: req.Pool, Seq: req.Seq, Not: true}, nil
 	}
-	h.seq = a.Seq
-	if a.Full {
-		o.applyFull(now, h, a)
+	h.lastSeq = req.Seq
+	if req.Full {
+		o.applyFull(now, h, req)
 	} else {
-		o.applyDelta(h, a)
+		o.applyDelta(h, req)
 	}
 	o.markUnreported(now)
 	fair := o.fairShare()
@@ -106,9 +106,9 @@
 	if o.hasStarvedHolder(fair) {
 		maxUsed = fair
 	}
-	g := o.grantFor(h, granted[a.Holder], maxUsed)
-	g.Full, g.Term = a.Full, o.conf.Term
-	delete(granted, a.Holder)
+	g := o.grantFor(h, granted[req.Holder], maxUsed)
+	g.Full, g.Term = req.Full, o.conf.Term
+	delete(granted, req.Holder)
 	var pushes []Push
 	for name, granted := range granted {
 		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], granted, maxUsed)})
@@ -117,29 +117,29 @@
 }
 
 // applyFull applies a full request: slots that the holder had and doesn't name are given back.
-func (o *Owner) applyFull(now time.Time, h *holderState, a Ask) {
+func (o *Owner) applyFull(now time.Time, h *holderState, req Ask) {
 	h.expires = now.Add(o.conf.Term)
 	o.clearLeases(h)
-	for _, l := range a.Have {
+	for _, l := range req.Have {
 		// A holder only ever names slots that this owner or the previous one granted.
 		o.addLease(h, l.Host, classCounts{max(0, l.Quick), max(0, l.Long)})
 	}
-	o.clearUnconfirmed(a.Holder)
-	h.want = classCounts{max(0, a.Quick), max(0, a.Long)}
+	o.clearUnconfirmed(req.Holder)
+	h.wanted = classCounts{max(0, req.Quick), max(0, req.Long)}
 }
 
 // applyDelta applies a request that names only what changed since the one before it.
-func (o *Owner) applyDelta(h *holderState, a Ask) {
-	for _, l := range a.Have {
+func (o *Owner) applyDelta(h *holderState, req Ask) {
+	for _, l := range req.Have {
 		had := h.byHost[l.Host]
 		back := classCounts{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
 		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
 	}
-	h.want = classCounts{max(0, h.want.quick+a.Quick), max(0, h.want.long+a.Long)}
+	h.wanted = classCounts{max(0, h.wanted.quick+req.Quick), max(0, h.wanted.long+req.Long)}
 }
 
 func (o *Owner) grantFor(h *holderState, granted map[string]classCounts, limit int) Grant {
-	g := Grant{Pool: o.conf.Pool, Seq: h.seq, Lots: sortedSlots(granted), Free: o.maxIdle()}
+	g := Grant{Pool: o.conf.Pool, Seq: h.lastSeq, Lots: sortedSlots(granted), Free: o.maxIdle()}
 	if h.total > limit {
 		g.Cap = limit
 	}
@@ -175,7 +175,7 @@
 func (o *Owner) waitingHolders() []string {
 	var names []string
 	for name, h := range o.holders {
-		if h.want.total() > 0 {
+		if h.wanted.total() > 0 {
 			names = append(names, name)
 		}
 	}
@@ -189,9 +189,9 @@
 // slots, so that the requests spread over the hosts.
 func (o *Owner) grantTo(h *holderState, hosts []freeHost, maxTotal int) map[string]classCounts {
 	granted := make(map[string]classCounts)
-	quick := o.grantClass(h, hosts, min(h.want.quick, maxTotal), classCounts{quick: 1}, granted)
-	long := o.grantClass(h, hosts, min(h.want.long, maxTotal-quick), classCounts{long: 1}, granted)
-	h.want = classCounts{h.want.quick - quick, h.want.long - long}
+	quick := o.grantClass(h, hosts, min(h.wanted.quick, maxTotal), classCounts{quick: 1}, granted)
+	long := o.grantClass(h, hosts, min(h.wanted.long, maxTotal-quick), classCounts{long: 1}, granted)
+	h.wanted = classCounts{h.wanted.quick - quick, h.wanted.long - long}
 	return granted
 }
 
@@ -209,12 +209,12 @@
 	for _, r := range o.fleet.Hosts {
 		limit := o.share(r.Slots)
 		sum := o.leasedByHost[r.Host]
-		left := limit - sum.total() - o.unconfirmedCount(r.Host)
-		if left <= 0 {
+		remaining := limit - sum.total() - o.unconfirmedCount(r.Host)
+		if remaining <= 0 {
 			continue
 		}
 		out = append(out, freeHost{
-			host: r.Host, total: left,
+			host: r.Host, total: remaining,
 			quick: classLimit(limit, o.fleet.Floor) - sum.quick,
 			long:  classLimit(limit, o.fleet.Reserve) - sum.long,
 		})
@@ -237,17 +237,17 @@
 // least one, so that a small share shuts out neither class.
 func classLimit(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
 
-func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, one classCounts, granted map[string]classCounts) (given int) {
+func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, unit classCounts, granted map[string]classCounts) (given int) {
 	for given < want {
 		before := given
 		for i := range hosts {
 			if given == want {
 				return given
 			}
-			if hosts[i].reserve(one) {
-				o.addLease(h, hosts[i].host, one)
+			if hosts[i].reserve(unit) {
+				o.addLease(h, hosts[i].host, unit)
 				sum := granted[hosts[i].host]
-				granted[hosts[i].host] = classCounts{sum.quick + one.quick, sum.long + one.long}
+				granted[hosts[i].host] = classCounts{sum.quick + unit.quick, sum.long + unit.long}
 				given++
 			}
 		}
@@ -258,13 +258,13 @@
 	return given
 }
 
-func (r *freeHost) reserve(one classCounts) bool {
-	if r.total < 1 || (one.quick > 0 && r.quick < 1) || (one.long > 0 && r.long < 1) {
+func (r *freeHost) reserve(unit classCounts) bool {
+	if r.total < 1 || (unit.quick > 0 && r.quick < 1) || (unit.long > 0 && r.long < 1) {
 		return false
 	}
 	r.total--
-	r.quick -= one.quick
-	r.long -= one.long
+	r.quick -= unit.quick
+	r.long -= unit.long
 	return true
 }
 
@@ -307,7 +307,7 @@
 func (o *Owner) fairShare() int {
 	active := 0
 	for _, h := range o.holders {
-		if h.total+h.want.total() > 0 {
+		if h.total+h.wanted.total() > 0 {
 			active++
 		}
 	}
@@ -319,7 +319,7 @@
 // while one entry has many requests.
 func (o *Owner) hasStarvedHolder(fair int) bool {
 	for _, h := range o.holders {
-		if h.want.total() > 0 && h.total < fair {
+		if h.wanted.total() > 0 && h.total < fair {
 			return true
 		}
 	}
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -160,11 +160,11 @@
 
 // overfull returns a worker that runs more requests than it has slots, or an empty string.
 func (w *world) overfull() string {
-	at := make(map[string]int)
+	running := make(map[string]int)
 	for _, r := range w.running {
 		if w.now.Before(r.ends) {
-			at[r.place.Target.Host]++
-			if at[r.place.Target.Host] > w.size {
+			running[r.place.Target.Host]++
+			if running[r.place.Target.Host] > w.size {
 				return r.place.Target.Host
 			}
 		}
