--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -376,7 +376,7 @@
 	delete(b.owners, pool)
 }
 
-// ObserveHosts passes the platform's host list to the owners.
+// Seen passes the platform's host list to the owners.
 func (b *Broker) Seen(list gauge.Sightings) {
 	b.mu.RLock()
 	owners := make([]*owner, 0, len(b.owners))
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -53,7 +53,7 @@
 	return &Claims{conf: c, committer: &groupCommitter{table: c.Table, timeout: c.Timeout}}
 }
 
-// CommitCounts returns the number of transactions made and of the writes that they carried.
+// Counts returns the number of transactions made and of the writes that they carried.
 func (c *Claims) Counts() (commits, writes int) { return c.committer.counts() }
 
 func rowKey(k gauge.ClaimKey) string { return "claim/" + k.Day + "/" + k.Team + "/" + k.ID }
@@ -64,7 +64,7 @@
 	return "async/" + entry + "/" + k.Day + "/" + k.Team + "/" + k.ID
 }
 
-// Insert inserts a claim. It returns the claim that is stored, and whether that is the new one. An
+// Claim inserts a claim. It returns the claim that is stored, and whether that is the new one. An
 // error means that nothing may be dispatched: the caller may then answer "not run", and passes what
 // is returned to Abandon if it has a token.
 //
@@ -140,7 +140,7 @@
 	return out, nil
 }
 
-// Transition writes a claim's next state if the claim hasn't changed since it was read. False means
+// Move writes a claim's next state if the claim hasn't changed since it was read. False means
 // that another entry has it now, and nothing may be dispatched here.
 func (c *Claims) Move(ctx context.Context, row Held, state gauge.ClaimState) (Held, bool, error) {
 	if row.version == 0 {
@@ -174,7 +174,7 @@
 	return read, read.Claim.Token == next.Token, nil
 }
 
-// StoreOutcome stores the outcome of a claim. It retries during a table outage until ctx ends: the
+// Finish stores the outcome of a claim. It retries during a table outage until ctx ends: the
 // request has run, and a repeated request must get its answer. A claim that another entry took over
 // meanwhile is left alone.
 func (c *Claims) Finish(ctx context.Context, row Held, o gauge.Outcome) error {
@@ -225,7 +225,7 @@
 	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(maxCommitDelay))
 }
 
-// Delete removes a claim whose request was proved not to have run, so that the caller may retry
+// Drop removes a claim whose request was proved not to have run, so that the caller may retry
 // under the same key.
 func (c *Claims) Drop(ctx context.Context, row Held) error {
 	read, err := c.readBack(ctx, row.Key)
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// FetchBody returns the body of an accepted request.
+// Body returns the body of an accepted request.
 func (c *Claims) Body(ctx context.Context, a *gauge.Accepted) ([]byte, error) {
 	if a.Object == "" {
 		return a.Body, nil
@@ -46,7 +46,7 @@
 	return c.conf.Objects.Fetch(ctx, a.Object)
 }
 
-// FetchAnswer returns the body of a stored answer.
+// Answer returns the body of a stored answer.
 func (c *Claims) Answer(ctx context.Context, o *gauge.Outcome) ([]byte, error) {
 	if o.Object == "" {
 		return o.Body, nil
@@ -54,7 +54,7 @@
 	return c.conf.Objects.Fetch(ctx, o.Object)
 }
 
-// UnfinishedByEntry lists the asynchronous claims that aren't done, by entry (ID/start ID).
+// Entries lists the asynchronous claims that aren't done, by entry (ID/start ID).
 func (c *Claims) Entries(ctx context.Context) (map[string][]gauge.ClaimKey, error) {
 	rows, err := c.conf.Table.Scan(ctx, "async/")
 	if err != nil {
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -31,8 +31,8 @@
 	Sighted   func() (gauge.Sightings, time.Time) // the last host list and when it was read
 	Confirmed func(revision int64) bool           // every entry has the revision in force or is gone
 	Mine      func(unit string) bool              // whether this entry is to control a unit
-	Wake      func(revision int64)
-	Moved     func(pool string) // a host was added to a pool
+	Wake      func(revision int64)                // polls at once for a revision that is probably there
+	Moved     func(pool string)                   // a host was added to a pool
 	Clock     gauge.Clock
 	Logs      logr.Logger
 	Every     time.Duration // between two rounds; default 1 s
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -18,8 +18,8 @@
 
 // Guards against acting on outdated state, so that a pool has fewer hosts than promised, a task is
 // cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
-// believe to be in charge, lagging entries, failing and returning hosts and racks, old host lists,
-// table outages, and changing waves and pools come in any order.
+// believe they are in charge, lagging entries, failing and returning hosts and racks, old host
+// lists, table outages, and changing waves and pools come in any order.
 func TestAnyEventOrderKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(3, 16, 4)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -110,8 +110,8 @@
 	return false
 }
 
-// isConfirmed asks all entries, also those that seem dead: they may only be paused, and package peers
-// forgets them only after the lease duration.
+// isConfirmed asks all entries, also those that seem dead: they may only be paused, and package
+// peers forgets them only after the lease duration.
 func (s *site) isConfirmed(revision int64) bool {
 	for _, e := range s.entries {
 		if e.state.Revision < revision {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -26,7 +26,7 @@
 	Kick   func() // called when slots are needed, to send a lease request soon
 }
 
-// Dispatcher hands out the slots of one pool at one entry. It is safe for concurrent use.
+// Desk hands out the slots of one pool at one entry. It is safe for concurrent use.
 type Desk struct {
 	conf Config
 
@@ -64,7 +64,7 @@
 	}
 }
 
-// SetHosts sets the hosts that serve the pool and how many were promised. Hosts that are leaving
+// Set sets the hosts that serve the pool and how many were promised. Hosts that are leaving
 // get no requests from here on.
 func (d *Desk) Set(hosts gauge.Hosts, promised int) {
 	targets := make(map[string]gauge.Target, len(hosts))
@@ -193,7 +193,7 @@
 	return quick, long
 }
 
-// HasUntriedHost reports whether there is a host that a request wasn't tried on.
+// Untried reports whether there is a host that a request wasn't tried on.
 func (d *Desk) Untried(tried gauge.Attempts) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -216,14 +216,14 @@
 	return d.slots.IsScarce()
 }
 
-// CountAsLong counts a quick slot as long from the next lease renewal on.
+// Turn counts a quick slot as long from the next lease renewal on.
 func (d *Desk) Turn(p *gauge.Place) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.Turn(p)
 }
 
-// RecordOutcome rates a worker by how a request ended there; successes add to the retry budget. It
+// Outcome rates a worker by how a request ended there; successes add to the retry budget. It
 // returns true if the worker is ejected for it.
 func (d *Desk) Outcome(host string, failed bool) bool {
 	d.mu.Lock()
@@ -234,7 +234,7 @@
 	return d.ejector.Outcome(d.conf.Clock(), host, failed)
 }
 
-// SpendRetry takes the n-th retry of a request out of the budget and returns how long to wait
+// Repeat takes the n-th retry of a request out of the budget and returns how long to wait
 // before it, or false if the budget is spent.
 func (d *Desk) Repeat(n int) (time.Duration, bool) {
 	d.mu.Lock()
@@ -245,7 +245,7 @@
 	return d.retryBudget.Pause(n), true
 }
 
-// RenewRequest returns the lease request that renews the lease, or false if there is nothing to
+// Renew returns the lease request that renews the lease, or false if there is nothing to
 // renew or to wait for.
 func (d *Desk) Renew() (slots.Ask, bool) {
 	d.mu.Lock()
@@ -262,7 +262,7 @@
 // minFullInterval is how soon a dispatcher without a lease may request one again.
 const minFullInterval = 100 * time.Millisecond
 
-// NextRequest returns a lease request between two renewals, or false if nothing has changed.
+// Ask returns a lease request between two renewals, or false if nothing has changed.
 func (d *Desk) Ask() (slots.Ask, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -278,7 +278,7 @@
 	return d.slots.FullRequest(now, quick, long), true
 }
 
-// ApplyGrant takes in slots that the owner grants.
+// Grant takes in slots that the owner grants.
 func (d *Desk) Grant(g slots.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -38,7 +38,7 @@
 		assert.Assert(t, ok)
 		d.Grant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, Term: time.Minute, Free: 4, Lots: []slots.Lot{{Host: "a", Quick: 4}}}) // more than the reserve
 		go acquire(nil)
-		assert.Equal(t, <-got, "a", "what comes after the repeat goes on")
+		assert.Equal(t, <-got, "a", "the request behind the retry goes first")
 		next, ok := d.Ask()
 		assert.Assert(t, ok && next.Quick > 0, "slots of other hosts are asked for: %+v", next)
 		d.Grant(slots.Grant{Pool: "p", Seq: next.Seq, Free: 4, Lots: []slots.Lot{{Host: "b", Quick: 1}}})
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -56,7 +56,7 @@
 	return b
 }
 
-// RecordCheck records one check of a promise.
+// Note records one check of a promise.
 func (b *Book) Note(p Promise, held bool, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// RecordEvent records that the mechanism that keeps a promise took effect. That is no check of the
+// Work records that the mechanism that keeps a promise took effect. That is no check of the
 // promise: an entry can't see for itself that an answer was meant for another caller, or that a
 // request ran elsewhere as well.
 func (b *Book) Work(p Promise, evidence string) {
@@ -81,7 +81,7 @@
 	b.results[p].Evidence = evidence
 }
 
-// Results returns the results of all promises, in the order of the report.
+// Lines returns the results of all promises, in the order of the report.
 func (b *Book) Lines() []Line {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/slots/doubt.go
+++ b/internal/slots/doubt.go
@@ -25,7 +25,7 @@
 	}
 	o.firstTermOver = true
 	for _, r := range o.fleet.Hosts {
-		if n := r.Slots - o.leasedByHost[r.Host].total(); n > 0 {
+		if n := r.Slots - o.leased[r.Host].total(); n > 0 {
 			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
 				host: r.Host, slots: n, expiredAt: end, until: end.Add(o.conf.Limit),
 			})
@@ -59,7 +59,7 @@
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.holder == holder })
 }
 
-// ObserveUsage takes in how many slots of a host the platform saw in use at a time. The slots that
+// Seen takes in how many slots of a host the platform saw in use at a time. The slots that
 // became unconfirmed before that time can't be more.
 func (o *Owner) Seen(host string, used int, at time.Time) {
 	for i := range o.unconfirmed {
@@ -73,7 +73,7 @@
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.slots == 0 })
 }
 
-func (o *Owner) unconfirmedCount(host string) int {
+func (o *Owner) unconfirmedAt(host string) int {
 	n := 0
 	for _, d := range o.unconfirmed {
 		if d.host == host {
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -23,16 +23,17 @@
 	Start time.Time     // when this entry became the owner
 }
 
-// Fleet is the capacity that an owner may lease out.
+// Fleet is the capacity that an owner may lease out. Its share of each worker's slots is the fraction
+// of the known entries that have the same view of the live entries as the owner.
 type Fleet struct {
 	Hosts   []Room
 	Reserve int // slots of each worker that long requests may not use
 	Floor   int // slots of each worker that quick requests may not use
-	Same    int // this owner's share of each worker is SameViewCount of KnownCount
+	Same    int // entries with the same view, the owner included
 	Known   int
 }
 
-// HostCapacity is a worker that may be given requests, with all its slots.
+// Room is a worker that may be given requests, with all its slots.
 type Room struct {
 	Host  string
 	Slots int
@@ -42,7 +43,7 @@
 type Owner struct {
 	conf          Config
 	fleet         Fleet
-	leasedByHost  map[string]classCounts  // leased, by host
+	leased        map[string]classCounts  // by host
 	holders       map[string]*holderState // by entry
 	unconfirmed   []unconfirmedSlots
 	firstTermOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
@@ -65,10 +66,10 @@
 // New returns an Owner that knows of no lease. Leases granted by a previous owner may still be in
 // force, so for one lease duration it grants nothing and learns of them from the holders' requests.
 func New(c Config) *Owner {
-	return &Owner{conf: c, leasedByHost: make(map[string]classCounts), holders: make(map[string]*holderState)}
+	return &Owner{conf: c, leased: make(map[string]classCounts), holders: make(map[string]*holderState)}
 }
 
-// SetFleet sets the capacity that may be leased out from now on.
+// Set sets the capacity that may be leased out from now on.
 func (o *Owner) Set(f Fleet) {
 	o.fleet = f
 	o.capacity = 0
@@ -77,9 +78,9 @@
 	}
 }
 
-// HandleRequest records what a holder has, gives back and wants. It returns the answer and the
-// grants that this makes possible for other holders. A request with a sequence number that isn't
-// above the last one seen was overtaken on the way: it changes nothing and is rejected.
+// Ask records what a holder has, gives back and wants. It returns the answer, and the grants that
+// this makes possible for other holders. A request whose sequence number isn't above the last one
+// seen was overtaken on the way: it changes nothing and is rejected.
 func (o *Owner) Ask(now time.Time, req Ask) (Grant, []Push) {
 	o.expireLeases(now)
 	h := o.holders[req.Holder]
@@ -208,8 +209,8 @@
 	out := make([]freeHost, 0, len(o.fleet.Hosts))
 	for _, r := range o.fleet.Hosts {
 		limit := o.share(r.Slots)
-		sum := o.leasedByHost[r.Host]
-		remaining := limit - sum.total() - o.unconfirmedCount(r.Host)
+		sum := o.leased[r.Host]
+		remaining := limit - sum.total() - o.unconfirmedAt(r.Host)
 		if remaining <= 0 {
 			continue
 		}
@@ -273,7 +274,7 @@
 		h.byHost = make(map[string]classCounts)
 	}
 	addCounts(h.byHost, host, t)
-	addCounts(o.leasedByHost, host, t)
+	addCounts(o.leased, host, t)
 	h.total += t.total()
 	o.leasedCount += t.total()
 }
@@ -290,18 +291,15 @@
 
 func (o *Owner) clearLeases(h *holderState) {
 	for host, t := range h.byHost {
-		addCounts(o.leasedByHost, host, classCounts{-t.quick, -t.long})
+		addCounts(o.leased, host, classCounts{-t.quick, -t.long})
 	}
 	o.leasedCount -= h.total
 	h.byHost = nil
 	h.total = 0
 }
 
-// UnavailableCount returns the slots of a host that are leased, or unconfirmed after a lease
-// expired.
-func (o *Owner) Leased(host string) int {
-	return o.leasedByHost[host].total() + o.unconfirmedCount(host)
-}
+// InUse returns how many slots of a host are leased, or unconfirmed after a lease expired.
+func (o *Owner) InUse(host string) int { return o.leased[host].total() + o.unconfirmedAt(host) }
 
 // fairShare is an equal part of all slots for each holder that has or wants some.
 func (o *Owner) fairShare() int {
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -260,7 +260,7 @@
 	for _, tt := range []struct {
 		class       gauge.Class
 		quick, long int
-		most        int
+		maxTaken    int
 	}{
 		{gauge.ClassLong, 0, 100, 3 * (slotsPerWorker - 2)},
 		{gauge.ClassQuick, 100, 0, 3 * (slotsPerWorker - 1)},
@@ -275,7 +275,7 @@
 					taken++
 				}
 			}
-			assert.Equal(t, taken, tt.most)
+			assert.Equal(t, taken, tt.maxTaken)
 		})
 	}
 }
@@ -331,11 +331,11 @@
 	w.now = w.now.Add(leaseDuration)
 	w.sendFull(1, 0, 0)
 	w.deliverAll()
-	assert.Assert(t, w.owner.Leased("w0") > 0)
+	assert.Assert(t, w.owner.InUse("w0") > 0)
 	w.owner.Seen("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
-	assert.Assert(t, w.owner.Leased("w0") > 0)
+	assert.Assert(t, w.owner.InUse("w0") > 0)
 	w.owner.Seen("w0", 0, w.now.Add(time.Second))
-	assert.Equal(t, w.owner.Leased("w0"), 0)
+	assert.Equal(t, w.owner.InUse("w0"), 0)
 }
 
 // Guards against a worker that is overfull for as long as a request runs after an entry died. The
