--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -140,7 +140,7 @@
 			return err
 		}
 		c.leases[unit] = check
-		c.conf.Logs.Info("controlling unit", "unit", unit)
+		c.conf.Logs.Info("controls", "unit", unit)
 	}
 	return c.planAndApply(ctx, unit, c.leases[unit], decide)
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -74,7 +74,7 @@
 func (l *Leases) write(ctx context.Context, key string, version int64, r row) error {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "encode lease row").Because(err)
+		return gauge.Fail(gauge.KindInternal, "lease").Because(err)
 	}
 	return l.conf.Table.Commit(ctx, gauge.Txn{
 		Checks: []gauge.Check{{Key: key, Version: version}},
