--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,4 +1,4 @@
-// Package broker exchanges slot leases between entries. In rounds it sends the dispatchers' lease
+// Package broker exchanges slot leases between entries. In rounds it sends the allocators' lease
 // requests to the pools' owners, one message per owner, and it answers the other entries' requests
 // for the pools that this entry owns.
 package broker
@@ -59,13 +59,13 @@
 // emptyReply answers a message that needs no answer.
 type emptyReply struct{}
 
-// Broker has the dispatchers of this entry and the owners of the pools that it owns.
+// Broker has the allocators of this entry and the owners of the pools that it owns.
 type Broker struct {
 	conf Config
 	wake chan struct{}
 
 	mu             sync.RWMutex
-	dispatchers    map[string]*desk.Desk
+	allocators    map[string]*desk.Desk
 	owners         map[string]*owner
 	leasableByName map[string]leasable // of the configuration in force
 }
@@ -87,13 +87,13 @@
 	lastConfirmed time.Time // when this entry was last known to be the owner
 }
 
-// New returns a Broker without dispatchers.
+// New returns a Broker without allocators.
 func New(c Config) *Broker {
 	fill.Zero(&c.Term, defaultTerm)
 	fill.Zero(&c.Round, defaultRound)
 	return &Broker{
 		conf: c, wake: make(chan struct{}, 1),
-		dispatchers: make(map[string]*desk.Desk), owners: make(map[string]*owner),
+		allocators: make(map[string]*desk.Desk), owners: make(map[string]*owner),
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 }
 
-// Adopt gives the dispatchers the hosts and quotas of a new configuration state.
+// Adopt gives the allocators the hosts and quotas of a new configuration state.
 func (b *Broker) Adopt(s gauge.State) {
 	byPool := make(map[string]gauge.Hosts)
 	capacities := make(map[string][]slots.Room)
@@ -122,12 +122,12 @@
 			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.Reserve, Floor: p.Floor},
 			maxRunTime: maxRunTimes[name],
 		}
-		b.dispatcherFor(name, maxWaiting[name]).Set(byPool[name], p.Hosts)
+		b.allocatorFor(name, maxWaiting[name]).Set(byPool[name], p.Hosts)
 	}
 	for _, name := range s.Names(gauge.RecordTeam) {
 		quota := s.Team(name).Quota
 		byName[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
-		b.dispatcherFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
+		b.allocatorFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
 	}
 	b.mu.Lock()
 	b.leasableByName = byName
@@ -149,33 +149,33 @@
 	return maxWaiting, maxRunTimes
 }
 
-func (b *Broker) dispatcherFor(pool string, maxWaiting int) *desk.Desk {
+func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Desk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.dispatchers[pool]
+	d := b.allocators[pool]
 	if d == nil {
 		d = desk.New(desk.Config{
 			Pool: pool, Name: b.holderName(), Length: max(1, maxWaiting), Clock: b.conf.Clock,
-			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.dispatchers)))), Kick: b.requestSoon,
+			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), Kick: b.requestSoon,
 		})
-		b.dispatchers[pool] = d
+		b.allocators[pool] = d
 	}
 	return d
 }
 
-// Desk returns a pool's dispatcher; nil if there is no such pool.
+// Desk returns a pool's allocator; nil if there is no such pool.
 func (b *Broker) Desk(pool string) *desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.dispatchers[pool]
+	return b.allocators[pool]
 }
 
-// Counts returns the current state of each dispatcher.
+// Counts returns the current state of each allocator.
 func (b *Broker) Counts() []desk.Counts {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make([]desk.Counts, 0, len(b.dispatchers))
-	for _, d := range b.dispatchers {
+	out := make([]desk.Counts, 0, len(b.allocators))
+	for _, d := range b.allocators {
 		out = append(out, d.Counts())
 	}
 	return out
@@ -202,12 +202,12 @@
 	}
 }
 
-// sendRequests sends the dispatchers' lease requests, one message per owner.
+// sendRequests sends the allocators' lease requests, one message per owner.
 func (b *Broker) sendRequests(ctx context.Context, calls *conc.WaitGroup, nextRequest func(*desk.Desk) (slots.Ask, bool)) {
 	view := b.conf.View()
 	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
-	for pool, d := range b.allDispatchers() {
+	for pool, d := range b.allAllocators() {
 		request, ok := nextRequest(d)
 		if !ok {
 			continue
@@ -230,11 +230,11 @@
 	}
 }
 
-func (b *Broker) allDispatchers() map[string]*desk.Desk {
+func (b *Broker) allAllocators() map[string]*desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make(map[string]*desk.Desk, len(b.dispatchers))
-	for pool, d := range b.dispatchers {
+	out := make(map[string]*desk.Desk, len(b.allocators))
+	for pool, d := range b.allocators {
 		out[pool] = d
 	}
 	return out
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -1,5 +1,5 @@
-// Package desk dispatches the requests of one pool at one entry, under one lock: the leased slots,
-// the requests that wait for one, the ejected workers and the retry budget.
+// Package desk assigns the slots of one pool to the requests at one entry. It keeps, under one lock,
+// the leased slots, the requests that wait for one, the ejected workers and the retry budget.
 package desk
 
 import (
@@ -16,7 +16,7 @@
 	"sapphiregauge/internal/slots"
 )
 
-// Config sets up a Dispatcher.
+// Config sets up an Allocator.
 type Config struct {
 	Pool   string
 	Name   string // ID and start ID of this entry
@@ -41,7 +41,7 @@
 	lastFull time.Time // when the last full lease request was made
 }
 
-// Counts is the current state of a Dispatcher, in slots, requests and hosts.
+// Counts is the current state of an Allocator, in slots, requests and hosts.
 type Counts struct {
 	Pool    string
 	Held    int
@@ -52,7 +52,7 @@
 	Ejected int
 }
 
-// New returns a Dispatcher without hosts.
+// New returns an Allocator without hosts.
 func New(c Config) *Desk {
 	now := c.Clock()
 	return &Desk{
@@ -259,7 +259,7 @@
 	return d.slots.FullRequest(now, quick, long), true
 }
 
-// minFullInterval is how soon a dispatcher without a lease may request one again.
+// minFullInterval is how soon an allocator without a lease may request one again.
 const minFullInterval = 100 * time.Millisecond
 
 // Ask returns a lease request between two renewals, or false if nothing has changed.
