--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -65,7 +65,7 @@
 	wake chan struct{}
 
 	mu             sync.RWMutex
-	allocators    map[string]*desk.Desk
+	allocators     map[string]*desk.Desk
 	owners         map[string]*owner
 	leasableByName map[string]leasable // of the configuration in force
 }
