--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,6 +1,6 @@
-// Package broker moves slot leases between entries: in rounds it sends the
-// desks' asks to the pools' owners, one message per owner, and for the pools
-// that this entry owns it answers the others' asks.
+// Package broker exchanges slot leases between entries. In rounds it sends the allocators' lease
+// requests to the pools' owners, one message per owner, and it answers the other entries' requests
+// for the pools that this entry owns.
 package broker
 
 import (
@@ -33,7 +33,7 @@
 	Seed  uint64
 }
 
-// The names under which the messages go over the mesh.
+// The method names of the messages between entries.
 const (
 	MethodAsk   = "ask"
 	MethodGrant = "grant"
@@ -42,283 +42,283 @@
 const (
 	defaultTerm  = 3 * time.Second
 	defaultRound = time.Second
-	// soon is the pause between a need of slots and the ask, so that the needs
+	// requestDelay is the pause between a need for slots and the lease request, so that the needs
 	// of a burst go into one message.
-	soon = 2 * time.Millisecond
+	requestDelay = 2 * time.Millisecond
 )
 
-// asks and grants are the messages.
-type asks struct {
-	Asks []slots.Ask `msgpack:"a"`
+// requestMsg and grantMsg are the messages between entries.
+type requestMsg struct {
+	Requests []slots.Ask `msgpack:"a"`
 }
 
-type grants struct {
+type grantMsg struct {
 	Grants []slots.Grant `msgpack:"g"`
 }
 
-// nothing is the answer to a message that needs none.
-type nothing struct{}
+// emptyReply answers a message that needs no answer.
+type emptyReply struct{}
 
-// Broker has the desks and owners of this entry.
+// Broker has the allocators of this entry and the owners of the pools that it owns.
 type Broker struct {
 	conf Config
-	kick chan struct{}
+	wake chan struct{}
 
-	mu     sync.RWMutex
-	desks  map[string]*desk.Desk
-	owners map[string]*owner
-	fleets map[string]fleet // by pool, of the state in force
+	mu             sync.RWMutex
+	allocators     map[string]*desk.Desk
+	owners         map[string]*owner
+	leasableByName map[string]leasable // of the configuration in force
 }
 
-// fleet is what can be handed out under one name: a pool's slots, or a team's
-// quota as the slots of one room.
-type fleet struct {
+// leasable is what can be leased out under one name: a pool's slots, or a team's quota as the slots
+// of a single made-up host.
+type leasable struct {
 	slots.Fleet
-	limit time.Duration // longest run of a request
+	maxRunTime time.Duration // longest run of a request
 }
 
-// Quota is the name under which a team's quota is handed out.
+// Quota is the name under which a team's quota is leased out.
 func Quota(team string) string { return "team/" + team }
 
-// owner is one pool that this entry owns, under its own lock.
+// owner leases out one pool that this entry owns, under its own lock.
 type owner struct {
-	mu    sync.Mutex
-	slots *slots.Owner
-	sure  time.Time // when this entry was last seen to be the owner
+	mu            sync.Mutex
+	slots         *slots.Owner
+	lastConfirmed time.Time // when this entry was last known to be the owner
 }
 
-// New makes a Broker without desks.
+// New returns a Broker without allocators.
 func New(c Config) *Broker {
 	fill.Zero(&c.Term, defaultTerm)
 	fill.Zero(&c.Round, defaultRound)
 	return &Broker{
-		conf: c, kick: make(chan struct{}, 1),
-		desks: make(map[string]*desk.Desk), owners: make(map[string]*owner),
+		conf: c, wake: make(chan struct{}, 1),
+		allocators: make(map[string]*desk.Desk), owners: make(map[string]*owner),
 	}
 }
 
-func (b *Broker) name() string { return b.conf.Self.ID + "/" + b.conf.Self.Run }
+func (b *Broker) holderName() string { return b.conf.Self.ID + "/" + b.conf.Self.Run }
 
-func (b *Broker) kicked() {
+func (b *Broker) requestSoon() {
 	select {
-	case b.kick <- struct{}{}:
+	case b.wake <- struct{}{}:
 	default: // a round is due already
 	}
 }
 
-// Adopt gives the desks the hosts and quotas of a new state.
+// Adopt gives the allocators the hosts and quotas of a new configuration state.
 func (b *Broker) Adopt(s gauge.State) {
 	byPool := make(map[string]gauge.Hosts)
-	rooms := make(map[string][]slots.Room)
+	capacities := make(map[string][]slots.Room)
 	for _, h := range s.Hosts().Serving() {
 		byPool[h.Pool] = append(byPool[h.Pool], h)
-		rooms[h.Pool] = append(rooms[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
+		capacities[h.Pool] = append(capacities[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
 	}
-	lengths, limits := bounds(s)
-	fleets := make(map[string]fleet)
+	maxWaiting, maxRunTimes := poolLimits(s)
+	byName := make(map[string]leasable)
 	for _, name := range s.Names(gauge.RecordPool) {
 		p := s.Pool(name)
-		fleets[name] = fleet{
-			Fleet: slots.Fleet{Hosts: rooms[name], Reserve: p.Reserve, Floor: p.Floor},
-			limit: limits[name],
+		byName[name] = leasable{
+			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.Reserve, Floor: p.Floor},
+			maxRunTime: maxRunTimes[name],
 		}
-		b.deskFor(name, lengths[name]).Set(byPool[name], p.Hosts)
+		b.allocatorFor(name, maxWaiting[name]).Set(byPool[name], p.Hosts)
 	}
 	for _, name := range s.Names(gauge.RecordTeam) {
 		quota := s.Team(name).Quota
-		fleets[Quota(name)] = fleet{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
-		b.deskFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
+		byName[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
+		b.allocatorFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
 	}
 	b.mu.Lock()
-	b.fleets = fleets
+	b.leasableByName = byName
 	b.mu.Unlock()
 }
 
-// quotaHost is the one room that a team's quota is made of.
+// quotaHost is the made-up host whose slots are a team's quota.
 const quotaHost = "quota"
 
-// bounds returns for each pool how many requests may wait at one entry and how
-// long one may run.
-func bounds(s gauge.State) (lengths map[string]int, limits map[string]time.Duration) {
-	lengths, limits = make(map[string]int), make(map[string]time.Duration)
+// poolLimits returns for each pool how many requests may wait at one entry and how long one may
+// run.
+func poolLimits(s gauge.State) (maxWaiting map[string]int, maxRunTimes map[string]time.Duration) {
+	maxWaiting, maxRunTimes = make(map[string]int), make(map[string]time.Duration)
 	for _, name := range s.Names(gauge.RecordService) {
 		svc := s.Service(name)
-		lengths[svc.Pool] = max(lengths[svc.Pool], svc.Queue)
-		limits[svc.Pool] = max(limits[svc.Pool], svc.Limit)
+		maxWaiting[svc.Pool] = max(maxWaiting[svc.Pool], svc.Queue)
+		maxRunTimes[svc.Pool] = max(maxRunTimes[svc.Pool], svc.Limit)
 	}
-	return lengths, limits
+	return maxWaiting, maxRunTimes
 }
 
-func (b *Broker) deskFor(pool string, length int) *desk.Desk {
+func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Desk {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.desks[pool]
+	d := b.allocators[pool]
 	if d == nil {
 		d = desk.New(desk.Config{
-			Pool: pool, Name: b.name(), Length: max(1, length), Clock: b.conf.Clock,
-			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.desks)))), Kick: b.kicked,
+			Pool: pool, Name: b.holderName(), Length: max(1, maxWaiting), Clock: b.conf.Clock,
+			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), Kick: b.requestSoon,
 		})
-		b.desks[pool] = d
+		b.allocators[pool] = d
 	}
 	return d
 }
 
-// Desk returns a pool's desk; nil if there is no such pool.
+// Desk returns a pool's allocator; nil if there is no such pool.
 func (b *Broker) Desk(pool string) *desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	return b.desks[pool]
+	return b.allocators[pool]
 }
 
-// Counts returns what each desk is doing now.
+// Counts returns the current state of each allocator.
 func (b *Broker) Counts() []desk.Counts {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make([]desk.Counts, 0, len(b.desks))
-	for _, d := range b.desks {
+	out := make([]desk.Counts, 0, len(b.allocators))
+	for _, d := range b.allocators {
 		out = append(out, d.Counts())
 	}
 	return out
 }
 
-// Run makes rounds until ctx ends: leases are renewed at each tick, and changes
-// told as soon as there are some.
+// Run makes rounds until ctx ends: leases are renewed at each tick, and changes are sent as soon as
+// there are some.
 func (b *Broker) Run(ctx context.Context) {
 	tick := time.NewTicker(b.conf.Round)
 	defer tick.Stop()
-	var group conc.WaitGroup
-	defer group.Wait()
+	var calls conc.WaitGroup
+	defer calls.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			b.review(b.conf.View())
-			b.round(ctx, &group, (*desk.Desk).Renew)
-		case <-b.kick:
-			time.Sleep(soon)
-			b.round(ctx, &group, (*desk.Desk).Ask)
+			b.updateOwners(b.conf.View())
+			b.sendRequests(ctx, &calls, (*desk.Desk).Renew)
+		case <-b.wake:
+			time.Sleep(requestDelay)
+			b.sendRequests(ctx, &calls, (*desk.Desk).Ask)
 		}
 	}
 }
 
-// round sends what the desks have to say, one message per owner.
-func (b *Broker) round(ctx context.Context, group *conc.WaitGroup, say func(*desk.Desk) (slots.Ask, bool)) {
+// sendRequests sends the allocators' lease requests, one message per owner.
+func (b *Broker) sendRequests(ctx context.Context, calls *conc.WaitGroup, nextRequest func(*desk.Desk) (slots.Ask, bool)) {
 	view := b.conf.View()
-	byOwner := make(map[string]*asks)
+	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
-	for pool, d := range b.all() {
-		a, ok := say(d)
+	for pool, d := range b.allAllocators() {
+		request, ok := nextRequest(d)
 		if !ok {
 			continue
 		}
 		m := peers.Owner(view.Live, pool)
 		if byOwner[m.ID] == nil {
-			byOwner[m.ID] = &asks{}
+			byOwner[m.ID] = &requestMsg{}
 			addrs[m.ID] = m.Peer
 		}
-		byOwner[m.ID].Asks = append(byOwner[m.ID].Asks, a)
+		byOwner[m.ID].Requests = append(byOwner[m.ID].Requests, request)
 	}
 	for id, msg := range byOwner {
-		group.Go(func() {
+		calls.Go(func() {
 			if id == b.conf.Self.ID {
-				b.take(b.answer(ctx, *msg, view))
+				b.applyGrants(b.answerRequests(ctx, *msg, view))
 				return
 			}
-			b.send(ctx, addrs[id], msg)
+			b.sendToOwner(ctx, addrs[id], msg)
 		})
 	}
 }
 
-func (b *Broker) all() map[string]*desk.Desk {
+func (b *Broker) allAllocators() map[string]*desk.Desk {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make(map[string]*desk.Desk, len(b.desks))
-	for pool, d := range b.desks {
+	out := make(map[string]*desk.Desk, len(b.allocators))
+	for pool, d := range b.allocators {
 		out[pool] = d
 	}
 	return out
 }
 
-// send asks an owner. A message that is lost is made good by the next renewal.
-func (b *Broker) send(ctx context.Context, addr string, msg *asks) {
+// sendToOwner sends lease requests to an owner. The next renewal makes up for a lost message.
+func (b *Broker) sendToOwner(ctx context.Context, addr string, msg *requestMsg) {
 	ctx, cancel := context.WithTimeout(ctx, b.conf.Round)
 	defer cancel()
-	var back grants
-	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &back); err != nil {
-		b.conf.Logs.V(1).Info("owner does not answer", "addr", addr, "reason", err.Error())
+	var reply grantMsg
+	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &reply); err != nil {
+		b.conf.Logs.V(1).Info("pool owner did not answer", "addr", addr, "reason", err.Error())
 		return
 	}
-	b.take(back)
+	b.applyGrants(reply)
 }
 
-func (b *Broker) take(g grants) {
-	for _, one := range g.Grants {
-		if d := b.Desk(one.Pool); d != nil {
-			d.Grant(one)
+func (b *Broker) applyGrants(g grantMsg) {
+	for _, grant := range g.Grants {
+		if d := b.Desk(grant.Pool); d != nil {
+			d.Grant(grant)
 		}
 	}
 }
 
-// HandleAsk answers another entry's asks.
+// HandleAsk answers another entry's lease requests.
 func (b *Broker) HandleAsk(ctx context.Context, body []byte) (any, error) {
-	var msg asks
+	var msg requestMsg
 	if err := frame.Decode(body, &msg); err != nil {
 		return nil, err
 	}
-	back := b.answer(ctx, msg, b.conf.View())
-	return &back, nil
+	reply := b.answerRequests(ctx, msg, b.conf.View())
+	return &reply, nil
 }
 
-// HandleGrant takes in what an owner gives without being asked now.
+// HandleGrant takes in slots that an owner grants after it answered the request.
 func (b *Broker) HandleGrant(_ context.Context, body []byte) (any, error) {
-	var msg grants
+	var msg grantMsg
 	if err := frame.Decode(body, &msg); err != nil {
 		return nil, err
 	}
-	b.take(msg)
-	return &nothing{}, nil
+	b.applyGrants(msg)
+	return &emptyReply{}, nil
 }
 
-func (b *Broker) answer(ctx context.Context, msg asks, view member.View) grants {
-	var out grants
-	others := make(map[string]*grants)
-	for _, a := range msg.Asks {
-		g, pushes := b.answerOne(a, view)
+func (b *Broker) answerRequests(ctx context.Context, msg requestMsg, view member.View) grantMsg {
+	var out grantMsg
+	others := make(map[string]*grantMsg)
+	for _, request := range msg.Requests {
+		g, pushes := b.answerRequest(request, view)
 		out.Grants = append(out.Grants, g)
 		for _, p := range pushes {
 			if others[p.Holder] == nil {
-				others[p.Holder] = &grants{}
+				others[p.Holder] = &grantMsg{}
 			}
 			others[p.Holder].Grants = append(others[p.Holder].Grants, p.Grant)
 		}
 	}
 	for holder, g := range others {
-		b.push(ctx, holder, g, view)
+		b.pushGrants(ctx, holder, g, view)
 	}
 	return out
 }
 
-func (b *Broker) answerOne(a slots.Ask, view member.View) (slots.Grant, []slots.Push) {
+func (b *Broker) answerRequest(request slots.Ask, view member.View) (slots.Grant, []slots.Push) {
 	b.mu.RLock()
-	f, ok := b.fleets[a.Pool]
+	f, ok := b.leasableByName[request.Pool]
 	b.mu.RUnlock()
-	if !ok || peers.Owner(view.Live, a.Pool).ID != b.conf.Self.ID {
-		b.disown(a.Pool)
-		return slots.Grant{Pool: a.Pool, Seq: a.Seq, Not: true}, nil
+	if !ok || peers.Owner(view.Live, request.Pool).ID != b.conf.Self.ID {
+		b.dropOwner(request.Pool)
+		return slots.Grant{Pool: request.Pool, Seq: request.Seq, Not: true}, nil
 	}
 	f.Same, f.Known = view.Same, view.Known
-	o := b.own(a.Pool, f.limit)
+	o := b.currentOwner(request.Pool, f.maxRunTime)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.slots.Set(f.Fleet)
-	return o.slots.Ask(b.conf.Clock(), a)
+	return o.slots.Ask(b.conf.Clock(), request)
 }
 
-// push sends slots that came free to an entry that waits for some.
-func (b *Broker) push(ctx context.Context, holder string, g *grants, view member.View) {
-	if holder == b.name() {
-		b.take(*g)
+// pushGrants sends slots that came free to an entry that waits for some.
+func (b *Broker) pushGrants(ctx context.Context, holder string, g *grantMsg, view member.View) {
+	if holder == b.holderName() {
+		b.applyGrants(*g)
 		return
 	}
 	for _, m := range view.Live {
@@ -328,49 +328,49 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), b.conf.Round)
 			defer cancel()
-			_ = b.conf.Peers.Call(ctx, m.Peer, MethodGrant, g, &nothing{})
+			_ = b.conf.Peers.Call(ctx, m.Peer, MethodGrant, g, &emptyReply{})
 		}()
 	}
 }
 
-// own returns the owner of a pool, made anew if this entry was not the owner
-// all the time up to now: then it waits out the leases of the owner before it.
-// A paused entry wakes with old leases in its memory, while another may have
-// been the owner; a gap of a term shows that.
-func (b *Broker) own(pool string, limit time.Duration) *owner {
+// currentOwner returns the owner of a pool. It is created anew if this entry wasn't the owner all
+// the time up to now, and then waits until the leases of the previous owner have expired. An entry
+// that was paused still has old leases in memory, while another may have been the owner; a gap of
+// more than a lease duration shows that.
+func (b *Broker) currentOwner(pool string, maxRunTime time.Duration) *owner {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.conf.Clock()
 	o := b.owners[pool]
-	if o == nil || now.Sub(o.sure) > b.conf.Term {
+	if o == nil || now.Sub(o.lastConfirmed) > b.conf.Term {
 		o = &owner{slots: slots.New(slots.Config{
-			Pool: pool, Term: b.conf.Term, Limit: limit, Start: now,
+			Pool: pool, Term: b.conf.Term, Limit: maxRunTime, Start: now,
 		})}
 		b.owners[pool] = o
-		b.conf.Logs.V(1).Info("hands out slots", "pool", pool)
+		b.conf.Logs.V(1).Info("leasing out slots as pool owner", "pool", pool)
 	}
-	o.sure = now
+	o.lastConfirmed = now
 	return o
 }
 
-// review looks in every round which names are this entry's, so that the wait
-// for the owner before it is over before the first ask comes.
-func (b *Broker) review(view member.View) {
+// updateOwners determines in every round which pools are this entry's, so that the wait for the
+// previous owner's leases is over before the first request comes.
+func (b *Broker) updateOwners(view member.View) {
 	b.mu.RLock()
-	fleets := b.fleets
+	byName := b.leasableByName
 	b.mu.RUnlock()
-	for name, f := range fleets {
+	for name, f := range byName {
 		if peers.Owner(view.Live, name).ID == b.conf.Self.ID {
-			b.own(name, f.limit)
+			b.currentOwner(name, f.maxRunTime)
 		} else {
-			b.disown(name)
+			b.dropOwner(name)
 		}
 	}
 }
 
-// disown forgets a pool that is now another's: what was granted here is known
-// to the holders, who tell the new owner.
-func (b *Broker) disown(pool string) {
+// dropOwner forgets a pool that another entry owns now. Its holders know what was granted here and
+// report it to the new owner.
+func (b *Broker) dropOwner(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.owners, pool)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,8 +1,8 @@
-// Package claim lets a request run at most once. Before anything is dispatched
-// its claim row is inserted where there is none, and the insertion confirmed.
-// A claim stays: a second request with the same key gets the stored answer, or
-// is told that the first one is running or that its outcome is unknown; it is
-// never dispatched, since a paused holder may wake and dispatch.
+// Package claim makes a request run at most once. Before it is dispatched, its claim row is
+// inserted where there is none, and the insertion is confirmed. The claim row stays: a second
+// request with the same key gets the stored answer, or is told that the first one is running or
+// that its outcome is unknown. It is never dispatched, since a paused holder of the claim may
+// resume and dispatch.
 package claim
 
 import (
@@ -19,84 +19,83 @@
 
 // Config sets up Claims.
 type Config struct {
-	Entry   string // id/run of this entry
+	Entry   string // ID/start ID of this entry
 	Table   gauge.Table
 	Objects gauge.Objects
 	Timeout time.Duration // of one transaction; default 2 s
-	Inline  int           // bytes of a body kept in the row; longer ones go to the object store; default 32 KiB
+	Inline  int           // most bytes of a body kept in the row; longer ones go to the object store; default 32 KiB
 	Clock   gauge.Clock
 }
 
 const (
 	defaultTimeout = 2 * time.Second
 	defaultInline  = 32 << 10
-	readBacks      = 4
+	maxReadBacks   = 4
 )
 
 // Claims reads and writes claim rows.
 type Claims struct {
-	conf  Config
-	group *group
+	conf      Config
+	committer *groupCommitter
 }
 
-// Held is a claim as it was read, with the version to write it on.
+// Held is a claim as it was read, with the version that a write must find.
 type Held struct {
 	Key     gauge.ClaimKey
 	Claim   gauge.Claim
 	version int64
 }
 
-// New makes Claims.
+// New returns Claims.
 func New(c Config) *Claims {
 	fill.Zero(&c.Timeout, defaultTimeout)
 	fill.Zero(&c.Inline, defaultInline)
-	return &Claims{conf: c, group: &group{table: c.Table, timeout: c.Timeout}}
+	return &Claims{conf: c, committer: &groupCommitter{table: c.Table, timeout: c.Timeout}}
 }
 
-// Counts returns the transactions made and the writes that they carried.
-func (c *Claims) Counts() (commits, writes int) { return c.group.counts() }
+// Counts returns the number of transactions made and of the writes that they carried.
+func (c *Claims) Counts() (commits, writes int) { return c.committer.counts() }
 
 func rowKey(k gauge.ClaimKey) string { return "claim/" + k.Day + "/" + k.Team + "/" + k.ID }
 
-// asyncKey lists an asynchronous claim under the entry that runs it, so that
-// what a dead entry leaves behind is found without a look at all claims.
-func asyncKey(entry string, k gauge.ClaimKey) string {
+// asyncRowKey lists an asynchronous claim under the entry that runs it, so that what a dead entry
+// leaves behind is found without reading all claims.
+func asyncRowKey(entry string, k gauge.ClaimKey) string {
 	return "async/" + entry + "/" + k.Day + "/" + k.Team + "/" + k.ID
 }
 
-// Claim inserts a claim. It returns the claim that is there and whether it is
-// ours and new. An error means that nothing may be dispatched; the caller may
-// then say "not run", and passes what is returned to Abandon if it has a token.
+// Claim inserts a claim. It returns the claim that is stored, and whether that is the new one. An
+// error means that nothing may be dispatched: the caller may then answer "not run", and passes what
+// is returned to Abandon if it has a token.
 //
-// If the answer of the insertion is lost, the row is read back and the token
-// tells whose it is.
+// If the insertion isn't answered, the row is read back, and its token shows whose it is.
 func (c *Claims) Claim(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.Accepted) (Held, bool, error) {
 	want := gauge.Claim{Token: uuid.NewString(), Entry: c.conf.Entry, State: state, Hash: hash, Accept: accept}
-	if err := c.spill(ctx, k, want.Accept); err != nil {
+	if err := c.storeLongBody(ctx, k, want.Accept); err != nil {
 		return Held{}, false, err
 	}
-	puts, err := c.puts(k, want)
+	puts, err := c.rowPuts(k, want)
 	if err != nil {
 		return Held{}, false, err
 	}
-	err = c.group.do(ctx, gauge.Check{Key: rowKey(k)}, puts...)
+	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(k)}, puts...)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
 		return Held{}, false, err
 	}
 	if err == nil {
 		return Held{Key: k, Claim: want}, true, nil
 	}
-	h, readErr := c.readBack(ctx, k)
+	stored, readErr := c.readBack(ctx, k)
 	if readErr != nil {
 		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
 	}
-	if h.version == 0 {
+	if stored.version == 0 {
 		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(err)
 	}
-	return h, h.Claim.Token == want.Token, nil
+	return stored, stored.Claim.Token == want.Token, nil
 }
 
-func (c *Claims) puts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
+func (c *Claims) rowPuts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
 	body, err := json.Marshal(cl)
 	if err != nil {
 		return nil, gauge.Fail(gauge.KindInternal, "claim.puts").Because(err)
@@ -105,139 +104,137 @@
 	if cl.Accept == nil {
 		return puts, nil
 	}
-	index := gauge.Put{Key: asyncKey(cl.Entry, k)}
+	index := gauge.Put{Key: asyncRowKey(cl.Entry, k)}
 	if cl.State != gauge.ClaimDone {
 		index.Value = []byte("{}")
 	}
 	return append(puts, index), nil
 }
 
-// readBack reads the row after a lost answer, a few times: the table may be
-// slow, and the answer decides whether the request runs.
+// readBack reads the row after an unanswered write. It tries a few times: the table may be slow,
+// and the result decides whether the request runs.
 func (c *Claims) readBack(ctx context.Context, k gauge.ClaimKey) (Held, error) {
 	return backoff.Retry(ctx, func() (Held, error) {
 		return c.Read(ctx, k)
-	}, backoff.WithMaxTries(readBacks), backoff.WithBackOff(pauses()))
+	}, backoff.WithMaxTries(maxReadBacks), backoff.WithBackOff(retryBackOff()))
 }
 
-func pauses() backoff.BackOff {
+func retryBackOff() backoff.BackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = 20 * time.Millisecond
 	b.MaxInterval = 5 * time.Second
 	return b
 }
 
-// Read reads a claim; without a row its state is empty.
+// Read reads a claim. Without a row its state is empty.
 func (c *Claims) Read(ctx context.Context, k gauge.ClaimKey) (Held, error) {
-	h := Held{Key: k}
+	out := Held{Key: k}
 	row, err := c.conf.Table.Get(ctx, rowKey(k))
 	if err != nil || row.Version == 0 {
-		return h, err
+		return out, err
 	}
-	h.version = row.Version
-	if err := json.Unmarshal(row.Value, &h.Claim); err != nil {
-		return h, gauge.Fail(gauge.KindInternal, "claim row %s is malformed", row.Key).Because(err)
+	out.version = row.Version
+	if err := json.Unmarshal(row.Value, &out.Claim); err != nil {
+		return out, gauge.Fail(gauge.KindInternal, "claim row %s is malformed", row.Key).Because(err)
 	}
-	return h, nil
+	return out, nil
 }
 
-// Move writes a claim on from the state in which it was read, if nobody else
-// has. False means that another entry has it now, and nothing may be
-// dispatched here.
-func (c *Claims) Move(ctx context.Context, h Held, state gauge.ClaimState) (Held, bool, error) {
-	if h.version == 0 {
-		read, err := c.Read(ctx, h.Key)
+// Move writes a claim's next state if the claim hasn't changed since it was read. False means
+// that another entry has it now, and nothing may be dispatched here.
+func (c *Claims) Move(ctx context.Context, row Held, state gauge.ClaimState) (Held, bool, error) {
+	if row.version == 0 {
+		read, err := c.Read(ctx, row.Key)
 		if err != nil {
-			return h, false, err
+			return row, false, err
 		}
-		if read.Claim.Token != h.Claim.Token {
+		if read.Claim.Token != row.Claim.Token {
 			return read, false, nil
 		}
-		h = read
+		row = read
 	}
-	next := h.Claim
-	before := next.Entry
+	next := row.Claim
+	previous := next.Entry
 	next.Token, next.Entry, next.State = uuid.NewString(), c.conf.Entry, state
-	puts, err := c.puts(h.Key, next)
+	puts, err := c.rowPuts(row.Key, next)
 	if err != nil {
-		return h, false, err
+		return row, false, err
 	}
-	if before != next.Entry {
-		puts = append(puts, gauge.Put{Key: asyncKey(before, h.Key)})
+	if previous != next.Entry {
+		puts = append(puts, gauge.Put{Key: asyncRowKey(previous, row.Key)})
 	}
-	err = c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: h.version}, puts...)
+	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: row.version}, puts...)
 	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
-		return h, false, err
+		return row, false, err
 	}
-	read, readErr := c.readBack(ctx, h.Key)
+	read, readErr := c.readBack(ctx, row.Key)
 	if readErr != nil {
-		return h, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
+		return row, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
 	}
 	return read, read.Claim.Token == next.Token, nil
 }
 
-// Finish stores the outcome of a claim, and keeps trying while the table is
-// out, until ctx ends: the request has run, and whoever asks again is to get
-// its answer. A claim that another entry took over meanwhile is left alone.
-func (c *Claims) Finish(ctx context.Context, h Held, o gauge.Outcome) error {
-	if err := c.spillOutcome(ctx, h.Key, &o); err != nil {
+// Finish stores the outcome of a claim. It retries during a table outage until ctx ends: the
+// request has run, and a repeated request must get its answer. A claim that another entry took over
+// meanwhile is left alone.
+func (c *Claims) Finish(ctx context.Context, row Held, o gauge.Outcome) error {
+	if err := c.storeLongOutcome(ctx, row.Key, &o); err != nil {
 		return err
 	}
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		return struct{}{}, c.finishOnce(ctx, h, o)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(0))
+		return struct{}{}, c.tryStoreOutcome(ctx, row, o)
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(0))
 	return err
 }
 
-func (c *Claims) finishOnce(ctx context.Context, h Held, o gauge.Outcome) error {
-	read, err := c.Read(ctx, h.Key)
+func (c *Claims) tryStoreOutcome(ctx context.Context, row Held, o gauge.Outcome) error {
+	read, err := c.Read(ctx, row.Key)
 	if err != nil {
 		return err
 	}
-	if read.version == 0 || read.Claim.Token != h.Claim.Token || read.Claim.State == gauge.ClaimDone {
+	if read.version == 0 || read.Claim.Token != row.Claim.Token || read.Claim.State == gauge.ClaimDone {
 		return nil
 	}
 	next := read.Claim
 	next.State, next.Result = gauge.ClaimDone, &o
-	puts, err := c.puts(h.Key, next)
+	puts, err := c.rowPuts(row.Key, next)
 	if err != nil {
 		return backoff.Permanent(err)
 	}
-	return c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version}, puts...)
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: read.version}, puts...)
 }
 
-// abandonFor is how long a transaction whose answer was lost may still arrive.
-const abandonFor = time.Minute
+// maxCommitDelay is how long an unanswered transaction may still take effect.
+const maxCommitDelay = time.Minute
 
-// Abandon takes back a claim whose insertion was not confirmed. It may still
-// take effect after its caller was told "not run"; left there, it would show
-// the caller's next try as running for ever. The row is looked for until it
-// turns up or can no longer come.
-func (c *Claims) Abandon(ctx context.Context, h Held) {
-	ctx, cancel := context.WithTimeout(ctx, abandonFor)
+// Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
+// after the caller was told "not run"; left there, the row would make the caller's next try appear
+// to be running for ever. Abandon looks for the row until it turns up or can no longer come.
+func (c *Claims) Abandon(ctx context.Context, row Held) {
+	ctx, cancel := context.WithTimeout(ctx, maxCommitDelay)
 	defer cancel()
 	_, _ = backoff.Retry(ctx, func() (struct{}, error) {
-		read, err := c.Read(ctx, h.Key)
+		read, err := c.Read(ctx, row.Key)
 		if err != nil {
 			return struct{}{}, err
 		}
-		if read.Claim.Token != h.Claim.Token {
-			return struct{}{}, gauge.Fail(gauge.KindMissing, "not there yet")
+		if read.Claim.Token != row.Claim.Token {
+			return struct{}{}, gauge.Fail(gauge.KindMissing, "claim row not found yet")
 		}
-		return struct{}{}, c.Drop(ctx, h)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(abandonFor))
+		return struct{}{}, c.Drop(ctx, row)
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(maxCommitDelay))
 }
 
-// Drop removes a claim whose request was proved not to have run, so that the
-// caller may ask again under the same key.
-func (c *Claims) Drop(ctx context.Context, h Held) error {
-	read, err := c.readBack(ctx, h.Key)
+// Drop removes a claim whose request was proved not to have run, so that the caller may retry
+// under the same key.
+func (c *Claims) Drop(ctx context.Context, row Held) error {
+	read, err := c.readBack(ctx, row.Key)
 	if err != nil {
 		return err
 	}
-	if read.Claim.Token != h.Claim.Token {
+	if read.Claim.Token != row.Claim.Token {
 		return nil
 	}
-	return c.group.do(ctx, gauge.Check{Key: rowKey(h.Key), Version: read.version},
-		gauge.Put{Key: rowKey(h.Key)}, gauge.Put{Key: asyncKey(h.Claim.Entry, h.Key)})
+	return c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: read.version},
+		gauge.Put{Key: rowKey(row.Key)}, gauge.Put{Key: asyncRowKey(row.Claim.Entry, row.Key)})
 }
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -9,9 +9,9 @@
 	gauge "sapphiregauge"
 )
 
-// spill moves a long body into the object store. Its name holds the whole key,
-// so a repeat writes the same object.
-func (c *Claims) spill(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
+// storeLongBody moves a long body into the object store. The object's name holds the whole key, so
+// a retry writes the same object.
+func (c *Claims) storeLongBody(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
 	if a == nil || len(a.Body) <= c.conf.Inline {
 		return nil
 	}
@@ -23,14 +23,14 @@
 	return nil
 }
 
-func (c *Claims) spillOutcome(ctx context.Context, k gauge.ClaimKey, o *gauge.Outcome) error {
+func (c *Claims) storeLongOutcome(ctx context.Context, k gauge.ClaimKey, o *gauge.Outcome) error {
 	if len(o.Body) <= c.conf.Inline {
 		return nil
 	}
 	name := "answer/" + k.Day + "/" + k.Team + "/" + k.ID
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		return struct{}{}, c.conf.Objects.Store(ctx, name, o.Body)
-	}, backoff.WithBackOff(pauses()), backoff.WithMaxElapsedTime(0))
+	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(0))
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 	return c.conf.Objects.Fetch(ctx, o.Object)
 }
 
-// Entries lists the entries (id/run) that have asynchronous claims not done.
+// Entries lists the asynchronous claims that aren't done, by entry (ID/start ID).
 func (c *Claims) Entries(ctx context.Context) (map[string][]gauge.ClaimKey, error) {
 	rows, err := c.conf.Table.Scan(ctx, "async/")
 	if err != nil {
@@ -62,7 +62,7 @@
 	}
 	out := make(map[string][]gauge.ClaimKey)
 	for _, r := range rows {
-		const parts = 6 // async, id, run, day, team, key
+		const parts = 6 // async, ID, start ID, day, team, key
 		p := strings.Split(r.Key, "/")
 		if len(p) != parts {
 			continue
@@ -73,19 +73,19 @@
 	return out, nil
 }
 
-// sweepAtOnce bounds one transaction of a sweep.
-const sweepAtOnce = 100
+// sweepBatch bounds one transaction of a sweep.
+const sweepBatch = 100
 
-// Sweep drops the claims of a day whose keys are no longer accepted. It
-// returns how many it dropped.
+// Sweep deletes the claims of a day whose keys are no longer accepted. It returns how many it
+// deleted.
 func (c *Claims) Sweep(ctx context.Context, day string) (int, error) {
 	rows, err := c.conf.Table.Scan(ctx, "claim/"+day+"/")
 	if err != nil {
 		return 0, err
 	}
-	for begin := 0; begin < len(rows); begin += sweepAtOnce {
+	for begin := 0; begin < len(rows); begin += sweepBatch {
 		var t gauge.Txn
-		for _, r := range rows[begin:min(begin+sweepAtOnce, len(rows))] {
+		for _, r := range rows[begin:min(begin+sweepBatch, len(rows))] {
 			t.Puts = append(t.Puts, gauge.Put{Key: r.Key})
 		}
 		if err := c.conf.Table.Commit(ctx, t); err != nil {
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -16,16 +16,14 @@
 
 func TestMain(m *testing.M) { fixed.Run{Checks: "200", Steps: "200"}.Main(m) }
 
-// Symptom: a pool has less than it promised, a task is cut off by a reboot, a
-// host is in two pools, or a host is rebooted twice.
-// Sequence: any order of rounds by controllers that all think they are in
-// charge, entries that lag behind, hosts and racks that fail and come back, an
-// old host list, a table that is out, waves and pools that change.
-// Cause: acting on what is no longer so.
-func TestAnyOrderKeepsThePromises(t *testing.T) {
+// Guards against acting on outdated state, so that a pool has fewer hosts than promised, a task is
+// cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
+// believe they are in charge, lagging entries, failing and returning hosts and racks, old host
+// lists, table outages, and changing waves and pools come in any order.
+func TestAnyEventOrderKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSite(3, 16, 4)
-		s.records(t, pool("a", 3, gauge.PreferBuffer), pool("b", 2, gauge.PreferSpeed))
+		s.appendRecords(t, pool("a", 3, gauge.PreferBuffer), pool("b", 2, gauge.PreferSpeed))
 		pick := func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "i") }
 		anyEntry := func() *entry { return s.entries[pick(len(s.entries))] }
 		anyHost := func() *machine { return s.machines[fmt.Sprintf("h%02d", pick(16))] }
@@ -37,19 +35,19 @@
 					for _, e := range s.entries {
 						s.adopt(e)
 						s.now = s.now.Add(time.Second)
-						s.look(e)
+						s.readHostList(e)
 						e.ctrl.Round(context.Background())
 					}
 				}
 			},
 			"adopt": func(*rapid.T) { s.adopt(anyEntry()) },
-			"look":  func(*rapid.T) { s.look(anyEntry()) },
+			"look":  func(*rapid.T) { s.readHostList(anyEntry()) },
 			"pass":  func(*rapid.T) { s.now = s.now.Add(time.Duration(pick(20)) * time.Second) },
 			"fail":  func(*rapid.T) { m := anyHost(); m.down, m.running = true, nil },
 			"rack": func(*rapid.T) {
 				rack := fmt.Sprint("r", pick(4))
 				for _, m := range s.machines {
-					if m.seen.Rack == rack {
+					if m.listed.Rack == rack {
 						m.down, m.running = true, nil
 					}
 				}
@@ -58,7 +56,7 @@
 				for _, m := range s.machines {
 					if m.down {
 						m.down = false
-						m.seen.Boots++ // it was powered off and on
+						m.listed.Boots++ // it was powered off and on
 					}
 				}
 			},
@@ -66,7 +64,7 @@
 				for _, m := range s.machines {
 					if m.booting {
 						m.booting = false
-						m.seen.Boots++
+						m.listed.Boots++
 					}
 				}
 			},
@@ -84,11 +82,11 @@
 				}
 			},
 			"dead": func(*rapid.T) { e := anyEntry(); e.dead = !e.dead },
-			"out":  func(*rapid.T) { s.table.out = !s.table.out },
+			"out":  func(*rapid.T) { s.table.unreachable = !s.table.unreachable },
 			"wave": func(t *rapid.T) {
-				if !s.table.out && waves < 3 {
+				if !s.table.unreachable && waves < 3 {
 					waves++
-					s.records(t, wave(fmt.Sprint("w", waves), "a", "b"))
+					s.appendRecords(t, wave(fmt.Sprint("w", waves), "a", "b"))
 				}
 			},
 			"": s.check,
@@ -101,27 +99,26 @@
 	})
 }
 
-// Symptom: a wave stops for good, or goes over a host twice.
-// Sequence: the controller meets each fault at each of its calls to the table,
-// and is gone for good at some; another takes over.
-// Cause: an action that was not written before it was begun, or not read back.
-func TestWaveGoesOnAfterEachFault(t *testing.T) {
+// Guards against a wave that stops for good or goes over a host twice, because an action wasn't
+// written before it began or its result wasn't read back. The controller meets each fault at each
+// of its calls to the table, and in half of the cases dies there, so that another takes over.
+func TestWaveCompletesAfterEachFault(t *testing.T) {
 	const calls = 24
 	for _, fault := range []flaky.Fault{flaky.Down, flaky.Lost, flaky.Gone, flaky.Outage} {
 		for at := range calls {
 			for _, dies := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/dies=%t", fault, at, dies), func(t *testing.T) {
 					s := newSite(0, 8, 2)
-					s.records(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
-					bad := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
-					first := s.addEntry("e0", bad)
+					s.appendRecords(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
+					faulty := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
+					first := s.addEntry("e0", faulty)
 					s.addEntry("e1", s.table)
-					s.mine = func(e *entry, _ string) bool { return first.dead || e == first }
+					s.isAssigned = func(e *entry, _ string) bool { return first.dead || e == first }
 					for range 60 {
-						first.dead = first.dead || (dies && bad.Calls() > at)
+						first.dead = first.dead || (dies && faulty.Calls() > at)
 						s.settle(1)
 					}
-					done, all := s.done("a", "w")
+					done, all := s.countDone("a", "w")
 					assert.Assert(t, all >= 5, "the pool has %d hosts", all)
 					assert.Equal(t, done, all)
 					for id, m := range s.machines {
@@ -133,47 +130,46 @@
 	}
 }
 
-// Symptom: a controller that was paused changes hosts that another controls.
-// Sequence: the first has the lease and is paused; the second takes it; the
-// first wakes and writes.
-// Cause: writes that don't carry the lease.
+// Guards against a paused controller that changes hosts which another one controls by now. The
+// first has the lease and is paused, the second takes the lease, and the first resumes and writes;
+// its writes must fail, since they carry the old lease.
 func TestPausedControllerIsFenced(t *testing.T) {
 	s := newSite(2, 8, 2)
-	s.records(t, pool("a", 2, gauge.PreferBuffer))
+	s.appendRecords(t, pool("a", 2, gauge.PreferBuffer))
 	first, second := s.entries[0], s.entries[1]
-	s.mine = func(e *entry, _ string) bool { return e == first }
+	s.isAssigned = func(e *entry, _ string) bool { return e == first }
 	s.settle(4)
 	first.dead = true
-	s.mine = func(*entry, string) bool { return true }
+	s.isAssigned = func(*entry, string) bool { return true }
 	s.settle(4)
 	st, err := s.log.Load(context.Background())
 	assert.NilError(t, err)
-	s.records(t, wave("w", "a"))
+	s.appendRecords(t, wave("w", "a"))
 	s.adopt(first)
-	s.look(first)
+	s.readHostList(first)
 	before, _ := s.log.Head(context.Background())
-	first.ctrl.Round(context.Background()) // wakes with what it held
+	first.ctrl.Round(context.Background()) // resumes with the lease version that it had before
 	after, _ := s.log.Head(context.Background())
 	assert.Equal(t, after, before, "the paused controller wrote")
 	assert.Assert(t, st.Revision < after)
 	second.dead = false
 	s.settle(20)
-	done, all := s.done("a", "w")
+	done, all := s.countDone("a", "w")
 	assert.Equal(t, done, all)
 }
 
-// leavingHost brings a host of a pool into leaving, with an entry that does not
-// know it yet.
+// leavingHost brings a host of a pool into the leaving state, with an entry that doesn't know it
+// yet.
 func leavingHost(t *testing.T) (s *site, first, lagging *entry, host string) {
 	s = newSite(2, 8, 2)
-	s.records(t, pool("a", 2, gauge.PreferSpeed))
+	s.appendRecords(t, pool("a", 2, gauge.PreferSpeed))
 	first, lagging = s.entries[0], s.entries[1]
-	s.mine = func(e *entry, _ string) bool { return e == first }
+	s.isAssigned = func(e *entry, _ string) bool { return e == first }
 	s.settle(6)
-	s.records(t, wave("w", "a"))
+	s.appendRecords(t, wave("w", "a"))
 	s.adopt(first)
 	s.adopt(lagging)
-	s.look(first)
+	s.readHostList(first)
 	first.ctrl.Round(context.Background())
 	s.adopt(first)
 	for _, h := range first.state.Hosts() {
@@ -190,15 +186,14 @@
 	return st.ByHost[host].State
 }
 
-// Symptom: a task is cut off by a reboot.
-// Sequence: a host leaves; an entry that lags behind still sends to it, after
-// the controller has seen it idle.
-// Cause: taking the host's idleness for the end of its work.
-func TestLeavingWaitsForTheLastEntry(t *testing.T) {
+// Guards against a task that is cut off by a reboot because an idle host was taken for one that
+// gets no more tasks. A host leaves, and a lagging entry still sends to it after the controller has
+// seen it idle.
+func TestLeavingWaitsForLaggingEntry(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	for range 5 {
 		s.now = s.now.Add(time.Second)
-		s.look(first)
+		s.readHostList(first)
 		assert.Assert(t, lagging.state.ByHost[host].Serves())
 		first.ctrl.Round(context.Background())
 		assert.Equal(t, s.state(host), gauge.HostLeaving)
@@ -206,21 +201,20 @@
 	s.adopt(lagging)
 	for range 3 {
 		s.now = s.now.Add(time.Second)
-		s.look(first)
+		s.readHostList(first)
 		s.adopt(first)
 		first.ctrl.Round(context.Background())
 	}
 	assert.Equal(t, s.state(host), gauge.HostRebooting)
 }
 
-// Symptom: a task is cut off by a reboot.
-// Sequence: the list is read; an entry sends a task, then adopts the revision;
-// the controller finds all confirmed and looks at the list from before.
-// Cause: a list that is older than the last confirmation.
-func TestOldListDoesNotProveIdleness(t *testing.T) {
+// Guards against a task that is cut off by a reboot because the host list was older than the last
+// confirmation. The list is read, then an entry sends a task and adopts the revision, and the
+// controller finds all entries confirmed while it has the list from before.
+func TestOldHostListDoesNotProveIdle(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
 	s.now = s.now.Add(time.Second)
-	s.look(first)
+	s.readHostList(first)
 	s.machines[host].running = []int{int(lagging.state.Revision)}
 	s.now = s.now.Add(time.Second)
 	s.adopt(lagging)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -17,17 +17,17 @@
 	"sapphiregauge/internal/revlog"
 )
 
-// machine is a host as it really is.
+// machine is the true state of a host.
 type machine struct {
-	seen    gauge.Sighting
-	running []int           // revision that the entry had in force when it sent the task
-	tokens  map[string]bool // one for each reboot
-	boots   int             // when it last began to leave for a wave
-	down    bool
-	booting bool
+	listed         gauge.Sighting
+	running        []int           // revisions that the sending entries had in force, one for each running task
+	tokens         map[string]bool // one for each reboot
+	bootsAtLeaving int             // boot count when it last began to leave for a wave
+	down           bool
+	booting        bool
 }
 
-// entry is an entry with its own view of what is in force, and a controller.
+// entry has its own view of the configuration in force, and a controller.
 type entry struct {
 	name  string
 	state gauge.State
@@ -37,33 +37,33 @@
 	dead  bool
 }
 
-// site is a fleet with some entries on made-up time, one step at a time.
+// site is a fleet with some entries on simulated time, advanced one step at a time.
 type site struct {
-	now      time.Time
-	db       *memdb.DB
-	table    *outs
-	log      *revlog.Log
-	machines map[string]*machine
-	entries  []*entry
-	last     gauge.State
-	mine     func(e *entry, unit string) bool
+	now        time.Time
+	db         *memdb.DB
+	table      *outageTable
+	log        *revlog.Log
+	machines   map[string]*machine
+	entries    []*entry
+	checked    gauge.State
+	isAssigned func(e *entry, unit string) bool
 }
 
-// outs is a table that can be out.
-type outs struct {
+// outageTable is a table that can be made unreachable.
+type outageTable struct {
 	gauge.Table
-	out bool
+	unreachable bool
 }
 
-func (o *outs) Get(ctx context.Context, key string) (gauge.Row, error) {
-	if o.out {
+func (o *outageTable) Get(ctx context.Context, key string) (gauge.Row, error) {
+	if o.unreachable {
 		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "out")
 	}
 	return o.Table.Get(ctx, key)
 }
 
-func (o *outs) Commit(ctx context.Context, t gauge.Txn) error {
-	if o.out {
+func (o *outageTable) Commit(ctx context.Context, t gauge.Txn) error {
+	if o.unreachable {
 		return gauge.Fail(gauge.KindOutage, "out")
 	}
 	return o.Table.Commit(ctx, t)
@@ -71,12 +71,12 @@
 
 func newSite(entries, hosts, perRack int) *site {
 	db := memdb.New()
-	s := &site{now: time.Unix(1_000_000, 0), db: db, table: &outs{Table: db}, machines: make(map[string]*machine)}
+	s := &site{now: time.Unix(1_000_000, 0), db: db, table: &outageTable{Table: db}, machines: make(map[string]*machine)}
 	s.log = revlog.New(s.table)
-	s.mine = func(*entry, string) bool { return true }
+	s.isAssigned = func(*entry, string) bool { return true }
 	for i := range hosts {
 		id := fmt.Sprintf("h%02d", i)
-		s.machines[id] = &machine{tokens: make(map[string]bool), seen: gauge.Sighting{
+		s.machines[id] = &machine{tokens: make(map[string]bool), listed: gauge.Sighting{
 			ID: id, Zone: "z", Rack: fmt.Sprint("r", i/perRack), Slots: 8, Status: gauge.StatusLive,
 		}}
 	}
@@ -91,17 +91,17 @@
 	log := revlog.New(table)
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: log, Platform: s, Planner: plan.New(plan.Config{}),
-		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.lives}),
+		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.isAlive}),
 		State:     func() gauge.State { return e.state },
 		Sighted:   func() (gauge.Sightings, time.Time) { return e.list, e.read },
-		Confirmed: s.confirmed, Mine: func(unit string) bool { return s.mine(e, unit) },
+		Confirmed: s.isConfirmed, Mine: func(unit string) bool { return s.isAssigned(e, unit) },
 		Wake: func(int64) {}, Moved: func(string) {}, Clock: func() time.Time { return s.now }, Logs: logr.Discard(),
 	})
 	s.entries = append(s.entries, e)
 	return e
 }
 
-func (s *site) lives(name string) bool {
+func (s *site) isAlive(name string) bool {
 	for _, e := range s.entries {
 		if e.name == name {
 			return !e.dead
@@ -110,9 +110,9 @@
 	return false
 }
 
-// confirmed asks all entries, also those taken for dead: they may only be
-// paused, and package peers forgets them only after the term.
-func (s *site) confirmed(revision int64) bool {
+// isConfirmed asks all entries, also those that seem dead: they may only be paused, and package
+// peers forgets them only after the lease duration.
+func (s *site) isConfirmed(revision int64) bool {
 	for _, e := range s.entries {
 		if e.state.Revision < revision {
 			return false
@@ -124,7 +124,7 @@
 func (s *site) List(context.Context) (gauge.Sightings, error) {
 	var out gauge.Sightings
 	for _, m := range s.machines {
-		seen := m.seen
+		seen := m.listed
 		seen.Used = len(m.running)
 		switch {
 		case m.down:
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (s *site) records(t assert.TestingT, records ...gauge.Record) {
+func (s *site) appendRecords(t assert.TestingT, records ...gauge.Record) {
 	state, err := s.log.Load(context.Background())
 	assert.NilError(t, err)
 	_, err = s.log.Append(context.Background(), state.Revision, gauge.Change{Records: records})
@@ -170,11 +170,11 @@
 	}
 }
 
-func (s *site) look(e *entry) { e.list, _ = s.List(context.Background()); e.read = s.now }
+func (s *site) readHostList(e *entry) { e.list, _ = s.List(context.Background()); e.read = s.now }
 
-// spare is how many serving hosts a pool has over its promise after the worst
-// rack is lost; negative if it has too few.
-func spare(st gauge.State, name string) int {
+// spareHosts is how many serving hosts a pool has beyond its promise after losing its worst rack;
+// negative if it has too few.
+func spareHosts(st gauge.State, name string) int {
 	counts, total, worst := make(map[string]int), 0, 0
 	for _, h := range st.Hosts().InPool(name) {
 		if h.Serves() {
@@ -186,31 +186,31 @@
 	return total - worst - st.Pool(name).Hosts
 }
 
-// check holds each new revision against the promises.
+// check checks each new revision against the promises.
 func (s *site) check(t *rapid.T) {
-	out := s.table.out
-	s.table.out = false
-	defer func() { s.table.out = out }()
+	wasUnreachable := s.table.unreachable
+	s.table.unreachable = false
+	defer func() { s.table.unreachable = wasUnreachable }()
 	for {
-		c, err := s.log.Change(context.Background(), s.last.Revision+1)
+		c, err := s.log.Change(context.Background(), s.checked.Revision+1)
 		if gauge.Is(err, gauge.KindMissing) {
 			return
 		}
 		assert.NilError(t, err)
-		next, err := s.last.Apply(c)
+		next, err := s.checked.Apply(c)
 		assert.NilError(t, err)
-		s.checkChange(t, s.last, next, c)
-		s.last = next
+		s.checkChange(t, s.checked, next, c)
+		s.checked = next
 	}
 }
 
 func (s *site) checkChange(t *rapid.T, before, after gauge.State, c gauge.Change) {
-	taken, once := make(map[string]bool), make(map[string]bool)
+	taken, seen := make(map[string]bool), make(map[string]bool)
 	for _, h := range c.Hosts {
-		if once[h.ID] {
+		if seen[h.ID] {
 			t.Fatalf("%s is changed twice by one revision", h.ID)
 		}
-		once[h.ID] = true
+		seen[h.ID] = true
 		old := before.ByHost[h.ID]
 		if old.Serves() && h.State == gauge.HostLeaving {
 			taken[old.Pool] = true
@@ -224,9 +224,9 @@
 			}
 		}
 		if h.Begun != old.Begun {
-			s.machines[h.ID].boots = s.machines[h.ID].seen.Boots
+			s.machines[h.ID].bootsAtLeaving = s.machines[h.ID].listed.Boots
 		}
-		if h.Waved != old.Waved && s.machines[h.ID].seen.Boots <= s.machines[h.ID].boots {
+		if h.Waved != old.Waved && s.machines[h.ID].listed.Boots <= s.machines[h.ID].bootsAtLeaving {
 			t.Fatalf("%s counts as done for wave %s but was not rebooted", h.ID, h.Wave)
 		}
 		if h.State == gauge.HostRebooting && old.State != h.State && len(s.machines[h.ID].running) > 0 {
@@ -234,25 +234,25 @@
 		}
 	}
 	for name := range taken {
-		if after.Pool(name) != nil && spare(after, name) < 0 {
-			t.Fatalf("pool %s keeps its promise no more: spare %d", name, spare(after, name))
+		if after.Pool(name) != nil && spareHosts(after, name) < 0 {
+			t.Fatalf("pool %s no longer keeps its promise: %d spare hosts", name, spareHosts(after, name))
 		}
 	}
 }
 
-// settle lets everything go well until nothing changes any more.
+// settle lets everything go well for some rounds.
 func (s *site) settle(rounds int) {
 	for range rounds {
 		for _, m := range s.machines {
 			if m.booting {
 				m.booting = false
-				m.seen.Boots++
+				m.listed.Boots++
 			}
 		}
 		for _, e := range s.entries {
 			s.adopt(e)
 			s.now = s.now.Add(time.Second)
-			s.look(e)
+			s.readHostList(e)
 			if !e.dead {
 				e.ctrl.Round(context.Background())
 			}
@@ -260,7 +260,7 @@
 	}
 }
 
-func (s *site) done(name, wave string) (done, all int) {
+func (s *site) countDone(name, wave string) (done, all int) {
 	st, _ := s.log.Load(context.Background())
 	w := st.Records[gauge.RecordID{Kind: gauge.RecordWave, Name: wave}]
 	for _, h := range st.Hosts().InPool(name) {
