--- a/cmd/sapphiregauge/apply.go
+++ b/cmd/sapphiregauge/apply.go
@@ -21,27 +21,27 @@
 else has changed one of the same records since that revision; the other change
 is shown. --wait returns when every live entry has the revision in force.`
 
-// applyFlags are what apply is told.
+// applyFlags holds the flags of the apply command.
 type applyFlags struct {
 	files
-	drops   []string
-	basis   int64
-	id      string
-	dry     bool
-	wait    bool
-	timeout time.Duration
+	deletions []string
+	basis     int64
+	id        string
+	dryRun    bool
+	wait      bool
+	timeout   time.Duration
 }
 
 func newApply() *command {
 	t := newTarget()
 	f := &applyFlags{timeout: 30 * time.Second}
-	c := &command{sub: sub("apply", usageApply), settings: t.list()}
+	c := &command{sub: newSubcommand("apply", usageApply), settings: t.settings()}
 	f.bind(c.sub)
 	c.sub.PositionalFlags[0].Required = false
-	c.sub.StringSlice(&f.drops, "", "drop", "KIND/NAME of a record to drop")
+	c.sub.StringSlice(&f.deletions, "", "drop", "KIND/NAME of a record to drop")
 	c.sub.Int64(&f.basis, "", "basis", "revision that the change was made for; 0: any")
 	c.sub.String(&f.id, "", "submission", "id of this change, to send it again safely; made up if missing")
-	c.sub.Bool(&f.dry, "", "dry-run", "only show what would change")
+	c.sub.Bool(&f.dryRun, "", "dry-run", "only show what would change")
 	c.sub.Bool(&f.wait, "", "wait", "wait until the revision is in force everywhere")
 	c.sub.Duration(&f.timeout, "", "timeout", "longest wait")
 	c.run = func(ctx context.Context) error { return runApply(ctx, t, f) }
@@ -66,7 +66,7 @@
 		fmt.Println("notice:", n)
 	}
 	switch {
-	case f.dry:
+	case f.dryRun:
 		fmt.Printf("%d records would change, nothing was\n", len(res.Changed))
 		return nil
 	case len(res.Changed) == 0:
@@ -85,11 +85,11 @@
 	if err != nil {
 		return apply.Submission{}, err
 	}
-	s := apply.Submission{ID: f.id, Basis: f.basis, Files: read, Dry: f.dry}
+	s := apply.Submission{ID: f.id, Basis: f.basis, Files: read, Dry: f.dryRun}
 	if s.ID == "" {
 		s.ID = uuid.NewString()
 	}
-	for _, d := range f.drops {
+	for _, d := range f.deletions {
 		kind, name, ok := strings.Cut(d, "/")
 		if !ok {
 			return s, gauge.Fail(gauge.KindInvalid, "--drop: %q is no KIND/NAME", d)
@@ -99,12 +99,14 @@
 	return s, nil
 }
 
-// entriesBody is which revision each live entry has in force.
+// entriesBody is the response of GET /entries: the newest revision, and the revision in force at
+// each live entry.
 type entriesBody struct {
 	Revision int64            `json:"revision"`
 	InForce  map[string]int64 `json:"inforce"`
 }
 
+// behind lists the entries that don't have the revision in force yet.
 func (b entriesBody) behind(revision int64) []string {
 	var out []string
 	for id, r := range b.InForce {
@@ -115,8 +117,9 @@
 	return out
 }
 
-const waitStep = 100 * time.Millisecond
+const pollInterval = 100 * time.Millisecond
 
+// waitInForce polls /entries until every live entry has the revision in force.
 func waitInForce(ctx context.Context, cl *client.Client, revision int64) error {
 	began := time.Now()
 	for {
@@ -129,7 +132,7 @@
 		select {
 		case <-ctx.Done():
 			return gauge.Fail(gauge.KindOutage, "revision %d is not yet in force on %s", revision, strings.Join(b.behind(revision), ", "))
-		case <-time.After(waitStep):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -14,26 +14,26 @@
 	"sapphiregauge/platform"
 )
 
-// assemble connects the pieces of an entry.
-func assemble(s platform.Settings, without gauge.Without, log logr.Logger) *parts {
-	p := &parts{settings: s, log: log, meter: meter.New()}
-	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: tableTimeout, Clock: steady})
+// assemble creates the components of an entry and connects them.
+func assemble(s platform.Settings, without gauge.Without, log logr.Logger) *components {
+	p := &components{settings: s, log: log, meter: meter.New()}
+	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: commitTimeout, Clock: monotonicTime})
 	store := timely.New(timely.Config{
-		Store: p.table, Late: lateAnswer, Fast: fastRead, Away: awayRead, Most: tableTimeout, Now: boot.Now,
+		Store: p.table, Late: commitCheckDelay, Fast: maxFastRead, Away: probeReadTimeout, Most: commitTimeout, Now: boot.Now,
 	})
-	p.workers = platform.NewWorkers(platform.WorkersConfig{Hold: holdTimeout, Order: orderTimeout, Clock: steady})
+	p.workers = platform.NewWorkers(platform.WorkersConfig{Hold: heartbeatTimeout, Order: orderTimeout, Clock: monotonicTime})
 	var machines gauge.Machines
 	if s.Machines != "" {
-		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.Machines, Timeout: machineTimeout, Clock: steady})
+		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.Machines, Timeout: machineTimeout, Clock: monotonicTime})
 		machines = p.machines
 	}
 	var adviser gauge.Adviser
 	if s.Advice != "" {
-		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.Advice, Timeout: adviceTimeout, Clock: steady})
+		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.Advice, Timeout: adviceTimeout, Clock: monotonicTime})
 	}
 	p.mesh = mesh.New(mesh.Config{Closed: func(addr string) { p.node.CheckHolder(addr) }})
 	p.node = node.New(node.Config{
-		Name: s.Name, Start: newStart(), Addr: p.peerAddr(), Capacity: s.Capacity(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
+		Name: s.Name, Start: newStartID(), Addr: p.peerAddr(), Capacity: s.Capacity(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
 		Words: platform.Words{}, Mesh: p.mesh, Logs: log, Now: boot.Now, Wall: time.Now, Count: p.meter.Call, Event: p.meter.Event,
 		Backlog: p.meter.Backlog, Longest: s.LongestHold, Apply: s.Apply, Without: without, TurnGap: s.TurnGap, Upkeep: s.Upkeep, Keep: s.KeepStatus,
 	})
@@ -42,5 +42,6 @@
 	return p
 }
 
-// steady is the steady clock as a time, for those that only take differences.
-func steady() time.Time { return time.Unix(0, int64(boot.Now())) }
+// monotonicTime returns the monotonic clock as a time.Time, for components that only use differences of
+// times.
+func monotonicTime() time.Time { return time.Unix(0, int64(boot.Now())) }
--- a/cmd/sapphiregauge/check.go
+++ b/cmd/sapphiregauge/check.go
@@ -17,7 +17,7 @@
 func newCheck() *command {
 	var f files
 	var alone bool
-	c := &command{sub: sub("check", usageCheck)}
+	c := &command{sub: newSubcommand("check", usageCheck)}
 	f.bind(c.sub)
 	c.sub.Bool(&alone, "", "alone", "don't check what records refer to")
 	c.run = func(context.Context) error { return runCheck(&f, alone) }
--- a/cmd/sapphiregauge/docs.go
+++ b/cmd/sapphiregauge/docs.go
@@ -12,7 +12,7 @@
 
 func newDocs() *command {
 	return &command{
-		sub: sub("docs", usageDocs),
+		sub: newSubcommand("docs", usageDocs),
 		run: func(context.Context) error {
 			fmt.Print(reference())
 			return nil
@@ -20,11 +20,11 @@
 	}
 }
 
-// reference describes every command.
+// reference returns the Markdown reference of all commands and their settings.
 func reference() string {
 	var b strings.Builder
 	b.WriteString("# Commands and settings\n\nMade by `sapphiregauge docs`.\n")
-	for _, c := range all() {
+	for _, c := range allCommands() {
 		fmt.Fprintf(&b, "\n## %s\n\n%s\n", c.sub.Name, strings.TrimSpace(c.sub.Description+"\n"+c.sub.AdditionalHelpPrepend))
 		for _, f := range c.sub.Flags {
 			fmt.Fprintf(&b, "\n- `--%s`: %s", f.LongName, f.Description)
--- a/cmd/sapphiregauge/entry.go
+++ b/cmd/sapphiregauge/entry.go
@@ -29,92 +29,92 @@
 serving, so that the balancer looks away; then it refuses new requests, finishes
 those in flight and exits. A second signal ends it at once.`
 
-// entrySettings are the settings of an entry.
+// entrySettings holds the flags of the entry command.
 type entrySettings struct {
-	id, zone, http, peer, platform      string
-	platkey, peerkey, opkey, level      string
-	seeds                               []string
-	poll, beat, row, term, round, watch time.Duration
-	drain, stop                         time.Duration
+	id, zone, httpAddr, peerAddr, platformAddr                                                     string
+	platformKey, peerKey, operatorKey, logLevel                                                    string
+	seeds                                                                                          []string
+	pollInterval, heartbeatInterval, memberRowInterval, leaseTerm, renewInterval, hostListInterval time.Duration
+	drainDelay, shutdownTimeout                                                                    time.Duration
 }
 
 func defaultEntry() *entrySettings {
 	return &entrySettings{
-		http: "127.0.0.1:8080", peer: "127.0.0.1:8081", platform: "127.0.0.1:8090", level: "info",
-		poll: time.Second, beat: time.Second, row: 5 * time.Second,
-		term: 3 * time.Second, round: time.Second, watch: 2 * time.Second,
-		drain: 5 * time.Second, stop: 2 * time.Minute,
+		httpAddr: "127.0.0.1:8080", peerAddr: "127.0.0.1:8081", platformAddr: "127.0.0.1:8090", logLevel: "info",
+		pollInterval: time.Second, heartbeatInterval: time.Second, memberRowInterval: 5 * time.Second,
+		leaseTerm: 3 * time.Second, renewInterval: time.Second, hostListInterval: 2 * time.Second,
+		drainDelay: 5 * time.Second, shutdownTimeout: 2 * time.Minute,
 	}
 }
 
-func (s *entrySettings) list() conf.List {
+func (s *entrySettings) settings() conf.List {
 	l := conf.List{
 		{Flag: "id", Help: "name of this entry, the same after a restart", Dest: &s.id, Check: conf.Given(&s.id)},
 		{Flag: "zone", Help: "data centre that this entry runs in", Dest: &s.zone, Check: conf.Given(&s.zone)},
-		{Flag: "http", Help: "ip:port for callers and operators", Dest: &s.http, Check: conf.Addr(&s.http)},
-		{Flag: "peer", Help: "ip:port for other entries", Dest: &s.peer, Check: conf.Addr(&s.peer)},
+		{Flag: "http", Help: "ip:port for callers and operators", Dest: &s.httpAddr, Check: conf.Addr(&s.httpAddr)},
+		{Flag: "peer", Help: "ip:port for other entries", Dest: &s.peerAddr, Check: conf.Addr(&s.peerAddr)},
 		{Flag: "seeds", Help: "ip:port of other entries, comma between, for a start while the table is out", Dest: &s.seeds, Check: conf.Addrs(&s.seeds)},
-		{Flag: "platform", Help: "ip:port of the platform's service", Dest: &s.platform, Check: conf.Addr(&s.platform)},
-		{Flag: "platkey", Help: "key for the platform", Dest: &s.platkey},
-		{Flag: "peerkey", Help: "key that all entries share", Dest: &s.peerkey, Check: conf.Secret(&s.peerkey)},
-		{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &s.opkey, Check: conf.Secret(&s.opkey)},
-		{Flag: "level", Help: "log level, info or debug", Dest: &s.level, Check: conf.OneOf(&s.level, "info", "debug")},
+		{Flag: "platform", Help: "ip:port of the platform's service", Dest: &s.platformAddr, Check: conf.Addr(&s.platformAddr)},
+		{Flag: "platkey", Help: "key for the platform", Dest: &s.platformKey},
+		{Flag: "peerkey", Help: "key that all entries share", Dest: &s.peerKey, Check: conf.Secret(&s.peerKey)},
+		{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &s.operatorKey, Check: conf.Secret(&s.operatorKey)},
+		{Flag: "level", Help: "log level, info or debug", Dest: &s.logLevel, Check: conf.OneOf(&s.logLevel, "info", "debug")},
 	}
-	return append(l, s.times()...)
+	return append(l, s.timeSettings()...)
 }
 
-func (s *entrySettings) times() conf.List {
+func (s *entrySettings) timeSettings() conf.List {
 	return conf.List{
-		{Flag: "poll", Help: "time between two reads of the newest revision", Dest: &s.poll, Check: conf.Above(&s.poll, 0)},
-		{Flag: "beat", Help: "time between two heartbeats", Dest: &s.beat, Check: conf.Above(&s.beat, 0)},
-		{Flag: "row", Help: "time between two writes of the member row", Dest: &s.row, Check: conf.Above(&s.row, 0)},
-		{Flag: "term", Help: "length of a slot lease; more than twice --round", Dest: &s.term, Check: s.checkTerm},
-		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.round, Check: conf.Above(&s.round, 0)},
-		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.watch, Check: conf.Above(&s.watch, 0)},
-		{Flag: "drain", Help: "time to go on serving after SIGTERM while not ready", Dest: &s.drain, Check: conf.Above(&s.drain, -1)},
-		{Flag: "stop", Help: "longest wait for requests in flight after --drain", Dest: &s.stop, Check: conf.Above(&s.stop, 0)},
+		{Flag: "poll", Help: "time between two reads of the newest revision", Dest: &s.pollInterval, Check: conf.Above(&s.pollInterval, 0)},
+		{Flag: "beat", Help: "time between two heartbeats", Dest: &s.heartbeatInterval, Check: conf.Above(&s.heartbeatInterval, 0)},
+		{Flag: "row", Help: "time between two writes of the member row", Dest: &s.memberRowInterval, Check: conf.Above(&s.memberRowInterval, 0)},
+		{Flag: "term", Help: "length of a slot lease; more than twice --round", Dest: &s.leaseTerm, Check: s.checkTerm},
+		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.renewInterval, Check: conf.Above(&s.renewInterval, 0)},
+		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.hostListInterval, Check: conf.Above(&s.hostListInterval, 0)},
+		{Flag: "drain", Help: "time to go on serving after SIGTERM while not ready", Dest: &s.drainDelay, Check: conf.Above(&s.drainDelay, -1)},
+		{Flag: "stop", Help: "longest wait for requests in flight after --drain", Dest: &s.shutdownTimeout, Check: conf.Above(&s.shutdownTimeout, 0)},
 	}
 }
 
 func (s *entrySettings) checkTerm(fs *gauge.Faults, field string) {
-	if s.term <= 2*s.round {
-		fs.Add(field, "is %s, must be above twice --round (%s), or one lost message ends the lease", s.term, s.round)
+	if s.leaseTerm <= 2*s.renewInterval {
+		fs.Add(field, "is %s, must be above twice --round (%s), or one lost message ends the lease", s.leaseTerm, s.renewInterval)
 	}
 }
 
 func newEntry() *command {
 	s := defaultEntry()
 	return &command{
-		sub: sub("entry", usageEntry), settings: s.list(),
+		sub: newSubcommand("entry", usageEntry), settings: s.settings(),
 		run: func(ctx context.Context) error { return runEntry(ctx, s) },
 	}
 }
 
 func runEntry(ctx context.Context, s *entrySettings) error {
-	httpL, err := net.Listen("tcp", s.http)
+	httpListener, err := net.Listen("tcp", s.httpAddr)
 	if err != nil {
 		return eris.Wrap(err, "entry: --http")
 	}
-	peerL, err := net.Listen("tcp", s.peer)
+	peerListener, err := net.Listen("tcp", s.peerAddr)
 	if err != nil {
 		return eris.Wrap(err, "entry: --peer")
 	}
-	platform := plat.New(plat.Config{Addr: s.platform, Key: s.platkey, Clock: time.Now})
+	platform := plat.New(plat.Config{Addr: s.platformAddr, Key: s.platformKey, Clock: time.Now})
 	defer platform.Close()
-	endOnSecond(ctx)
+	exitOnSecondSignal(ctx)
 	return entry.New(entry.Config{
 		Self: gauge.Member{ID: s.id, Run: uuid.NewString(), Zone: s.zone},
-		HTTP: httpL, Peer: peerL, Seeds: s.seeds,
+		HTTP: httpListener, Peer: peerListener, Seeds: s.seeds,
 		Table: platform, Objects: platform, Platform: platform,
-		PeerKey: []byte(s.peerkey), OperatorKey: s.opkey,
-		Clock: time.Now, Logs: logs.New(os.Stderr, s.level == "debug").WithValues("entry", s.id),
-		Poll: s.poll, Beat: s.beat, Row: s.row, Term: s.term, Round: s.round,
-		Watch: s.watch, Drain: s.drain, Stop: s.stop,
+		PeerKey: []byte(s.peerKey), OperatorKey: s.operatorKey,
+		Clock: time.Now, Logs: logs.New(os.Stderr, s.logLevel == "debug").WithValues("entry", s.id),
+		Poll: s.pollInterval, Beat: s.heartbeatInterval, Row: s.memberRowInterval, Term: s.leaseTerm, Round: s.renewInterval,
+		Watch: s.hostListInterval, Drain: s.drainDelay, Stop: s.shutdownTimeout,
 	}).Run(ctx)
 }
 
-// endOnSecond lets a second signal end the process at once.
-func endOnSecond(ctx context.Context) {
+// exitOnSecondSignal exits the process at once on a second SIGTERM or SIGINT.
+func exitOnSecondSignal(ctx context.Context) {
 	go func() {
 		<-ctx.Done()
 		second := make(chan os.Signal, 1)
--- a/cmd/sapphiregauge/get.go
+++ b/cmd/sapphiregauge/get.go
@@ -24,7 +24,7 @@
 func newGet() *command {
 	t := newTarget()
 	what := ""
-	c := &command{sub: sub("get", usageGet), settings: t.list()}
+	c := &command{sub: newSubcommand("get", usageGet), settings: t.settings()}
 	c.sub.AddPositionalValue(&what, "WHAT", 1, true, "records, KIND/NAME, hosts, pools or entries")
 	c.run = func(ctx context.Context) error { return runGet(ctx, t, what) }
 	return c
@@ -51,8 +51,8 @@
 	return nil
 }
 
-// show prints lines of fields as a table; the first line is the head.
-func show(out io.Writer, lines ...[]string) error {
+// printTable prints rows as an aligned table; the first row is the header.
+func printTable(out io.Writer, lines ...[]string) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, l := range lines {
 		if _, err := fmt.Fprintln(w, strings.Join(l, "\t")); err != nil {
@@ -73,7 +73,7 @@
 	for _, r := range b.Records {
 		lines = append(lines, []string{r.ID().String(), strconv.Itoa(r.Schema), strconv.FormatInt(r.Revision, 10)})
 	}
-	return show(os.Stdout, lines...)
+	return printTable(os.Stdout, lines...)
 }
 
 func getHosts(ctx context.Context, cl *client.Client) error {
@@ -89,7 +89,7 @@
 			h.ID, h.Zone, h.Rack, h.Pool, string(h.State), string(h.Goal), h.Wave, strconv.FormatBool(h.Done),
 		})
 	}
-	return show(os.Stdout, lines...)
+	return printTable(os.Stdout, lines...)
 }
 
 func getPools(ctx context.Context, cl *client.Client) error {
@@ -106,7 +106,7 @@
 		}
 		lines = append(lines, line)
 	}
-	return show(os.Stdout, lines...)
+	return printTable(os.Stdout, lines...)
 }
 
 func getEntries(ctx context.Context, cl *client.Client) error {
@@ -119,5 +119,5 @@
 		lines = append(lines, []string{id, strconv.FormatInt(r, 10)})
 	}
 	slices.SortFunc(lines[1:], func(x, y []string) int { return strings.Compare(x[0], y[0]) })
-	return show(os.Stdout, lines...)
+	return printTable(os.Stdout, lines...)
 }
--- a/cmd/sapphiregauge/host.go
+++ b/cmd/sapphiregauge/host.go
@@ -72,7 +72,7 @@
 func newHost() *command {
 	s := &hostSettings{metrics: 9464}
 	return &command{
-		sub: sub("host", usageHost),
+		sub: newSubcommand("host", usageHost),
 		settings: conf.List{
 			{Flag: "metrics", Help: "port of /metrics; 0: none", Dest: &s.metrics},
 			{Flag: "without", Help: "ways of deciding to switch off, joined by commas; an unknown name lists all", Dest: &s.without},
@@ -82,44 +82,46 @@
 }
 
 const (
-	// readTimeout bounds a read of the table. It takes 4 ms, in a slow spell 60 to 90
-	// times as long, and more where much is read.
+	// readTimeout bounds a read of the table. A read takes 4 ms, 60 to 90 times as long in a slow
+	// period, and more when it returns many rows.
 	readTimeout = 900 * time.Millisecond
-	// tableTimeout bounds a transaction. One over two parts takes 10 ms, in a slow
-	// spell 60 to 90 times as long, and more behind others.
-	tableTimeout = 1500 * time.Millisecond
-	// lateAnswer: a transaction without an answer for so long is looked into. It takes
-	// some 10 ms; a quota of processor time that is used up delays it by 100 ms.
-	lateAnswer = 300 * time.Millisecond
-	// fastRead and awayRead: a read takes 4 ms, in a slow spell 60 to 90 times as
-	// long; in between the answer of a transaction takes less than lateAnswer.
-	fastRead = 100 * time.Millisecond
-	awayRead = 500 * time.Millisecond
-	// holdTimeout bounds a hold, its wait aside: a worker that doesn't answer gets
-	// no extension, so it isn't taken for silent lightly.
-	holdTimeout = 800 * time.Millisecond
-	// orderTimeout bounds an order. A worker answers within some ms, and an order
-	// without an answer is settled by another.
+	// commitTimeout bounds a transaction. One over two partitions takes 10 ms, 60 to 90 times as
+	// long in a slow period, and more when it queues behind others.
+	commitTimeout = 1500 * time.Millisecond
+	// commitCheckDelay is how long a transaction may go without a response before its outcome is
+	// checked. A transaction takes about 10 ms; a used-up CPU quota delays it by 100 ms.
+	commitCheckDelay = 300 * time.Millisecond
+	// maxFastRead is the longest read of a table that counts as fast, awayRead the bound on a read
+	// while its reachability is checked. A read takes 4 ms, 60 to 90 times as long in a slow
+	// period; in between, the response to a transaction takes less than lateAnswer.
+	maxFastRead      = 100 * time.Millisecond
+	probeReadTimeout = 500 * time.Millisecond
+	// heartbeatTimeout bounds a heartbeat call to a worker, in addition to its long-polling wait. A
+	// worker that doesn't answer gets no lease extension, so the bound is generous.
+	heartbeatTimeout = 800 * time.Millisecond
+	// orderTimeout bounds an order to a worker. A worker answers within a few ms, and an order
+	// without an answer is settled by a further order.
 	orderTimeout = 300 * time.Millisecond
 	// machineTimeout bounds a call to the machine service.
 	machineTimeout = 1500 * time.Millisecond
-	// adviceTimeout bounds a question to the advice service, which may have up to
-	// thirty-two others before it.
+	// adviceTimeout bounds a call to the advice service, where up to thirty-two other calls may be
+	// queued before it.
 	adviceTimeout = 3 * time.Second
-	// stopMargin is kept between the end of serving and the platform's kill.
+	// stopMargin is the time between the end of serving and the platform's SIGKILL.
 	stopMargin = 1500 * time.Millisecond
-	// closeWait bounds the wait for calls in flight at the very end.
-	closeWait = 800 * time.Millisecond
-	// answerMargin is kept for the last answers on their way.
-	answerMargin = 200 * time.Millisecond
-	// releaseWait bounds giving up the leases.
-	releaseWait = time.Second
-	// releaseMargin is kept for it, and for the successors to begin, before the end.
+	// closeTimeout bounds the final wait for calls in flight.
+	closeTimeout = 800 * time.Millisecond
+	// responseMargin is reserved for sending the last responses.
+	responseMargin = 200 * time.Millisecond
+	// releaseTimeout bounds the release of the leases.
+	releaseTimeout = time.Second
+	// releaseMargin is reserved after the release, so that the successors start before serving
+	// ends.
 	releaseMargin = 500 * time.Millisecond
 )
 
-// parts are the connected pieces of a running entry.
-type parts struct {
+// components holds the connected components of a running entry.
+type components struct {
 	settings platform.Settings
 	log      logr.Logger
 	node     *node.Node
@@ -152,7 +154,7 @@
 	return err
 }
 
-func (p *parts) serve(ctx context.Context, s *hostSettings) error {
+func (p *components) serve(ctx context.Context, s *hostSettings) error {
 	front, err := net.Listen("tcp", p.settings.Front)
 	if err != nil {
 		return eris.Wrap(err, "host: address for clients")
@@ -173,66 +175,65 @@
 	group.Go(func() { p.logEnd("entries", p.mesh.Serve(run, peer)) })
 	group.Go(func() { p.node.Run(run) })
 	p.serveMetrics(s)
-	p.reloadUntil(ctx)
-	p.wind()
+	p.reloadOnHangup(ctx)
+	p.shutDown()
 	stop()
 	p.mesh.Close()
 	group.Wait()
 	return nil
 }
 
-// reloadUntil reads the settings again at each SIGHUP, until ctx ends. Without
-// it the signal would end the process. What a running entry was started with
-// stays: addresses and bounds that have changed are logged and hold from its next
-// start.
-func (p *parts) reloadUntil(ctx context.Context) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	defer signal.Stop(hup)
+// reloadOnHangup reads the settings again at each SIGHUP until ctx is done. Without a handler the
+// signal would end the process. The running entry keeps the settings it was started with: the log
+// says whether they have changed, and the new ones take effect at the next start.
+func (p *components) reloadOnHangup(ctx context.Context) {
+	hangup := make(chan os.Signal, 1)
+	signal.Notify(hangup, syscall.SIGHUP)
+	defer signal.Stop(hangup)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-hup:
+		case <-hangup:
 		}
-		fresh, err := platform.ReadSettings()
+		reread, err := platform.ReadSettings()
 		if err != nil {
-			p.log.Error(err, "settings not read, the old ones hold")
+			p.log.Error(err, "settings not read, keeping the previous ones")
 			continue
 		}
-		p.log.Info("reload", "changed", fresh != p.settings)
+		p.log.Info("reload", "changed", reread != p.settings)
 	}
 }
 
-func (p *parts) peerAddr() string {
+func (p *components) peerAddr() string {
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.PeerPorts[0]))
 }
 
-// wind stops an entry so that no caller's request is cut off: other entries take
-// its pools at once, callers are asked to go elsewhere, and it serves on until
-// the platform has had time to look away.
-func (p *parts) wind() {
+// shutDown shuts an entry down without interrupting requests: its pools are released to other entries
+// as soon as possible, clients are asked to use other entries, and it goes on serving until shortly
+// before the grace period ends, so that the platform has had time to stop routing clients here.
+func (p *components) shutDown() {
 	began := boot.Now()
-	left := p.settings.Grace - stopMargin
-	p.front.Wind(left + closeWait - answerMargin)
-	p.release(max(0, left-releaseWait-releaseMargin))
-	if left -= boot.Now() - began; left > 0 {
-		time.Sleep(left)
+	remaining := p.settings.Grace - stopMargin
+	p.front.Wind(remaining + closeTimeout - responseMargin)
+	p.release(max(0, remaining-releaseTimeout-releaseMargin))
+	if remaining -= boot.Now() - began; remaining > 0 {
+		time.Sleep(remaining)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), closeWait)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	p.logEnd("clients", p.front.Close(ctx))
 }
 
-// release gives the pools to other entries, at once or, while the table is slow, once
-// it is quick again or patience is over.
-func (p *parts) release(patience time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience+releaseWait)
+// release gives up the leases of the pools, so that other entries take them: at once, or, while the
+// table is slow, as soon as it is fast again or patience has passed.
+func (p *components) release(maxDelay time.Duration) {
+	ctx, cancel := context.WithTimeout(context.Background(), maxDelay+releaseTimeout)
 	defer cancel()
-	p.node.Release(ctx, patience)
+	p.node.Release(ctx, maxDelay)
 }
 
-func (p *parts) serveMetrics(s *hostSettings) {
+func (p *components) serveMetrics(s *hostSettings) {
 	if s.metrics == 0 {
 		return
 	}
@@ -244,12 +245,12 @@
 	go func() { p.logEnd("metrics", server.ListenAndServe()) }()
 }
 
-// logEnd tells that a server has ended, and why if that was no stop.
-func (p *parts) logEnd(server string, err error) {
+// logEnd logs the error with which a server ended; a nil error is a regular stop.
+func (p *components) logEnd(server string, err error) {
 	if err != nil {
 		p.log.Error(err, "server ended", "server", server)
 	}
 }
 
-// newStart names one start of a process.
-func newStart() string { return uuid.NewString()[:8] }
+// newStartID returns a random ID for this start of the process.
+func newStartID() string { return uuid.NewString()[:8] }
--- a/cmd/sapphiregauge/key.go
+++ b/cmd/sapphiregauge/key.go
@@ -15,7 +15,7 @@
 
 func newKey() *command {
 	return &command{
-		sub: sub("key", usageKey),
+		sub: newSubcommand("key", usageKey),
 		run: func(context.Context) error {
 			fmt.Println(client.NewKey())
 			return nil
--- a/cmd/sapphiregauge/local.go
+++ b/cmd/sapphiregauge/local.go
@@ -19,7 +19,7 @@
 func newLocal() *command {
 	http, key, level, workers := "127.0.0.1:8080", "local-operators-key", "info", 16
 	return &command{
-		sub: sub("local", usageLocal),
+		sub: newSubcommand("local", usageLocal),
 		settings: conf.List{
 			{Flag: "http", Help: "ip:port for callers and operators", Dest: &http, Check: conf.Addr(&http)},
 			{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &key, Check: conf.Secret(&key)},
--- a/cmd/sapphiregauge/main.go
+++ b/cmd/sapphiregauge/main.go
@@ -30,7 +30,7 @@
 // version is set by the linker for a release.
 var version = "devel"
 
-// command is one subcommand: its parser, its settings and what it does.
+// command is one subcommand: its parser, its settings and its function.
 type command struct {
 	sub      *flaggy.Subcommand
 	settings conf.List
@@ -43,7 +43,7 @@
 	parser := flaggy.NewParser("sapphiregauge")
 	parser.Description = usageMain
 	parser.Version = version
-	commands := all()
+	commands := allCommands()
 	for _, c := range commands {
 		c.settings.Bind(c.sub)
 		parser.AttachSubcommand(c.sub, 1)
@@ -54,21 +54,21 @@
 	}
 	for _, c := range commands {
 		if c.sub.Used {
-			return finish(start(c))
+			return exitCode(loadAndRun(c))
 		}
 	}
 	parser.ShowHelp()
 	return exitUsage
 }
 
-func all() []*command {
+func allCommands() []*command {
 	return []*command{
 		newHost(), newEntry(), newLocal(), newCheck(), newApply(), newGet(), newWave(),
 		newWatch(), newReport(), newKey(), newDocs(),
 	}
 }
 
-func start(c *command) error {
+func loadAndRun(c *command) error {
 	if err := c.settings.Load(os.LookupEnv); err != nil {
 		return eris.Wrap(err, "settings")
 	}
@@ -77,7 +77,7 @@
 	return c.run(ctx)
 }
 
-// The exit codes.
+// Exit codes, as documented in usageMain.
 const (
 	exitDone = iota
 	exitFailed
@@ -87,7 +87,7 @@
 	exitOutage
 )
 
-func finish(err error) int {
+func exitCode(err error) int {
 	if err == nil {
 		return exitDone
 	}
@@ -104,9 +104,9 @@
 	}
 }
 
-// sub makes a subcommand; the first line of its usage is shown in the list of
-// commands, all of it in its own help.
-func sub(name, usage string) *flaggy.Subcommand {
+// newSubcommand makes a subcommand. The first paragraph of its usage is shown in the list of commands, all of
+// it in the subcommand's own help.
+func newSubcommand(name, usage string) *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(name)
 	first, rest, _ := strings.Cut(usage, "\n\n")
 	s.Description = first
--- a/cmd/sapphiregauge/operate.go
+++ b/cmd/sapphiregauge/operate.go
@@ -11,14 +11,14 @@
 	"sapphiregauge/pkg/client"
 )
 
-// target is which entry an operators' command talks to.
+// target is the entry that an operators' command sends its calls to, and the operators' key.
 type target struct {
 	addr, key string
 }
 
 func newTarget() *target { return &target{addr: "127.0.0.1:8080"} }
 
-func (t *target) list() conf.List {
+func (t *target) settings() conf.List {
 	return conf.List{
 		{Flag: "entry", Help: "ip:port of any entry", Dest: &t.addr, Check: conf.Addr(&t.addr)},
 		{Flag: "opkey", Help: "the operators' key", Dest: &t.key, Check: conf.Secret(&t.key)},
@@ -29,13 +29,13 @@
 	return client.New(client.Config{Addr: t.addr, Key: t.key})
 }
 
-// files is a list of file arguments. flaggy knows only positions, so it gets
-// some: the first is shown in the help.
+// files holds the positional file arguments. flaggy has no variadic arguments, so a fixed number of
+// positions is declared, of which only the first is shown in the help.
 type files struct {
-	names [mostFiles]string
+	names [maxFiles]string
 }
 
-const mostFiles = 32
+const maxFiles = 32
 
 func (f *files) bind(sc *flaggy.Subcommand) {
 	for i := range f.names {
--- a/cmd/sapphiregauge/report.go
+++ b/cmd/sapphiregauge/report.go
@@ -33,7 +33,7 @@
 func newReport() *command {
 	t := newTarget()
 	what, format, out := "", "text", ""
-	c := &command{sub: sub("report", usageReport), settings: t.list()}
+	c := &command{sub: newSubcommand("report", usageReport), settings: t.settings()}
 	c.sub.AddPositionalValue(&what, "WHAT", 1, true, "burn or promises")
 	c.sub.String(&format, "", "format", "text, json or html")
 	c.sub.String(&out, "", "out", "file to write; missing: the terminal")
@@ -80,18 +80,18 @@
 	for _, l := range lines {
 		table = append(table, []string{
 			l.Service, l.Pool, strconv.FormatFloat(l.Objective, 'g', -1, 64),
-			rate(l.Rate5m), rate(l.Rate30m), rate(l.Rate1h), rate(l.Rate6h), string(l.Alert),
+			formatRate(l.Rate5m), formatRate(l.Rate30m), formatRate(l.Rate1h), formatRate(l.Rate6h), string(l.Alert),
 		})
 	}
-	return show(w, table...)
+	return printTable(w, table...)
 }
 
-func rate(r float64) string { return strconv.FormatFloat(r, 'f', 2, 64) }
+func formatRate(r float64) string { return strconv.FormatFloat(r, 'f', 2, 64) }
 
 //go:embed report.html
 var burnTemplate string
 
-// burnPage writes the report as a page of its own, without anything to load.
+// burnPage writes the report as a self-contained HTML page with inline SVG plots.
 func burnPage(w io.Writer, lines []burn.Line) error {
 	type row struct {
 		burn.Line
@@ -105,7 +105,7 @@
 		}
 		rows = append(rows, row{l, template.HTML(svg)}) //nolint:gosec // drawn here from numbers and a checked name
 	}
-	t, err := template.New("burn").Funcs(template.FuncMap{"rate": rate}).Parse(burnTemplate)
+	t, err := template.New("burn").Funcs(template.FuncMap{"rate": formatRate}).Parse(burnTemplate)
 	if err != nil {
 		return eris.Wrap(err, "report: page")
 	}
@@ -125,12 +125,13 @@
 	}
 	table := [][]string{{"PROMISE", "HELD", "LOOKED AT", "LAST BREACH", "EVIDENCE"}}
 	for _, l := range lines {
-		table = append(table, []string{string(l.Promise), held(l), strconv.FormatInt(l.Checks, 10), last(l), l.Evidence})
+		table = append(table, []string{string(l.Promise), heldColumn(l), strconv.FormatInt(l.Checks, 10), lastBreach(l), l.Evidence})
 	}
-	return show(w, table...)
+	return printTable(w, table...)
 }
 
-func held(l holds.Line) string {
+// heldColumn returns the HELD column: whether the promise was kept.
+func heldColumn(l holds.Line) string {
 	switch {
 	case l.Checks == 0 && l.Events > 0:
 		return fmt.Sprintf("not checked, %d events", l.Events)
@@ -143,7 +144,8 @@
 	}
 }
 
-func last(l holds.Line) string {
+// lastBreach returns the LAST BREACH column.
+func lastBreach(l holds.Line) string {
 	if l.Last.IsZero() {
 		return "-"
 	}
--- a/cmd/sapphiregauge/wave.go
+++ b/cmd/sapphiregauge/wave.go
@@ -26,7 +26,7 @@
 func newWave() *command {
 	t := newTarget()
 	action, name, pools := "", "", ""
-	c := &command{sub: sub("wave", usageWave), settings: t.list()}
+	c := &command{sub: newSubcommand("wave", usageWave), settings: t.settings()}
 	c.sub.AddPositionalValue(&action, "ACTION", 1, true, "start, pause, resume or drop")
 	c.sub.AddPositionalValue(&name, "NAME", 2, true, "name of the wave")
 	c.sub.String(&pools, "", "pools", "for start: the pools, comma between")
@@ -78,7 +78,7 @@
 func newWatch() *command {
 	t := newTarget()
 	name, every := "", time.Second
-	c := &command{sub: sub("watch", usageWatch), settings: t.list()}
+	c := &command{sub: newSubcommand("watch", usageWatch), settings: t.settings()}
 	c.sub.AddPositionalValue(&name, "NAME", 1, true, "name of the wave")
 	c.sub.Duration(&every, "", "every", "time between two looks")
 	c.run = func(ctx context.Context) error { return runWatch(ctx, t, name, every) }
@@ -88,21 +88,21 @@
 func runWatch(ctx context.Context, t *target, name string, every time.Duration) error {
 	cl := t.client()
 	defer cl.Close()
-	began, first, shown := time.Now(), -1, ""
+	began, doneAtStart, shown := time.Now(), -1, ""
 	for {
-		lines, done, all, err := waveLines(ctx, cl, name)
+		lines, done, all, err := waveTable(ctx, cl, name)
 		if err != nil {
 			return err
 		}
-		if first < 0 {
-			first = done
+		if doneAtStart < 0 {
+			doneAtStart = done
 		}
 		if text := fmt.Sprint(lines); text != shown {
 			shown = text
-			if err := show(os.Stdout, lines...); err != nil {
+			if err := printTable(os.Stdout, lines...); err != nil {
 				return err
 			}
-			fmt.Println(estimate(time.Since(began), done-first, all-done))
+			fmt.Println(estimate(time.Since(began), done-doneAtStart, all-done))
 		}
 		if done == all && all > 0 {
 			return nil
@@ -115,7 +115,8 @@
 	}
 }
 
-func waveLines(ctx context.Context, cl *client.Client, name string) (lines [][]string, done, all int, err error) {
+// waveTable returns a wave's table, header included, and how many of its hosts are done, of all.
+func waveTable(ctx context.Context, cl *client.Client, name string) (lines [][]string, done, all int, err error) {
 	var waves []query.Wave
 	if err := cl.Get(ctx, "/waves", &waves); err != nil {
 		return nil, 0, 0, err
@@ -139,7 +140,7 @@
 	return lines, done, all, nil
 }
 
-// estimate draws the time that is left from the progress seen.
+// estimate extrapolates the remaining time from the progress since the watch began.
 func estimate(seen time.Duration, done, left int) string {
 	switch {
 	case left == 0:
