--- a/cmd/rounds/kept.go
+++ b/cmd/rounds/kept.go
@@ -9,21 +9,21 @@
 	"github.com/rotisserie/eris"
 )
 
-// key names a play: a tree's label stands for its code.
-type key struct {
+// playKey identifies a play; a tree is identified by its label alone, not by its code.
+type playKey struct {
 	site, day, tree string
 	seed            int64
 }
 
-func (p *Play) key() key { return key{p.Site, p.Day, p.Tree, p.Seed} }
+func (p *Play) key() playKey { return playKey{p.Site, p.Day, p.Tree, p.Seed} }
 
-// load takes the outcomes of plays from a file, where it has them.
-func load(file string, plays []*Play) error {
-	old, err := read(file)
+// loadOutcomes sets the outcomes of those plays that are stored in file and marks them as played.
+func loadOutcomes(file string, plays []*Play) error {
+	old, err := readPlays(file)
 	if err != nil {
 		return err
 	}
-	known := make(map[key]*Play)
+	known := make(map[playKey]*Play)
 	for _, p := range old {
 		known[p.key()] = p
 	}
@@ -35,16 +35,16 @@
 	return nil
 }
 
-// save adds the outcomes of plays to a file.
-func save(file string, plays []*Play) error {
+// saveOutcomes adds the outcomes of plays to file; an empty file name stores nothing.
+func saveOutcomes(file string, plays []*Play) error {
 	if file == "" {
 		return nil
 	}
-	all, err := read(file)
+	all, err := readPlays(file)
 	if err != nil {
 		return err
 	}
-	known := make(map[key]bool)
+	known := make(map[playKey]bool)
 	for _, p := range all {
 		known[p.key()] = true
 	}
@@ -60,7 +60,8 @@
 	return eris.Wrap(os.WriteFile(file, data, 0o600), "kept outcomes")
 }
 
-func read(file string) ([]*Play, error) {
+// readPlays returns the plays stored in file; none if the name is empty or there is no such file.
+func readPlays(file string) ([]*Play, error) {
 	if file == "" {
 		return nil, nil
 	}
--- a/cmd/rounds/main.go
+++ b/cmd/rounds/main.go
@@ -1,7 +1,9 @@
-// Command rounds measures changes of policy: it plays the same days with the same
-// seeds on several trees of this repository, side by side, and prints what each
-// earned and what it paid. One play says little, since a day's worth differs by
-// 0.1 to 0.4 between seeds; the mean of the differences on equal seeds says more.
+// Command rounds compares versions of the scheduling policies by simulation. A play simulates one day
+// of load on a deployment with one source tree and one random seed; an external program, the player,
+// carries it out and reports the worth earned and the prices paid. The command plays the same days
+// with the same seeds on several trees and prints the results side by side. A single play says
+// little, since a day's worth differs by 0.1 to 0.4 between seeds; the mean of the differences on
+// equal seeds says more.
 package main
 
 import (
@@ -29,7 +31,7 @@
 
 counts by pool why jobs were late or lost, from the log of all entries of a day.`
 
-// options are the flags.
+// options holds the command's flags.
 type options struct {
 	player  string
 	sites   []string
@@ -71,27 +73,27 @@
 		return eris.Wrap(err, "flags")
 	}
 	if o.log != "" {
-		return reasons(o.log)
+		return printReasons(o.log)
 	}
 	plays, err := o.plays()
 	if err != nil {
 		return err
 	}
-	if err := load(o.kept, plays); err != nil {
+	if err := loadOutcomes(o.kept, plays); err != nil {
 		return err
 	}
-	for _, t := range trees(plays) {
+	for _, t := range treeDirs(plays) {
 		if err := build(ctx, o.player, t); err != nil {
 			return err
 		}
 	}
 	playAll(ctx, o, plays)
 	fmt.Print(Table(plays))
-	return save(o.kept, plays)
+	return saveOutcomes(o.kept, plays)
 }
 
-// reasons prints why the jobs of a day were late or lost.
-func reasons(file string) error {
+// printReasons prints, from the log file of a day, why jobs were late or lost.
+func printReasons(file string) error {
 	f, err := os.Open(file) //nolint:gosec // the caller's choice
 	if err != nil {
 		return eris.Wrap(err, "log")
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// plays lists all plays, those on equal days and seeds next to each other.
+// plays lists the plays of every site, day, seed and tree, those on the same day and seed next to
+// each other.
 func (o *options) plays() ([]*Play, error) {
 	if o.player == "" || len(o.sites) == 0 || len(o.trees) == 0 {
 		return nil, eris.New("player, site and tree have to be given")
--- a/cmd/rounds/play.go
+++ b/cmd/rounds/play.go
@@ -14,7 +14,7 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// Play is one day on one tree with one seed, and what came of it.
+// Play is the simulation of one day on one tree with one seed, and its outcome.
 type Play struct {
 	Site, Day, Tree, Dir string
 	Seed                 int64
@@ -23,18 +23,19 @@
 	Err                  error `json:"-"`
 }
 
-// Outcome is what a report says of a day.
+// Outcome is the result of a day as its report gives it.
 type Outcome struct {
 	Worth  float64
-	Whole  float64            // share of the worth that was owed
-	Window float64            // of the two worst windows
-	Class  float64            // of the worst-served kind of request
-	Prices map[string]float64 // taken off the worth, by what is paid for
-	Counts map[string]float64 // how much of it
-	Broken []string           // rules
+	Whole  float64            // share of the due worth that was earned over the whole day
+	Window float64            // the same share over the two worst time windows
+	Class  float64            // the same share for the worst-served class of requests
+	Prices map[string]float64 // what was deducted from the worth, by cost item
+	Counts map[string]float64 // the amounts, by cost item
+	Broken []string           // the rules that were broken, sorted
 }
 
-// report is the file that the player writes.
+// report is the report file that the player writes. Parts and Prices are triples: a name, a weight
+// or an amount, and a value.
 type report struct {
 	Worth  float64                    `json:"G"`
 	Parts  [][3]any                   `json:"parts"`
@@ -42,15 +43,15 @@
 	Breaks map[string]json.RawMessage `json:"breaks"`
 }
 
-// Read makes an outcome of a report.
-func Read(data []byte) (Outcome, error) {
+// ParseReport parses a report.
+func ParseReport(data []byte) (Outcome, error) {
 	var r report
 	if err := json.Unmarshal(data, &r); err != nil {
 		return Outcome{}, eris.Wrap(err, "report")
 	}
 	o := Outcome{Worth: r.Worth, Prices: make(map[string]float64), Counts: make(map[string]float64)}
 	for _, p := range r.Parts {
-		name, value := text(p[0]), number(p[2])
+		name, value := asString(p[0]), asNumber(p[2])
 		switch name {
 		case "whole day":
 			o.Whole = value
@@ -61,7 +62,7 @@
 		}
 	}
 	for _, p := range r.Prices {
-		o.Counts[text(p[0])], o.Prices[text(p[0])] = number(p[1]), number(p[2])
+		o.Counts[asString(p[0])], o.Prices[asString(p[0])] = asNumber(p[1]), asNumber(p[2])
 	}
 	for rule := range r.Breaks {
 		o.Broken = append(o.Broken, rule)
@@ -70,18 +71,18 @@
 	return o, nil
 }
 
-func text(v any) string {
+func asString(v any) string {
 	s, _ := v.(string)
 	return s
 }
 
-func number(v any) float64 {
+func asNumber(v any) float64 {
 	f, _ := v.(float64)
 	return f
 }
 
-// trees lists the directories, each once.
-func trees(plays []*Play) []string {
+// treeDirs lists the directories of the plays' trees without duplicates.
+func treeDirs(plays []*Play) []string {
 	var dirs []string
 	for _, p := range plays {
 		if !slices.Contains(dirs, p.Dir) {
@@ -91,7 +92,7 @@
 	return dirs
 }
 
-// build has a tree built before its plays, which would all begin with it.
+// build lets the player build a tree once, before the plays, each of which would build it otherwise.
 func build(ctx context.Context, player, dir string) error {
 	cmd := exec.CommandContext(ctx, player, "build")
 	cmd.Dir = dir
@@ -99,7 +100,7 @@
 	return eris.Wrapf(err, "build in %s: %s", dir, out)
 }
 
-// playAll plays, some at a time.
+// playAll carries out the plays that have no outcome yet, o.jobs at a time.
 func playAll(ctx context.Context, o options, plays []*Play) {
 	workers := pool.New().WithMaxGoroutines(max(1, o.jobs))
 	for _, p := range plays {
@@ -138,5 +139,5 @@
 	if err != nil {
 		return Outcome{}, eris.Errorf("no report (%v): %s", playErr, out)
 	}
-	return Read(data)
+	return ParseReport(data)
 }
--- a/cmd/rounds/reasons.go
+++ b/cmd/rounds/reasons.go
@@ -13,28 +13,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Reason is why a job was late or lost, the first of these that holds.
+// Reason is why a job was late or lost. If several apply, the first one listed counts.
 type Reason string
 
-// The reasons.
+// The reasons, in order of precedence; their values are column headers.
 const (
-	ReasonRefused Reason = "refused"           // no entry took it
-	ReasonUnknown Reason = "not settled"       // its caller was told to ask again, and no entry says more
-	ReasonHandIn  Reason = "slow hand-in"      // it was stored late
-	ReasonOwner   Reason = "pool in hand-over" // its pool had no loaded owner for a while after it came
-	ReasonLost    Reason = "run lost"          // a run of it ended otherwise than done
-	ReasonRoom    Reason = "no room"           // a task of it waited for room
-	ReasonWork    Reason = "its own work"      // none of these: runs took longer than estimated, or waited for their ends
+	ReasonRefused    Reason = "refused"           // no entry accepted it
+	ReasonUnsettled  Reason = "not settled"       // its client was told to ask again, and the log has nothing further on it
+	ReasonSubmission Reason = "slow hand-in"      // it was stored late
+	ReasonNoOwner    Reason = "pool in hand-over" // its pool had no owner with loaded state for a while after its submission
+	ReasonLost       Reason = "run lost"          // one of its runs ended in another way than done, or vanished
+	ReasonRoom       Reason = "no room"           // one of its tasks waited for room on a worker
+	ReasonWork       Reason = "its own work"      // none of these: runs took longer than estimated, or their ends were recorded late
 )
 
 const (
-	// slowHandIn and longWait: a job's slack is 0.6 s and a part of its work.
-	slowHandIn = 500 * time.Millisecond
-	longWait   = 400 * time.Millisecond
+	// Delays above these count as reasons: a job's slack is 0.6 s plus a share of its work.
+	slowSubmission = 500 * time.Millisecond
+	longDelay      = 400 * time.Millisecond
 )
 
-// line is what the product logs, as far as it is needed here.
-type line struct {
+// logLine is a line of an entry's log, reduced to the values that are needed here.
+type logLine struct {
 	Message string        `json:"msg"`
 	Job     string        `json:"job"`
 	Pool    string        `json:"pool"`
@@ -42,54 +42,54 @@
 	Waited  time.Duration `json:"waited"`
 	End     string        `json:"end"`
 	Late    bool          `json:"late"`
-	at      float64       // seconds, before the line
+	at      float64       // seconds, from the prefix of the line
 }
 
-// story is what became of one job.
-type story struct {
-	pool                    string
-	came, gone              float64
-	stored, completed, late bool
-	refused, unsettled      bool
-	cancelled, slow, lost   bool
-	waited                  time.Duration
+// jobHistory is the history of one job, from the log.
+type jobHistory struct {
+	pool                             string
+	firstSeen, lastSeen              float64
+	stored, completed, completedLate bool
+	refused, unsettled               bool
+	cancelled, storedLate, runLost   bool
+	waited                           time.Duration
 }
 
-// gap is a time in which a pool had no loaded owner.
-type gap struct {
+// ownerGap is a period in which a pool had no owner with loaded state, in seconds.
+type ownerGap struct {
 	pool     string
 	from, to float64
 }
 
-// Reasons reads the log of all entries and counts by pool why jobs were late or lost.
+// Reasons reads the merged log of all entries and counts by pool why jobs were late or lost.
 func Reasons(r io.Reader) (map[string]map[Reason]int, error) {
-	stories := make(map[string]*story)
-	left := make(map[string]float64)
-	var gaps []gap
+	histories := make(map[string]*jobHistory)
+	ownerless := make(map[string]float64)
+	var gaps []ownerGap
 	in := bufio.NewScanner(r)
 	in.Buffer(nil, 1<<20)
 	for in.Scan() {
-		l, ok := parse(in.Text())
+		l, ok := parseLine(in.Text())
 		if !ok {
 			continue
 		}
 		switch l.Message {
 		case "pool left", "holder gone", "holder silent":
-			if _, known := left[l.Pool]; !known {
-				left[l.Pool] = l.at
+			if _, known := ownerless[l.Pool]; !known {
+				ownerless[l.Pool] = l.at
 			}
 		case "pool loaded":
-			if from, known := left[l.Pool]; known {
-				gaps = append(gaps, gap{l.Pool, from, l.at})
-				delete(left, l.Pool)
+			if from, known := ownerless[l.Pool]; known {
+				gaps = append(gaps, ownerGap{l.Pool, from, l.at})
+				delete(ownerless, l.Pool)
 			}
 		}
 		if l.Job != "" {
-			tell(stories, &l)
+			recordLine(histories, &l)
 		}
 	}
 	counts := make(map[string]map[Reason]int)
-	for _, s := range stories {
+	for _, s := range histories {
 		if reason := s.reason(gaps); reason != "" {
 			if counts[s.pool] == nil {
 				counts[s.pool] = make(map[Reason]int)
@@ -100,9 +100,9 @@
 	return counts, eris.Wrap(in.Err(), "log")
 }
 
-// parse reads "SECONDS NAME {…}".
-func parse(text string) (line, bool) {
-	var l line
+// parseLine reads a line of the form "SECONDS NAME {JSON}" and reports whether it has that form.
+func parseLine(text string) (logLine, bool) {
+	var l logLine
 	start := strings.IndexByte(text, '{')
 	if start < 0 {
 		return l, false
@@ -113,20 +113,21 @@
 	return l, json.Unmarshal([]byte(text[start:]), &l) == nil
 }
 
-func tell(stories map[string]*story, l *line) {
-	s := stories[l.Job]
+// recordLine updates the history of the line's job.
+func recordLine(histories map[string]*jobHistory, l *logLine) {
+	s := histories[l.Job]
 	if s == nil {
-		s = &story{came: l.at}
-		stories[l.Job] = s
+		s = &jobHistory{firstSeen: l.at}
+		histories[l.Job] = s
 	}
 	if l.Pool != "" {
 		s.pool = l.Pool
 	}
-	s.gone = l.at
+	s.lastSeen = l.at
 	switch l.Message {
 	case "job accepted", "job relayed", "job known", "job adopted":
 		s.stored = true
-		s.slow = s.slow || l.Message != "job adopted" && l.Took > slowHandIn
+		s.storedLate = s.storedLate || l.Message != "job adopted" && l.Took > slowSubmission
 	case "job refused":
 		s.refused = true
 	case "job unsettled":
@@ -136,44 +137,45 @@
 	case "run starts":
 		s.waited = max(s.waited, l.Waited)
 	case "run ended":
-		s.lost = s.lost || l.End != "done"
+		s.runLost = s.runLost || l.End != "done"
 	case "run vanished":
-		s.lost = true
+		s.runLost = true
 	case "job completed":
-		s.completed, s.late = true, l.Late
+		s.completed, s.completedLate = true, l.Late
 	}
 }
 
-// reason is empty for a job that was in time, and for one that its caller has ended.
-func (s *story) reason(gaps []gap) Reason {
-	waitsForOwner := slices.ContainsFunc(gaps, func(g gap) bool {
-		return g.pool == s.pool && g.to-g.from > longWait.Seconds() && s.came < g.to && s.gone > g.from
+// reason returns why the job was late or lost. It is empty for a job that met its objective and for
+// one that its client cancelled.
+func (s *jobHistory) reason(gaps []ownerGap) Reason {
+	waitsForOwner := slices.ContainsFunc(gaps, func(g ownerGap) bool {
+		return g.pool == s.pool && g.to-g.from > longDelay.Seconds() && s.firstSeen < g.to && s.lastSeen > g.from
 	})
 	switch {
-	case s.cancelled || s.completed && !s.late:
+	case s.cancelled || s.completed && !s.completedLate:
 		return ""
 	case !s.stored && s.refused:
 		return ReasonRefused
 	case !s.stored && s.unsettled:
-		return ReasonUnknown
-	case !s.completed && s.waited == 0 && !s.lost:
-		return "" // a lasting or timed job, or one of the last seconds
-	case s.slow:
-		return ReasonHandIn
+		return ReasonUnsettled
+	case !s.completed && s.waited == 0 && !s.runLost:
+		return "" // a long-running or scheduled job, or one submitted in the last seconds
+	case s.storedLate:
+		return ReasonSubmission
 	case waitsForOwner:
-		return ReasonOwner
-	case s.lost:
+		return ReasonNoOwner
+	case s.runLost:
 		return ReasonLost
-	case s.waited > longWait:
+	case s.waited > longDelay:
 		return ReasonRoom
 	default:
 		return ReasonWork
 	}
 }
 
-// ReasonTable prints counts by pool, and in all.
+// ReasonTable formats the counts by pool and their sums as a table.
 func ReasonTable(counts map[string]map[Reason]int) string {
-	all := []Reason{ReasonRefused, ReasonUnknown, ReasonHandIn, ReasonOwner, ReasonLost, ReasonRoom, ReasonWork}
+	all := []Reason{ReasonRefused, ReasonUnsettled, ReasonSubmission, ReasonNoOwner, ReasonLost, ReasonRoom, ReasonWork}
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprint(w, "pool")
--- a/cmd/rounds/reasons_test.go
+++ b/cmd/rounds/reasons_test.go
@@ -26,7 +26,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, counts, map[string]map[Reason]int{
 		"p": {ReasonRoom: 1, ReasonRefused: 1},
-		"q": {ReasonOwner: 1},
+		"q": {ReasonNoOwner: 1},
 	})
 	assert.Assert(t, strings.Contains(ReasonTable(counts), "all"))
 }
--- a/cmd/rounds/table.go
+++ b/cmd/rounds/table.go
@@ -9,24 +9,24 @@
 	"text/tabwriter"
 )
 
-// What is paid for most, by the names in a report.
+// The cost items with columns of their own, by their names in a report.
 const (
-	priceRoom  = "seconds of machines in pools"
-	priceMoves = "machines moved"
-	priceWaste = "core-seconds of work thrown away"
-	priceLooks = "probes and requests without id"
+	itemMachineSeconds = "seconds of machines in pools"
+	itemMoves          = "machines moved"
+	itemWastedWork     = "core-seconds of work thrown away"
+	itemProbes         = "probes and requests without id"
 )
 
-// Table shows by site, day and tree the means over all seeds, and for each tree but
-// the first how much more it earned than that one on equal days and seeds.
+// Table formats the means over all seeds by site, day and tree. Below, for each tree but the first,
+// it gives the mean difference of its worth to the first tree's on equal days and seeds.
 func Table(plays []*Play) string {
 	var b strings.Builder
 	w := tabwriter.NewWriter(&b, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "site\tday\ttree\tplays\tworth\t±\twhole\twindows\tclass\troom\tmoves\twaste\tlooks\tother\tbroken")
-	for _, group := range groups(plays, func(p *Play) string { return p.Site + "\t" + p.Day + "\t" + p.Tree }) {
+	for _, group := range groupBy(plays, func(p *Play) string { return p.Site + "\t" + p.Day + "\t" + p.Tree }) {
 		writeRow(w, group[0].Day, group)
 	}
-	for _, group := range groups(plays, func(p *Play) string { return p.Site + "\t" + p.Tree }) {
+	for _, group := range groupBy(plays, func(p *Play) string { return p.Site + "\t" + p.Tree }) {
 		writeRow(w, "all", group)
 	}
 	_ = w.Flush()
@@ -36,8 +36,8 @@
 	return b.String()
 }
 
-// groups puts plays with the same key together, in the order of their first one.
-func groups(plays []*Play, key func(*Play) string) [][]*Play {
+// groupBy groups plays by key, in the order of each key's first play.
+func groupBy(plays []*Play, key func(*Play) string) [][]*Play {
 	at := make(map[string]int)
 	var list [][]*Play
 	for _, p := range plays {
@@ -55,10 +55,10 @@
 
 func writeRow(w *tabwriter.Writer, day string, group []*Play) {
 	of := func(value func(*Outcome) float64) float64 {
-		mean, _ := Mean(pick(group, value))
+		mean, _ := Mean(valuesOf(group, value))
 		return mean
 	}
-	worths := pick(group, func(o *Outcome) float64 { return o.Worth })
+	worths := valuesOf(group, func(o *Outcome) float64 { return o.Worth })
 	worth, spread := Mean(worths)
 	broken := "-"
 	for _, p := range group {
@@ -69,24 +69,24 @@
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.0f\t%.3f\t%s\n",
 		strings.TrimSuffix(filepath.Base(group[0].Site), ".toml"), day, group[0].Tree, len(worths), worth, spread,
 		of(func(o *Outcome) float64 { return o.Whole }), of(func(o *Outcome) float64 { return o.Window }),
-		of(func(o *Outcome) float64 { return o.Class }), of(func(o *Outcome) float64 { return o.Prices[priceRoom] }),
-		of(func(o *Outcome) float64 { return o.Counts[priceMoves] }), of(func(o *Outcome) float64 { return o.Counts[priceWaste] }),
-		of(func(o *Outcome) float64 { return o.Counts[priceLooks] }), of(others), broken)
+		of(func(o *Outcome) float64 { return o.Class }), of(func(o *Outcome) float64 { return o.Prices[itemMachineSeconds] }),
+		of(func(o *Outcome) float64 { return o.Counts[itemMoves] }), of(func(o *Outcome) float64 { return o.Counts[itemWastedWork] }),
+		of(func(o *Outcome) float64 { return o.Counts[itemProbes] }), of(otherPrices), broken)
 }
 
-// others is what is paid for all but the room.
-func others(o *Outcome) float64 {
+// otherPrices sums the prices of all cost items but machines in pools.
+func otherPrices(o *Outcome) float64 {
 	sum := 0.0
 	for name, price := range o.Prices {
-		if name != priceRoom {
+		if name != itemMachineSeconds {
 			sum += price
 		}
 	}
 	return sum
 }
 
-// pick takes a value of each play that has an outcome.
-func pick(plays []*Play, value func(*Outcome) float64) []float64 {
+// valuesOf returns a value of each play that didn't fail.
+func valuesOf(plays []*Play, value func(*Outcome) float64) []float64 {
 	var list []float64
 	for _, p := range plays {
 		if p.Err == nil {
@@ -96,7 +96,7 @@
 	return list
 }
 
-// Mean is the mean of some values and their standard deviation.
+// Mean returns the mean and the standard deviation of the values, 0 and 0 if there are none.
 func Mean(values []float64) (mean, spread float64) {
 	if len(values) == 0 {
 		return 0, 0
@@ -114,10 +114,10 @@
 	return mean, math.Sqrt(spread / float64(len(values)-1))
 }
 
-// differences compares each tree with the first, site by site.
+// differences formats, by site, the mean difference of each tree's worth to the first tree's.
 func differences(plays []*Play) []string {
 	var lines []string
-	for _, site := range groups(plays, func(p *Play) string { return p.Site }) {
+	for _, site := range groupBy(plays, func(p *Play) string { return p.Site }) {
 		first := site[0].Tree
 		var labels []string
 		for _, p := range site {
@@ -126,20 +126,21 @@
 			}
 		}
 		for _, label := range labels {
-			more := Paired(site, first, label)
-			mean, spread := Mean(more)
+			diffs := PairedDifferences(site, first, label)
+			mean, spread := Mean(diffs)
 			lines = append(lines, fmt.Sprintf("%s: %s - %s: %+.3f, standard error %.3f, %d pairs",
 				strings.TrimSuffix(filepath.Base(site[0].Site), ".toml"), label, first, mean,
-				spread/math.Sqrt(float64(max(1, len(more)))), len(more)))
+				spread/math.Sqrt(float64(max(1, len(diffs)))), len(diffs)))
 		}
 	}
 	return lines
 }
 
-// Paired lists how much more one tree earned than another on equal days and seeds.
-func Paired(plays []*Play, first, second string) []float64 {
-	var more []float64
-	for _, pair := range groups(plays, func(p *Play) string { return fmt.Sprint(p.Site, p.Day, p.Seed) }) {
+// PairedDifferences lists how much more worth the second tree earned than the first, for each day and
+// seed that both have played.
+func PairedDifferences(plays []*Play, first, second string) []float64 {
+	var diffs []float64
+	for _, pair := range groupBy(plays, func(p *Play) string { return fmt.Sprint(p.Site, p.Day, p.Seed) }) {
 		var a, b *Play
 		for _, p := range pair {
 			switch {
@@ -151,8 +152,8 @@
 			}
 		}
 		if a != nil && b != nil {
-			more = append(more, b.Outcome.Worth-a.Outcome.Worth)
+			diffs = append(diffs, b.Outcome.Worth-a.Outcome.Worth)
 		}
 	}
-	return more
+	return diffs
 }
--- a/cmd/sapphiregauge/apply.go
+++ b/cmd/sapphiregauge/apply.go
@@ -51,14 +51,14 @@
 func runApply(ctx context.Context, t *target, f *applyFlags) error {
 	ctx, cancel := context.WithTimeout(ctx, f.timeout)
 	defer cancel()
-	sub, err := f.submission()
+	submission, err := f.submission()
 	if err != nil {
 		return err
 	}
 	cl := t.client()
 	defer cl.Close()
 	var res apply.Result
-	if err := cl.Post(ctx, "/apply", sub, &res); err != nil {
+	if err := cl.Post(ctx, "/apply", submission, &res); err != nil {
 		return err
 	}
 	fmt.Print(res.Diff)
--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -42,6 +42,6 @@
 	return p
 }
 
-// monotonicTime returns the monotonic clock as a time.Time, for components that only use differences of
-// times.
+// monotonicTime returns the monotonic clock as a time.Time, for components that only use differences
+// of times.
 func monotonicTime() time.Time { return time.Unix(0, int64(boot.Now())) }
--- a/cmd/sapphiregauge/host.go
+++ b/cmd/sapphiregauge/host.go
@@ -91,13 +91,15 @@
 	// commitCheckDelay is how long a transaction may go without a response before its outcome is
 	// checked. A transaction takes about 10 ms; a used-up CPU quota delays it by 100 ms.
 	commitCheckDelay = 300 * time.Millisecond
-	// maxFastRead is the longest read of a table that counts as fast, awayRead the bound on a read
-	// while its reachability is checked. A read takes 4 ms, 60 to 90 times as long in a slow
-	// period; in between, the response to a transaction takes less than lateAnswer.
+	// maxFastRead is the longest read that shows that the table isn't slow; a read that takes longer
+	// than probeReadTimeout shows that the table is unreachable. A read takes 4 ms, 60 to 90 times
+	// as long in a slow period; in between, a response to a transaction takes less than
+	// commitCheckDelay.
 	maxFastRead      = 100 * time.Millisecond
 	probeReadTimeout = 500 * time.Millisecond
 	// heartbeatTimeout bounds a heartbeat call to a worker, in addition to its long-polling wait. A
-	// worker that doesn't answer gets no lease extension, so the bound is generous.
+	// worker that doesn't answer gets no lease extension, so a short delay mustn't make it count as
+	// silent.
 	heartbeatTimeout = 800 * time.Millisecond
 	// orderTimeout bounds an order to a worker. A worker answers within a few ms, and an order
 	// without an answer is settled by a further order.
@@ -107,7 +109,8 @@
 	// adviceTimeout bounds a call to the advice service, where up to thirty-two other calls may be
 	// queued before it.
 	adviceTimeout = 3 * time.Second
-	// stopMargin is the time between the end of serving and the platform's SIGKILL.
+	// stopMargin is the time between the end of serving and the time at which the platform kills the
+	// process.
 	stopMargin = 1500 * time.Millisecond
 	// closeTimeout bounds the final wait for calls in flight.
 	closeTimeout = 800 * time.Millisecond
@@ -226,7 +229,7 @@
 }
 
 // release gives up the leases of the pools, so that other entries take them: at once, or, while the
-// table is slow, as soon as it is fast again or patience has passed.
+// table is slow, as soon as it is fast again or maxDelay has passed.
 func (p *components) release(maxDelay time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDelay+releaseTimeout)
 	defer cancel()
--- a/cmd/sapphiregauge/main.go
+++ b/cmd/sapphiregauge/main.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// newSubcommand makes a subcommand. The first paragraph of its usage is shown in the list of commands, all of
-// it in the subcommand's own help.
+// newSubcommand makes a subcommand. The first paragraph of its usage is shown in the list of commands,
+// all of it in the subcommand's own help.
 func newSubcommand(name, usage string) *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(name)
 	first, rest, _ := strings.Cut(usage, "\n\n")
