--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -17,19 +17,19 @@
 // assemble creates the components of an entry and connects them.
 func assemble(s platform.Settings, without gauge.Without, log logr.Logger) *components {
 	p := &components{settings: s, log: log, meter: meter.New()}
-	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: commitTimeout, Clock: monotonicTime})
+	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: commitTimeout, Clock: bootTime})
 	store := timely.New(timely.Config{
 		Store: p.table, Late: commitCheckDelay, Fast: maxFastRead, Away: probeReadTimeout, Most: commitTimeout, Now: boot.Now,
 	})
-	p.workers = platform.NewWorkers(platform.WorkersConfig{Hold: heartbeatTimeout, Order: orderTimeout, Clock: monotonicTime})
+	p.workers = platform.NewWorkers(platform.WorkersConfig{Hold: heartbeatTimeout, Order: orderTimeout, Clock: bootTime})
 	var machines gauge.Machines
 	if s.Machines != "" {
-		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.Machines, Timeout: machineTimeout, Clock: monotonicTime})
+		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.Machines, Timeout: machineTimeout, Clock: bootTime})
 		machines = p.machines
 	}
 	var adviser gauge.Adviser
 	if s.Advice != "" {
-		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.Advice, Timeout: adviceTimeout, Clock: monotonicTime})
+		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.Advice, Timeout: adviceTimeout, Clock: bootTime})
 	}
 	p.mesh = mesh.New(mesh.Config{Closed: func(addr string) { p.node.CheckHolder(addr) }})
 	p.node = node.New(node.Config{
@@ -42,6 +42,6 @@
 	return p
 }
 
-// monotonicTime returns the monotonic clock as a time.Time, for components that only use differences
-// of times.
-func monotonicTime() time.Time { return time.Unix(0, int64(boot.Now())) }
+// bootTime returns the time since the machine's start, suspensions included, as a time.Time, for
+// components that only use differences of times.
+func bootTime() time.Time { return time.Unix(0, int64(boot.Now())) }
