--- a/cmd/sapphiregauge/entry.go
+++ b/cmd/sapphiregauge/entry.go
@@ -49,15 +49,15 @@
 
 func (s *entrySettings) settings() conf.List {
 	l := conf.List{
-		{Flag: "id", Help: "name of this entry, the same after a restart", Dest: &s.id, Check: conf.Given(&s.id)},
-		{Flag: "zone", Help: "data centre that this entry runs in", Dest: &s.zone, Check: conf.Given(&s.zone)},
+		{Flag: "id", Help: "name of this entry, the same after a restart", Dest: &s.id, Check: conf.Required(&s.id)},
+		{Flag: "zone", Help: "data centre that this entry runs in", Dest: &s.zone, Check: conf.Required(&s.zone)},
 		{Flag: "http", Help: "ip:port for callers and operators", Dest: &s.httpAddr, Check: conf.Addr(&s.httpAddr)},
 		{Flag: "peer", Help: "ip:port for other entries", Dest: &s.peerAddr, Check: conf.Addr(&s.peerAddr)},
 		{Flag: "seeds", Help: "ip:port of other entries, comma between, for a start while the table is out", Dest: &s.seeds, Check: conf.Addrs(&s.seeds)},
 		{Flag: "platform", Help: "ip:port of the platform's service", Dest: &s.platformAddr, Check: conf.Addr(&s.platformAddr)},
 		{Flag: "platkey", Help: "key for the platform", Dest: &s.platformKey},
-		{Flag: "peerkey", Help: "key that all entries share", Dest: &s.peerKey, Check: conf.Secret(&s.peerKey)},
-		{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &s.operatorKey, Check: conf.Secret(&s.operatorKey)},
+		{Flag: "peerkey", Help: "key that all entries share", Dest: &s.peerKey, Check: conf.SecretKey(&s.peerKey)},
+		{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &s.operatorKey, Check: conf.SecretKey(&s.operatorKey)},
 		{Flag: "level", Help: "log level, info or debug", Dest: &s.logLevel, Check: conf.OneOf(&s.logLevel, "info", "debug")},
 	}
 	return append(l, s.timeSettings()...)
@@ -65,14 +65,14 @@
 
 func (s *entrySettings) timeSettings() conf.List {
 	return conf.List{
-		{Flag: "poll", Help: "time between two reads of the newest revision", Dest: &s.pollInterval, Check: conf.Above(&s.pollInterval, 0)},
-		{Flag: "beat", Help: "time between two heartbeats", Dest: &s.heartbeatInterval, Check: conf.Above(&s.heartbeatInterval, 0)},
-		{Flag: "row", Help: "time between two writes of the member row", Dest: &s.memberRowInterval, Check: conf.Above(&s.memberRowInterval, 0)},
+		{Flag: "poll", Help: "time between two reads of the newest revision", Dest: &s.pollInterval, Check: conf.GreaterThan(&s.pollInterval, 0)},
+		{Flag: "beat", Help: "time between two heartbeats", Dest: &s.heartbeatInterval, Check: conf.GreaterThan(&s.heartbeatInterval, 0)},
+		{Flag: "row", Help: "time between two writes of the member row", Dest: &s.memberRowInterval, Check: conf.GreaterThan(&s.memberRowInterval, 0)},
 		{Flag: "term", Help: "length of a slot lease; more than twice --round", Dest: &s.leaseTerm, Check: s.checkTerm},
-		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.renewInterval, Check: conf.Above(&s.renewInterval, 0)},
-		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.hostListInterval, Check: conf.Above(&s.hostListInterval, 0)},
-		{Flag: "drain", Help: "time to go on serving after SIGTERM while not ready", Dest: &s.drainDelay, Check: conf.Above(&s.drainDelay, -1)},
-		{Flag: "stop", Help: "longest wait for requests in flight after --drain", Dest: &s.shutdownTimeout, Check: conf.Above(&s.shutdownTimeout, 0)},
+		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.renewInterval, Check: conf.GreaterThan(&s.renewInterval, 0)},
+		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.hostListInterval, Check: conf.GreaterThan(&s.hostListInterval, 0)},
+		{Flag: "drain", Help: "time to go on serving after SIGTERM while not ready", Dest: &s.drainDelay, Check: conf.GreaterThan(&s.drainDelay, -1)},
+		{Flag: "stop", Help: "longest wait for requests in flight after --drain", Dest: &s.shutdownTimeout, Check: conf.GreaterThan(&s.shutdownTimeout, 0)},
 	}
 }
 
--- a/cmd/sapphiregauge/local.go
+++ b/cmd/sapphiregauge/local.go
@@ -22,7 +22,7 @@
 		sub: newSubcommand("local", usageLocal),
 		settings: conf.List{
 			{Flag: "http", Help: "ip:port for callers and operators", Dest: &http, Check: conf.Addr(&http)},
-			{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &key, Check: conf.Secret(&key)},
+			{Flag: "opkey", Help: "key that operators' commands must carry", Dest: &key, Check: conf.SecretKey(&key)},
 			{Flag: "workers", Help: "number of workers", Dest: &workers, Check: func(fs *gauge.Faults, field string) {
 				if workers < 1 || workers > 200 {
 					fs.Add(field, "is %d, must lie between 1 and 200", workers)
--- a/cmd/sapphiregauge/operate.go
+++ b/cmd/sapphiregauge/operate.go
@@ -21,7 +21,7 @@
 func (t *target) settings() conf.List {
 	return conf.List{
 		{Flag: "entry", Help: "ip:port of any entry", Dest: &t.addr, Check: conf.Addr(&t.addr)},
-		{Flag: "opkey", Help: "the operators' key", Dest: &t.key, Check: conf.Secret(&t.key)},
+		{Flag: "opkey", Help: "the operators' key", Dest: &t.key, Check: conf.SecretKey(&t.key)},
 	}
 }
 
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs the small stand-ins for what lies outside the system,
-// each as a process of its own: "standin platform" and "standin worker". They
-// are for tests and for trying things out, not for a real site.
+// Command standin runs fakes of the external systems, each as a process of its own: "standin platform"
+// serves the table, the object store and the host list from memory, and "standin worker" is a worker
+// that echoes requests. They are for tests and trials, not for production.
 package main
 
 import (
@@ -31,18 +31,18 @@
 	}
 }
 
-// options are the flags of both stand-ins.
+// options holds the flags of both subcommands.
 type options struct {
-	listen, platform, id, zone, rack string
-	slots, cores, memory, accels     int
-	lag, gone, boot, every           time.Duration
+	listen, platform, id, zone, rack             string
+	slots, cores, memoryGiB, accelerators        int
+	listLag, goneAfter, bootTime, reportInterval time.Duration
 }
 
 func run(args []string) error {
 	o := options{
 		listen: "127.0.0.1:0", platform: "127.0.0.1:8090", id: "worker", zone: "zone-1", rack: "rack-1",
-		slots: 8, cores: 16, memory: 64,
-		lag: time.Second, gone: 3 * time.Second, boot: 2 * time.Second, every: 200 * time.Millisecond,
+		slots: 8, cores: 16, memoryGiB: 64,
+		listLag: time.Second, goneAfter: 3 * time.Second, bootTime: 2 * time.Second, reportInterval: 200 * time.Millisecond,
 	}
 	parser := flaggy.NewParser("standin")
 	parser.Description = "stand-ins for the platform and the workers"
@@ -54,18 +54,18 @@
 		sc.String(&o.listen, "", "listen", "ip:port")
 		parser.AttachSubcommand(sc, 1)
 	}
-	platform.Duration(&o.lag, "", "lag", "how old the host list may be")
-	platform.Duration(&o.gone, "", "gone", "silence after which a host is listed as gone")
+	platform.Duration(&o.listLag, "", "lag", "how old the host list may be")
+	platform.Duration(&o.goneAfter, "", "gone", "silence after which a host is listed as gone")
 	worker.String(&o.platform, "", "platform", "ip:port of the platform stand-in")
 	worker.String(&o.id, "", "id", "name of the host")
 	worker.String(&o.zone, "", "zone", "data centre")
 	worker.String(&o.rack, "", "rack", "rack")
 	worker.Int(&o.slots, "", "slots", "slots")
 	worker.Int(&o.cores, "", "cores", "cores")
-	worker.Int(&o.memory, "", "memory", "GiB")
-	worker.Int(&o.accels, "", "accels", "accelerators")
-	worker.Duration(&o.boot, "", "boot", "how long a reboot takes")
-	worker.Duration(&o.every, "", "every", "time between two reports")
+	worker.Int(&o.memoryGiB, "", "memory", "GiB")
+	worker.Int(&o.accelerators, "", "accels", "accelerators")
+	worker.Duration(&o.bootTime, "", "boot", "how long a reboot takes")
+	worker.Duration(&o.reportInterval, "", "every", "time between two reports")
 	if err := parser.ParseArgs(args); err != nil {
 		return err
 	}
@@ -88,7 +88,8 @@
 	return l, nil
 }
 
-func untilSignal(stop func() error) {
+// stopOnSignal calls stop on SIGTERM or SIGINT. It returns at once.
+func stopOnSignal(stop func() error) {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		defer cancel()
@@ -102,8 +103,8 @@
 	if err != nil {
 		return err
 	}
-	s := stand.New(stand.Config{Lag: o.lag, Gone: o.gone, Clock: time.Now})
-	untilSignal(s.Close)
+	s := stand.New(stand.Config{Lag: o.listLag, Gone: o.goneAfter, Clock: time.Now})
+	stopOnSignal(s.Close)
 	return s.Serve(l)
 }
 
@@ -117,20 +118,21 @@
 	w := work.New(work.Config{
 		Self: gauge.Sighting{
 			ID: o.id, Addr: l.Addr().String(), Zone: o.zone, Rack: o.rack,
-			Cores: o.cores, Memory: o.memory, Accels: o.accels, Slots: o.slots, Conns: conns,
+			Cores: o.cores, Memory: o.memoryGiB, Accels: o.accelerators, Slots: o.slots, Conns: conns,
 		},
-		Boot: o.boot, Every: o.every, Report: r.report,
+		BootTime: o.bootTime, ReportInterval: o.reportInterval, Report: r.report,
 	})
-	untilSignal(w.Close)
+	stopOnSignal(w.Close)
 	return w.Serve(l)
 }
 
-// reporter tells the platform stand-in what a worker says of itself.
+// reporter sends a worker's status reports to the fake platform.
 type reporter struct {
 	addr string
 	pool *exch.Pool
 }
 
+// report sends one status report; the response says whether the worker is to reboot.
 func (r *reporter) report(s gauge.Sighting) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn counts good and bad answers by service and minute, and works out
-// how fast each service burns its error budget. Entries' counts can be added up.
+// Package burn counts good and bad responses by service and minute, and computes how fast each service
+// burns its error budget. The counts of several entries can be summed.
 package burn
 
 import (
@@ -9,10 +9,10 @@
 	gauge "sapphiregauge"
 )
 
-// Minutes is how far back the counts go.
+// Minutes is how many minutes back the counts are kept.
 const Minutes = 6 * 60
 
-// Count is the answers of one minute.
+// Count is the number of good and bad responses in one minute.
 type Count struct {
 	Good uint32 `msgpack:"g" json:"good"`
 	Bad  uint32 `msgpack:"b" json:"bad"`
@@ -21,11 +21,11 @@
 // Series is a service's counts, the newest minute last.
 type Series struct {
 	Service string  `msgpack:"s" json:"service"`
-	Minute  int64   `msgpack:"m" json:"minute"` // of the newest, since 1970
+	Minute  int64   `msgpack:"m" json:"minute"` // the newest minute, in minutes since the Unix epoch (1970)
 	Counts  []Count `msgpack:"c" json:"counts"`
 }
 
-// Book keeps the counts of this entry. Safe for concurrent use.
+// Book keeps the counts of this entry. It is safe for concurrent use.
 type Book struct {
 	clock gauge.Clock
 
@@ -33,8 +33,9 @@
 	services map[string]*ring
 }
 
+// ring holds a service's counts by minute, modulo Minutes.
 type ring struct {
-	minute int64 // of the newest
+	minute int64 // the newest minute
 	counts [Minutes]Count
 }
 
@@ -43,9 +44,9 @@
 	return &Book{clock: clock, services: make(map[string]*ring)}
 }
 
-// Bad tells whether an answer of a kind is one that the service owes its
-// callers better. What the caller did wrong, or gave up, does not count.
-func Bad(k gauge.Kind) bool {
+// CountsAsBad reports whether a response with an error of this kind counts against the service's
+// error budget. Faults of the caller and requests that the caller cancelled don't.
+func CountsAsBad(k gauge.Kind) bool {
 	switch k {
 	case gauge.KindFull, gauge.KindEmpty, gauge.KindOutage, gauge.KindUnready, gauge.KindDraining,
 		gauge.KindExpired, gauge.KindUnknown, gauge.KindPoison, gauge.KindFailed, gauge.KindInternal:
@@ -55,9 +56,10 @@
 	}
 }
 
-// Note counts one answer; err is nil for a good one.
+// Note counts one response of a service; err is nil for a good one. Errors that aren't the service's
+// fault aren't counted.
 func (b *Book) Note(service string, err error) {
-	bad := err != nil && Bad(gauge.KindOf(err))
+	bad := err != nil && CountsAsBad(gauge.KindOf(err))
 	if err != nil && !bad {
 		return
 	}
@@ -78,8 +80,7 @@
 
 func (b *Book) minute() int64 { return b.clock().Unix() / 60 }
 
-// at returns a minute's count; the minutes that have passed since the newest
-// are emptied.
+// at returns a minute's count and resets the counts of the minutes since the newest one.
 func (r *ring) at(minute int64) *Count {
 	for ; r.minute < minute; r.minute++ {
 		if minute-r.minute > Minutes {
@@ -90,7 +91,7 @@
 	return &r.counts[minute%Minutes]
 }
 
-// Series returns the counts of all services, up to this minute.
+// Series returns the counts of all services up to the current minute, sorted by service.
 func (b *Book) Series() []Series {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,8 +119,9 @@
 	return 0
 }
 
-// Sum adds entries' series up, minute by minute. A series whose clock is a few
-// minutes off is shifted; what lies outside the window is left out.
+// Sum adds the entries' series, minute by minute, up to the newest minute of any entry. A series that
+// ends earlier, as with a clock that is a few minutes off, is shifted accordingly; counts outside of
+// the window are left out.
 func Sum(all ...[]Series) []Series {
 	var newest int64
 	for _, list := range all {
@@ -156,8 +158,8 @@
 	}
 }
 
-// Rate is the burn rate over the last minutes: 1 uses the budget up exactly
-// over the objective's period.
+// Rate returns the burn rate over the last minutes: at 1, the error budget is used up exactly at the
+// end of the objective's period. It is 0 if there were no responses.
 func (s Series) Rate(minutes int, objective float64) float64 {
 	var good, bad uint64
 	for _, c := range s.Counts[max(0, len(s.Counts)-minutes):] {
@@ -170,8 +172,8 @@
 	return float64(bad) / float64(good+bad) / (1 - objective)
 }
 
-// The windows, in minutes, and the rates over which an alert is raised in both
-// windows of a pair. Source: the multi-window alerts of Google's "The Site
+// The windows of the alerts, in minutes, and their burn rates: an alert is raised if the rate is
+// exceeded in both windows of a pair. Source: the multi-window alerts of Google's "The Site
 // Reliability Workbook", chapter 5, for a period of 30 days.
 const (
 	PageShort   = 5
@@ -182,7 +184,8 @@
 	TicketRate  = 6
 )
 
-// Line is one service's part of the report.
+// Line is a service's row of the report: its burn rates over 5 and 30 minutes, 1 and 6 hours, and the
+// counts behind them.
 type Line struct {
 	Service   string  `json:"service"`
 	Pool      string  `json:"pool"`
@@ -196,30 +199,31 @@
 	Minute    int64   `json:"minute"`
 }
 
-// Alert is how urgent a service's burn is.
+// Alert is the urgency of a service's burn rate.
 type Alert string
 
-// The alerts.
+// The alerts, by increasing urgency.
 const (
 	AlertNone   Alert = "none"
 	AlertTicket Alert = "ticket"
 	AlertPage   Alert = "page"
 )
 
-// Report works the lines out for the services of a state.
+// Report computes the lines of the services that are configured in a state; series of other services
+// are left out.
 func Report(s gauge.State, series []Series) []Line {
 	var out []Line
-	for _, one := range series {
-		svc := s.Service(one.Service)
+	for _, svcSeries := range series {
+		svc := s.Service(svcSeries.Service)
 		if svc == nil || s.Pool(svc.Pool) == nil {
 			continue
 		}
-		out = append(out, line(one, svc.Pool, s.Pool(svc.Pool).Objective))
+		out = append(out, newLine(svcSeries, svc.Pool, s.Pool(svc.Pool).Objective))
 	}
 	return out
 }
 
-func line(s Series, pool string, objective float64) Line {
+func newLine(s Series, pool string, objective float64) Line {
 	l := Line{
 		Service: s.Service, Pool: pool, Objective: objective, Counts: s.Counts, Minute: s.Minute,
 		Rate5m: s.Rate(PageShort, objective), Rate30m: s.Rate(TicketShort, objective),
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -18,8 +18,8 @@
 	}}
 }
 
-// A tenth of all answers is bad for the last ten minutes of a quiet six hours:
-// the short windows burn at 100 times the budget, the long ones at less.
+// In six hours without errors, a tenth of the responses of the last ten minutes is bad. The 5-minute
+// window burns at 100 times the budget, the longer windows at less. Faults of the caller don't count.
 func TestRatesOverWindows(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := burn.New(func() time.Time { return now })
@@ -47,9 +47,9 @@
 	assert.Equal(t, l.Alert, burn.AlertPage)
 }
 
-// Counts that are older than the window are forgotten, also if nothing came
-// meanwhile, and entries add up although their clocks differ by a minute.
-func TestOldCountsAndSums(t *testing.T) {
+// Counts older than the window are dropped, even if no response was counted meanwhile, and the counts
+// of entries add up although their clocks differ by a minute.
+func TestOldCountsAreDroppedAndSumsAlignClocks(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := burn.New(func() time.Time { return now })
 	b.Note("s", errors.New("a defect"))
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,4 +1,4 @@
-// Package chart draws a service's answers over the last hours as an SVG.
+// Package chart plots a service's burn rate over the last hours as an SVG.
 package chart
 
 import (
@@ -18,19 +18,19 @@
 const (
 	width  = 18 * vg.Centimeter
 	height = 6 * vg.Centimeter
-	// smoothed is over how many minutes the burn rate is drawn.
-	smoothed = 5
+	// rateWindowMinutes is the window, in minutes, of the plotted burn rate.
+	rateWindowMinutes = 5
 )
 
-// Burn draws the burn rate of one service, smoothed over five minutes, with the
-// rates over which alerts are raised.
+// Burn plots the burn rate of one service over a sliding window of five minutes, with the alerts' rates
+// as dashed lines. It returns the SVG.
 func Burn(l burn.Line) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = l.Service
 	p.Y.Label.Text = "burn rate"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04", Time: func(t float64) time.Time { return time.Unix(int64(t), 0).UTC() }}
 	p.Y.Min = 0
-	line, err := plotter.NewLine(points(l))
+	line, err := plotter.NewLine(ratePoints(l))
 	if err != nil {
 		return nil, gauge.Fail(gauge.KindInternal, "chart.Burn").Because(err)
 	}
@@ -50,13 +50,13 @@
 	return out.Bytes(), nil
 }
 
-func points(l burn.Line) plotter.XYs {
+func ratePoints(l burn.Line) plotter.XYs {
 	out := make(plotter.XYs, len(l.Counts))
-	first := l.Minute - int64(len(l.Counts)) + 1
+	firstMinute := l.Minute - int64(len(l.Counts)) + 1
 	for i := range l.Counts {
 		s := burn.Series{Counts: l.Counts[:i+1]}
-		out[i].X = float64((first + int64(i)) * 60)
-		out[i].Y = s.Rate(smoothed, l.Objective)
+		out[i].X = float64((firstMinute + int64(i)) * 60)
+		out[i].Y = s.Rate(rateWindowMinutes, l.Objective)
 	}
 	return out
 }
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,6 +1,6 @@
-// Package conf reads settings: each is a flag and an environment variable, the
-// flag goes first. All faults are named together, each with the flag or the
-// variable that it came from.
+// Package conf reads the settings of commands. Each setting is a flag and an environment variable; the
+// flag takes precedence. All invalid settings are reported together, each with the flag or the
+// variable that its value came from.
 package conf
 
 import (
@@ -19,19 +19,19 @@
 // that holds the default.
 type Setting struct {
 	Flag  string
-	Help  string // with the unit
+	Help  string // includes the unit
 	Dest  any
-	Check func(fs *gauge.Faults, field string)
+	Check func(fs *gauge.Faults, field string) // validates the value once all settings are loaded; may be nil
 
-	given string
+	flagValue string // value of the flag; empty: not given
 }
 
 const envPrefix = "SAPPHIREGAUGE_"
 
-// Env is the setting's environment variable.
+// Env returns the name of the setting's environment variable.
 func (s *Setting) Env() string { return envPrefix + strings.ToUpper(s.Flag) }
 
-// Default is the setting's default as text.
+// Default returns the setting's default as text. Once the setting is loaded, that is its value.
 func (s *Setting) Default() string {
 	switch d := s.Dest.(type) {
 	case *string:
@@ -50,45 +50,45 @@
 // List is the settings of one command.
 type List []*Setting
 
-// Bind adds the settings as flags. They are read as text, so that a malformed
-// one is told like any other fault.
+// Bind adds the settings as flags. They are read as text, so that Load reports a malformed value
+// together with the other faults.
 func (l List) Bind(sc *flaggy.Subcommand) {
 	for _, s := range l {
 		help := s.Help + " [" + s.Env() + "]"
 		if d := s.Default(); d != "" {
 			help += " (default " + d + ")"
 		}
-		sc.String(&s.given, "", s.Flag, help)
+		sc.String(&s.flagValue, "", s.Flag, help)
 	}
 }
 
-// Load sets each setting from its flag, else its variable, and then checks them
-// all: a check may look at other settings.
+// Load sets each setting from its flag, or else from its environment variable. It checks the settings
+// once all are set, since a check may depend on other settings. The error lists all faults.
 func (l List) Load(lookup func(string) (string, bool)) error {
-	var all gauge.Faults
+	var faults gauge.Faults
 	sources := make([]string, len(l))
 	for i, s := range l {
 		var fs gauge.Faults
 		sources[i] = s.load(&fs, lookup)
-		all = append(all, from(sources[i], fs)...)
+		faults = append(faults, withSource(sources[i], fs)...)
 	}
-	if len(all) > 0 {
-		return all.Err()
+	if len(faults) > 0 {
+		return faults.Err()
 	}
 	for i, s := range l {
 		var fs gauge.Faults
 		if s.Check != nil {
 			s.Check(&fs, s.Flag)
 		}
-		all = append(all, from(sources[i], fs)...)
+		faults = append(faults, withSource(sources[i], fs)...)
 	}
-	return all.Err()
+	return faults.Err()
 }
 
-// load returns where the setting's text came from.
+// load sets the setting and returns the source of its value.
 func (s *Setting) load(fs *gauge.Faults, lookup func(string) (string, bool)) string {
-	if s.given != "" {
-		s.set(fs, s.given)
+	if s.flagValue != "" {
+		s.set(fs, s.flagValue)
 		return "flag --" + s.Flag
 	}
 	if text, ok := lookup(s.Env()); ok && text != "" {
@@ -98,7 +98,8 @@
 	return "default"
 }
 
-func from(source string, fs gauge.Faults) gauge.Faults {
+// withSource sets the source of the faults.
+func withSource(source string, fs gauge.Faults) gauge.Faults {
 	for i := range fs {
 		fs[i].Source = source
 	}
@@ -128,7 +129,7 @@
 	}
 }
 
-// Reference describes the settings as rows of a Markdown table.
+// Reference returns the settings as a Markdown table.
 func (l List) Reference() string {
 	var b strings.Builder
 	b.WriteString("| flag | variable | default | meaning |\n|---|---|---|---|\n")
@@ -145,12 +146,12 @@
 	return "`" + s + "`"
 }
 
-// Addr checks an ip:port. Names are refused: the processes talk by IP numbers.
+// Addr checks an ip:port. Host names are rejected: the processes connect by IP address.
 func Addr(v *string) func(*gauge.Faults, string) {
 	return func(fs *gauge.Faults, field string) { checkAddr(fs, field, *v) }
 }
 
-// Addrs checks a list of ip:port.
+// Addrs checks each element of a list as Addr does.
 func Addrs(v *[]string) func(*gauge.Faults, string) {
 	return func(fs *gauge.Faults, field string) {
 		for _, a := range *v {
@@ -173,8 +174,8 @@
 	}
 }
 
-// Above checks that a duration is longer than a bound.
-func Above(v *time.Duration, bound time.Duration) func(*gauge.Faults, string) {
+// GreaterThan checks that a duration is longer than a bound.
+func GreaterThan(v *time.Duration, bound time.Duration) func(*gauge.Faults, string) {
 	return func(fs *gauge.Faults, field string) {
 		if *v <= bound {
 			fs.Add(field, "is %s, must be above %s", *v, bound)
@@ -182,18 +183,18 @@
 	}
 }
 
-// Secret checks that a key is long enough to be one.
-func Secret(v *string) func(*gauge.Faults, string) {
-	const least = 16
+// SecretKey checks that a key has at least 16 characters. Its fault doesn't reveal the key.
+func SecretKey(v *string) func(*gauge.Faults, string) {
+	const minLength = 16
 	return func(fs *gauge.Faults, field string) {
-		if len(*v) < least {
-			fs.Add(field, "has %d characters, at least %d are needed", len(*v), least)
+		if len(*v) < minLength {
+			fs.Add(field, "has %d characters, at least %d are needed", len(*v), minLength)
 		}
 	}
 }
 
-// Given checks that a text is not empty.
-func Given(v *string) func(*gauge.Faults, string) {
+// Required checks that a text is not empty.
+func Required(v *string) func(*gauge.Faults, string) {
 	return func(fs *gauge.Faults, field string) {
 		if *v == "" {
 			fs.Add(field, "is missing")
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -11,7 +11,7 @@
 	"sapphiregauge/internal/conf"
 )
 
-// settings are read from flags, then variables, then their defaults.
+// settings are the values that load reads, by precedence: flags, environment variables, defaults.
 type settings struct {
 	addr string
 	wait time.Duration
@@ -23,8 +23,8 @@
 	s := settings{addr: "127.0.0.1:1", wait: time.Second}
 	l := conf.List{
 		{Flag: "addr", Dest: &s.addr, Check: conf.Addr(&s.addr)},
-		{Flag: "wait", Dest: &s.wait, Check: conf.Above(&s.wait, 0)},
-		{Flag: "key", Dest: &s.key, Check: conf.Secret(&s.key)},
+		{Flag: "wait", Dest: &s.wait, Check: conf.GreaterThan(&s.wait, 0)},
+		{Flag: "key", Dest: &s.key, Check: conf.SecretKey(&s.key)},
 	}
 	p := flaggy.NewParser("x")
 	sc := flaggy.NewSubcommand("run")
@@ -35,7 +35,7 @@
 	return s, err
 }
 
-func TestFlagsGoFirst(t *testing.T) {
+func TestFlagsTakePrecedence(t *testing.T) {
 	s, err := load(t, []string{"--wait", "3s"}, map[string]string{
 		"SAPPHIREGAUGE_WAIT": "2s", "SAPPHIREGAUGE_KEY": "0123456789abcdef",
 	})
@@ -43,8 +43,8 @@
 	assert.Equal(t, s, settings{addr: "127.0.0.1:1", wait: 3 * time.Second, key: "0123456789abcdef"})
 }
 
-// All faults are told at once, each with where it came from.
-func TestFaultsAreNamed(t *testing.T) {
+// All faults are reported at once, each with its source, and none reveals a secret.
+func TestAllFaultsAreReportedWithTheirSource(t *testing.T) {
 	_, err := load(t, []string{"--addr", "localhost:80"}, map[string]string{"SAPPHIREGAUGE_WAIT": "0s", "SAPPHIREGAUGE_KEY": "short"})
 	for _, want := range []string{
 		`flag --addr: addr: "localhost:80": "localhost" is no IP number`,
@@ -53,7 +53,7 @@
 	} {
 		assert.Assert(t, strings.Contains(err.Error(), want), err.Error())
 	}
-	assert.Assert(t, !strings.Contains(err.Error(), "short"), "a secret is told")
+	assert.Assert(t, !strings.Contains(err.Error(), "short"), "the error reveals a secret")
 	_, err = load(t, []string{"--wait", "soon"}, nil)
 	assert.Assert(t, strings.Contains(err.Error(), `"soon" is no duration`))
 }
--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -1,6 +1,6 @@
-// Package fixed makes random tests repeatable: the same seed and the same
-// number of checks on every run, so that a test's verdict never changes by
-// itself. A flag given on the command line goes first.
+// Package fixed makes property-based tests (pgregory.net/rapid) reproducible: they run with the same
+// seed and the same number of checks each time, so that a result changes only with the code. A flag
+// given on the command line takes precedence.
 package fixed
 
 import (
@@ -8,21 +8,21 @@
 	"os"
 )
 
-// Run is how a random test runs.
+// Run holds the values of rapid's flags; an empty one keeps rapid's default.
 type Run struct {
-	Checks string
-	Steps  string // of a state machine
+	Checks string // number of test cases per property
+	Steps  string // average number of steps of a state machine test
 }
 
-// Main runs the tests of a package so, in its TestMain.
+// Main sets rapid's flags, runs the tests of a package and exits. It is called by the package's TestMain.
 func (r Run) Main(tests interface{ Run() int }) {
 	flag.Parse()
-	r.set()
+	r.setFlags()
 	os.Exit(tests.Run())
 }
 
-// set sets rapid's flags.
-func (r Run) set() {
+// setFlags sets those of rapid's flags that the command line doesn't give.
+func (r Run) setFlags() {
 	given := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	for name, value := range map[string]string{
@@ -32,7 +32,7 @@
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
-			panic(err) // the library has renamed its flag
+			panic(err) // rapid has renamed or removed the flag
 		}
 	}
 }
--- a/internal/flaky/flaky.go
+++ b/internal/flaky/flaky.go
@@ -1,5 +1,5 @@
-// Package flaky injects faults between a part and the platform's table, for
-// tests: the n-th call fails in a chosen way.
+// Package flaky is a wrapper of the platform's table that injects one fault, for tests: the n-th call
+// fails in a chosen way.
 package flaky
 
 import (
@@ -10,24 +10,24 @@
 	gauge "sapphiregauge"
 )
 
-// Fault is a way for a call to fail.
+// Fault is the way in which a call fails.
 type Fault string
 
 // The faults.
 const (
 	None   Fault = "none"
-	Down   Fault = "down"   // refused, not done
-	Lost   Fault = "lost"   // done, the answer is lost
-	Gone   Fault = "gone"   // the request is lost, not done; the caller can't tell
-	Late   Fault = "late"   // the answer is lost, done a while later
-	Frozen Fault = "frozen" // the caller is paused before the call, then goes on
-	Outage Fault = "outage" // this call and all for a while are refused
+	Down   Fault = "down"   // refused, not carried out
+	Lost   Fault = "lost"   // carried out, the response is lost
+	Gone   Fault = "gone"   // the request is lost and not carried out; to the caller the outcome is unknown
+	Late   Fault = "late"   // the response is lost, the call is carried out after LateBy
+	Frozen Fault = "frozen" // the caller is paused for FrozenFor before the call, which then succeeds
+	Outage Fault = "outage" // this call and all others for OutageFor are refused
 )
 
-// Faults lists all that fail.
+// Faults lists all faults but None.
 func Faults() []Fault { return []Fault{Down, Lost, Gone, Late, Frozen, Outage} }
 
-// How long the slow ones take.
+// Durations of the faults.
 const (
 	LateBy    = 5 * time.Second
 	FrozenFor = 12 * time.Second
@@ -37,18 +37,18 @@
 // Config sets up a Table.
 type Config struct {
 	Table gauge.Table
-	At    int // the call that fails, from 0
+	At    int // index of the call that fails, from 0
 	Fault Fault
 	Clock gauge.Clock
 }
 
-// Table is a gauge.Table with one fault.
+// Table is a gauge.Table with one injected fault. It is safe for concurrent use.
 type Table struct {
 	conf Config
 
-	mu    sync.Mutex
-	calls int
-	until time.Time // of an outage
+	mu        sync.Mutex
+	calls     int
+	outageEnd time.Time // end of the outage
 }
 
 // New makes a Table.
@@ -61,28 +61,30 @@
 	return t.calls
 }
 
-func (t *Table) next() Fault {
+// nextFault counts a call and returns the fault that applies to it.
+func (t *Table) nextFault() Fault {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := t.calls
 	t.calls++
 	now := t.conf.Clock()
-	if now.Before(t.until) {
+	if now.Before(t.outageEnd) {
 		return Down
 	}
 	if n != t.conf.At {
 		return None
 	}
 	if t.conf.Fault == Outage {
-		t.until = now.Add(OutageFor)
+		t.outageEnd = now.Add(OutageFor)
 		return Down
 	}
 	return t.conf.Fault
 }
 
-// read applies a fault to a call without effect.
-func (t *Table) read() error {
-	switch t.next() {
+// readFault applies the fault of the next call, a read. Since a read has no effect, all faults but
+// Frozen are outages to the caller.
+func (t *Table) readFault() error {
+	switch t.nextFault() {
 	case None:
 		return nil
 	case Frozen:
@@ -95,7 +97,7 @@
 
 // Get reads a row.
 func (t *Table) Get(ctx context.Context, key string) (gauge.Row, error) {
-	if err := t.read(); err != nil {
+	if err := t.readFault(); err != nil {
 		return gauge.Row{}, err
 	}
 	return t.conf.Table.Get(ctx, key)
@@ -103,26 +105,26 @@
 
 // Scan reads rows.
 func (t *Table) Scan(ctx context.Context, prefix string) ([]gauge.Row, error) {
-	if err := t.read(); err != nil {
+	if err := t.readFault(); err != nil {
 		return nil, err
 	}
 	return t.conf.Table.Scan(ctx, prefix)
 }
 
-// Commit writes.
+// Commit applies a transaction.
 func (t *Table) Commit(ctx context.Context, txn gauge.Txn) error {
-	unsure := gauge.Fail(gauge.KindUnknown, "flaky")
-	switch t.next() {
+	errUnknown := gauge.Fail(gauge.KindUnknown, "flaky")
+	switch t.nextFault() {
 	case Down:
 		return gauge.Fail(gauge.KindOutage, "flaky")
 	case Lost:
 		_ = t.conf.Table.Commit(ctx, txn)
-		return unsure
+		return errUnknown
 	case Gone:
-		return unsure
+		return errUnknown
 	case Late:
 		time.AfterFunc(LateBy, func() { _ = t.conf.Table.Commit(context.Background(), txn) })
-		return unsure
+		return errUnknown
 	case Frozen:
 		time.Sleep(FrozenFor)
 	}
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a whole small site in one process: an embedded platform,
-// a few workers, one entry. It is for trying things out.
+// Package local runs a small site in one process, for trials: an embedded platform, workers that echo
+// requests, and one entry. Nothing is persisted.
 package local
 
 import (
@@ -22,12 +22,12 @@
 // Config sets up a Site.
 type Config struct {
 	HTTP        string // ip:port for callers and operators
-	Workers     int
-	OperatorKey string
+	Workers     int    // number of workers
+	OperatorKey string // key that operators' calls must carry
 	Logs        logr.Logger
 }
 
-// Site is the whole.
+// Site is the embedded platform with its workers and its entry.
 type Site struct {
 	conf Config
 }
@@ -35,33 +35,33 @@
 // New makes a Site.
 func New(c Config) *Site { return &Site{conf: c} }
 
-// Sizes of the embedded site.
+// Sizes and times of the embedded site.
 const (
-	perRack  = 4
-	slots    = 8
-	conns    = 64
-	cores    = 16
-	memory   = 64
-	zones    = 3
-	lag      = 500 * time.Millisecond
-	gone     = 3 * time.Second
-	bootTime = 2 * time.Second
-	reports  = 200 * time.Millisecond
+	workersPerRack     = 4
+	slotsPerWorker     = 8
+	connsPerWorker     = 64
+	coresPerWorker     = 16
+	memoryPerWorkerGiB = 64
+	zoneCount          = 3
+	listLag            = 500 * time.Millisecond
+	goneAfter          = 3 * time.Second
+	bootTime           = 2 * time.Second
+	reportInterval     = 200 * time.Millisecond
 )
 
-// Run serves until ctx ends.
+// Run serves until ctx is done.
 func (s *Site) Run(ctx context.Context) error {
-	db := memdb.New()
-	hosts := roster.New(roster.Config{Lag: lag, Gone: gone, Clock: time.Now})
-	httpL, err := net.Listen("tcp", s.conf.HTTP)
+	store := memdb.New()
+	hosts := roster.New(roster.Config{MaxAge: listLag, GoneAfter: goneAfter, Clock: time.Now})
+	httpListener, err := net.Listen("tcp", s.conf.HTTP)
 	if err != nil {
 		return err
 	}
-	peerL, err := net.Listen("tcp", "127.0.0.1:0")
+	peerListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	workers, err := s.workers(hosts)
+	workers, err := s.startWorkers(hosts)
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 	}
 	e := entry.New(entry.Config{
 		Self: gauge.Member{ID: "local", Run: uuid.NewString(), Zone: zoneName(0)},
-		HTTP: httpL, Peer: peerL, Table: db, Objects: db, Platform: hosts,
+		HTTP: httpListener, Peer: peerListener, Table: store, Objects: store, Platform: hosts,
 		PeerKey: []byte(uuid.NewString()), OperatorKey: s.conf.OperatorKey,
 		Clock: time.Now, Logs: s.conf.Logs,
 		Poll: time.Second / 2, Beat: time.Second / 2, Row: time.Second, Term: time.Second,
@@ -87,28 +87,30 @@
 	return group.Wait()
 }
 
-type running struct {
+// runningWorker is a worker and the listener that it serves on.
+type runningWorker struct {
 	worker   *work.Worker
 	listener net.Listener
 }
 
-func zoneName(i int) string { return fmt.Sprintf("zone-%d", i%zones+1) }
+func zoneName(i int) string { return fmt.Sprintf("zone-%d", i%zoneCount+1) }
 
-func (s *Site) workers(hosts *roster.Roster) ([]running, error) {
-	out := make([]running, s.conf.Workers)
+// startWorkers creates the workers, workersPerRack to a rack, and opens their listeners.
+func (s *Site) startWorkers(hosts *roster.Roster) ([]runningWorker, error) {
+	out := make([]runningWorker, s.conf.Workers)
 	for i := range out {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		rack := i / perRack
-		out[i] = running{listener: l, worker: work.New(work.Config{
+		rack := i / workersPerRack
+		out[i] = runningWorker{listener: l, worker: work.New(work.Config{
 			Self: gauge.Sighting{
 				ID: fmt.Sprintf("worker-%02d", i+1), Addr: l.Addr().String(),
 				Zone: zoneName(rack), Rack: fmt.Sprintf("rack-%d", rack+1),
-				Cores: cores, Memory: memory, Slots: slots, Conns: conns,
+				Cores: coresPerWorker, Memory: memoryPerWorkerGiB, Slots: slotsPerWorker, Conns: connsPerWorker,
 			},
-			Boot: bootTime, Every: reports,
+			BootTime: bootTime, ReportInterval: reportInterval,
 			Report: func(seen gauge.Sighting) (bool, error) { return hosts.Report(seen), nil },
 		})}
 	}
--- a/internal/loose/loose.go
+++ b/internal/loose/loose.go
@@ -1,7 +1,6 @@
-// Package loose is the naive way to share workers: each entry picks by its own
-// counts alone, the less loaded of two at random. With several entries it
-// overfills workers. It stays as the baseline that package hold is measured
-// against.
+// Package loose is the baseline that leased slots (package slots) are compared with: each entry chooses
+// workers by its own counts alone, the less loaded of two random ones. With several entries it
+// overloads workers.
 package loose
 
 import (
@@ -17,7 +16,7 @@
 	Random *rand.Rand
 }
 
-// Slots implements gauge.Slots.
+// Slots implements gauge.Slots without leases. It is not safe for concurrent use.
 type Slots struct {
 	conf  Config
 	hosts []gauge.Host
@@ -29,8 +28,8 @@
 	return &Slots{conf: c, hosts: hosts, used: make(map[string]int)}
 }
 
-// Take returns a place on the less loaded of two random hosts, as this entry
-// alone sees it.
+// Take returns a slot on the less loaded of two random hosts, by the counts of this entry alone. It
+// reports false if that host has no free slot.
 func (s *Slots) Take(_ time.Time, class gauge.Class, _ gauge.Attempts, _ func(string) bool) (*gauge.Place, bool) {
 	if len(s.hosts) == 0 {
 		return nil, false
@@ -47,8 +46,8 @@
 	return &gauge.Place{Pool: s.conf.Pool, Class: class, Target: a.Target()}, true
 }
 
-// Done gives a place back.
+// Done releases a slot.
 func (s *Slots) Done(p *gauge.Place) { s.used[p.Target.Host]-- }
 
-// Turn does nothing: the naive way knows no classes.
+// Turn does nothing, since the baseline doesn't distinguish classes.
 func (s *Slots) Turn(*gauge.Place) {}
--- a/internal/memdb/memdb.go
+++ b/internal/memdb/memdb.go
@@ -1,5 +1,5 @@
-// Package memdb is the platform's table and object store in memory: the core
-// of the stand-in, and the embedded platform of the local mode.
+// Package memdb is an in-memory implementation of the platform's table and object store, for the fake
+// platform and the local mode.
 package memdb
 
 import (
@@ -11,7 +11,7 @@
 	gauge "sapphiregauge"
 )
 
-// DB holds rows and objects. Its zero value can't be used.
+// DB holds rows and objects. It is safe for concurrent use. Create it with New.
 type DB struct {
 	mu      sync.RWMutex
 	version int64
@@ -24,7 +24,7 @@
 	return &DB{rows: make(map[string]gauge.Row), objects: make(map[string][]byte)}
 }
 
-// Get reads one row; a row that is not there has version 0.
+// Get reads one row; a missing row has version 0 and no value.
 func (d *DB) Get(_ context.Context, key string) (gauge.Row, error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
@@ -49,7 +49,8 @@
 	return rows, nil
 }
 
-// Commit applies a transaction, all or nothing.
+// Commit applies a transaction atomically. It fails with KindConflict if a checked row has another
+// version. A put with a nil value deletes the row.
 func (d *DB) Commit(_ context.Context, t gauge.Txn) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// Fetch reads an object.
+// Fetch reads an object. It fails with KindMissing if there is none.
 func (d *DB) Fetch(_ context.Context, name string) ([]byte, error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/naive/naive.go
+++ b/internal/naive/naive.go
@@ -1,6 +1,6 @@
-// Package naive is the planner that package plan is measured against: a fixed
-// share of spare hosts, the first host that fits, and one host of a pool at a
-// time under maintenance, whatever the racks.
+// Package naive is the baseline planner that package plan is compared with. It keeps a fixed share of
+// spare hosts, takes the first host that fits, and has one host of a pool at a time in maintenance,
+// without regard to racks.
 package naive
 
 import (
@@ -10,7 +10,7 @@
 
 // Config sets up a Planner.
 type Config struct {
-	Spare float64 // share of the promise that is held on top
+	Spare float64 // spare hosts, as a share of the hosts that a pool is promised
 }
 
 // Planner makes plans.
@@ -21,8 +21,9 @@
 // New makes a Planner.
 func New(c Config) *Planner { return &Planner{conf: c} }
 
-// Pool moves hosts on as package plan does, and takes out the next host of a
-// wave while no other is out and more serve than were promised.
+// Pool plans the steps of a pool's hosts. It advances hosts through their states as package plan does;
+// if there is nothing to advance, it takes out the next host of a wave, provided that no other host of
+// the pool is out and more are serving than were promised.
 func (p *Planner) Pool(in plan.Input, pool string) plan.Plan {
 	out := plan.New(plan.Config{}).Lives(in, pool)
 	if len(out.Steps) > 0 {
@@ -57,31 +58,31 @@
 	return out
 }
 
-// Fleet gives each pool its share, the first hosts that fit. A failed host is
-// replaced at once, and what comes back later stays.
+// Fleet plans the assignment of free hosts to pools: each pool gets its hosts and its spare share, the
+// first hosts that fit. A failed host is replaced at once and stays in the pool if it recovers later.
 func (p *Planner) Fleet(in plan.Input) plan.Plan {
 	var out plan.Plan
 	free := in.State.InPool("")
 	for _, name := range in.State.Names(gauge.RecordPool) {
 		rec := in.State.Pool(name)
-		have := 0
+		assigned := 0
 		for _, h := range in.State.InPool(name) {
 			if h.State != gauge.HostFailed {
-				have++
+				assigned++
 			}
 		}
-		want := rec.Hosts + int(float64(rec.Hosts)*p.conf.Spare+0.999)
-		var rest gauge.Hosts
+		wanted := rec.Hosts + int(float64(rec.Hosts)*p.conf.Spare+0.999)
+		var remaining gauge.Hosts
 		for _, h := range free {
-			if have >= want || !rec.Fits(h) || in.Seen[h.ID].Status != gauge.StatusLive {
-				rest = append(rest, h)
+			if assigned >= wanted || !rec.Fits(h) || in.Seen[h.ID].Status != gauge.StatusLive {
+				remaining = append(remaining, h)
 				continue
 			}
 			h.State, h.Pool = gauge.HostServing, name
 			out.Steps = append(out.Steps, plan.Step{Host: h, Why: "goes to pool " + name})
-			have++
+			assigned++
 		}
-		free = rest
+		free = remaining
 	}
 	return out
 }
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -1,4 +1,4 @@
-// Package peek looks at a connection without reading from it or waiting.
+// Package peek checks the state of an idle connection without consuming data or blocking.
 package peek
 
 import (
@@ -7,18 +7,18 @@
 	"syscall"
 )
 
-// Seen is what is on a connection.
+// Seen is the state of the receiving side of a connection.
 type Seen string
 
-// What there may be.
+// The states.
 const (
-	Quiet  Seen = "quiet"  // nothing
-	Bytes  Seen = "bytes"  // something to read
-	Closed Seen = "closed" // the other end is gone
+	Quiet  Seen = "quiet"  // open, no data received
+	Bytes  Seen = "bytes"  // data received that hasn't been read
+	Closed Seen = "closed" // closed by the peer, or failed
 )
 
-// Look tells what is on a connection now. What arrives later is not seen; a
-// kind of connection that can't be looked at counts as quiet.
+// Look returns the present state of a connection. A connection that gives no access to its file
+// descriptor counts as Quiet.
 func Look(c net.Conn) Seen {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -28,20 +28,20 @@
 	if err != nil {
 		return Closed
 	}
-	seen := Closed
+	state := Closed
 	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		n, _, e := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var buf [1]byte
+		n, _, e := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			seen = Bytes
+			state = Bytes
 		case errors.Is(e, syscall.EAGAIN), errors.Is(e, syscall.EINTR):
-			seen = Quiet
+			state = Quiet
 		}
 		return true
 	})
 	if err != nil {
 		return Closed
 	}
-	return seen
+	return state
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
-// Package roster is the platform's host list in memory: what hosts last said
-// of themselves, shown to readers late by a set lag, and reboots that a host
-// is told of when it next reports.
+// Package roster is an in-memory implementation of the platform's host list. Readers get the hosts'
+// last reports from a snapshot that is refreshed after a set time. A reboot request is delivered to the
+// host with the response to its next report.
 package roster
 
 import (
@@ -15,66 +15,66 @@
 
 // Config sets up a Roster.
 type Config struct {
-	Lag   time.Duration // how old the shown list may be
-	Gone  time.Duration // a host that has not reported for so long is shown as gone
-	Clock gauge.Clock
+	MaxAge    time.Duration // maximum age of the snapshot that readers get
+	GoneAfter time.Duration // time without a report after which a host is listed as gone
+	Clock     gauge.Clock
 }
 
-// Roster is the list.
+// Roster is the host list. It is safe for concurrent use.
 type Roster struct {
-	conf   Config
-	mu     sync.Mutex
-	hosts  map[string]*entry
-	tokens map[string]bool // reboot tokens seen, so that a repeat reboots once
-	shown  gauge.Sightings
-	taken  time.Time
+	conf         Config
+	mu           sync.Mutex
+	hosts        map[string]*hostEntry
+	rebootTokens map[string]bool // tokens of past reboot requests, so that a retry doesn't reboot twice
+	lastList     gauge.Sightings
+	snapshotAt   time.Time
 }
 
-type entry struct {
-	seen   gauge.Sighting
-	last   time.Time
-	reboot bool
+// hostEntry is a host's last report, its time, and whether a reboot is pending.
+type hostEntry struct {
+	report        gauge.Sighting
+	reportedAt    time.Time
+	rebootPending bool
 }
 
 // New makes an empty Roster.
 func New(c Config) *Roster {
-	return &Roster{conf: c, hosts: make(map[string]*entry), tokens: make(map[string]bool)}
+	return &Roster{conf: c, hosts: make(map[string]*hostEntry), rebootTokens: make(map[string]bool)}
 }
 
-// Report takes in what a host says of itself and tells whether it is to reboot
-// now.
+// Report records a host's report and returns whether the host is to reboot now.
 func (r *Roster) Report(s gauge.Sighting) (reboot bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.hosts[s.ID]
 	if e == nil {
-		e = &entry{}
+		e = &hostEntry{}
 		r.hosts[s.ID] = e
 	}
-	e.seen = s
-	e.last = r.conf.Clock()
-	reboot = e.reboot
-	e.reboot = false
+	e.report = s
+	e.reportedAt = r.conf.Clock()
+	reboot = e.rebootPending
+	e.rebootPending = false
 	return reboot
 }
 
-// List returns the list as it was up to Lag ago.
+// List returns the hosts as of at most MaxAge ago, sorted by ID. Their ages are up to date.
 func (r *Roster) List(context.Context) (gauge.Sightings, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.conf.Clock()
-	if r.shown == nil || now.Sub(r.taken) >= r.conf.Lag {
-		r.shown = r.snapshot(now)
-		r.taken = now
+	if r.lastList == nil || now.Sub(r.snapshotAt) >= r.conf.MaxAge {
+		r.lastList = r.snapshot(now)
+		r.snapshotAt = now
 	}
-	out := slices.Clone(r.shown)
+	out := slices.Clone(r.lastList)
 	for i := range out {
-		out[i].Age += now.Sub(r.taken)
+		out[i].Age += now.Sub(r.snapshotAt)
 	}
 	return out, nil
 }
 
-// Reboot notes that a host is to reboot, once per token.
+// Reboot requests a reboot of a host, once per token. It fails with KindMissing for an unknown host.
 func (r *Roster) Reboot(_ context.Context, host, token string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,20 +82,20 @@
 	if e == nil {
 		return gauge.Fail(gauge.KindMissing, "host %s", host)
 	}
-	if r.tokens[token] {
+	if r.rebootTokens[token] {
 		return nil
 	}
-	r.tokens[token] = true
-	e.reboot = true
+	r.rebootTokens[token] = true
+	e.rebootPending = true
 	return nil
 }
 
 func (r *Roster) snapshot(now time.Time) gauge.Sightings {
 	out := make(gauge.Sightings, 0, len(r.hosts))
 	for _, e := range r.hosts {
-		s := e.seen
-		s.Age = now.Sub(e.last)
-		if s.Age >= r.conf.Gone {
+		s := e.report
+		s.Age = now.Sub(e.reportedAt)
+		if s.Age >= r.conf.GoneAfter {
 			s.Status = gauge.StatusGone
 		}
 		out = append(out, s)
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -1,6 +1,5 @@
-// Package stand serves the platform's HTTP protocol from memory, with faults
-// that a test can switch on. It stands in for the platform in tests and in the
-// walk-through of the README.
+// Package stand is a fake of the platform for tests and trials: it serves the platform's HTTP protocol
+// (table, object store and host list) from memory, with faults that a test can switch on.
 package stand
 
 import (
@@ -20,24 +19,24 @@
 
 // Config sets up a Server.
 type Config struct {
-	Lag   time.Duration // of the host list
-	Gone  time.Duration // silence after which a host is listed as gone
-	Clock gauge.Clock
+	Lag   time.Duration // how old the host list may be
+	Gone time.Duration // time without a report after which a host is listed as gone
+	Clock     gauge.Clock
 }
 
-// fault is a way for the table and object store to fail.
+// fault is a failure mode of the table and the object store. A test sets it by its value.
 type fault string
 
 const (
-	faultNone fault = "none"
-	faultDown fault = "down" // refuse everything
-	faultSlow fault = "slow" // answer late
-	faultLost fault = "lost" // do it, then fail without saying so
+	faultNone         fault = "none"
+	faultRefuse       fault = "down" // refuse all calls with status 503
+	faultSlow         fault = "slow" // delay each response by slowDelay
+	faultResponseLost fault = "lost" // carry out the call, then close the connection without a response
 )
 
-const slowness = 500 * time.Millisecond
+const slowDelay = 500 * time.Millisecond
 
-// Server is the stand-in.
+// Server is the fake platform.
 type Server struct {
 	app   *fiber.App
 	db    *memdb.DB
@@ -48,18 +47,18 @@
 // New makes a Server.
 func New(c Config) *Server {
 	s := &Server{
-		app:   fiber.New(fiber.Config{Immutable: true, BodyLimit: bodyLimit}),
+		app:   fiber.New(fiber.Config{Immutable: true, BodyLimit: maxBodyBytes}),
 		db:    memdb.New(),
-		hosts: roster.New(roster.Config{Lag: c.Lag, Gone: c.Gone, Clock: c.Clock}),
+		hosts: roster.New(roster.Config{MaxAge: c.Lag, GoneAfter: c.Gone, Clock: c.Clock}),
 	}
 	s.fault.Store(faultNone)
 	s.routes()
 	return s
 }
 
-const bodyLimit = 64 << 20
+const maxBodyBytes = 64 << 20
 
-// Serve answers on a listener until Close.
+// Serve serves on a listener until Close.
 func (s *Server) Serve(l net.Listener) error {
 	return s.app.Listener(l, fiber.ListenConfig{DisableStartupMessage: true})
 }
@@ -68,26 +67,26 @@
 func (s *Server) Close() error { return s.app.Shutdown() }
 
 func (s *Server) routes() {
-	s.app.Get("/hosts", s.list)
-	s.app.Post("/hosts/:id/reboot", s.reboot)
-	s.app.Post("/stand/report", s.report)
+	s.app.Get("/hosts", s.listHosts)
+	s.app.Post("/hosts/:id/reboot", s.rebootHost)
+	s.app.Post("/stand/report", s.reportHost)
 	s.app.Post("/stand/fault/:fault", s.setFault)
-	store := s.app.Group("", s.misbehave)
-	store.Get("/table/row", s.row)
-	store.Get("/table/rows", s.rows)
-	store.Post("/table/commit", s.commit)
-	store.Get("/objects/:name", s.fetch)
-	store.Put("/objects/:name", s.store)
+	store := s.app.Group("", s.applyFault)
+	store.Get("/table/row", s.getRow)
+	store.Get("/table/rows", s.scanRows)
+	store.Post("/table/commit", s.commitTxn)
+	store.Get("/objects/:name", s.fetchObject)
+	store.Put("/objects/:name", s.storeObject)
 }
 
-// misbehave stands before the table and object store.
-func (s *Server) misbehave(c fiber.Ctx) error {
+// applyFault is the middleware that applies the fault to calls to the table and the object store.
+func (s *Server) applyFault(c fiber.Ctx) error {
 	switch s.fault.Load() {
-	case faultDown:
+	case faultRefuse:
 		return c.SendStatus(http.StatusServiceUnavailable)
 	case faultSlow:
-		time.Sleep(slowness)
-	case faultLost:
+		time.Sleep(slowDelay)
+	case faultResponseLost:
 		if err := c.Next(); err != nil {
 			return err
 		}
@@ -101,26 +100,26 @@
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (s *Server) list(c fiber.Ctx) error {
+func (s *Server) listHosts(c fiber.Ctx) error {
 	hosts, err := s.hosts.List(c.Context())
 	if err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.JSON(hostsBody{Hosts: hosts})
 }
 
-func (s *Server) reboot(c fiber.Ctx) error {
+func (s *Server) rebootHost(c fiber.Ctx) error {
 	var body rebootBody
 	if err := json.Unmarshal(c.Body(), &body); err != nil {
 		return c.Status(http.StatusBadRequest).SendString(err.Error())
 	}
 	if err := s.hosts.Reboot(c.Context(), c.Params("id"), body.Token); err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (s *Server) report(c fiber.Ctx) error {
+func (s *Server) reportHost(c fiber.Ctx) error {
 	var seen gauge.Sighting
 	if err := json.Unmarshal(c.Body(), &seen); err != nil {
 		return c.Status(http.StatusBadRequest).SendString(err.Error())
@@ -128,44 +127,44 @@
 	return c.JSON(reportBody{Reboot: s.hosts.Report(seen)})
 }
 
-func (s *Server) row(c fiber.Ctx) error {
+func (s *Server) getRow(c fiber.Ctx) error {
 	r, err := s.db.Get(c.Context(), c.Query("key"))
 	if err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.JSON(rowsBody{Rows: []gauge.Row{r}})
 }
 
-func (s *Server) rows(c fiber.Ctx) error {
+func (s *Server) scanRows(c fiber.Ctx) error {
 	rows, err := s.db.Scan(c.Context(), c.Query("prefix"))
 	if err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.JSON(rowsBody{Rows: rows})
 }
 
-func (s *Server) commit(c fiber.Ctx) error {
+func (s *Server) commitTxn(c fiber.Ctx) error {
 	var t gauge.Txn
 	if err := json.Unmarshal(c.Body(), &t); err != nil {
 		return c.Status(http.StatusBadRequest).SendString(err.Error())
 	}
 	if err := s.db.Commit(c.Context(), t); err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.SendStatus(http.StatusNoContent)
 }
 
-func (s *Server) fetch(c fiber.Ctx) error {
+func (s *Server) fetchObject(c fiber.Ctx) error {
 	b, err := s.db.Fetch(c.Context(), objectName(c))
 	if err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.Send(b)
 }
 
-func (s *Server) store(c fiber.Ctx) error {
+func (s *Server) storeObject(c fiber.Ctx) error {
 	if err := s.db.Store(c.Context(), objectName(c), c.Body()); err != nil {
-		return fail(c, err)
+		return sendError(c, err)
 	}
 	return c.SendStatus(http.StatusNoContent)
 }
@@ -178,6 +177,6 @@
 	return name
 }
 
-func fail(c fiber.Ctx, err error) error {
+func sendError(c fiber.Ctx, err error) error {
 	return c.Status(gauge.KindOf(err).Answer().Status).SendString(err.Error())
 }
--- a/internal/stand/wire.go
+++ b/internal/stand/wire.go
@@ -2,22 +2,22 @@
 
 import gauge "sapphiregauge"
 
-// rowsBody answers a read of rows.
+// rowsBody is the response to a read of rows.
 type rowsBody struct {
 	Rows []gauge.Row `json:"rows"`
 }
 
-// hostsBody answers a read of the host list.
+// hostsBody is the response to a read of the host list.
 type hostsBody struct {
 	Hosts gauge.Sightings `json:"hosts"`
 }
 
-// rebootBody asks for a reboot.
+// rebootBody is the request of a reboot; the token makes it idempotent.
 type rebootBody struct {
 	Token string `json:"token"`
 }
 
-// reportBody answers a host's report.
+// reportBody is the response to a host's report: whether it is to reboot.
 type reportBody struct {
 	Reboot bool `json:"reboot"`
 }
--- a/internal/ticks/ticks.go
+++ b/internal/ticks/ticks.go
@@ -1,4 +1,4 @@
-// Package ticks repeats work at a steady pace.
+// Package ticks runs functions periodically.
 package ticks
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Every does something now and then once each period, until ctx ends. What
-// takes longer than the period delays the next turn.
+// Every calls do at once and then each period, until ctx is done. It returns only between calls. A call
+// that takes longer than the period delays the next one; periods missed meanwhile are not made up for.
 func Every(ctx context.Context, period time.Duration, do func(context.Context)) {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,7 +1,7 @@
-// Package work is a worker stand-in: it starts whatever it is given, echoes
-// the body after the time that the request asks for, counts what it ran, and
-// misbehaves on request. Only tests, the walk-through and the local mode use
-// it.
+// Package work is a fake worker for tests and the local mode. It runs every request it receives, echoes
+// the body after the duration in the query parameter "run", and counts the runs by request ID. The
+// query parameter "fault" makes it fail: "cut" closes the connection without a response, "label" returns
+// a wrong request ID, "error" returns status 500.
 package work
 
 import (
@@ -17,56 +17,58 @@
 
 // Config sets up a Worker.
 type Config struct {
-	Self   gauge.Sighting // what it says of itself; status, use and boots are filled in
-	Boot   time.Duration  // how long a reboot takes
-	Every  time.Duration  // between two reports
+	Self           gauge.Sighting // the host it reports; status, used slots and boots are filled in
+	BootTime       time.Duration  // how long a reboot takes
+	ReportInterval time.Duration  // interval of reports
+	// Report sends a report to the platform and returns whether the worker is to reboot.
 	Report func(gauge.Sighting) (reboot bool, err error)
 }
 
-// Worker is the stand-in.
+// Worker is the fake worker. While it reboots it refuses requests.
 type Worker struct {
 	conf Config
 	app  *fiber.App
 	stop chan struct{}
 
-	mu      sync.Mutex
-	running int
-	peak    int
-	boots   int
-	booting bool
-	runs    map[string]int
+	mu              sync.Mutex
+	running         int
+	maxRunning      int
+	bootCount       int
+	booting         bool
+	runsByRequestID map[string]int
 }
 
 // New makes a Worker.
 func New(c Config) *Worker {
 	w := &Worker{
-		conf: c, stop: make(chan struct{}), runs: make(map[string]int),
-		app: fiber.New(fiber.Config{Immutable: true, BodyLimit: bodyLimit}),
+		conf: c, stop: make(chan struct{}), runsByRequestID: make(map[string]int),
+		app: fiber.New(fiber.Config{Immutable: true, BodyLimit: maxBodyBytes}),
 	}
-	w.app.Get("/stand/status", w.status)
-	w.app.All("/*", w.run)
+	w.app.Get("/stand/status", w.serveStatus)
+	w.app.All("/*", w.serveRequest)
 	return w
 }
 
-const bodyLimit = 16 << 20
+const maxBodyBytes = 16 << 20
 
-// Serve answers on a listener and reports to the platform until Close.
+// Serve serves on a listener and reports to the platform until Close.
 func (w *Worker) Serve(l net.Listener) error {
 	go w.reportLoop()
 	return w.app.Listener(l, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Close stops the worker.
+// Close stops the worker, which waits for at most a second for requests in flight. It may be called
+// only once.
 func (w *Worker) Close() error {
 	close(w.stop)
 	return w.app.ShutdownWithTimeout(time.Second)
 }
 
 func (w *Worker) reportLoop() {
-	tick := time.NewTicker(w.conf.Every)
+	tick := time.NewTicker(w.conf.ReportInterval)
 	defer tick.Stop()
 	for {
-		reboot, err := w.conf.Report(w.sighting())
+		reboot, err := w.conf.Report(w.listedHost())
 		if err == nil && reboot {
 			w.reboot()
 		}
@@ -78,7 +80,7 @@
 	}
 }
 
-func (w *Worker) sighting() gauge.Sighting {
+func (w *Worker) listedHost() gauge.Sighting {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.conf.Self
@@ -87,7 +89,7 @@
 		s.Status = gauge.StatusBooting
 	}
 	s.Used = w.running
-	s.Boots = w.boots
+	s.Boots = w.bootCount
 	return s
 }
 
@@ -95,40 +97,41 @@
 	w.mu.Lock()
 	w.booting = true
 	w.mu.Unlock()
-	time.AfterFunc(w.conf.Boot, func() {
+	time.AfterFunc(w.conf.BootTime, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.booting = false
-		w.boots++
+		w.bootCount++
 	})
 }
 
-// counts is what a worker has done so far.
+// counts is the response of /stand/status: the runs in progress, the most at a time, and the number of
+// runs by request ID.
 type counts struct {
 	Running int            `json:"running"`
 	Peak    int            `json:"peak"`
 	Runs    map[string]int `json:"runs"`
 }
 
-func (w *Worker) status(c fiber.Ctx) error {
+func (w *Worker) serveStatus(c fiber.Ctx) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return c.JSON(counts{Running: w.running, Peak: w.peak, Runs: w.runs})
+	return c.JSON(counts{Running: w.running, Peak: w.maxRunning, Runs: w.runsByRequestID})
 }
 
-func (w *Worker) begin(id string) bool {
+func (w *Worker) beginRun(id string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.booting {
 		return false
 	}
 	w.running++
-	w.peak = max(w.peak, w.running)
-	w.runs[id]++
+	w.maxRunning = max(w.maxRunning, w.running)
+	w.runsByRequestID[id]++
 	return true
 }
 
-func (w *Worker) end() {
+func (w *Worker) endRun() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.running--
@@ -136,28 +139,28 @@
 
 // Headers of the protocol between entries and workers.
 const (
-	headerID  = "X-Request-Id"
-	headerRan = "X-Ran"
+	headerRequestID = "X-Request-Id"
+	headerRan       = "X-Ran"
 )
 
-func (w *Worker) run(c fiber.Ctx) error {
-	id := c.Get(headerID)
-	if !w.begin(id) {
+func (w *Worker) serveRequest(c fiber.Ctx) error {
+	id := c.Get(headerRequestID)
+	if !w.beginRun(id) {
 		c.Set(headerRan, "no")
-		c.Set(headerID, id)
+		c.Set(headerRequestID, id)
 		return c.SendStatus(http.StatusServiceUnavailable)
 	}
-	defer w.end()
+	defer w.endRun()
 	if d, err := time.ParseDuration(c.Query("run")); err == nil {
 		time.Sleep(d)
 	}
-	c.Set(headerID, id)
+	c.Set(headerRequestID, id)
 	c.Set(fiber.HeaderContentType, c.Get(fiber.HeaderContentType, fiber.MIMEOctetStream))
 	switch c.Query("fault") {
 	case "cut":
 		return c.Drop()
 	case "label":
-		c.Set(headerID, id+"x")
+		c.Set(headerRequestID, id+"x")
 	case "error":
 		return c.Status(http.StatusInternalServerError).SendString("failed as asked")
 	}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -1,5 +1,5 @@
-// Package client is for programs that call sapphiregauge: callers who want a
-// request served, and operators who change and look at records.
+// Package client is the client library of sapphiregauge, for programs that send requests to its
+// services and for operators' tools that read and change its configuration records.
 package client
 
 import (
@@ -20,15 +20,15 @@
 
 // Config sets up a Client.
 type Config struct {
-	Addr  string // ip:port of an entry or of the balancer before the entries
+	Addr  string // ip:port of an entry, or of a load balancer in front of the entries
 	Key   string // the operators' key; callers need none
-	Team  string // sent with each call
-	Limit int    // bytes of the longest answer; default 16 MiB
+	Team  string // the caller's team, sent with each call
+	Limit int    // maximum size of a response in bytes; default 16 MiB
 }
 
-const defaultLimit = 16 << 20
+const defaultMaxResponse = 16 << 20
 
-// Client talks to an entry.
+// Client sends calls to an entry. It keeps idle connections for reuse.
 type Client struct {
 	conf Config
 	pool *exch.Pool
@@ -36,45 +36,46 @@
 
 // New makes a Client.
 func New(c Config) *Client {
-	fill.Zero(&c.Limit, defaultLimit)
+	fill.Zero(&c.Limit, defaultMaxResponse)
 	return &Client{conf: c, pool: exch.New(exch.Config{Answer: c.Limit})}
 }
 
-// Close drops the resting connections.
+// Close closes the idle connections.
 func (c *Client) Close() { c.pool.Close() }
 
-// NewKey makes an idempotency key.
+// NewKey returns a new idempotency key, a UUID of version 7.
 func NewKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 // Call is one request to a service.
 type Call struct {
 	Service string
-	Path    string // below the service, with the query
+	Path    string // path below the service's own, query included
 	Key     string // idempotency key; empty: none
-	Once    bool   // must not be repeated; needs a key
-	Async   bool   // answered with a place to look; needs a key
-	Long    bool
+	Once    bool   // must not be retried after a lost response; needs a key
+	Async   bool   // answered at once with the URL of the result; needs a key
+	Long    bool   // of the class of long requests
 	Timeout time.Duration
-	Type    string
+	Type    string // content type of Body
 	Body    []byte
 }
 
-// Reply is an answer as it came.
+// Reply is an entry's HTTP response.
 type Reply struct {
 	Status int
-	Host   string // the worker that ran it
-	Type   string
+	Host   string // the worker that ran the request
+	Type   string // content type of Body
 	Body   []byte
-	Place  string        // of an accepted request
-	Again  time.Duration // when to ask again; 0: not said
-	Ran    gauge.Ran
+	Place  string        // for an accepted asynchronous request, the URL of its result
+	Again  time.Duration // delay before a retry, in whole seconds; 0: the response has none
+	Ran    gauge.Ran     // whether a worker ran the request
 }
 
-// Do makes a call and returns the answer, also if it is an error's.
+// Do sends a call and returns the response, whatever its status. The error is non-nil if no response
+// was received.
 func (c *Client) Do(ctx context.Context, call Call) (Reply, error) {
 	req := c.request(http.MethodPost, "/v1/services/"+url.PathEscape(call.Service)+call.Path, call.Body)
-	set(req, "Idempotency-Key", call.Key)
-	set(req, "Content-Type", call.Type)
+	setHeader(req, "Idempotency-Key", call.Key)
+	setHeader(req, "Content-Type", call.Type)
 	if call.Once {
 		req.Header.Set("X-Repeatable", "no")
 	}
@@ -90,45 +91,46 @@
 	return c.do(ctx, req)
 }
 
-// Look asks what became of a request.
+// Look returns the state or the result of the request with the idempotency key.
 func (c *Client) Look(ctx context.Context, key string) (Reply, error) {
 	return c.do(ctx, c.request(http.MethodGet, "/v1/requests/"+url.PathEscape(key), nil))
 }
 
-// Get asks an operators' question and decodes the answer.
+// Get reads an operators' endpoint and decodes the JSON response. If into is a *[]byte, it receives the
+// body as it is. A response of status 400 or above becomes a *gauge.Error.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
-	return c.operate(ctx, c.request(http.MethodGet, "/admin/v1"+path, nil), into)
+	return c.doAdmin(ctx, c.request(http.MethodGet, "/admin/v1"+path, nil), into)
 }
 
-// Post gives an operators' command and decodes the answer.
+// Post sends a JSON body to an operators' endpoint and handles the response as Get does.
 func (c *Client) Post(ctx context.Context, path string, body, into any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
 		return gauge.Fail(gauge.KindInternal, "client.Post").Because(err)
 	}
-	return c.operate(ctx, c.request(http.MethodPost, "/admin/v1"+path, b), into)
+	return c.doAdmin(ctx, c.request(http.MethodPost, "/admin/v1"+path, b), into)
 }
 
-func (c *Client) operate(ctx context.Context, req *fasthttp.Request, into any) error {
+func (c *Client) doAdmin(ctx context.Context, req *fasthttp.Request, into any) error {
 	r, err := c.do(ctx, req)
 	if err != nil {
 		return err
 	}
 	if r.Status >= http.StatusBadRequest {
-		return errorOf(r)
+		return decodeError(r)
 	}
 	if raw, ok := into.(*[]byte); ok {
 		*raw = r.Body
 		return nil
 	}
 	if err := json.Unmarshal(r.Body, into); err != nil {
-		return gauge.Fail(gauge.KindInternal, "client: malformed answer").Because(err)
+		return gauge.Fail(gauge.KindInternal, "client: decode response").Because(err)
 	}
 	return nil
 }
 
-// errorOf reads the problem that an entry answered with.
-func errorOf(r Reply) error {
+// decodeError decodes the problem details of an error response.
+func decodeError(r Reply) error {
 	var p struct {
 		Detail string       `json:"detail"`
 		Kind   gauge.Kind   `json:"kind"`
@@ -144,7 +146,7 @@
 	req := new(fasthttp.Request)
 	req.Header.SetMethod(method)
 	req.SetRequestURI("http://" + c.conf.Addr + path)
-	set(req, "X-Team", c.conf.Team)
+	setHeader(req, "X-Team", c.conf.Team)
 	if c.conf.Key != "" {
 		req.Header.Set("Authorization", "Bearer "+c.conf.Key)
 	}
@@ -152,7 +154,7 @@
 	return req
 }
 
-func set(req *fasthttp.Request, name, value string) {
+func setHeader(req *fasthttp.Request, name, value string) {
 	if value != "" {
 		req.Header.Set(name, value)
 	}
