--- a/cmd/rounds/table.go
+++ b/cmd/rounds/table.go
@@ -55,11 +55,11 @@
 
 func writeRow(w *tabwriter.Writer, day string, group []*Play) {
 	of := func(value func(*Outcome) float64) float64 {
-		mean, _ := Mean(valuesOf(group, value))
+		mean, _ := MeanStdDev(valuesOf(group, value))
 		return mean
 	}
 	worths := valuesOf(group, func(o *Outcome) float64 { return o.Worth })
-	worth, spread := Mean(worths)
+	worth, stdDev := MeanStdDev(worths)
 	broken := "-"
 	for _, p := range group {
 		if len(p.Outcome.Broken) > 0 {
@@ -67,7 +67,7 @@
 		}
 	}
 	_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.0f\t%.3f\t%s\n",
-		strings.TrimSuffix(filepath.Base(group[0].Site), ".toml"), day, group[0].Tree, len(worths), worth, spread,
+		strings.TrimSuffix(filepath.Base(group[0].Site), ".toml"), day, group[0].Tree, len(worths), worth, stdDev,
 		of(func(o *Outcome) float64 { return o.Whole }), of(func(o *Outcome) float64 { return o.Window }),
 		of(func(o *Outcome) float64 { return o.Class }), of(func(o *Outcome) float64 { return o.Prices[itemMachineSeconds] }),
 		of(func(o *Outcome) float64 { return o.Counts[itemMoves] }), of(func(o *Outcome) float64 { return o.Counts[itemWastedWork] }),
@@ -96,8 +96,8 @@
 	return list
 }
 
-// Mean returns the mean and the standard deviation of the values, 0 and 0 if there are none.
-func Mean(values []float64) (mean, spread float64) {
+// MeanStdDev returns the mean and the standard deviation of the values, 0 and 0 if there are none.
+func MeanStdDev(values []float64) (mean, stdDev float64) {
 	if len(values) == 0 {
 		return 0, 0
 	}
@@ -109,9 +109,9 @@
 		return mean, 0
 	}
 	for _, v := range values {
-		spread += (v - mean) * (v - mean)
+		stdDev += (v - mean) * (v - mean)
 	}
-	return mean, math.Sqrt(spread / float64(len(values)-1))
+	return mean, math.Sqrt(stdDev / float64(len(values)-1))
 }
 
 // differences formats, by site, the mean difference of each tree's worth to the first tree's.
@@ -127,10 +127,10 @@
 		}
 		for _, label := range labels {
 			diffs := PairedDifferences(site, first, label)
-			mean, spread := Mean(diffs)
+			mean, stdDev := MeanStdDev(diffs)
 			lines = append(lines, fmt.Sprintf("%s: %s - %s: %+.3f, standard error %.3f, %d pairs",
 				strings.TrimSuffix(filepath.Base(site[0].Site), ".toml"), label, first, mean,
-				spread/math.Sqrt(float64(max(1, len(diffs)))), len(diffs)))
+				stdDev/math.Sqrt(float64(max(1, len(diffs)))), len(diffs)))
 		}
 	}
 	return lines
--- a/cmd/rounds/table_test.go
+++ b/cmd/rounds/table_test.go
@@ -38,10 +38,10 @@
 	assert.DeepEqual(t, PairedDifferences(plays, "old", "new"), []float64{0.25})
 }
 
-func TestMeanAndSpread(t *testing.T) {
-	mean, spread := Mean([]float64{1, 3})
+func TestMeanAndStandardDeviation(t *testing.T) {
+	mean, stdDev := MeanStdDev([]float64{1, 3})
 	assert.Equal(t, mean, 2.0)
-	assert.Assert(t, spread > 1.41 && spread < 1.42)
+	assert.Assert(t, stdDev > 1.41 && stdDev < 1.42)
 }
 
 func TestStoredPlaysAreNotPlayedAgain(t *testing.T) {
--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -15,7 +15,7 @@
 )
 
 // assemble creates the components of an entry and connects them.
-func assemble(s platform.Settings, without gauge.Without, log logr.Logger) *components {
+func assemble(s platform.Settings, disabled gauge.Without, log logr.Logger) *components {
 	p := &components{settings: s, log: log, meter: meter.New()}
 	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: commitTimeout, Clock: bootTime})
 	store := timely.New(timely.Config{
@@ -35,7 +35,7 @@
 	p.node = node.New(node.Config{
 		Name: s.Name, Start: newStartID(), Addr: p.peerAddr(), Capacity: s.Capacity(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
 		Words: platform.Words{}, Mesh: p.mesh, Logs: log, Now: boot.Now, Wall: time.Now, Count: p.meter.Call, Event: p.meter.Event,
-		Backlog: p.meter.Backlog, Longest: s.LongestHold, Apply: s.Apply, Without: without, TurnGap: s.TurnGap, Upkeep: s.Upkeep, Keep: s.KeepStatus,
+		Backlog: p.meter.Backlog, Longest: s.LongestHold, Apply: s.Apply, Without: disabled, TurnGap: s.TurnGap, Upkeep: s.Upkeep, Keep: s.KeepStatus,
 	})
 	p.meter.Followed(p.node.Ages)
 	p.front = platform.NewFront(platform.FrontConfig{Jobs: p.node.Jobs(), Site: p.node.Serves, Route: p.node.Route, Ready: p.node.Ready, Logs: log})
--- a/cmd/sapphiregauge/host.go
+++ b/cmd/sapphiregauge/host.go
@@ -65,8 +65,8 @@
   backoff: callers come back the later the longer the table is away`
 
 type hostSettings struct {
-	metrics int
-	without string
+	metrics  int
+	disabled string
 }
 
 func newHost() *command {
@@ -75,7 +75,7 @@
 		sub: newSubcommand("host", usageHost),
 		settings: conf.List{
 			{Flag: "metrics", Help: "port of /metrics; 0: none", Dest: &s.metrics},
-			{Flag: "without", Help: "ways of deciding to switch off, joined by commas; an unknown name lists all", Dest: &s.without},
+			{Flag: "without", Help: "ways of deciding to switch off, joined by commas; an unknown name lists all", Dest: &s.disabled},
 		},
 		run: func(ctx context.Context) error { return runHost(ctx, s) },
 	}
@@ -137,7 +137,7 @@
 }
 
 func runHost(ctx context.Context, s *hostSettings) error {
-	without, err := gauge.ParseWithout(s.without)
+	disabled, err := gauge.ParseWithout(s.disabled)
 	if err != nil {
 		return err
 	}
@@ -148,16 +148,16 @@
 	out := logs.NewBounded(os.Stdout)
 	log := logs.New(out, false).WithValues("entry", settings.Name)
 	started := boot.Now()
-	log.Info("start", "zone", settings.Zone, "version", version, "without", without)
-	p := assemble(settings, without, log)
+	log.Info("start", "zone", settings.Zone, "version", version, "without", disabled)
+	p := assemble(settings, disabled, log)
 	p.meter.Dropped(out.Dropped)
-	err = p.serve(ctx, s)
+	err = p.serveAll(ctx, s)
 	log.Info("stop", "ran", boot.Now()-started, "dropped", out.Dropped())
 	out.Close()
 	return err
 }
 
-func (p *components) serve(ctx context.Context, s *hostSettings) error {
+func (p *components) serveAll(ctx context.Context, s *hostSettings) error {
 	front, err := net.Listen("tcp", p.settings.Front)
 	if err != nil {
 		return eris.Wrap(err, "host: address for clients")
--- a/cmd/sapphiregauge/report.go
+++ b/cmd/sapphiregauge/report.go
@@ -32,12 +32,12 @@
 
 func newReport() *command {
 	t := newTarget()
-	what, format, out := "", "text", ""
+	what, format, outFile := "", "text", ""
 	c := &command{sub: newSubcommand("report", usageReport), settings: t.settings()}
 	c.sub.AddPositionalValue(&what, "WHAT", 1, true, "burn or promises")
 	c.sub.String(&format, "", "format", "text, json or html")
-	c.sub.String(&out, "", "out", "file to write; missing: the terminal")
-	c.run = func(ctx context.Context) error { return runReport(ctx, t, what, format, out) }
+	c.sub.String(&outFile, "", "out", "file to write; missing: the terminal")
+	c.run = func(ctx context.Context) error { return runReport(ctx, t, what, format, outFile) }
 	return c
 }
 
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -20,8 +20,8 @@
 // Config sets up a Server.
 type Config struct {
 	Lag   time.Duration // how old the host list may be
-	Gone time.Duration // time without a report after which a host is listed as gone
-	Clock     gauge.Clock
+	Gone  time.Duration // time without a report after which a host is listed as gone
+	Clock gauge.Clock
 }
 
 // fault is a failure mode of the table and the object store. A test sets it by its value.
