--- a/internal/fixed/fixed.go
+++ b/internal/fixed/fixed.go
@@ -14,7 +14,7 @@
 	Steps  string // average number of steps of a state machine test
 }
 
-// Main sets rapid's flags, runs the tests of a package and exits. It is called by the package's TestMain.
+// Main sets rapid's flags, runs the tests of a package and exits. The package's TestMain calls it.
 func (r Run) Main(tests interface{ Run() int }) {
 	flag.Parse()
 	r.setFlags()
--- a/internal/loose/loose.go
+++ b/internal/loose/loose.go
@@ -1,4 +1,4 @@
-// Package loose is the baseline that leased slots (package slots) are compared with: each entry chooses
+// Package loose is the baseline that leased slots (package hold) are compared with: each entry chooses
 // workers by its own counts alone, the less loaded of two random ones. With several entries it
 // overloads workers.
 package loose
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,7 +1,7 @@
-// Package work is a fake worker for tests and the local mode. It runs every request it receives, echoes
-// the body after the duration in the query parameter "run", and counts the runs by request ID. The
-// query parameter "fault" makes it fail: "cut" closes the connection without a response, "label" returns
-// a wrong request ID, "error" returns status 500.
+// Package work is a fake worker for tests and the local mode. It runs every request it receives,
+// echoes the body after the duration in the query parameter "run", and counts the runs by request ID. The
+// query parameter "fault" makes it fail: "cut" closes the connection without a response, "label"
+// returns a wrong request ID, "error" returns status 500.
 package work
 
 import (
