--- a/claim.go
+++ b/claim.go
@@ -25,16 +25,16 @@
 
 // Claim is the row that ensures that a request runs at most once.
 type Claim struct {
-	Token  string     `json:"token"` // identifies the attempt to claim, so that a lost answer can be read back
-	Entry  string     `json:"entry"` // ID/run of the entry that runs the request
-	State  ClaimState `json:"state"`
-	Hash   uint64     `json:"hash"`             // hash of the request, to detect a reused key
-	Accept *Accepted  `json:"accept,omitempty"` // the asynchronous request, to run it after a takeover
-	Result *Outcome   `json:"result,omitempty"`
+	Token  string           `json:"token"` // identifies the attempt to claim, so that a lost answer can be read back
+	Entry  string           `json:"entry"` // ID/run of the entry that runs the request
+	State  ClaimState       `json:"state"`
+	Hash   uint64           `json:"hash"`             // hash of the request, to detect a reused key
+	Accept *AcceptedRequest `json:"accept,omitempty"` // the asynchronous request, to run it after a takeover
+	Result *Outcome         `json:"result,omitempty"`
 }
 
-// Accepted is an asynchronous request as it was accepted.
-type Accepted struct {
+// AcceptedRequest is an asynchronous request as it was accepted.
+type AcceptedRequest struct {
 	Service    string        `json:"service"`
 	Path       string        `json:"path"`
 	Type       string        `json:"type"`
@@ -60,17 +60,17 @@
 // Times within which an idempotency key is accepted: how long a claim is kept, and how far a key's
 // time may be in the future.
 const (
-	ClaimKept    = 7 * 24 * time.Hour
-	maxClockSkew = time.Hour
+	ClaimRetention = 7 * 24 * time.Hour
+	maxClockSkew   = time.Hour
 )
 
 const dayLayout = "20060102"
 
-// Key checks an idempotency key and returns where its claim is stored. The time in the key decides
-// the day under which the claim is stored and whether the key is accepted at all: a key older than
-// the retention of claims is refused, so that a duplicate that comes after its claim was deleted
-// can't run a second time. Errors are of kind invalid.
-func Key(now time.Time, team, id string) (ClaimKey, error) {
+// ParseIdempotencyKey checks an idempotency key and returns where its claim is stored. The time in
+// the key decides the day under which the claim is stored and whether the key is accepted at all: a
+// key older than the retention of claims is refused, so that a duplicate that comes after its claim
+// was deleted can't run a second time. Errors are of kind invalid.
+func ParseIdempotencyKey(now time.Time, team, id string) (ClaimKey, error) {
 	var fs Faults
 	u, err := uuid.Parse(id)
 	if err != nil || u.Version() != 7 {
@@ -78,8 +78,8 @@
 		return ClaimKey{}, fs.Err()
 	}
 	at := time.Unix(u.Time().UnixTime()).UTC()
-	if now.Sub(at) > ClaimKept {
-		fs.Add("Idempotency-Key", "was made at %s, older than the %s that answers are kept", at.Format(time.RFC3339), ClaimKept)
+	if now.Sub(at) > ClaimRetention {
+		fs.Add("Idempotency-Key", "was made at %s, older than the %s that answers are kept", at.Format(time.RFC3339), ClaimRetention)
 	}
 	if at.Sub(now) > maxClockSkew {
 		fs.Add("Idempotency-Key", "was made at %s, which is still to come", at.Format(time.RFC3339))
@@ -87,12 +87,12 @@
 	return ClaimKey{Team: team, ID: u.String(), Day: at.Format(dayLayout)}, fs.Err()
 }
 
-// ClaimDays lists the given number of days whose claims can be deleted, beginning with the latest;
-// keys of these days are no longer accepted.
-func ClaimDays(now time.Time, days int) []string {
+// ExpiredClaimDays lists the given number of days whose claims can be deleted, beginning with the
+// latest; keys of these days are no longer accepted.
+func ExpiredClaimDays(now time.Time, days int) []string {
 	out := make([]string, days)
 	for i := range out {
-		out[i] = now.Add(-ClaimKept).UTC().AddDate(0, 0, -2-i).Format(dayLayout)
+		out[i] = now.Add(-ClaimRetention).UTC().AddDate(0, 0, -2-i).Format(dayLayout)
 	}
 	return out
 }
--- a/cmd/sapphiregauge/apply.go
+++ b/cmd/sapphiregauge/apply.go
@@ -85,14 +85,14 @@
 	if err != nil {
 		return apply.Submission{}, err
 	}
-	s := apply.Submission{ID: f.id, Basis: f.basis, Files: read, Dry: f.dryRun}
+	s := apply.Submission{ID: f.id, Basis: f.basis, Files: read, DryRun: f.dryRun}
 	if s.ID == "" {
 		s.ID = uuid.NewString()
 	}
 	for _, d := range f.deletions {
 		kind, name, ok := strings.Cut(d, "/")
 		if !ok {
-			return s, gauge.Fail(gauge.KindInvalid, "--drop: %q is no KIND/NAME", d)
+			return s, gauge.Errorf(gauge.KindInvalid, "--drop: %q is no KIND/NAME", d)
 		}
 		s.Drops = append(s.Drops, gauge.RecordID{Kind: gauge.RecordKind(kind), Name: name})
 	}
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return gauge.Fail(gauge.KindOutage, "revision %d is not yet in force on %s", revision, strings.Join(b.behind(revision), ", "))
+			return gauge.Errorf(gauge.KindOutage, "revision %d is not yet in force on %s", revision, strings.Join(b.behind(revision), ", "))
 		case <-time.After(pollInterval):
 		}
 	}
--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -15,30 +15,30 @@
 )
 
 // assemble creates the components of an entry and connects them.
-func assemble(s platform.Settings, disabled gauge.Without, log logr.Logger) *components {
+func assemble(s platform.Settings, disabled gauge.Disabled, log logr.Logger) *components {
 	p := &components{settings: s, log: log, meter: meter.New()}
-	p.table = platform.NewTable(platform.TableConfig{Addr: s.Table, Read: readTimeout, Commit: commitTimeout, Clock: bootTime})
+	p.table = platform.NewTable(platform.TableConfig{Addr: s.TableAddr, ReadTimeout: readTimeout, CommitTimeout: commitTimeout, Clock: bootTime})
 	store := timely.New(timely.Config{
-		Store: p.table, Late: commitCheckDelay, Fast: maxFastRead, Away: probeReadTimeout, Most: commitTimeout, Now: boot.Now,
+		Store: p.table, CheckDelay: commitCheckDelay, MaxFastRead: maxFastRead, ReadTimeout: probeReadTimeout, CommitTimeout: commitTimeout, Now: boot.Now,
 	})
-	p.workers = platform.NewWorkers(platform.WorkersConfig{Hold: heartbeatTimeout, Order: orderTimeout, Clock: bootTime})
+	p.workers = platform.NewWorkers(platform.WorkersConfig{HeartbeatTimeout: heartbeatTimeout, OrderTimeout: orderTimeout, Clock: bootTime})
 	var machines gauge.Machines
-	if s.Machines != "" {
-		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.Machines, Timeout: machineTimeout, Clock: bootTime})
+	if s.MachinesAddr != "" {
+		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.MachinesAddr, Timeout: machineTimeout, Clock: bootTime})
 		machines = p.machines
 	}
 	var adviser gauge.Adviser
-	if s.Advice != "" {
-		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.Advice, Timeout: adviceTimeout, Clock: bootTime})
+	if s.AdviceAddr != "" {
+		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.AdviceAddr, Timeout: adviceTimeout, Clock: bootTime})
 	}
 	p.mesh = mesh.New(mesh.Config{Closed: func(addr string) { p.node.CheckHolder(addr) }})
 	p.node = node.New(node.Config{
-		Name: s.Name, Start: newStartID(), Addr: p.peerAddr(), Capacity: s.Capacity(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
-		Words: platform.Words{}, Mesh: p.mesh, Logs: log, Now: boot.Now, Wall: time.Now, Count: p.meter.Call, Event: p.meter.Event,
-		Backlog: p.meter.Backlog, Longest: s.LongestHold, Apply: s.Apply, Without: disabled, TurnGap: s.TurnGap, Upkeep: s.Upkeep, Keep: s.KeepStatus,
+		Name: s.NodeName, Start: newStartID(), Addr: p.peerAddr(), CapacityCores: s.CapacityCores(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
+		Words: platform.TableCodec{}, Mesh: p.mesh, Logs: log, Now: boot.Now, WallClock: time.Now, ObserveCall: p.meter.ObserveCall, CountEvent: p.meter.CountEvent,
+		ObserveBacklog: p.meter.SetBacklog, MaxWorkerLease: s.MaxWorkerLease, MaxApplyDelay: s.MaxApplyDelay, Disabled: disabled, MinOrderInterval: s.MinOrderInterval, MaintenanceDuration: s.MaintenanceDuration, JobRetention: s.JobRetention,
 	})
-	p.meter.Followed(p.node.Ages)
-	p.front = platform.NewFront(platform.FrontConfig{Jobs: p.node.Jobs(), Site: p.node.Serves, Route: p.node.Route, Ready: p.node.Ready, Logs: log})
+	p.meter.RegisterTableAges(p.node.TableAges)
+	p.front = platform.NewFrontend(platform.FrontendConfig{Jobs: p.node.Jobs(), Site: p.node.ServingSite, Route: p.node.Route, Ready: p.node.Ready, Logs: log})
 	return p
 }
 
--- a/cmd/sapphiregauge/check.go
+++ b/cmd/sapphiregauge/check.go
@@ -46,7 +46,7 @@
 		for _, fault := range faults {
 			fmt.Println(fault)
 		}
-		return gauge.Fail(gauge.KindInvalid, "%d faults", len(faults))
+		return gauge.Errorf(gauge.KindInvalid, "%d faults", len(faults))
 	}
 	fmt.Printf("%d records, no fault\n", len(state.Records))
 	return nil
--- a/cmd/sapphiregauge/entry.go
+++ b/cmd/sapphiregauge/entry.go
@@ -103,13 +103,13 @@
 	defer platform.Close()
 	exitOnSecondSignal(ctx)
 	return entry.New(entry.Config{
-		Self: gauge.Member{ID: s.id, Run: uuid.NewString(), Zone: s.zone},
+		Self: gauge.Member{ID: s.id, StartID: uuid.NewString(), Zone: s.zone},
 		HTTP: httpListener, Peer: peerListener, Seeds: s.seeds,
 		Table: platform, Objects: platform, Platform: platform,
 		PeerKey: []byte(s.peerKey), OperatorKey: s.operatorKey,
 		Clock: time.Now, Logs: logs.New(os.Stderr, s.logLevel == "debug").WithValues("entry", s.id),
-		Poll: s.pollInterval, Beat: s.heartbeatInterval, Row: s.memberRowInterval, Term: s.leaseTerm, Round: s.renewInterval,
-		Watch: s.hostListInterval, Drain: s.drainDelay, Stop: s.shutdownTimeout,
+		PollInterval: s.pollInterval, HeartbeatInterval: s.heartbeatInterval, MemberRowInterval: s.memberRowInterval, LeaseDuration: s.leaseTerm, RoundInterval: s.renewInterval,
+		HostListInterval: s.hostListInterval, DrainDelay: s.drainDelay, ShutdownTimeout: s.shutdownTimeout,
 	}).Run(ctx)
 }
 
--- a/cmd/sapphiregauge/get.go
+++ b/cmd/sapphiregauge/get.go
@@ -86,7 +86,7 @@
 	lines := [][]string{{"HOST", "ZONE", "RACK", "POOL", "STATE", "GOAL", "WAVE", "DONE"}}
 	for _, h := range b.Hosts {
 		lines = append(lines, []string{
-			h.ID, h.Zone, h.Rack, h.Pool, string(h.State), string(h.Goal), h.Wave, strconv.FormatBool(h.Done),
+			h.ID, h.Zone, h.Rack, h.Pool, string(h.State), string(h.Goal), h.Wave, strconv.FormatBool(h.WaveDone),
 		})
 	}
 	return printTable(os.Stdout, lines...)
--- a/cmd/sapphiregauge/host.go
+++ b/cmd/sapphiregauge/host.go
@@ -91,9 +91,9 @@
 	// commitCheckDelay is how long a transaction may go without a response before its outcome is
 	// checked. A transaction takes about 10 ms; a used-up CPU quota delays it by 100 ms.
 	commitCheckDelay = 300 * time.Millisecond
-	// maxFastRead is the longest read that shows that the table isn't slow; a read that takes longer
-	// than probeReadTimeout shows that the table is unreachable. A read takes 4 ms, 60 to 90 times
-	// as long in a slow period; in between, a response to a transaction takes less than
+	// maxFastRead is the longest read that shows that the table isn't slow; a read that takes
+	// longer than probeReadTimeout shows that the table is unreachable. A read takes 4 ms, 60 to 90
+	// times as long in a slow period; in between, a response to a transaction takes less than
 	// commitCheckDelay.
 	maxFastRead      = 100 * time.Millisecond
 	probeReadTimeout = 500 * time.Millisecond
@@ -109,8 +109,8 @@
 	// adviceTimeout bounds a call to the advice service, where up to thirty-two other calls may be
 	// queued before it.
 	adviceTimeout = 3 * time.Second
-	// stopMargin is the time between the end of serving and the time at which the platform kills the
-	// process.
+	// stopMargin is the time between the end of serving and the time at which the platform kills
+	// the process.
 	stopMargin = 1500 * time.Millisecond
 	// closeTimeout bounds the final wait for calls in flight.
 	closeTimeout = 800 * time.Millisecond
@@ -128,7 +128,7 @@
 	settings platform.Settings
 	log      logr.Logger
 	node     *node.Node
-	front    *platform.Front
+	front    *platform.Frontend
 	mesh     *mesh.Node
 	meter    *meter.Meter
 	table    *platform.Table
@@ -137,7 +137,7 @@
 }
 
 func runHost(ctx context.Context, s *hostSettings) error {
-	disabled, err := gauge.ParseWithout(s.disabled)
+	disabled, err := gauge.ParseDisabled(s.disabled)
 	if err != nil {
 		return err
 	}
@@ -145,12 +145,12 @@
 	if err != nil {
 		return eris.Wrap(err, "host")
 	}
-	out := logs.NewBounded(os.Stdout)
-	log := logs.New(out, false).WithValues("entry", settings.Name)
+	out := logs.NewBoundedWriter(os.Stdout)
+	log := logs.New(out, false).WithValues("entry", settings.NodeName)
 	started := boot.Now()
 	log.Info("start", "zone", settings.Zone, "version", version, "without", disabled)
 	p := assemble(settings, disabled, log)
-	p.meter.Dropped(out.Dropped)
+	p.meter.RegisterDroppedLines(out.Dropped)
 	err = p.serveAll(ctx, s)
 	log.Info("stop", "ran", boot.Now()-started, "dropped", out.Dropped())
 	out.Close()
@@ -158,11 +158,11 @@
 }
 
 func (p *components) serveAll(ctx context.Context, s *hostSettings) error {
-	front, err := net.Listen("tcp", p.settings.Front)
+	front, err := net.Listen("tcp", p.settings.FrontendAddr)
 	if err != nil {
 		return eris.Wrap(err, "host: address for clients")
 	}
-	ready, err := net.Listen("tcp", p.settings.Ready)
+	ready, err := net.Listen("tcp", p.settings.ReadyAddr)
 	if err != nil {
 		return eris.Wrap(err, "host: address for the readiness check")
 	}
@@ -212,13 +212,14 @@
 	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.PeerPorts[0]))
 }
 
-// shutDown shuts an entry down without interrupting requests: its pools are released to other entries
-// as soon as possible, clients are asked to use other entries, and it goes on serving until shortly
-// before the grace period ends, so that the platform has had time to stop routing clients here.
+// shutDown shuts an entry down without interrupting requests: its pools are released to other
+// entries as soon as possible, clients are asked to use other entries, and it goes on serving until
+// shortly before the grace period ends, so that the platform has had time to stop routing clients
+// here.
 func (p *components) shutDown() {
 	began := boot.Now()
-	remaining := p.settings.Grace - stopMargin
-	p.front.Wind(remaining + closeTimeout - responseMargin)
+	remaining := p.settings.GracePeriod - stopMargin
+	p.front.BeginShutdown(remaining + closeTimeout - responseMargin)
 	p.release(max(0, remaining-releaseTimeout-releaseMargin))
 	if remaining -= boot.Now() - began; remaining > 0 {
 		time.Sleep(remaining)
--- a/cmd/sapphiregauge/main.go
+++ b/cmd/sapphiregauge/main.go
@@ -93,7 +93,7 @@
 	}
 	fmt.Fprintln(os.Stderr, "sapphiregauge:", err)
 	switch gauge.KindOf(err) {
-	case gauge.KindInvalid, gauge.KindLarge, gauge.KindNever:
+	case gauge.KindInvalid, gauge.KindTooLarge, gauge.KindImpossible:
 		return exitInput
 	case gauge.KindConflict:
 		return exitConflict
@@ -104,8 +104,8 @@
 	}
 }
 
-// newSubcommand makes a subcommand. The first paragraph of its usage is shown in the list of commands,
-// all of it in the subcommand's own help.
+// newSubcommand makes a subcommand. The first paragraph of its usage is shown in the list of
+// commands, all of it in the subcommand's own help.
 func newSubcommand(name, usage string) *flaggy.Subcommand {
 	s := flaggy.NewSubcommand(name)
 	first, rest, _ := strings.Cut(usage, "\n\n")
--- a/cmd/sapphiregauge/report.go
+++ b/cmd/sapphiregauge/report.go
@@ -59,11 +59,11 @@
 	case "promises":
 		return reportPromises(ctx, cl, w, format)
 	}
-	return gauge.Fail(gauge.KindInvalid, "WHAT: %q is neither burn nor promises", what)
+	return gauge.Errorf(gauge.KindInvalid, "WHAT: %q is neither burn nor promises", what)
 }
 
 func reportBurn(ctx context.Context, cl *client.Client, w io.Writer, format string) error {
-	var lines []burn.Line
+	var lines []burn.ServiceReport
 	if err := cl.Get(ctx, "/reports/burn", &lines); err != nil {
 		return err
 	}
@@ -74,7 +74,7 @@
 		return burnPage(w, lines)
 	case "text":
 	default:
-		return gauge.Fail(gauge.KindInvalid, "--format: %q is none of text, json, html", format)
+		return gauge.Errorf(gauge.KindInvalid, "--format: %q is none of text, json, html", format)
 	}
 	table := [][]string{{"SERVICE", "POOL", "OBJECTIVE", "5m", "30m", "1h", "6h", "ALERT"}}
 	for _, l := range lines {
@@ -92,9 +92,9 @@
 var burnTemplate string
 
 // burnPage writes the report as a self-contained HTML page with inline SVG plots.
-func burnPage(w io.Writer, lines []burn.Line) error {
+func burnPage(w io.Writer, lines []burn.ServiceReport) error {
 	type row struct {
-		burn.Line
+		burn.ServiceReport
 		Plot template.HTML
 	}
 	var rows []row
@@ -113,7 +113,7 @@
 }
 
 func reportPromises(ctx context.Context, cl *client.Client, w io.Writer, format string) error {
-	var lines []holds.Line
+	var lines []holds.Result
 	if err := cl.Get(ctx, "/reports/promises", &lines); err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 		return json.NewEncoder(w).Encode(lines)
 	}
 	if format != "text" {
-		return gauge.Fail(gauge.KindInvalid, "--format: %q is neither text nor json", format)
+		return gauge.Errorf(gauge.KindInvalid, "--format: %q is neither text nor json", format)
 	}
 	table := [][]string{{"PROMISE", "HELD", "LOOKED AT", "LAST BREACH", "EVIDENCE"}}
 	for _, l := range lines {
@@ -131,7 +131,7 @@
 }
 
 // heldColumn returns the HELD column: whether the promise was kept.
-func heldColumn(l holds.Line) string {
+func heldColumn(l holds.Result) string {
 	switch {
 	case l.Checks == 0 && l.Events > 0:
 		return fmt.Sprintf("not checked, %d events", l.Events)
@@ -145,7 +145,7 @@
 }
 
 // lastBreach returns the LAST BREACH column.
-func lastBreach(l holds.Line) string {
+func lastBreach(l holds.Result) string {
 	if l.Last.IsZero() {
 		return "-"
 	}
--- a/cmd/sapphiregauge/wave.go
+++ b/cmd/sapphiregauge/wave.go
@@ -51,7 +51,7 @@
 	case "drop":
 		s.Drops = []gauge.RecordID{{Kind: gauge.RecordWave, Name: name}}
 	default:
-		return gauge.Fail(gauge.KindInvalid, "ACTION: %q is none of start, pause, resume, drop", action)
+		return gauge.Errorf(gauge.KindInvalid, "ACTION: %q is none of start, pause, resume, drop", action)
 	}
 	var res apply.Result
 	if err := cl.Post(ctx, "/apply", s, &res); err != nil {
@@ -127,15 +127,15 @@
 			continue
 		}
 		line := []string{w.Pool}
-		for _, n := range []int{w.Done, w.Hosts, w.Out, w.Failed} {
+		for _, n := range []int{w.Done, w.Hosts, w.Unavailable, w.Failed} {
 			line = append(line, strconv.Itoa(n))
 		}
-		lines = append(lines, append(line, w.Waits))
+		lines = append(lines, append(line, w.WaitReason))
 		done += w.Done
 		all += w.Hosts
 	}
 	if len(lines) == 1 {
-		return nil, 0, 0, gauge.Fail(gauge.KindMissing, "there is no wave %s", name)
+		return nil, 0, 0, gauge.Errorf(gauge.KindNotFound, "there is no wave %s", name)
 	}
 	return lines, done, all, nil
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin runs fakes of the external systems, each as a process of its own: "standin platform"
-// serves the table, the object store and the host list from memory, and "standin worker" is a worker
-// that echoes requests. They are for tests and trials, not for production.
+// Command standin runs fakes of the external systems, each as a process of its own: "standin
+// platform" serves the table, the object store and the host list from memory, and "standin worker"
+// is a worker that echoes requests. They are for tests and trials, not for production.
 package main
 
 import (
@@ -116,7 +116,7 @@
 	const conns = 64
 	r := reporter{addr: o.platform, pool: exch.New(exch.Config{Clock: time.Now})}
 	w := work.New(work.Config{
-		Self: gauge.Sighting{
+		Self: gauge.ListedHost{
 			ID: o.id, Addr: l.Addr().String(), Zone: o.zone, Rack: o.rack,
 			Cores: o.cores, Memory: o.memoryGiB, Accels: o.accelerators, Slots: o.slots, Conns: conns,
 		},
@@ -133,7 +133,7 @@
 }
 
 // report sends one status report; the response says whether the worker is to reboot.
-func (r *reporter) report(s gauge.Sighting) (bool, error) {
+func (r *reporter) report(s gauge.ListedHost) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	body, err := json.Marshal(s)
--- a/decode_test.go
+++ b/decode_test.go
@@ -22,7 +22,7 @@
 }
 
 func FuzzDecodeLeaseRow(f *testing.F) {
-	row := gauge.LeaseRow{Holder: "e/1", Addr: "10.0.0.1:1", Workers: []string{"w"}, Ordered: map[string]int64{"m": 1}, Announced: true}
+	row := gauge.LeaseRow{Holder: "e/1", Addr: "10.0.0.1:1", Workers: []string{"w"}, OwnOrders: map[string]int64{"m": 1}, OrdersAnnounced: true}
 	b, err := row.Encode()
 	if err != nil {
 		f.Fatal(err)
@@ -65,16 +65,16 @@
 }
 
 func FuzzDecodeMark(f *testing.F) {
-	addSeeds(f, gauge.Mark{Pool: "p", Cancelled: true}.Encode())
-	f.Fuzz(func(_ *testing.T, b []byte) { _ = gauge.DecodeMark(b) })
+	addSeeds(f, gauge.OpenJobMark{Pool: "p", Cancelled: true}.Encode())
+	f.Fuzz(func(_ *testing.T, b []byte) { _ = gauge.DecodeOpenJobMark(b) })
 }
 
-func FuzzDecodeGrantRow(f *testing.F) {
-	row := gauge.GrantRow{Workers: []string{"w"}, Left: map[string]int64{"w": 1}, Ordered: map[string]int64{"m": 1}, Announced: true}
+func FuzzDecodeHandoverRow(f *testing.F) {
+	row := gauge.HandoverRow{Workers: []string{"w"}, RemainingLeases: map[string]int64{"w": 1}, OwnOrders: map[string]int64{"m": 1}, OrdersAnnounced: true}
 	b, err := row.Encode()
 	if err != nil {
 		f.Fatal(err)
 	}
 	addSeeds(f, b)
-	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = gauge.DecodeGrantRow(b) })
+	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = gauge.DecodeHandoverRow(b) })
 }
--- a/entryrow.go
+++ b/entryrow.go
@@ -17,7 +17,7 @@
 func (r *EntryRow) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
-		return nil, Fail(KindInternal, "entry row").Because(err)
+		return nil, Errorf(KindInternal, "entry row").WithCause(err)
 	}
 	return b, nil
 }
@@ -27,10 +27,10 @@
 func DecodeEntryRow(b []byte) (*EntryRow, error) {
 	r := new(EntryRow)
 	if err := msgpack.Unmarshal(b, r); err != nil {
-		return nil, Fail(KindInvalid, "entry row").Because(err)
+		return nil, Errorf(KindInvalid, "entry row").WithCause(err)
 	}
 	if r.Addr == "" || !(r.Capacity > 0) || math.IsInf(r.Capacity, 0) {
-		return nil, Fail(KindInvalid, "entry row: address %q, capacity %g", r.Addr, r.Capacity)
+		return nil, Errorf(KindInvalid, "entry row: address %q, capacity %g", r.Addr, r.Capacity)
 	}
 	return r, nil
 }
--- a/error.go
+++ b/error.go
@@ -14,36 +14,36 @@
 
 // The error kinds.
 const (
-	KindInvalid   Kind = "invalid"    // the input is malformed; Faults name the fields
-	KindDenied    Kind = "denied"     // the key is missing or wrong
-	KindMissing   Kind = "missing"    // there is nothing with that name
-	KindConflict  Kind = "conflict"   // something else changed it first
-	KindLarge     Kind = "large"      // a body or frame exceeds its size limit
-	KindQuota     Kind = "quota"      // the team has used up its quota
-	KindFull      Kind = "full"       // no slot can become free before the deadline
-	KindEmpty     Kind = "empty"      // no worker serves this at the moment
-	KindOutage    Kind = "outage"     // the platform's table or object store does not answer
-	KindDraining  Kind = "draining"   // this entry is shutting down
-	KindUnready   Kind = "unready"    // this entry has no configuration yet
-	KindCancelled Kind = "cancelled"  // the caller went away
-	KindProgress  Kind = "progress"   // the same request is still running
-	KindExpired   Kind = "expired"    // the deadline passed after work was sent
-	KindUnknown   Kind = "unknown"    // work was sent and no complete answer came back
-	KindPoison    Kind = "poison"     // the request failed on several distinct workers
-	KindFailed    Kind = "failed"     // the worker ran it and answered with a failure
-	KindReused    Kind = "reused"     // the idempotency key belongs to another request
-	KindInternal  Kind = "internal"   // a defect of this software
-	KindNever     Kind = "impossible" // no host could ever run it
-	KindGone      Kind = "gone"       // there is no such job, or no longer
-	KindCompacted Kind = "compacted"  // the table no longer has the changes asked for
-	KindFenced    Kind = "fenced"     // a holder with a newer fencing token has taken over
-	KindStale     Kind = "stale"      // the run isn't newer than one that ended on the worker
-	KindLate      Kind = "late"       // the order's deadline had passed when it arrived
-	KindNoRoom    Kind = "no room"    // the worker has too little free capacity
-	KindTicket    Kind = "ticket"     // the advice service's ticket is missing or has expired
-	KindReplaced  Kind = "replaced"   // another incarnation of the worker answers at its address
-	KindUnhealthy Kind = "unhealthy"  // the worker refuses the order because it is in trouble
-	KindBusy      Kind = "busy"       // the machine is not up, or is leaving
+	KindInvalid      Kind = "invalid"    // the input is malformed; Faults name the fields
+	KindDenied       Kind = "denied"     // the key is missing or wrong
+	KindNotFound     Kind = "missing"    // there is nothing with that name
+	KindConflict     Kind = "conflict"   // something else changed it first
+	KindTooLarge     Kind = "large"      // a body or frame exceeds its size limit
+	KindQuota        Kind = "quota"      // the team has used up its quota
+	KindNoSlot       Kind = "full"       // no slot can become free before the deadline
+	KindNoWorker     Kind = "empty"      // no worker serves this at the moment
+	KindOutage       Kind = "outage"     // the platform's table or object store does not answer
+	KindDraining     Kind = "draining"   // this entry is shutting down
+	KindUnready      Kind = "unready"    // this entry has no configuration yet
+	KindCancelled    Kind = "cancelled"  // the caller went away
+	KindInProgress   Kind = "progress"   // the same request is still running
+	KindExpired      Kind = "expired"    // the deadline passed after work was sent
+	KindUnknown      Kind = "unknown"    // work was sent and no complete answer came back
+	KindPoison       Kind = "poison"     // the request failed on several distinct workers
+	KindFailed       Kind = "failed"     // the worker ran it and answered with a failure
+	KindKeyReused    Kind = "reused"     // the idempotency key belongs to another request
+	KindInternal     Kind = "internal"   // a defect of this software
+	KindImpossible   Kind = "impossible" // no host could ever run it
+	KindGone         Kind = "gone"       // there is no such job, or no longer
+	KindCompacted    Kind = "compacted"  // the table no longer has the changes asked for
+	KindFenced       Kind = "fenced"     // a holder with a newer fencing token has taken over
+	KindStale        Kind = "stale"      // the run isn't newer than one that ended on the worker
+	KindPastDeadline Kind = "late"       // the order's deadline had passed when it arrived
+	KindNoRoom       Kind = "no room"    // the worker has too little free capacity
+	KindBadTicket    Kind = "ticket"     // the advice service's ticket is missing or has expired
+	KindReplaced     Kind = "replaced"   // another incarnation of the worker answers at its address
+	KindUnhealthy    Kind = "unhealthy"  // the worker refuses the order because it is in trouble
+	KindBusy         Kind = "busy"       // the machine is not up, or is leaving
 )
 
 // Ran says whether a worker ran a request.
@@ -56,53 +56,53 @@
 	RanUnknown Ran = "unknown"
 )
 
-// Answer is how an error kind is reported to an HTTP client.
-type Answer struct {
-	Status int
-	Again  bool // trying again may help: the answer carries a Retry-After header
-	Ran    Ran  // whether the request ran, where the kind alone decides it
+// HTTPAnswer is how an error kind is reported to an HTTP client.
+type HTTPAnswer struct {
+	Status    int
+	Retryable bool // trying again may help: the answer carries a Retry-After header
+	Ran       Ran  // whether the request ran, where the kind alone decides it
 }
 
 // answers maps each kind to its answer.
 //
 //nolint:gochecknoglobals // a constant table; Go has no constant maps
-var answers = map[Kind]Answer{
-	KindInvalid:   {Status: http.StatusBadRequest, Ran: RanNo},
-	KindDenied:    {Status: http.StatusUnauthorized, Ran: RanNo},
-	KindMissing:   {Status: http.StatusNotFound, Ran: RanNo},
-	KindConflict:  {Status: http.StatusConflict, Ran: RanNo},
-	KindLarge:     {Status: http.StatusRequestEntityTooLarge, Ran: RanNo},
-	KindQuota:     {Status: http.StatusTooManyRequests, Again: true, Ran: RanNo},
-	KindFull:      {Status: http.StatusServiceUnavailable, Again: true, Ran: RanNo},
-	KindEmpty:     {Status: http.StatusServiceUnavailable, Again: true, Ran: RanNo},
-	KindOutage:    {Status: http.StatusServiceUnavailable, Again: true, Ran: RanNo},
-	KindDraining:  {Status: http.StatusServiceUnavailable, Again: true, Ran: RanNo},
-	KindUnready:   {Status: http.StatusServiceUnavailable, Again: true, Ran: RanNo},
-	KindCancelled: {Status: 499, Ran: RanNo}, // nginx's status code for a client that closed the connection
-	KindProgress:  {Status: http.StatusConflict, Again: true, Ran: RanUnknown},
-	KindExpired:   {Status: http.StatusGatewayTimeout, Ran: RanUnknown},
-	KindUnknown:   {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindPoison:    {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindFailed:    {Status: http.StatusBadGateway, Ran: RanYes},
-	KindReused:    {Status: http.StatusUnprocessableEntity, Ran: RanNo},
-	KindInternal:  {Status: http.StatusInternalServerError, Ran: RanUnknown},
-	KindNever:     {Status: http.StatusUnprocessableEntity, Ran: RanNo},
-	KindGone:      {Status: http.StatusGone, Ran: RanNo},
+var answers = map[Kind]HTTPAnswer{
+	KindInvalid:    {Status: http.StatusBadRequest, Ran: RanNo},
+	KindDenied:     {Status: http.StatusUnauthorized, Ran: RanNo},
+	KindNotFound:   {Status: http.StatusNotFound, Ran: RanNo},
+	KindConflict:   {Status: http.StatusConflict, Ran: RanNo},
+	KindTooLarge:   {Status: http.StatusRequestEntityTooLarge, Ran: RanNo},
+	KindQuota:      {Status: http.StatusTooManyRequests, Retryable: true, Ran: RanNo},
+	KindNoSlot:     {Status: http.StatusServiceUnavailable, Retryable: true, Ran: RanNo},
+	KindNoWorker:   {Status: http.StatusServiceUnavailable, Retryable: true, Ran: RanNo},
+	KindOutage:     {Status: http.StatusServiceUnavailable, Retryable: true, Ran: RanNo},
+	KindDraining:   {Status: http.StatusServiceUnavailable, Retryable: true, Ran: RanNo},
+	KindUnready:    {Status: http.StatusServiceUnavailable, Retryable: true, Ran: RanNo},
+	KindCancelled:  {Status: 499, Ran: RanNo}, // nginx's status code for a client that closed the connection
+	KindInProgress: {Status: http.StatusConflict, Retryable: true, Ran: RanUnknown},
+	KindExpired:    {Status: http.StatusGatewayTimeout, Ran: RanUnknown},
+	KindUnknown:    {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindPoison:     {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindFailed:     {Status: http.StatusBadGateway, Ran: RanYes},
+	KindKeyReused:  {Status: http.StatusUnprocessableEntity, Ran: RanNo},
+	KindInternal:   {Status: http.StatusInternalServerError, Ran: RanUnknown},
+	KindImpossible: {Status: http.StatusUnprocessableEntity, Ran: RanNo},
+	KindGone:       {Status: http.StatusGone, Ran: RanNo},
 	// The kinds below arise between entries, workers and the platform; a caller that receives one
 	// learns only that it may try again.
-	KindCompacted: {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindFenced:    {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindStale:     {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindLate:      {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindNoRoom:    {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindTicket:    {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindReplaced:  {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindUnhealthy: {Status: http.StatusBadGateway, Ran: RanUnknown},
-	KindBusy:      {Status: http.StatusConflict, Ran: RanNo},
+	KindCompacted:    {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindFenced:       {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindStale:        {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindPastDeadline: {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindNoRoom:       {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindBadTicket:    {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindReplaced:     {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindUnhealthy:    {Status: http.StatusBadGateway, Ran: RanUnknown},
+	KindBusy:         {Status: http.StatusConflict, Ran: RanNo},
 }
 
 // Answer returns how the kind is reported to an HTTP client. An unlisted kind counts as internal.
-func (k Kind) Answer() Answer {
+func (k Kind) Answer() HTTPAnswer {
 	a, ok := answers[k]
 	if !ok {
 		return answers[KindInternal]
@@ -160,28 +160,28 @@
 
 // Error is the error type that every part of the system returns to callers.
 type Error struct {
-	Kind   Kind
-	Reason string
-	Faults Faults
-	Retry  time.Duration // when trying again may help; 0: the default of the answer
-	ran    Ran           // set by Refuse alone; empty: not proved
-	cause  error
+	Kind       Kind
+	Reason     string
+	Faults     Faults
+	RetryAfter time.Duration // when trying again may help; 0: the default of the answer
+	ran        Ran           // set by Refuse alone; empty: not proved
+	cause      error
 }
 
-// Fail returns an error of a kind. It never claims that a request did not run; only Refuse does.
-func Fail(k Kind, format string, args ...any) *Error {
+// Errorf returns an error of a kind. It never claims that a request did not run; only Refuse does.
+func Errorf(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, Reason: fmt.Sprintf(format, args...)}
 }
 
-// Because sets the error that caused this one, and returns the receiver.
-func (e *Error) Because(cause error) *Error {
+// WithCause sets the error that caused this one, and returns the receiver.
+func (e *Error) WithCause(cause error) *Error {
 	e.cause = cause
 	return e
 }
 
-// After sets after what time the caller may try again, and returns the receiver.
-func (e *Error) After(d time.Duration) *Error {
-	e.Retry = d
+// WithRetryAfter sets after what time the caller may try again, and returns the receiver.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
+	e.RetryAfter = d
 	return e
 }
 
@@ -217,8 +217,8 @@
 	return KindInternal
 }
 
-// Is reports whether an error is of a kind.
-func Is(err error, k Kind) bool {
+// IsKind reports whether an error is of a kind.
+func IsKind(err error, k Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == k
 }
@@ -229,5 +229,5 @@
 	if errors.As(err, &e) {
 		return e
 	}
-	return Fail(KindInternal, "%s", err).Because(err)
+	return Errorf(KindInternal, "%s", err).WithCause(err)
 }
--- a/error_test.go
+++ b/error_test.go
@@ -22,14 +22,14 @@
 		kind     gauge.Kind
 		ran      gauge.Ran
 	}{
-		{"no attempt", nil, gauge.KindFull, gauge.RanNo},
-		{"never sent", gauge.Attempts{unsent, unsent}, gauge.KindFull, gauge.RanNo},
-		{"proved refusal", gauge.Attempts{refused}, gauge.KindFull, gauge.RanNo},
+		{"no attempt", nil, gauge.KindNoSlot, gauge.RanNo},
+		{"never sent", gauge.Attempts{unsent, unsent}, gauge.KindNoSlot, gauge.RanNo},
+		{"proved refusal", gauge.Attempts{refused}, gauge.KindNoSlot, gauge.RanNo},
 		{"lost, then not sent", gauge.Attempts{lost, unsent}, gauge.KindUnknown, gauge.RanUnknown},
 		{"refused, then lost", gauge.Attempts{refused, lost}, gauge.KindUnknown, gauge.RanUnknown},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			err := gauge.Refuse(tt.attempts, gauge.KindFull, "no place", time.Second)
+			err := gauge.Refuse(tt.attempts, gauge.KindNoSlot, "no place", time.Second)
 			assert.Equal(t, err.Kind, tt.kind)
 			assert.Equal(t, err.Ran(), tt.ran)
 		})
@@ -40,7 +40,7 @@
 // its own.
 func TestFailNeverClaimsNotRun(t *testing.T) {
 	for _, k := range gauge.Kinds() {
-		assert.Assert(t, gauge.Fail(k, "x").Ran() != gauge.RanNo, k)
+		assert.Assert(t, gauge.Errorf(k, "x").Ran() != gauge.RanNo, k)
 		assert.Assert(t, k.Answer().Status >= 400, k)
 		assert.Equal(t, k.Answer() == gauge.KindInternal.Answer(), k == gauge.KindInternal, k)
 	}
--- a/grantrow.go
+++ b/grantrow.go
@@ -7,56 +7,56 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// GrantRow is what the next holder of a lease must know about the orders of this holder and
+// HandoverRow is what the next holder of a lease must know about the orders of this holder and
 // previous ones; its fields are those of LeaseRow. When it has changed it is written in one
 // transaction with the lease row, and only an entry that takes the lease reads it. As each change
 // of it changes the version of the lease row, a claim conditional on that version proves that the
-// grants read after it are current.
-type GrantRow struct {
-	Workers   []string         `msgpack:"w,omitempty"`
-	Left      map[string]int64 `msgpack:"l,omitempty"`
-	Emptied   map[string]int64 `msgpack:"y,omitempty"`
-	Unnoted   int              `msgpack:"z,omitempty"`
-	Ordered   map[string]int64 `msgpack:"o,omitempty"`
-	Earlier   map[string]int64 `msgpack:"e,omitempty"`
-	Kept      int64            `msgpack:"p,omitempty"`
-	Announced bool             `msgpack:"b,omitempty"`
+// contents read after it are current.
+type HandoverRow struct {
+	Workers          []string         `msgpack:"w,omitempty"`
+	RemainingLeases  map[string]int64 `msgpack:"l,omitempty"`
+	DrainedFor       map[string]int64 `msgpack:"y,omitempty"`
+	UnrecordedOwners int              `msgpack:"z,omitempty"`
+	OwnOrders        map[string]int64 `msgpack:"o,omitempty"`
+	PreviousOrders   map[string]int64 `msgpack:"e,omitempty"`
+	Retention        int64            `msgpack:"p,omitempty"`
+	OrdersAnnounced  bool             `msgpack:"b,omitempty"`
 }
 
 // Split separates the fields for all entries from those for the next holder.
-func (r *LeaseRow) Split() (LeaseRow, GrantRow) {
-	g := GrantRow{Workers: r.Workers, Left: r.Left, Emptied: r.Emptied, Unnoted: r.Unnoted, Ordered: r.Ordered, Earlier: r.Earlier, Kept: r.Kept, Announced: r.Announced}
+func (r *LeaseRow) Split() (LeaseRow, HandoverRow) {
+	g := HandoverRow{Workers: r.Workers, RemainingLeases: r.RemainingLeases, DrainedFor: r.DrainedFor, UnrecordedOwners: r.UnrecordedOwners, OwnOrders: r.OwnOrders, PreviousOrders: r.PreviousOrders, Retention: r.Retention, OrdersAnnounced: r.OrdersAnnounced}
 	all := *r
-	all.Join(&GrantRow{})
+	all.Join(&HandoverRow{})
 	return all, g
 }
 
 // Join adds the fields for the next holder.
-func (r *LeaseRow) Join(g *GrantRow) {
-	r.Workers, r.Left, r.Emptied, r.Unnoted = g.Workers, g.Left, g.Emptied, g.Unnoted
-	r.Ordered, r.Earlier, r.Kept, r.Announced = g.Ordered, g.Earlier, g.Kept, g.Announced
+func (r *LeaseRow) Join(g *HandoverRow) {
+	r.Workers, r.RemainingLeases, r.DrainedFor, r.UnrecordedOwners = g.Workers, g.RemainingLeases, g.DrainedFor, g.UnrecordedOwners
+	r.OwnOrders, r.PreviousOrders, r.Retention, r.OrdersAnnounced = g.OwnOrders, g.PreviousOrders, g.Retention, g.OrdersAnnounced
 }
 
 // Equal reports whether two rows have the same content.
-func (g *GrantRow) Equal(o *GrantRow) bool {
-	return g.Kept == o.Kept && g.Unnoted == o.Unnoted && g.Announced == o.Announced && slices.Equal(g.Workers, o.Workers) &&
-		maps.Equal(g.Left, o.Left) && maps.Equal(g.Emptied, o.Emptied) && maps.Equal(g.Ordered, o.Ordered) && maps.Equal(g.Earlier, o.Earlier)
+func (g *HandoverRow) Equal(o *HandoverRow) bool {
+	return g.Retention == o.Retention && g.UnrecordedOwners == o.UnrecordedOwners && g.OrdersAnnounced == o.OrdersAnnounced && slices.Equal(g.Workers, o.Workers) &&
+		maps.Equal(g.RemainingLeases, o.RemainingLeases) && maps.Equal(g.DrainedFor, o.DrainedFor) && maps.Equal(g.OwnOrders, o.OwnOrders) && maps.Equal(g.PreviousOrders, o.PreviousOrders)
 }
 
 // Encode marshals the row for the table.
-func (g *GrantRow) Encode() ([]byte, error) {
+func (g *HandoverRow) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(g)
 	if err != nil {
-		return nil, Fail(KindInternal, "grant row").Because(err)
+		return nil, Errorf(KindInternal, "grant row").WithCause(err)
 	}
 	return b, nil
 }
 
-// DecodeGrantRow decodes a row written by Encode.
-func DecodeGrantRow(b []byte) (*GrantRow, error) {
-	g := new(GrantRow)
+// DecodeHandoverRow decodes a row written by Encode.
+func DecodeHandoverRow(b []byte) (*HandoverRow, error) {
+	g := new(HandoverRow)
 	if err := msgpack.Unmarshal(b, g); err != nil {
-		return nil, Fail(KindInvalid, "grant row").Because(err)
+		return nil, Errorf(KindInvalid, "grant row").WithCause(err)
 	}
 	return g, nil
 }
--- a/host.go
+++ b/host.go
@@ -22,7 +22,7 @@
 
 // The goals.
 const (
-	GoalMove   Goal = "move"   // to the pool named by Next, or to none
+	GoalMove   Goal = "move"   // to the pool named by NextPool, or to none
 	GoalReboot Goal = "reboot" // for a maintenance wave, then back into service
 )
 
@@ -30,26 +30,26 @@
 // compare-and-set, with the epoch growing by one each time, so that one of two controllers that
 // decide at the same time fails.
 type Host struct {
-	ID     string    `json:"id"`
-	Addr   string    `json:"addr"`
-	Zone   string    `json:"zone"`
-	Rack   string    `json:"rack"`
-	Cores  int       `json:"cores"`
-	Memory int       `json:"memory"` // GiB
-	Accels int       `json:"accels"`
-	Slots  int       `json:"slots"`
-	Conns  int       `json:"conns"`
-	Pool   string    `json:"pool,omitempty"`
-	State  HostState `json:"state"`
-	Goal   Goal      `json:"goal,omitempty"`
-	Next   string    `json:"next,omitempty"`
-	Wave   string    `json:"wave,omitempty"`  // last wave that took the host out
-	Done   bool      `json:"done,omitempty"`  // that wave is done on this host
-	Begun  int64     `json:"begun,omitempty"` // revision at which that wave took the host out
-	Waved  int64     `json:"waved,omitempty"` // Begun of the last wave that is done on this host
-	Boots  int       `json:"boots"`           // boot count when the reboot was requested
-	Epoch  int64     `json:"epoch"`
-	Since  int64     `json:"since"` // revision of the last change
+	ID               string    `json:"id"`
+	Addr             string    `json:"addr"`
+	Zone             string    `json:"zone"`
+	Rack             string    `json:"rack"`
+	Cores            int       `json:"cores"`
+	Memory           int       `json:"memory"` // GiB
+	Accels           int       `json:"accels"`
+	Slots            int       `json:"slots"`
+	Conns            int       `json:"conns"`
+	Pool             string    `json:"pool,omitempty"`
+	State            HostState `json:"state"`
+	Goal             Goal      `json:"goal,omitempty"`
+	NextPool         string    `json:"next,omitempty"`
+	Wave             string    `json:"wave,omitempty"`  // last wave that took the host out
+	WaveDone         bool      `json:"done,omitempty"`  // that wave is done on this host
+	WaveRevision     int64     `json:"begun,omitempty"` // revision at which that wave took the host out
+	LastDoneRevision int64     `json:"waved,omitempty"` // WaveRevision of the last wave that is done on this host
+	Boots            int       `json:"boots"`           // boot count when the reboot was requested
+	Epoch            int64     `json:"epoch"`
+	ChangedRevision  int64     `json:"since"` // revision of the last change
 }
 
 // Target returns the host as the target of a request.
@@ -57,8 +57,8 @@
 	return Target{Host: h.ID, Addr: h.Addr, Rack: h.Rack, Zone: h.Zone}
 }
 
-// Serves reports whether new work may be sent to the host.
-func (h Host) Serves() bool { return h.State == HostServing }
+// IsServing reports whether new work may be sent to the host.
+func (h Host) IsServing() bool { return h.State == HostServing }
 
 // Hosts is a list of hosts.
 type Hosts []Host
@@ -74,11 +74,11 @@
 	return in
 }
 
-// Serving returns the hosts that new work may be sent to.
-func (hs Hosts) Serving() Hosts {
+// ServingHosts returns the hosts that new work may be sent to.
+func (hs Hosts) ServingHosts() Hosts {
 	var in Hosts
 	for _, h := range hs {
-		if h.Serves() {
+		if h.IsServing() {
 			in = append(in, h)
 		}
 	}
@@ -96,9 +96,9 @@
 	StatusGone    Status = "gone"
 )
 
-// Sighting is one line of the platform's host list. Age is how old the information is, by the
+// ListedHost is one line of the platform's host list. Age is how old the information is, by the
 // platform's own clock.
-type Sighting struct {
+type ListedHost struct {
 	ID     string        `json:"id"`
 	Addr   string        `json:"addr"`
 	Zone   string        `json:"zone"`
@@ -114,12 +114,12 @@
 	Age    time.Duration `json:"age"`
 }
 
-// Sightings is the platform's host list.
-type Sightings []Sighting
+// HostList is the platform's host list.
+type HostList []ListedHost
 
 // ByID returns the lines by host ID.
-func (ss Sightings) ByID() map[string]Sighting {
-	m := make(map[string]Sighting, len(ss))
+func (ss HostList) ByID() map[string]ListedHost {
+	m := make(map[string]ListedHost, len(ss))
 	for _, s := range ss {
 		m[s.ID] = s
 	}
@@ -129,6 +129,6 @@
 // Platform is the part of the platform that lists and reboots hosts. Reboot is idempotent by token:
 // the same token twice reboots the host once.
 type Platform interface {
-	List(ctx context.Context) (Sightings, error)
+	List(ctx context.Context) (HostList, error)
 	Reboot(ctx context.Context, host, token string) error
 }
--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -34,11 +34,11 @@
 
 // Submission is one change that an operator submits.
 type Submission struct {
-	ID    string           `json:"id"`
-	Basis int64            `json:"basis"` // revision that the change is based on; 0: any
-	Files []File           `json:"files,omitempty"`
-	Drops []gauge.RecordID `json:"drops,omitempty"`
-	Dry   bool             `json:"dry,omitempty"` // report what would change, store nothing
+	ID     string           `json:"id"`
+	Basis  int64            `json:"basis"` // revision that the change is based on; 0: any
+	Files  []File           `json:"files,omitempty"`
+	Drops  []gauge.RecordID `json:"drops,omitempty"`
+	DryRun bool             `json:"dry,omitempty"` // report what would change, store nothing
 }
 
 // Result is the effect of a submission.
@@ -78,7 +78,7 @@
 			return Result{}, err
 		}
 		res, change, err := a.compare(state, sub, records)
-		if err != nil || sub.Dry || len(change.Records) == 0 {
+		if err != nil || sub.DryRun || len(change.Records) == 0 {
 			return res, err
 		}
 		accepted, err := a.conf.Log.Append(ctx, state.Revision, change)
@@ -86,11 +86,11 @@
 			res.Revision = accepted.Revision
 			return res, nil
 		}
-		if !gauge.Is(err, gauge.KindConflict) {
+		if !gauge.IsKind(err, gauge.KindConflict) {
 			return Result{}, err
 		}
 	}
-	return Result{}, gauge.Fail(gauge.KindConflict, "others keep changing the fleet, nothing was applied")
+	return Result{}, gauge.Errorf(gauge.KindConflict, "others keep changing the fleet, nothing was applied")
 }
 
 func (a *Applier) latestState(ctx context.Context) (gauge.State, error) {
@@ -99,7 +99,7 @@
 		return a.conf.Log.Load(ctx)
 	}
 	next, err := a.conf.Log.CatchUp(ctx, s)
-	if gauge.Is(err, gauge.KindMissing) {
+	if gauge.IsKind(err, gauge.KindNotFound) {
 		return a.conf.Log.Load(ctx)
 	}
 	return next, err
@@ -133,7 +133,7 @@
 		records = append(records, got...)
 	}
 	for _, id := range sub.Drops {
-		records = append(records, gauge.Record{Kind: id.Kind, Name: id.Name, Gone: true})
+		records = append(records, gauge.Record{Kind: id.Kind, Name: id.Name, Deleted: true})
 	}
 	return records, faults.Err()
 }
@@ -145,22 +145,22 @@
 	var conflicts []string
 	for _, r := range records {
 		old, exists := s.Records[r.ID()]
-		if r.Gone && !exists {
-			return res, change, gauge.Fail(gauge.KindMissing, "there is no %s to drop", r.ID())
+		if r.Deleted && !exists {
+			return res, change, gauge.Errorf(gauge.KindNotFound, "there is no %s to drop", r.ID())
 		}
-		if exists && !r.Gone && old.Source == r.Source {
+		if exists && !r.Deleted && old.Source == r.Source {
 			continue
 		}
 		if exists && sub.Basis > 0 && old.Revision > sub.Basis {
 			conflicts = append(conflicts, fmt.Sprintf("%s was changed by revision %d:\n%s", r.ID(), old.Revision, diff(r.ID(), r.Source, old.Source)))
 		}
-		r.Born = old.Born
+		r.FirstRevision = old.FirstRevision
 		change.Records = append(change.Records, r)
 		res.Changed = append(res.Changed, r.ID().String())
 		res.Diff += diff(r.ID(), old.Source, r.Source)
 	}
 	if len(conflicts) > 0 {
-		return res, change, gauge.Fail(gauge.KindConflict, "made for revision %d, but %s", sub.Basis, strings.Join(conflicts, "\n"))
+		return res, change, gauge.Errorf(gauge.KindConflict, "made for revision %d, but %s", sub.Basis, strings.Join(conflicts, "\n"))
 	}
 	slices.Sort(res.Changed)
 	next, err := s.Apply(change)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -35,8 +35,8 @@
 
 // The method names of the messages between entries.
 const (
-	MethodAsk   = "ask"
-	MethodGrant = "grant"
+	MethodRequest = "ask"
+	MethodGrant   = "grant"
 )
 
 const (
@@ -49,7 +49,7 @@
 
 // requestMsg and grantMsg are the messages between entries.
 type requestMsg struct {
-	Requests []slots.Ask `msgpack:"a"`
+	Requests []slots.LeaseRequest `msgpack:"a"`
 }
 
 type grantMsg struct {
@@ -65,7 +65,7 @@
 	wake chan struct{}
 
 	mu             sync.RWMutex
-	allocators     map[string]*desk.Desk
+	allocators     map[string]*desk.Allocator
 	owners         map[string]*owner
 	leasableByName map[string]leasable // of the configuration in force
 }
@@ -77,8 +77,8 @@
 	maxRunTime time.Duration // longest run of a request
 }
 
-// Quota is the name under which a team's quota is leased out.
-func Quota(team string) string { return "team/" + team }
+// QuotaName is the name under which a team's quota is leased out.
+func QuotaName(team string) string { return "team/" + team }
 
 // owner leases out one pool that this entry owns, under its own lock.
 type owner struct {
@@ -93,11 +93,11 @@
 	fill.Zero(&c.Round, defaultRound)
 	return &Broker{
 		conf: c, wake: make(chan struct{}, 1),
-		allocators: make(map[string]*desk.Desk), owners: make(map[string]*owner),
+		allocators: make(map[string]*desk.Allocator), owners: make(map[string]*owner),
 	}
 }
 
-func (b *Broker) holderName() string { return b.conf.Self.ID + "/" + b.conf.Self.Run }
+func (b *Broker) holderName() string { return b.conf.Self.ID + "/" + b.conf.Self.StartID }
 
 func (b *Broker) requestSoon() {
 	select {
@@ -106,28 +106,28 @@
 	}
 }
 
-// Adopt gives the allocators the hosts and quotas of a new configuration state.
-func (b *Broker) Adopt(s gauge.State) {
+// ApplyState gives the allocators the hosts and quotas of a new configuration state.
+func (b *Broker) ApplyState(s gauge.State) {
 	byPool := make(map[string]gauge.Hosts)
-	capacities := make(map[string][]slots.Room)
-	for _, h := range s.Hosts().Serving() {
+	capacities := make(map[string][]slots.HostCapacity)
+	for _, h := range s.Hosts().ServingHosts() {
 		byPool[h.Pool] = append(byPool[h.Pool], h)
-		capacities[h.Pool] = append(capacities[h.Pool], slots.Room{Host: h.ID, Slots: h.Slots})
+		capacities[h.Pool] = append(capacities[h.Pool], slots.HostCapacity{Host: h.ID, Slots: h.Slots})
 	}
 	maxWaiting, maxRunTimes := poolLimits(s)
 	byName := make(map[string]leasable)
-	for _, name := range s.Names(gauge.RecordPool) {
+	for _, name := range s.RecordNames(gauge.RecordPool) {
 		p := s.Pool(name)
 		byName[name] = leasable{
 			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.Reserve, Floor: p.Floor},
 			maxRunTime: maxRunTimes[name],
 		}
-		b.allocatorFor(name, maxWaiting[name]).Set(byPool[name], p.Hosts)
+		b.allocatorFor(name, maxWaiting[name]).SetHosts(byPool[name], p.Hosts)
 	}
-	for _, name := range s.Names(gauge.RecordTeam) {
+	for _, name := range s.RecordNames(gauge.RecordTeam) {
 		quota := s.Team(name).Quota
-		byName[Quota(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.Room{{Host: quotaHost, Slots: quota}}}}
-		b.allocatorFor(Quota(name), quota).Set(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
+		byName[QuotaName(name)] = leasable{Fleet: slots.Fleet{Hosts: []slots.HostCapacity{{Host: quotaHost, Slots: quota}}}}
+		b.allocatorFor(QuotaName(name), quota).SetHosts(gauge.Hosts{{ID: quotaHost, State: gauge.HostServing}}, 1)
 	}
 	b.mu.Lock()
 	b.leasableByName = byName
@@ -141,30 +141,30 @@
 // run.
 func poolLimits(s gauge.State) (maxWaiting map[string]int, maxRunTimes map[string]time.Duration) {
 	maxWaiting, maxRunTimes = make(map[string]int), make(map[string]time.Duration)
-	for _, name := range s.Names(gauge.RecordService) {
+	for _, name := range s.RecordNames(gauge.RecordService) {
 		svc := s.Service(name)
-		maxWaiting[svc.Pool] = max(maxWaiting[svc.Pool], svc.Queue)
-		maxRunTimes[svc.Pool] = max(maxRunTimes[svc.Pool], svc.Limit)
+		maxWaiting[svc.Pool] = max(maxWaiting[svc.Pool], svc.MaxQueued)
+		maxRunTimes[svc.Pool] = max(maxRunTimes[svc.Pool], svc.MaxTimeout)
 	}
 	return maxWaiting, maxRunTimes
 }
 
-func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Desk {
+func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Allocator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	d := b.allocators[pool]
 	if d == nil {
 		d = desk.New(desk.Config{
-			Pool: pool, Name: b.holderName(), Length: max(1, maxWaiting), Clock: b.conf.Clock,
-			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), Kick: b.requestSoon,
+			Pool: pool, Holder: b.holderName(), MaxWaiting: max(1, maxWaiting), Clock: b.conf.Clock,
+			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), RequestSoon: b.requestSoon,
 		})
 		b.allocators[pool] = d
 	}
 	return d
 }
 
-// Desk returns a pool's allocator; nil if there is no such pool.
-func (b *Broker) Desk(pool string) *desk.Desk {
+// Allocator returns a pool's allocator; nil if there is no such pool.
+func (b *Broker) Allocator(pool string) *desk.Allocator {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.allocators[pool]
@@ -194,16 +194,16 @@
 			return
 		case <-tick.C:
 			b.updateOwners(b.conf.View())
-			b.sendRequests(ctx, &calls, (*desk.Desk).Renew)
+			b.sendRequests(ctx, &calls, (*desk.Allocator).RenewRequest)
 		case <-b.wake:
 			time.Sleep(requestDelay)
-			b.sendRequests(ctx, &calls, (*desk.Desk).Ask)
+			b.sendRequests(ctx, &calls, (*desk.Allocator).NextRequest)
 		}
 	}
 }
 
 // sendRequests sends the allocators' lease requests, one message per owner.
-func (b *Broker) sendRequests(ctx context.Context, calls *conc.WaitGroup, nextRequest func(*desk.Desk) (slots.Ask, bool)) {
+func (b *Broker) sendRequests(ctx context.Context, calls *conc.WaitGroup, nextRequest func(*desk.Allocator) (slots.LeaseRequest, bool)) {
 	view := b.conf.View()
 	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
@@ -230,10 +230,10 @@
 	}
 }
 
-func (b *Broker) allAllocators() map[string]*desk.Desk {
+func (b *Broker) allAllocators() map[string]*desk.Allocator {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	out := make(map[string]*desk.Desk, len(b.allocators))
+	out := make(map[string]*desk.Allocator, len(b.allocators))
 	for pool, d := range b.allocators {
 		out[pool] = d
 	}
@@ -245,7 +245,7 @@
 	ctx, cancel := context.WithTimeout(ctx, b.conf.Round)
 	defer cancel()
 	var reply grantMsg
-	if err := b.conf.Peers.Call(ctx, addr, MethodAsk, msg, &reply); err != nil {
+	if err := b.conf.Peers.Call(ctx, addr, MethodRequest, msg, &reply); err != nil {
 		b.conf.Logs.V(1).Info("pool owner did not answer", "addr", addr, "reason", err.Error())
 		return
 	}
@@ -254,14 +254,14 @@
 
 func (b *Broker) applyGrants(g grantMsg) {
 	for _, grant := range g.Grants {
-		if d := b.Desk(grant.Pool); d != nil {
-			d.Grant(grant)
+		if d := b.Allocator(grant.Pool); d != nil {
+			d.ApplyGrant(grant)
 		}
 	}
 }
 
-// HandleAsk answers another entry's lease requests.
-func (b *Broker) HandleAsk(ctx context.Context, body []byte) (any, error) {
+// HandleRequest answers another entry's lease requests.
+func (b *Broker) HandleRequest(ctx context.Context, body []byte) (any, error) {
 	var msg requestMsg
 	if err := frame.Decode(body, &msg); err != nil {
 		return nil, err
@@ -299,20 +299,20 @@
 	return out
 }
 
-func (b *Broker) answerRequest(request slots.Ask, view member.View) (slots.Grant, []slots.Push) {
+func (b *Broker) answerRequest(request slots.LeaseRequest, view member.View) (slots.Grant, []slots.Push) {
 	b.mu.RLock()
 	f, ok := b.leasableByName[request.Pool]
 	b.mu.RUnlock()
 	if !ok || peers.Owner(view.Live, request.Pool).ID != b.conf.Self.ID {
 		b.dropOwner(request.Pool)
-		return slots.Grant{Pool: request.Pool, Seq: request.Seq, Not: true}, nil
+		return slots.Grant{Pool: request.Pool, Seq: request.Seq, Rejected: true}, nil
 	}
-	f.Same, f.Known = view.Same, view.Known
+	f.SameViewCount, f.KnownCount = view.Same, view.Known
 	o := b.currentOwner(request.Pool, f.maxRunTime)
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.slots.Set(f.Fleet)
-	return o.slots.Ask(b.conf.Clock(), request)
+	o.slots.SetFleet(f.Fleet)
+	return o.slots.HandleRequest(b.conf.Clock(), request)
 }
 
 // pushGrants sends slots that came free to an entry that waits for some.
@@ -322,7 +322,7 @@
 		return
 	}
 	for _, m := range view.Live {
-		if m.ID+"/"+m.Run != holder {
+		if m.ID+"/"+m.StartID != holder {
 			continue
 		}
 		go func() {
@@ -344,7 +344,7 @@
 	o := b.owners[pool]
 	if o == nil || now.Sub(o.lastConfirmed) > b.conf.Term {
 		o = &owner{slots: slots.New(slots.Config{
-			Pool: pool, Term: b.conf.Term, Limit: maxRunTime, Start: now,
+			Pool: pool, LeaseDuration: b.conf.Term, MaxRunTime: maxRunTime, OwnerSince: now,
 		})}
 		b.owners[pool] = o
 		b.conf.Logs.V(1).Info("leasing out slots as pool owner", "pool", pool)
@@ -376,8 +376,8 @@
 	delete(b.owners, pool)
 }
 
-// Seen passes the platform's host list to the owners.
-func (b *Broker) Seen(list gauge.Sightings) {
+// ObserveHosts passes the platform's host list to the owners.
+func (b *Broker) ObserveHosts(list gauge.HostList) {
 	b.mu.RLock()
 	owners := make([]*owner, 0, len(b.owners))
 	for _, o := range b.owners {
@@ -388,7 +388,7 @@
 	for _, o := range owners {
 		o.mu.Lock()
 		for _, s := range list {
-			o.slots.Seen(s.ID, s.Used, now.Add(-s.Age))
+			o.slots.ObserveUsage(s.ID, s.Used, now.Add(-s.Age))
 		}
 		o.mu.Unlock()
 	}
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -1,5 +1,5 @@
-// Package burn counts good and bad responses by service and minute, and computes how fast each service
-// burns its error budget. The counts of several entries can be summed.
+// Package burn counts good and bad responses by service and minute, and computes how fast each
+// service burns its error budget. The counts of several entries can be summed.
 package burn
 
 import (
@@ -25,8 +25,8 @@
 	Counts  []Count `msgpack:"c" json:"counts"`
 }
 
-// Book keeps the counts of this entry. It is safe for concurrent use.
-type Book struct {
+// Recorder keeps the counts of this entry. It is safe for concurrent use.
+type Recorder struct {
 	clock gauge.Clock
 
 	mu       sync.Mutex
@@ -40,15 +40,15 @@
 }
 
 // New makes an empty Book.
-func New(clock gauge.Clock) *Book {
-	return &Book{clock: clock, services: make(map[string]*ring)}
+func New(clock gauge.Clock) *Recorder {
+	return &Recorder{clock: clock, services: make(map[string]*ring)}
 }
 
 // CountsAsBad reports whether a response with an error of this kind counts against the service's
 // error budget. Faults of the caller and requests that the caller cancelled don't.
 func CountsAsBad(k gauge.Kind) bool {
 	switch k {
-	case gauge.KindFull, gauge.KindEmpty, gauge.KindOutage, gauge.KindUnready, gauge.KindDraining,
+	case gauge.KindNoSlot, gauge.KindNoWorker, gauge.KindOutage, gauge.KindUnready, gauge.KindDraining,
 		gauge.KindExpired, gauge.KindUnknown, gauge.KindPoison, gauge.KindFailed, gauge.KindInternal:
 		return true
 	default:
@@ -56,9 +56,9 @@
 	}
 }
 
-// Note counts one response of a service; err is nil for a good one. Errors that aren't the service's
-// fault aren't counted.
-func (b *Book) Note(service string, err error) {
+// RecordResponse counts one response of a service; err is nil for a good one. Errors that aren't
+// the service's fault aren't counted.
+func (b *Recorder) RecordResponse(service string, err error) {
 	bad := err != nil && CountsAsBad(gauge.KindOf(err))
 	if err != nil && !bad {
 		return
@@ -78,7 +78,7 @@
 	c.Good++
 }
 
-func (b *Book) minute() int64 { return b.clock().Unix() / 60 }
+func (b *Recorder) minute() int64 { return b.clock().Unix() / 60 }
 
 // at returns a minute's count and resets the counts of the minutes since the newest one.
 func (r *ring) at(minute int64) *Count {
@@ -92,7 +92,7 @@
 }
 
 // Series returns the counts of all services up to the current minute, sorted by service.
-func (b *Book) Series() []Series {
+func (b *Recorder) Series() []Series {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.minute()
@@ -119,9 +119,9 @@
 	return 0
 }
 
-// Sum adds the entries' series, minute by minute, up to the newest minute of any entry. A series that
-// ends earlier, as with a clock that is a few minutes off, is shifted accordingly; counts outside of
-// the window are left out.
+// Sum adds the entries' series, minute by minute, up to the newest minute of any entry. A series
+// that ends earlier, as with a clock that is a few minutes off, is shifted accordingly; counts
+// outside of the window are left out.
 func Sum(all ...[]Series) []Series {
 	var newest int64
 	for _, list := range all {
@@ -158,8 +158,8 @@
 	}
 }
 
-// Rate returns the burn rate over the last minutes: at 1, the error budget is used up exactly at the
-// end of the objective's period. It is 0 if there were no responses.
+// Rate returns the burn rate over the last minutes: at 1, the error budget is used up exactly at
+// the end of the objective's period. It is 0 if there were no responses.
 func (s Series) Rate(minutes int, objective float64) float64 {
 	var good, bad uint64
 	for _, c := range s.Counts[max(0, len(s.Counts)-minutes):] {
@@ -184,9 +184,9 @@
 	TicketRate  = 6
 )
 
-// Line is a service's row of the report: its burn rates over 5 and 30 minutes, 1 and 6 hours, and the
-// counts behind them.
-type Line struct {
+// ServiceReport is a service's row of the report: its burn rates over 5 and 30 minutes, 1 and 6
+// hours, and the counts behind them.
+type ServiceReport struct {
 	Service   string  `json:"service"`
 	Pool      string  `json:"pool"`
 	Objective float64 `json:"objective"`
@@ -209,10 +209,10 @@
 	AlertPage   Alert = "page"
 )
 
-// Report computes the lines of the services that are configured in a state; series of other services
-// are left out.
-func Report(s gauge.State, series []Series) []Line {
-	var out []Line
+// Report computes the lines of the services that are configured in a state; series of other
+// services are left out.
+func Report(s gauge.State, series []Series) []ServiceReport {
+	var out []ServiceReport
 	for _, svcSeries := range series {
 		svc := s.Service(svcSeries.Service)
 		if svc == nil || s.Pool(svc.Pool) == nil {
@@ -223,8 +223,8 @@
 	return out
 }
 
-func newLine(s Series, pool string, objective float64) Line {
-	l := Line{
+func newLine(s Series, pool string, objective float64) ServiceReport {
+	l := ServiceReport{
 		Service: s.Service, Pool: pool, Objective: objective, Counts: s.Counts, Minute: s.Minute,
 		Rate5m: s.Rate(PageShort, objective), Rate30m: s.Rate(TicketShort, objective),
 		Rate1h: s.Rate(PageLong, objective), Rate6h: s.Rate(TicketLong, objective), Alert: AlertNone,
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -18,8 +18,9 @@
 	}}
 }
 
-// In six hours without errors, a tenth of the responses of the last ten minutes is bad. The 5-minute
-// window burns at 100 times the budget, the longer windows at less. Faults of the caller don't count.
+// In six hours without errors, a tenth of the responses of the last ten minutes is bad. The
+// 5-minute window burns at 100 times the budget, the longer windows at less. Faults of the caller
+// don't count.
 func TestRatesOverWindows(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := burn.New(func() time.Time { return now })
@@ -27,11 +28,11 @@
 		for i := range 100 {
 			var err error
 			if minute >= burn.Minutes-10 && i < 10 {
-				err = gauge.Fail(gauge.KindUnknown, "x")
+				err = gauge.Errorf(gauge.KindUnknown, "x")
 			}
-			b.Note("s", err)
+			b.RecordResponse("s", err)
 		}
-		b.Note("s", gauge.Fail(gauge.KindInvalid, "the caller's fault"))
+		b.RecordResponse("s", gauge.Errorf(gauge.KindInvalid, "the caller's fault"))
 		now = now.Add(time.Minute)
 	}
 	now = now.Add(-time.Minute)
@@ -47,18 +48,18 @@
 	assert.Equal(t, l.Alert, burn.AlertPage)
 }
 
-// Counts older than the window are dropped, even if no response was counted meanwhile, and the counts
-// of entries add up although their clocks differ by a minute.
+// Counts older than the window are dropped, even if no response was counted meanwhile, and the
+// counts of entries add up although their clocks differ by a minute.
 func TestOldCountsAreDroppedAndSumsAlignClocks(t *testing.T) {
 	now := time.Unix(1_000_000, 0)
 	b := burn.New(func() time.Time { return now })
-	b.Note("s", errors.New("a defect"))
+	b.RecordResponse("s", errors.New("a defect"))
 	now = now.Add(7 * time.Hour)
-	b.Note("s", nil)
+	b.RecordResponse("s", nil)
 	first := b.Series()
 	assert.Equal(t, first[0].Rate(burn.Minutes, 0.9), 0.0)
 	later := burn.New(func() time.Time { return now.Add(time.Minute) })
-	later.Note("s", gauge.Fail(gauge.KindFull, "x"))
+	later.RecordResponse("s", gauge.Errorf(gauge.KindNoSlot, "x"))
 	sum := burn.Sum(first, later.Series())
 	last := len(sum[0].Counts) - 1
 	assert.Equal(t, sum[0].Counts[last], burn.Count{Bad: 1})
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -22,9 +22,9 @@
 	rateWindowMinutes = 5
 )
 
-// Burn plots the burn rate of one service over a sliding window of five minutes, with the alerts' rates
-// as dashed lines. It returns the SVG.
-func Burn(l burn.Line) ([]byte, error) {
+// Burn plots the burn rate of one service over a sliding window of five minutes, with the alerts'
+// rates as dashed lines. It returns the SVG.
+func Burn(l burn.ServiceReport) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = l.Service
 	p.Y.Label.Text = "burn rate"
@@ -32,7 +32,7 @@
 	p.Y.Min = 0
 	line, err := plotter.NewLine(ratePoints(l))
 	if err != nil {
-		return nil, gauge.Fail(gauge.KindInternal, "chart.Burn").Because(err)
+		return nil, gauge.Errorf(gauge.KindInternal, "chart.Burn").WithCause(err)
 	}
 	p.Add(plotter.NewGrid(), line)
 	for _, rate := range []float64{burn.PageRate, burn.TicketRate} {
@@ -45,12 +45,12 @@
 	p.Draw(draw.New(canvas))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
-		return nil, gauge.Fail(gauge.KindInternal, "chart.Burn").Because(err)
+		return nil, gauge.Errorf(gauge.KindInternal, "chart.Burn").WithCause(err)
 	}
 	return out.Bytes(), nil
 }
 
-func ratePoints(l burn.Line) plotter.XYs {
+func ratePoints(l burn.ServiceReport) plotter.XYs {
 	out := make(plotter.XYs, len(l.Counts))
 	firstMinute := l.Minute - int64(len(l.Counts)) + 1
 	for i := range l.Counts {
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -39,8 +39,8 @@
 	committer *groupCommitter
 }
 
-// Held is a claim as it was read, with the version that a write must find.
-type Held struct {
+// Row is a claim as it was read, with the version that a write must find.
+type Row struct {
 	Key     gauge.ClaimKey
 	Claim   gauge.Claim
 	version int64
@@ -53,8 +53,8 @@
 	return &Claims{conf: c, committer: &groupCommitter{table: c.Table, timeout: c.Timeout}}
 }
 
-// Counts returns the number of transactions made and of the writes that they carried.
-func (c *Claims) Counts() (commits, writes int) { return c.committer.counts() }
+// CommitCounts returns the number of transactions made and of the writes that they carried.
+func (c *Claims) CommitCounts() (commits, writes int) { return c.committer.counts() }
 
 func rowKey(k gauge.ClaimKey) string { return "claim/" + k.Day + "/" + k.Team + "/" + k.ID }
 
@@ -64,33 +64,33 @@
 	return "async/" + entry + "/" + k.Day + "/" + k.Team + "/" + k.ID
 }
 
-// Claim inserts a claim. It returns the claim that is stored, and whether that is the new one. An
+// Insert inserts a claim. It returns the claim that is stored, and whether that is the new one. An
 // error means that nothing may be dispatched: the caller may then answer "not run", and passes what
 // is returned to Abandon if it has a token.
 //
 // If the insertion isn't answered, the row is read back, and its token shows whose it is.
-func (c *Claims) Claim(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.Accepted) (Held, bool, error) {
+func (c *Claims) Insert(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.AcceptedRequest) (Row, bool, error) {
 	want := gauge.Claim{Token: uuid.NewString(), Entry: c.conf.Entry, State: state, Hash: hash, Accept: accept}
 	if err := c.storeLongBody(ctx, k, want.Accept); err != nil {
-		return Held{}, false, err
+		return Row{}, false, err
 	}
 	puts, err := c.rowPuts(k, want)
 	if err != nil {
-		return Held{}, false, err
+		return Row{}, false, err
 	}
 	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(k)}, puts...)
-	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
-		return Held{}, false, err
+	if err != nil && !gauge.IsKind(err, gauge.KindConflict) && !gauge.IsKind(err, gauge.KindUnknown) {
+		return Row{}, false, err
 	}
 	if err == nil {
-		return Held{Key: k, Claim: want}, true, nil
+		return Row{Key: k, Claim: want}, true, nil
 	}
 	stored, readErr := c.readBack(ctx, k)
 	if readErr != nil {
-		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
+		return Row{Key: k, Claim: want}, false, gauge.Errorf(gauge.KindOutage, "claim not confirmed").WithCause(readErr)
 	}
 	if stored.version == 0 {
-		return Held{Key: k, Claim: want}, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(err)
+		return Row{Key: k, Claim: want}, false, gauge.Errorf(gauge.KindOutage, "claim not confirmed").WithCause(err)
 	}
 	return stored, stored.Claim.Token == want.Token, nil
 }
@@ -98,7 +98,7 @@
 func (c *Claims) rowPuts(k gauge.ClaimKey, cl gauge.Claim) ([]gauge.Put, error) {
 	body, err := json.Marshal(cl)
 	if err != nil {
-		return nil, gauge.Fail(gauge.KindInternal, "claim.puts").Because(err)
+		return nil, gauge.Errorf(gauge.KindInternal, "claim.puts").WithCause(err)
 	}
 	puts := []gauge.Put{{Key: rowKey(k), Value: body}}
 	if cl.Accept == nil {
@@ -113,8 +113,8 @@
 
 // readBack reads the row after an unanswered write. It tries a few times: the table may be slow,
 // and the result decides whether the request runs.
-func (c *Claims) readBack(ctx context.Context, k gauge.ClaimKey) (Held, error) {
-	return backoff.Retry(ctx, func() (Held, error) {
+func (c *Claims) readBack(ctx context.Context, k gauge.ClaimKey) (Row, error) {
+	return backoff.Retry(ctx, func() (Row, error) {
 		return c.Read(ctx, k)
 	}, backoff.WithMaxTries(maxReadBacks), backoff.WithBackOff(retryBackOff()))
 }
@@ -127,22 +127,22 @@
 }
 
 // Read reads a claim. Without a row its state is empty.
-func (c *Claims) Read(ctx context.Context, k gauge.ClaimKey) (Held, error) {
-	out := Held{Key: k}
+func (c *Claims) Read(ctx context.Context, k gauge.ClaimKey) (Row, error) {
+	out := Row{Key: k}
 	row, err := c.conf.Table.Get(ctx, rowKey(k))
 	if err != nil || row.Version == 0 {
 		return out, err
 	}
 	out.version = row.Version
 	if err := json.Unmarshal(row.Value, &out.Claim); err != nil {
-		return out, gauge.Fail(gauge.KindInternal, "claim row %s is malformed", row.Key).Because(err)
+		return out, gauge.Errorf(gauge.KindInternal, "claim row %s is malformed", row.Key).WithCause(err)
 	}
 	return out, nil
 }
 
-// Move writes a claim's next state if the claim hasn't changed since it was read. False means
+// Transition writes a claim's next state if the claim hasn't changed since it was read. False means
 // that another entry has it now, and nothing may be dispatched here.
-func (c *Claims) Move(ctx context.Context, row Held, state gauge.ClaimState) (Held, bool, error) {
+func (c *Claims) Transition(ctx context.Context, row Row, state gauge.ClaimState) (Row, bool, error) {
 	if row.version == 0 {
 		read, err := c.Read(ctx, row.Key)
 		if err != nil {
@@ -164,20 +164,20 @@
 		puts = append(puts, gauge.Put{Key: asyncRowKey(previous, row.Key)})
 	}
 	err = c.committer.commitWrite(ctx, gauge.Check{Key: rowKey(row.Key), Version: row.version}, puts...)
-	if err != nil && !gauge.Is(err, gauge.KindConflict) && !gauge.Is(err, gauge.KindUnknown) {
+	if err != nil && !gauge.IsKind(err, gauge.KindConflict) && !gauge.IsKind(err, gauge.KindUnknown) {
 		return row, false, err
 	}
 	read, readErr := c.readBack(ctx, row.Key)
 	if readErr != nil {
-		return row, false, gauge.Fail(gauge.KindOutage, "claim not confirmed").Because(readErr)
+		return row, false, gauge.Errorf(gauge.KindOutage, "claim not confirmed").WithCause(readErr)
 	}
 	return read, read.Claim.Token == next.Token, nil
 }
 
-// Finish stores the outcome of a claim. It retries during a table outage until ctx ends: the
+// StoreOutcome stores the outcome of a claim. It retries during a table outage until ctx ends: the
 // request has run, and a repeated request must get its answer. A claim that another entry took over
 // meanwhile is left alone.
-func (c *Claims) Finish(ctx context.Context, row Held, o gauge.Outcome) error {
+func (c *Claims) StoreOutcome(ctx context.Context, row Row, o gauge.Outcome) error {
 	if err := c.storeLongOutcome(ctx, row.Key, &o); err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	return err
 }
 
-func (c *Claims) tryStoreOutcome(ctx context.Context, row Held, o gauge.Outcome) error {
+func (c *Claims) tryStoreOutcome(ctx context.Context, row Row, o gauge.Outcome) error {
 	read, err := c.Read(ctx, row.Key)
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 // Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
 // after the caller was told "not run"; left there, the row would make the caller's next try appear
 // to be running for ever. Abandon looks for the row until it turns up or can no longer come.
-func (c *Claims) Abandon(ctx context.Context, row Held) {
+func (c *Claims) Abandon(ctx context.Context, row Row) {
 	ctx, cancel := context.WithTimeout(ctx, maxCommitDelay)
 	defer cancel()
 	_, _ = backoff.Retry(ctx, func() (struct{}, error) {
@@ -219,15 +219,15 @@
 			return struct{}{}, err
 		}
 		if read.Claim.Token != row.Claim.Token {
-			return struct{}{}, gauge.Fail(gauge.KindMissing, "claim row not found yet")
+			return struct{}{}, gauge.Errorf(gauge.KindNotFound, "claim row not found yet")
 		}
-		return struct{}{}, c.Drop(ctx, row)
+		return struct{}{}, c.Delete(ctx, row)
 	}, backoff.WithBackOff(retryBackOff()), backoff.WithMaxElapsedTime(maxCommitDelay))
 }
 
-// Drop removes a claim whose request was proved not to have run, so that the caller may retry
+// Delete removes a claim whose request was proved not to have run, so that the caller may retry
 // under the same key.
-func (c *Claims) Drop(ctx context.Context, row Held) error {
+func (c *Claims) Delete(ctx context.Context, row Row) error {
 	read, err := c.readBack(ctx, row.Key)
 	if err != nil {
 		return err
--- a/internal/claim/group.go
+++ b/internal/claim/group.go
@@ -47,7 +47,7 @@
 	case err := <-w.result:
 		return err
 	case <-ctx.Done():
-		return gauge.Fail(gauge.KindUnknown, "claim not confirmed in time").Because(ctx.Err())
+		return gauge.Errorf(gauge.KindUnknown, "claim not confirmed in time").WithCause(ctx.Err())
 	}
 }
 
@@ -95,7 +95,7 @@
 		t.Puts = append(t.Puts, w.puts...)
 	}
 	err := g.table.Commit(ctx, t)
-	if gauge.Is(err, gauge.KindConflict) && len(batch) > 1 {
+	if gauge.IsKind(err, gauge.KindConflict) && len(batch) > 1 {
 		// One of the checks failed; the other writes must not fail with it.
 		for _, w := range batch {
 			g.commit([]*write{w})
--- a/internal/claim/store.go
+++ b/internal/claim/store.go
@@ -11,13 +11,13 @@
 
 // storeLongBody moves a long body into the object store. The object's name holds the whole key, so
 // a retry writes the same object.
-func (c *Claims) storeLongBody(ctx context.Context, k gauge.ClaimKey, a *gauge.Accepted) error {
+func (c *Claims) storeLongBody(ctx context.Context, k gauge.ClaimKey, a *gauge.AcceptedRequest) error {
 	if a == nil || len(a.Body) <= c.conf.Inline {
 		return nil
 	}
 	name := "body/" + k.Day + "/" + k.Team + "/" + k.ID
 	if err := c.conf.Objects.Store(ctx, name, a.Body); err != nil {
-		return gauge.Fail(gauge.KindOutage, "the body could not be stored").Because(err)
+		return gauge.Errorf(gauge.KindOutage, "the body could not be stored").WithCause(err)
 	}
 	a.Object, a.Body = name, nil
 	return nil
@@ -38,24 +38,24 @@
 	return nil
 }
 
-// Body returns the body of an accepted request.
-func (c *Claims) Body(ctx context.Context, a *gauge.Accepted) ([]byte, error) {
+// FetchBody returns the body of an accepted request.
+func (c *Claims) FetchBody(ctx context.Context, a *gauge.AcceptedRequest) ([]byte, error) {
 	if a.Object == "" {
 		return a.Body, nil
 	}
 	return c.conf.Objects.Fetch(ctx, a.Object)
 }
 
-// Answer returns the body of a stored answer.
-func (c *Claims) Answer(ctx context.Context, o *gauge.Outcome) ([]byte, error) {
+// FetchAnswer returns the body of a stored answer.
+func (c *Claims) FetchAnswer(ctx context.Context, o *gauge.Outcome) ([]byte, error) {
 	if o.Object == "" {
 		return o.Body, nil
 	}
 	return c.conf.Objects.Fetch(ctx, o.Object)
 }
 
-// Entries lists the asynchronous claims that aren't done, by entry (ID/start ID).
-func (c *Claims) Entries(ctx context.Context) (map[string][]gauge.ClaimKey, error) {
+// UnfinishedByEntry lists the asynchronous claims that aren't done, by entry (ID/start ID).
+func (c *Claims) UnfinishedByEntry(ctx context.Context) (map[string][]gauge.ClaimKey, error) {
 	rows, err := c.conf.Table.Scan(ctx, "async/")
 	if err != nil {
 		return nil, err
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -23,20 +23,20 @@
 
 // Config sets up a Controller.
 type Config struct {
-	Log       *revlog.Log
-	Leases    *lease.Leases
-	Platform  gauge.Platform
-	Planner   *plan.Planner
-	State     func() gauge.State
-	Sighted   func() (gauge.Sightings, time.Time) // the last host list and when it was read
-	Confirmed func(revision int64) bool           // every entry has the revision in force or is gone
-	Mine      func(unit string) bool              // whether this entry is to control a unit
-	Wake      func(revision int64)                // polls at once for a revision that is probably there
-	Moved     func(pool string)                   // a host was added to a pool
-	Clock     gauge.Clock
-	Logs      logr.Logger
-	Every     time.Duration // between two rounds; default 1 s
-	Patience  time.Duration // how long a failed host stays in its pool; default 10 min
+	Log            *revlog.Log
+	Leases         *lease.Leases
+	Platform       gauge.Platform
+	Planner        *plan.Planner
+	State          func() gauge.State
+	LastHostList   func() (gauge.HostList, time.Time) // the last host list and when it was read
+	IsConfirmed    func(revision int64) bool          // every entry has the revision in force or is gone
+	OwnsDuty       func(unit string) bool             // whether this entry is to control a unit
+	CatchUpTo      func(revision int64)               // polls at once for a revision that is probably there
+	OnHostAdded    func(pool string)                  // a host was added to a pool
+	Clock          gauge.Clock
+	Logs           logr.Logger
+	RoundInterval  time.Duration // between two rounds; default 1 s
+	FailureTimeout time.Duration // how long a failed host stays in its pool; default 10 min
 }
 
 const (
@@ -55,8 +55,8 @@
 	leases map[string]gauge.Check
 
 	// The platform's host list in this round and when it was read.
-	hostList   gauge.Sightings
-	hostsByID  map[string]gauge.Sighting
+	hostList   gauge.HostList
+	hostsByID  map[string]gauge.ListedHost
 	listReadAt time.Time
 
 	// What was first observed when; kept in memory only. After a takeover the waits start again,
@@ -76,8 +76,8 @@
 
 // New returns a Controller.
 func New(c Config) *Controller {
-	fill.Zero(&c.Every, defaultRoundInterval)
-	fill.Zero(&c.Patience, defaultFailureTimeout)
+	fill.Zero(&c.RoundInterval, defaultRoundInterval)
+	fill.Zero(&c.FailureTimeout, defaultFailureTimeout)
 	return &Controller{
 		conf: c, leases: make(map[string]gauge.Check), quiescedSince: make(map[string]observation),
 		failedSince: make(map[string]observation), waits: make(map[string][]plan.Wait),
@@ -85,7 +85,7 @@
 }
 
 // Run makes rounds until ctx ends.
-func (c *Controller) Run(ctx context.Context) { ticks.Every(ctx, c.conf.Every, c.Round) }
+func (c *Controller) Run(ctx context.Context) { ticks.Every(ctx, c.conf.RoundInterval, c.Round) }
 
 // Waits lists what the units of this entry are waiting for.
 func (c *Controller) Waits() []plan.Wait {
@@ -104,18 +104,18 @@
 	if s.Revision == 0 {
 		return
 	}
-	c.hostList, c.listReadAt = c.conf.Sighted()
+	c.hostList, c.listReadAt = c.conf.LastHostList()
 	c.hostsByID = c.hostList.ByID()
 	c.updateObservations(s)
 	c.controlUnit(ctx, fleetUnit, c.conf.Planner.Fleet)
-	for _, pool := range s.Names(gauge.RecordPool) {
+	for _, pool := range s.RecordNames(gauge.RecordPool) {
 		c.controlUnit(ctx, "pool/"+pool, func(in plan.Input) plan.Plan { return c.conf.Planner.Pool(in, pool) })
 	}
 }
 
 func (c *Controller) controlUnit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) {
 	err := c.tryControlUnit(ctx, unit, decide)
-	if err != nil && !gauge.Is(err, gauge.KindConflict) {
+	if err != nil && !gauge.IsKind(err, gauge.KindConflict) {
 		// During a table outage no new step begins, and those under way continue.
 		c.conf.Logs.V(1).Info("unit could not be controlled", "unit", unit, "reason", err.Error())
 	}
@@ -126,7 +126,7 @@
 
 func (c *Controller) tryControlUnit(ctx context.Context, unit string, decide func(plan.Input) plan.Plan) error {
 	check, held := c.leases[unit]
-	if !c.conf.Mine(unit) {
+	if !c.conf.OwnsDuty(unit) {
 		c.setWaits(unit, nil)
 		if !held {
 			return nil
@@ -148,10 +148,10 @@
 // planAndApply plans and carries out one round of a unit.
 func (c *Controller) planAndApply(ctx context.Context, unit string, check gauge.Check, decide func(plan.Input) plan.Plan) error {
 	if c.conf.Clock().Sub(c.listReadAt) > maxListAge {
-		return gauge.Fail(gauge.KindOutage, "the platform's host list is too old to act on")
+		return gauge.Errorf(gauge.KindOutage, "the platform's host list is too old to act on")
 	}
 	s := c.conf.State()
-	p := decide(plan.Input{State: s, List: c.hostList, Seen: c.hostsByID, Quit: c.isQuiesced, Lost: c.isLost})
+	p := decide(plan.Input{State: s, List: c.hostList, ListByHost: c.hostsByID, IsQuiesced: c.isQuiesced, IsLost: c.isLost})
 	c.setWaits(unit, p.Waits)
 	if err := c.appendSteps(ctx, s, check, p.Steps); err != nil {
 		return err
@@ -174,7 +174,7 @@
 func (c *Controller) appendSteps(ctx context.Context, s gauge.State, check gauge.Check, steps []plan.Step) error {
 	change := gauge.Change{}
 	for _, st := range steps {
-		if st.Why != "" && len(change.Hosts) < maxHostsPerRevision {
+		if st.Reason != "" && len(change.Hosts) < maxHostsPerRevision {
 			change.Hosts = append(change.Hosts, st.Host)
 		}
 	}
@@ -183,18 +183,18 @@
 	}
 	done, err := c.conf.Log.Append(ctx, s.Revision, change, check)
 	if err != nil {
-		c.conf.Wake(s.Revision + 1)
+		c.conf.CatchUpTo(s.Revision + 1)
 		return err
 	}
 	for _, st := range steps {
 		if st.Host.Pool != "" && st.Host.Pool != s.ByHost[st.Host.ID].Pool {
-			c.conf.Moved(st.Host.Pool)
+			c.conf.OnHostAdded(st.Host.Pool)
 		}
-		if st.Why != "" {
-			c.conf.Logs.Info("host "+st.Why, "host", st.Host.ID, "pool", st.Host.Pool, "state", string(st.Host.State), "revision", done.Revision)
+		if st.Reason != "" {
+			c.conf.Logs.Info("host "+st.Reason, "host", st.Host.ID, "pool", st.Host.Pool, "state", string(st.Host.State), "revision", done.Revision)
 		}
 	}
-	c.conf.Wake(done.Revision)
+	c.conf.CatchUpTo(done.Revision)
 	return nil
 }
 
@@ -203,10 +203,10 @@
 // reboot the host once.
 func (c *Controller) requestReboots(ctx context.Context, steps []plan.Step) error {
 	for _, st := range steps {
-		if !st.Reboot || st.Why != "" {
+		if !st.Reboot || st.Reason != "" {
 			continue // a new intent is in force only from the next round on
 		}
-		token := fmt.Sprintf("%s/%d", st.Host.ID, st.Host.Begun)
+		token := fmt.Sprintf("%s/%d", st.Host.ID, st.Host.WaveRevision)
 		if err := c.conf.Platform.Reboot(ctx, st.Host.ID, token); err != nil {
 			return err
 		}
@@ -219,7 +219,7 @@
 	now := c.conf.Clock()
 	for id, h := range s.ByHost {
 		recordObservation(c.failedSince, id, h, now, h.State == gauge.HostFailed)
-		recordObservation(c.quiescedSince, id, h, now, h.State == gauge.HostLeaving && c.conf.Confirmed(h.Since))
+		recordObservation(c.quiescedSince, id, h, now, h.State == gauge.HostLeaving && c.conf.IsConfirmed(h.ChangedRevision))
 	}
 }
 
@@ -246,5 +246,5 @@
 
 func (c *Controller) isLost(h gauge.Host) bool {
 	m, ok := c.failedSince[h.ID]
-	return ok && m.epoch == h.Epoch && c.conf.Clock().Sub(m.at) > c.conf.Patience
+	return ok && m.epoch == h.Epoch && c.conf.Clock().Sub(m.at) > c.conf.FailureTimeout
 }
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -14,7 +14,7 @@
 	"sapphiregauge/internal/flaky"
 )
 
-func TestMain(m *testing.M) { fixed.Run{Checks: "200", Steps: "200"}.Main(m) }
+func TestMain(m *testing.M) { fixed.Flags{Checks: "200", Steps: "200"}.Main(m) }
 
 // Guards against acting on outdated state, so that a pool has fewer hosts than promised, a task is
 // cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
@@ -71,7 +71,7 @@
 			"task": func(*rapid.T) {
 				e := anyEntry()
 				for id, m := range s.machines {
-					if h := e.state.ByHost[id]; h.Serves() && !m.down {
+					if h := e.state.ByHost[id]; h.IsServing() && !m.down {
 						m.running = append(m.running, int(e.state.Revision))
 					}
 				}
@@ -104,13 +104,13 @@
 // of its calls to the table, and in half of the cases dies there, so that another takes over.
 func TestWaveCompletesAfterEachFault(t *testing.T) {
 	const calls = 24
-	for _, fault := range []flaky.Fault{flaky.Down, flaky.Lost, flaky.Gone, flaky.Outage} {
+	for _, fault := range []flaky.Fault{flaky.Refused, flaky.ResponseLost, flaky.RequestLost, flaky.Outage} {
 		for at := range calls {
 			for _, dies := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/dies=%t", fault, at, dies), func(t *testing.T) {
 					s := newSite(0, 8, 2)
 					s.appendRecords(t, pool("a", 3, gauge.PreferSpeed), wave("w", "a"))
-					faulty := flaky.New(flaky.Config{Table: s.table, At: at, Fault: fault, Clock: func() time.Time { return s.now }})
+					faulty := flaky.New(flaky.Config{Table: s.table, FailAt: at, Fault: fault, Clock: func() time.Time { return s.now }})
 					first := s.addEntry("e0", faulty)
 					s.addEntry("e1", s.table)
 					s.isAssigned = func(e *entry, _ string) bool { return first.dead || e == first }
@@ -194,7 +194,7 @@
 	for range 5 {
 		s.now = s.now.Add(time.Second)
 		s.readHostList(first)
-		assert.Assert(t, lagging.state.ByHost[host].Serves())
+		assert.Assert(t, lagging.state.ByHost[host].IsServing())
 		first.ctrl.Round(context.Background())
 		assert.Equal(t, s.state(host), gauge.HostLeaving)
 	}
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -19,7 +19,7 @@
 
 // machine is the true state of a host.
 type machine struct {
-	listed         gauge.Sighting
+	listed         gauge.ListedHost
 	running        []int           // revisions that the sending entries had in force, one for each running task
 	tokens         map[string]bool // one for each reboot
 	bootsAtLeaving int             // boot count when it last began to leave for a wave
@@ -31,7 +31,7 @@
 type entry struct {
 	name  string
 	state gauge.State
-	list  gauge.Sightings
+	list  gauge.HostList
 	read  time.Time
 	ctrl  *ctrl.Controller
 	dead  bool
@@ -57,14 +57,14 @@
 
 func (o *outageTable) Get(ctx context.Context, key string) (gauge.Row, error) {
 	if o.unreachable {
-		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "out")
+		return gauge.Row{}, gauge.Errorf(gauge.KindOutage, "out")
 	}
 	return o.Table.Get(ctx, key)
 }
 
 func (o *outageTable) Commit(ctx context.Context, t gauge.Txn) error {
 	if o.unreachable {
-		return gauge.Fail(gauge.KindOutage, "out")
+		return gauge.Errorf(gauge.KindOutage, "out")
 	}
 	return o.Table.Commit(ctx, t)
 }
@@ -76,7 +76,7 @@
 	s.isAssigned = func(*entry, string) bool { return true }
 	for i := range hosts {
 		id := fmt.Sprintf("h%02d", i)
-		s.machines[id] = &machine{tokens: make(map[string]bool), listed: gauge.Sighting{
+		s.machines[id] = &machine{tokens: make(map[string]bool), listed: gauge.ListedHost{
 			ID: id, Zone: "z", Rack: fmt.Sprint("r", i/perRack), Slots: 8, Status: gauge.StatusLive,
 		}}
 	}
@@ -91,11 +91,11 @@
 	log := revlog.New(table)
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: log, Platform: s, Planner: plan.New(plan.Config{}),
-		Leases:    lease.New(lease.Config{Entry: name, Table: table, Lives: s.isAlive}),
-		State:     func() gauge.State { return e.state },
-		Sighted:   func() (gauge.Sightings, time.Time) { return e.list, e.read },
-		Confirmed: s.isConfirmed, Mine: func(unit string) bool { return s.isAssigned(e, unit) },
-		Wake: func(int64) {}, Moved: func(string) {}, Clock: func() time.Time { return s.now }, Logs: logr.Discard(),
+		Leases:       lease.New(lease.Config{Entry: name, Table: table, Lives: s.isAlive}),
+		State:        func() gauge.State { return e.state },
+		LastHostList: func() (gauge.HostList, time.Time) { return e.list, e.read },
+		IsConfirmed:  s.isConfirmed, OwnsDuty: func(unit string) bool { return s.isAssigned(e, unit) },
+		CatchUpTo: func(int64) {}, OnHostAdded: func(string) {}, Clock: func() time.Time { return s.now }, Logs: logr.Discard(),
 	})
 	s.entries = append(s.entries, e)
 	return e
@@ -121,8 +121,8 @@
 	return true
 }
 
-func (s *site) List(context.Context) (gauge.Sightings, error) {
-	var out gauge.Sightings
+func (s *site) List(context.Context) (gauge.HostList, error) {
+	var out gauge.HostList
 	for _, m := range s.machines {
 		seen := m.listed
 		seen.Used = len(m.running)
@@ -154,9 +154,9 @@
 	assert.NilError(t, err)
 }
 
-func pool(name string, hosts int, prefer gauge.Prefer) gauge.Record {
+func pool(name string, hosts int, prefer gauge.Preference) gauge.Record {
 	p := &gauge.Pool{Hosts: hosts, Prefer: prefer}
-	p.Defaults()
+	p.SetDefaults()
 	return gauge.Record{Kind: gauge.RecordPool, Schema: 1, Name: name, Pool: p}
 }
 
@@ -177,7 +177,7 @@
 func spareHosts(st gauge.State, name string) int {
 	counts, total, worst := make(map[string]int), 0, 0
 	for _, h := range st.Hosts().InPool(name) {
-		if h.Serves() {
+		if h.IsServing() {
 			total++
 			counts[h.Rack]++
 			worst = max(worst, counts[h.Rack])
@@ -193,7 +193,7 @@
 	defer func() { s.table.unreachable = wasUnreachable }()
 	for {
 		c, err := s.log.Change(context.Background(), s.checked.Revision+1)
-		if gauge.Is(err, gauge.KindMissing) {
+		if gauge.IsKind(err, gauge.KindNotFound) {
 			return
 		}
 		assert.NilError(t, err)
@@ -212,7 +212,7 @@
 		}
 		seen[h.ID] = true
 		old := before.ByHost[h.ID]
-		if old.Serves() && h.State == gauge.HostLeaving {
+		if old.IsServing() && h.State == gauge.HostLeaving {
 			taken[old.Pool] = true
 		}
 		if old.Pool != "" && old.Pool != h.Pool {
@@ -223,10 +223,10 @@
 				t.Fatalf("%s left pool %s with tasks running", h.ID, old.Pool)
 			}
 		}
-		if h.Begun != old.Begun {
+		if h.WaveRevision != old.WaveRevision {
 			s.machines[h.ID].bootsAtLeaving = s.machines[h.ID].listed.Boots
 		}
-		if h.Waved != old.Waved && s.machines[h.ID].listed.Boots <= s.machines[h.ID].bootsAtLeaving {
+		if h.LastDoneRevision != old.LastDoneRevision && s.machines[h.ID].listed.Boots <= s.machines[h.ID].bootsAtLeaving {
 			t.Fatalf("%s counts as done for wave %s but was not rebooted", h.ID, h.Wave)
 		}
 		if h.State == gauge.HostRebooting && old.State != h.State && len(s.machines[h.ID].running) > 0 {
@@ -265,7 +265,7 @@
 	w := st.Records[gauge.RecordID{Kind: gauge.RecordWave, Name: wave}]
 	for _, h := range st.Hosts().InPool(name) {
 		all++
-		if !plan.Due(w, h) {
+		if !plan.IsDue(w, h) {
 			done++
 		}
 	}
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -1,5 +1,5 @@
-// Package desk assigns the slots of one pool to the requests at one entry. It keeps, under one lock,
-// the leased slots, the requests that wait for one, the ejected workers and the retry budget.
+// Package desk assigns the slots of one pool to the requests at one entry. It keeps, under one
+// lock, the leased slots, the requests that wait for one, the ejected workers and the retry budget.
 package desk
 
 import (
@@ -18,16 +18,16 @@
 
 // Config sets up an Allocator.
 type Config struct {
-	Pool   string
-	Name   string // ID and start ID of this entry
-	Length int    // most requests that wait here
-	Clock  gauge.Clock
-	Random *rand.Rand
-	Kick   func() // called when slots are needed, to send a lease request soon
+	Pool        string
+	Holder      string // ID and start ID of this entry
+	MaxWaiting  int    // most requests that wait here
+	Clock       gauge.Clock
+	Random      *rand.Rand
+	RequestSoon func() // called when slots are needed, to send a lease request soon
 }
 
-// Desk hands out the slots of one pool at one entry. It is safe for concurrent use.
-type Desk struct {
+// Allocator hands out the slots of one pool at one entry. It is safe for concurrent use.
+type Allocator struct {
 	conf Config
 
 	mu             sync.Mutex
@@ -53,20 +53,20 @@
 }
 
 // New returns an Allocator without hosts.
-func New(c Config) *Desk {
+func New(c Config) *Allocator {
 	now := c.Clock()
-	return &Desk{
+	return &Allocator{
 		conf:        c,
-		slots:       hold.New(hold.Config{Name: c.Name, Pool: c.Pool}),
-		queue:       queue.New(queue.Config{Length: c.Length, Start: now}),
+		slots:       hold.New(hold.Config{Name: c.Holder, Pool: c.Pool}),
+		queue:       queue.New(queue.Config{MaxLength: c.MaxWaiting, StartTime: now}),
 		ejector:     eject.New(eject.Config{}),
 		retryBudget: retry.New(retry.Config{Random: c.Random, Start: now}),
 	}
 }
 
-// Set sets the hosts that serve the pool and how many were promised. Hosts that are leaving
+// SetHosts sets the hosts that serve the pool and how many were promised. Hosts that are leaving
 // get no requests from here on.
-func (d *Desk) Set(hosts gauge.Hosts, promised int) {
+func (d *Allocator) SetHosts(hosts gauge.Hosts, promised int) {
 	targets := make(map[string]gauge.Target, len(hosts))
 	for _, h := range hosts {
 		targets[h.ID] = h.Target()
@@ -75,22 +75,22 @@
 	defer d.mu.Unlock()
 	d.hosts = len(targets)
 	d.slots.SetTargets(targets)
-	d.ejector.Cap(len(targets), promised)
-	d.ejector.Keep(func(host string) bool { _, ok := targets[host]; return ok })
+	d.ejector.SetLimit(len(targets), promised)
+	d.ejector.Retain(func(host string) bool { _, ok := targets[host]; return ok })
 	d.assignIdle()
 }
 
 // Acquire returns a slot, after waiting for one if necessary. It refuses at once a request that
 // can't start before its deadline.
-func (d *Desk) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Place, error) {
-	it := &queue.Item{Class: class, Deadline: deadline, Ready: make(chan *gauge.Place, 1), Earlier: earlier}
+func (d *Allocator) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Slot, error) {
+	it := &queue.Item{Class: class, Deadline: deadline, Granted: make(chan *gauge.Slot, 1), Attempts: earlier}
 	p, err := d.takeOrEnqueue(it)
 	if p != nil || err != nil {
 		return p, err
 	}
-	d.conf.Kick()
+	d.conf.RequestSoon()
 	select {
-	case p := <-it.Ready:
+	case p := <-it.Granted:
 		return p, nil
 	case <-ctx.Done():
 	}
@@ -100,15 +100,15 @@
 	if ctx.Err() == context.Canceled {
 		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller left while the request waited", 0)
 	}
-	return nil, gauge.Refuse(earlier, gauge.KindFull, "no worker came free before the deadline", d.retryAfter(class))
+	return nil, gauge.Refuse(earlier, gauge.KindNoSlot, "no worker came free before the deadline", d.retryAfter(class))
 }
 
-func (d *Desk) takeOrEnqueue(item *queue.Item) (*gauge.Place, error) {
+func (d *Allocator) takeOrEnqueue(item *queue.Item) (*gauge.Slot, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
 	if d.hosts == 0 {
-		return nil, gauge.Refuse(item.Earlier, gauge.KindEmpty, "pool "+d.conf.Pool+" has no serving worker", minRetryAfter)
+		return nil, gauge.Refuse(item.Attempts, gauge.KindNoWorker, "pool "+d.conf.Pool+" has no serving worker", minRetryAfter)
 	}
 	if d.queue.Len(item.Class) == 0 {
 		if p, ok := d.takeSlot(now, item); ok {
@@ -117,7 +117,7 @@
 	}
 	wait, ok := d.queue.Add(now, item)
 	if !ok {
-		return nil, gauge.Refuse(item.Earlier, gauge.KindFull, "no worker comes free in time", max(wait, minRetryAfter))
+		return nil, gauge.Refuse(item.Attempts, gauge.KindNoSlot, "no worker comes free in time", max(wait, minRetryAfter))
 	}
 	d.assignIdle() // those ahead of it may be retries that can't use the idle slots
 	return nil, nil
@@ -125,53 +125,53 @@
 
 const minRetryAfter = time.Second
 
-func (d *Desk) retryAfter(c gauge.Class) time.Duration {
+func (d *Allocator) retryAfter(c gauge.Class) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return max(minRetryAfter, d.queue.Wait(d.conf.Clock(), c))
+	return max(minRetryAfter, d.queue.EstimateWait(d.conf.Clock(), c))
 }
 
-func (d *Desk) takeSlot(now time.Time, it *queue.Item) (*gauge.Place, bool) {
-	p, ok := d.slots.Take(now, it.Class, it.Earlier, func(host string) bool { return d.ejector.Skip(now, host) })
+func (d *Allocator) takeSlot(now time.Time, it *queue.Item) (*gauge.Slot, bool) {
+	p, ok := d.slots.Acquire(now, it.Class, it.Attempts, func(host string) bool { return d.ejector.IsBlocked(now, host) })
 	if ok {
-		d.ejector.Sent(now, p.Target.Host)
+		d.ejector.RecordStart(now, p.Target.Host)
 	}
 	return p, ok
 }
 
 // stopWaiting removes a request from the queue. If a slot was granted meanwhile, it returns that.
-func (d *Desk) stopWaiting(it *queue.Item) *gauge.Place {
+func (d *Allocator) stopWaiting(it *queue.Item) *gauge.Slot {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.queue.Remove(it) {
 		return nil
 	}
-	return <-it.Ready
+	return <-it.Granted
 }
 
 // assignIdle gives idle slots to the waiting requests. A retry can't use slots of the hosts where
 // it was tried: it is passed over for the requests behind it and counted, so that slots of other
 // hosts are requested although some are idle. Otherwise it would wait next to idle slots until its
 // deadline.
-func (d *Desk) assignIdle() {
+func (d *Allocator) assignIdle() {
 	now := d.conf.Clock()
 	d.blockedRetries = 0
 	for _, c := range []gauge.Class{gauge.ClassQuick, gauge.ClassLong} {
 		var skipped []*queue.Item
-		for it := d.queue.Next(c); it != nil; it = d.queue.Next(c) {
+		for it := d.queue.Peek(c); it != nil; it = d.queue.Peek(c) {
 			p, ok := d.takeSlot(now, it)
-			if !ok && len(it.Earlier) == 0 {
+			if !ok && len(it.Attempts) == 0 {
 				break
 			}
 			d.queue.Remove(it)
 			if ok {
-				it.Ready <- p
+				it.Granted <- p
 				continue
 			}
 			skipped = append(skipped, it)
 		}
 		for _, it := range skipped {
-			d.queue.Return(it)
+			d.queue.Requeue(it)
 		}
 		d.blockedRetries += len(skipped)
 	}
@@ -179,7 +179,7 @@
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
 // slots, as many more are counted as there are idle ones.
-func (d *Desk) waitingCounts() (quick, long int) {
+func (d *Allocator) waitingCounts() (quick, long int) {
 	quick, long = d.queue.Len(gauge.ClassQuick), d.queue.Len(gauge.ClassLong)
 	if d.blockedRetries == 0 {
 		return quick, long
@@ -193,50 +193,50 @@
 	return quick, long
 }
 
-// Untried reports whether there is a host that a request wasn't tried on.
-func (d *Desk) Untried(tried gauge.Attempts) bool {
+// HasUntriedHost reports whether there is a host that a request wasn't tried on.
+func (d *Allocator) HasUntriedHost(tried gauge.Attempts) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return tried.Hosts() < d.hosts
 }
 
 // Release returns a slot for the next request, here or, while slots are scarce, at another entry.
-func (d *Desk) Release(p *gauge.Place) {
+func (d *Allocator) Release(p *gauge.Slot) {
 	if d.release(p) {
-		d.conf.Kick()
+		d.conf.RequestSoon()
 	}
 }
 
-func (d *Desk) release(p *gauge.Place) (scarce bool) {
+func (d *Allocator) release(p *gauge.Slot) (scarce bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.queue.Finished(d.conf.Clock(), p.Class)
-	d.slots.Done(p)
+	d.queue.RecordFinished(d.conf.Clock(), p.Class)
+	d.slots.Release(p)
 	d.assignIdle()
 	return d.slots.IsScarce()
 }
 
-// Turn counts a quick slot as long from the next lease renewal on.
-func (d *Desk) Turn(p *gauge.Place) {
+// CountAsLong counts a quick slot as long from the next lease renewal on.
+func (d *Allocator) CountAsLong(p *gauge.Slot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slots.Turn(p)
+	d.slots.CountAsLong(p)
 }
 
-// Outcome rates a worker by how a request ended there; successes add to the retry budget. It
+// RecordOutcome rates a worker by how a request ended there; successes add to the retry budget. It
 // returns true if the worker is ejected for it.
-func (d *Desk) Outcome(host string, failed bool) bool {
+func (d *Allocator) RecordOutcome(host string, failed bool) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !failed {
-		d.retryBudget.Success()
+		d.retryBudget.RecordSuccess()
 	}
-	return d.ejector.Outcome(d.conf.Clock(), host, failed)
+	return d.ejector.RecordOutcome(d.conf.Clock(), host, failed)
 }
 
-// Repeat takes the n-th retry of a request out of the budget and returns how long to wait
+// SpendRetry takes the n-th retry of a request out of the budget and returns how long to wait
 // before it, or false if the budget is spent.
-func (d *Desk) Repeat(n int) (time.Duration, bool) {
+func (d *Allocator) SpendRetry(n int) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.retryBudget.Spend(d.conf.Clock()) {
@@ -245,14 +245,14 @@
 	return d.retryBudget.Pause(n), true
 }
 
-// Renew returns the lease request that renews the lease, or false if there is nothing to
+// RenewRequest returns the lease request that renews the lease, or false if there is nothing to
 // renew or to wait for.
-func (d *Desk) Renew() (slots.Ask, bool) {
+func (d *Allocator) RenewRequest() (slots.LeaseRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	quick, long := d.waitingCounts()
 	if d.slots.IsEmpty() && quick+long == 0 {
-		return slots.Ask{}, false
+		return slots.LeaseRequest{}, false
 	}
 	now := d.conf.Clock()
 	d.lastFull = now
@@ -262,8 +262,8 @@
 // minFullInterval is how soon an allocator without a lease may request one again.
 const minFullInterval = 100 * time.Millisecond
 
-// Ask returns a lease request between two renewals, or false if nothing has changed.
-func (d *Desk) Ask() (slots.Ask, bool) {
+// NextRequest returns a lease request between two renewals, or false if nothing has changed.
+func (d *Allocator) NextRequest() (slots.LeaseRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.conf.Clock()
@@ -272,14 +272,14 @@
 		return req, true
 	}
 	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.lastFull) < minFullInterval {
-		return slots.Ask{}, false
+		return slots.LeaseRequest{}, false
 	}
 	d.lastFull = now
 	return d.slots.FullRequest(now, quick, long), true
 }
 
-// Grant takes in slots that the owner grants.
-func (d *Desk) Grant(g slots.Grant) {
+// ApplyGrant takes in slots that the owner grants.
+func (d *Allocator) ApplyGrant(g slots.Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.ApplyGrant(g)
@@ -287,7 +287,7 @@
 }
 
 // Counts returns the current state.
-func (d *Desk) Counts() Counts {
+func (d *Allocator) Counts() Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return Counts{
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -21,10 +21,10 @@
 func TestRetryRequestsSlotsOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
-			Pool: "p", Name: "e", Length: 10, Clock: time.Now,
-			Random: rand.New(rand.NewPCG(1, 1)), Kick: func() {},
+			Pool: "p", Holder: "e", MaxWaiting: 10, Clock: time.Now,
+			Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 		})
-		d.Set(gauge.Hosts{{ID: "a", Rack: "a"}, {ID: "b", Rack: "b"}}, 1)
+		d.SetHosts(gauge.Hosts{{ID: "a", Rack: "a"}, {ID: "b", Rack: "b"}}, 1)
 		deadline := time.Now().Add(time.Minute)
 		got := make(chan string, 2)
 		acquire := func(earlier gauge.Attempts) {
@@ -34,14 +34,14 @@
 		}
 		go acquire(gauge.Attempts{{Target: gauge.Target{Host: "a", Rack: "a"}, Sent: true}})
 		synctest.Wait()
-		first, ok := d.Renew()
+		first, ok := d.RenewRequest()
 		assert.Assert(t, ok)
-		d.Grant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, Term: time.Minute, Free: 4, Lots: []slots.Lot{{Host: "a", Quick: 4}}}) // more than the reserve
+		d.ApplyGrant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, LeaseDuration: time.Minute, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "a", Quick: 4}}}) // more than the reserve
 		go acquire(nil)
 		assert.Equal(t, <-got, "a", "the request behind the retry goes first")
-		next, ok := d.Ask()
-		assert.Assert(t, ok && next.Quick > 0, "slots of other hosts are asked for: %+v", next)
-		d.Grant(slots.Grant{Pool: "p", Seq: next.Seq, Free: 4, Lots: []slots.Lot{{Host: "b", Quick: 1}}})
+		next, ok := d.NextRequest()
+		assert.Assert(t, ok && next.WantedQuick > 0, "slots of other hosts are asked for: %+v", next)
+		d.ApplyGrant(slots.Grant{Pool: "p", Seq: next.Seq, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "b", Quick: 1}}})
 		assert.Equal(t, <-got, "b")
 	})
 }
@@ -51,19 +51,19 @@
 func TestRefusedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := desk.New(desk.Config{
-			Pool: "p", Name: "e", Length: 1, Clock: time.Now,
-			Random: rand.New(rand.NewPCG(1, 1)), Kick: func() {},
+			Pool: "p", Holder: "e", MaxWaiting: 1, Clock: time.Now,
+			Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 		})
 		_, err := d.Acquire(context.Background(), gauge.ClassQuick, time.Now(), nil)
-		assert.Equal(t, gauge.KindOf(err), gauge.KindEmpty)
-		d.Set(gauge.Hosts{{ID: "a"}}, 1)
+		assert.Equal(t, gauge.KindOf(err), gauge.KindNoWorker)
+		d.SetHosts(gauge.Hosts{{ID: "a"}}, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		began := time.Now()
 		_, err = d.Acquire(ctx, gauge.ClassQuick, began.Add(time.Second), nil)
-		assert.Equal(t, gauge.KindOf(err), gauge.KindFull)
+		assert.Equal(t, gauge.KindOf(err), gauge.KindNoSlot)
 		assert.Equal(t, gauge.AsError(err).Ran(), gauge.RanNo)
-		assert.Assert(t, gauge.AsError(err).Retry > 0)
+		assert.Assert(t, gauge.AsError(err).RetryAfter > 0)
 		assert.Equal(t, time.Since(began), time.Second)
 	})
 }
--- a/internal/eject/eject.go
+++ b/internal/eject/eject.go
@@ -54,10 +54,10 @@
 	return &Ejector{conf: c, hosts: make(map[string]*score)}
 }
 
-// Cap sets how many workers may be ejected at once, so that ejections take no more capacity than
-// the pool can spare: the hosts beyond the promised number, at most a third of those serving, but
-// at least one unless there is only one.
-func (e *Ejector) Cap(serving, promised int) {
+// SetLimit sets how many workers may be ejected at once, so that ejections take no more capacity
+// than the pool can spare: the hosts beyond the promised number, at most a third of those serving,
+// but at least one unless there is only one.
+func (e *Ejector) SetLimit(serving, promised int) {
 	const third = 3
 	e.maxEjected = max(1, min(serving-promised, serving/third))
 	if serving <= 1 {
@@ -65,9 +65,9 @@
 	}
 }
 
-// Skip reports whether a host is to get no work now. After an ejection a single request is let
+// IsBlocked reports whether a host is to get no work now. After an ejection a single request is let
 // through as a probe, and its outcome decides.
-func (e *Ejector) Skip(now time.Time, host string) bool {
+func (e *Ejector) IsBlocked(now time.Time, host string) bool {
 	sc := e.hosts[host]
 	if sc == nil || sc.ejections == 0 {
 		return false
@@ -75,16 +75,17 @@
 	return now.Before(sc.until) || sc.probing
 }
 
-// Sent records that a request is sent to a host.
-func (e *Ejector) Sent(now time.Time, host string) {
+// RecordStart records that a request is sent to a host.
+func (e *Ejector) RecordStart(now time.Time, host string) {
 	sc := e.hosts[host]
 	if sc != nil && sc.ejections > 0 && !now.Before(sc.until) {
 		sc.probing = true
 	}
 }
 
-// Outcome records how a request at a host ended. It reports whether the host is ejected for it.
-func (e *Ejector) Outcome(now time.Time, host string, failed bool) bool {
+// RecordOutcome records how a request at a host ended. It reports whether the host is ejected for
+// it.
+func (e *Ejector) RecordOutcome(now time.Time, host string, failed bool) bool {
 	sc := e.hosts[host]
 	if sc == nil {
 		sc = &score{}
@@ -168,8 +169,8 @@
 	return out
 }
 
-// Keep drops the hosts that are no longer in the pool.
-func (e *Ejector) Keep(isMember func(host string) bool) {
+// Retain drops the hosts that are no longer in the pool.
+func (e *Ejector) Retain(isMember func(host string) bool) {
 	for host := range e.hosts {
 		if !isMember(host) {
 			delete(e.hosts, host)
--- a/internal/eject/eject_test.go
+++ b/internal/eject/eject_test.go
@@ -18,9 +18,9 @@
 	for range times {
 		for i := range hosts {
 			id := fmt.Sprint(i)
-			if !e.Skip(at, id) {
-				e.Sent(at, id)
-				e.Outcome(at, id, isFailing(i))
+			if !e.IsBlocked(at, id) {
+				e.RecordStart(at, id)
+				e.RecordOutcome(at, id, isFailing(i))
 			}
 		}
 	}
@@ -30,19 +30,19 @@
 // each request at once, so it is always idle, and a choice by idle slots alone prefers it.
 func TestFailingWorkerIsEjectedAndProbed(t *testing.T) {
 	e := eject.New(eject.Config{})
-	e.Cap(10, 8)
+	e.SetLimit(10, 8)
 	feed(e, now(), 10, 20, func(i int) bool { return i == 3 })
 	assert.DeepEqual(t, e.Ejected(now()), []string{"3"})
 	later := now().Add(6 * time.Second)
-	assert.Assert(t, !e.Skip(later, "3"), "one probe is let through")
-	e.Sent(later, "3")
-	assert.Assert(t, e.Skip(later, "3"), "only one probe")
-	e.Outcome(later, "3", true)
-	assert.Assert(t, e.Skip(later.Add(6*time.Second), "3"), "twice as long after a failed probe")
+	assert.Assert(t, !e.IsBlocked(later, "3"), "one probe is let through")
+	e.RecordStart(later, "3")
+	assert.Assert(t, e.IsBlocked(later, "3"), "only one probe")
+	e.RecordOutcome(later, "3", true)
+	assert.Assert(t, e.IsBlocked(later.Add(6*time.Second), "3"), "twice as long after a failed probe")
 	later = later.Add(11 * time.Second)
-	e.Sent(later, "3")
-	e.Outcome(later, "3", false)
-	assert.Assert(t, !e.Skip(later, "3"), "back after a successful probe")
+	e.RecordStart(later, "3")
+	e.RecordOutcome(later, "3", false)
+	assert.Assert(t, !e.IsBlocked(later, "3"), "back after a successful probe")
 }
 
 // Guards against a pool that has too few workers left after a batch of failing requests: many
@@ -52,7 +52,7 @@
 		{10, 8, 2}, {10, 10, 1}, {12, 2, 4}, {1, 1, 0},
 	} {
 		e := eject.New(eject.Config{})
-		e.Cap(tt.serving, tt.promised)
+		e.SetLimit(tt.serving, tt.promised)
 		feed(e, now(), tt.serving, 50, func(i int) bool { return i%2 == 0 })
 		assert.Assert(t, len(e.Ejected(now())) <= tt.maxEjected, "%+v: %v", tt, e.Ejected(now()))
 	}
@@ -61,7 +61,7 @@
 // If all workers fail alike, single workers are not at fault.
 func TestUniformFailuresEjectNobody(t *testing.T) {
 	e := eject.New(eject.Config{})
-	e.Cap(10, 2)
+	e.SetLimit(10, 2)
 	feed(e, now(), 10, 1, func(int) bool { return true })
 	feed(e, now(), 10, 30, func(int) bool { return true })
 	assert.Equal(t, len(e.Ejected(now())), 0)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -49,14 +49,14 @@
 	Clock       gauge.Clock
 	Logs        logr.Logger
 
-	Poll  time.Duration // interval between reads of the table's head row
-	Beat  time.Duration // interval between heartbeats
-	Row   time.Duration // interval between writes of the member row
-	Term  time.Duration // of a slot lease
-	Round time.Duration // interval between renewals of slot leases, and between controller rounds
-	Watch time.Duration // interval between reads of the platform's host list
-	Drain time.Duration // within which the load balancer notices that this entry is not ready
-	Stop  time.Duration // longest wait for requests in flight at shutdown
+	PollInterval      time.Duration // interval between reads of the table's head row
+	HeartbeatInterval time.Duration // interval between heartbeats
+	MemberRowInterval time.Duration // interval between writes of the member row
+	LeaseDuration     time.Duration // of a slot lease
+	RoundInterval     time.Duration // interval between renewals of slot leases, and between controller rounds
+	HostListInterval  time.Duration // interval between reads of the platform's host list
+	DrainDelay        time.Duration // within which the load balancer notices that this entry is not ready
+	ShutdownTimeout   time.Duration // longest wait for requests in flight at shutdown
 }
 
 // Entry is one entry process.
@@ -73,8 +73,8 @@
 	orphan *orphan.Finder
 	ctrl   *ctrl.Controller
 	meter  *meter.Meter
-	burn   *burn.Book
-	holds  *holds.Book
+	burn   *burn.Recorder
+	holds  *holds.Recorder
 	log    *revlog.Log
 	app    *fiber.App
 
@@ -85,7 +85,7 @@
 
 // hostList is the platform's host list and when the call that read it was made.
 type hostList struct {
-	list gauge.Sightings
+	list gauge.HostList
 	at   time.Time
 }
 
@@ -103,38 +103,38 @@
 	e.hostList.Store(&hostList{})
 	e.mesh = mesh.New(mesh.Config{Key: c.PeerKey, Limit: maxFrame})
 	e.follow = follow.New(follow.Config{
-		Log: e.log, Every: c.Poll, Clock: c.Clock, Logs: c.Logs.WithName("follow"),
-		Ask: e.askPeers, Adopted: e.onAdopted,
+		Log: e.log, PollInterval: c.PollInterval, Clock: c.Clock, Logs: c.Logs.WithName("follow"),
+		FetchFromPeers: e.askPeers, OnAdopted: e.onAdopted,
 	})
 	e.member = member.New(member.Config{
 		Self: c.Self, Table: c.Table, Peers: e.mesh, Clock: c.Clock, Logs: c.Logs.WithName("member"),
-		Beat: c.Beat, Row: c.Row, Seeds: c.Seeds,
+		Beat: c.HeartbeatInterval, Row: c.MemberRowInterval, Seeds: c.Seeds,
 		Revision: e.revision, Newer: func(r int64) { e.follow.Wake(r) },
 	})
 	e.broker = broker.New(broker.Config{
 		Self: c.Self, Peers: e.mesh, View: e.member.View, Clock: c.Clock, Logs: c.Logs.WithName("broker"),
-		Term: c.Term, Round: c.Round, Seed: uint64(c.Clock().UnixNano()),
+		Term: c.LeaseDuration, Round: c.RoundInterval, Seed: uint64(c.Clock().UnixNano()),
 	})
 	e.claims = claim.New(claim.Config{Entry: e.name(), Table: c.Table, Objects: c.Objects, Clock: c.Clock})
 	e.sender = send.New(send.Config{MaxAnswer: maxAnswer, Clock: c.Clock})
 	e.server = serve.New(serve.Config{
-		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.Current, Desk: e.broker.Desk,
+		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.IsCurrent, Desk: e.broker.Allocator,
 		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.mayBeAlive,
 	})
 	e.apply = apply.New(apply.Config{Log: e.log, State: e.follow.State, Decoder: schema.New(), Notices: place.New().Unplaceable})
 	e.orphan = orphan.New(orphan.Config{
-		Logs: c.Logs.WithName("orphan"), Every: c.Row, Mine: func() bool { return e.ownsDuty("orphans") },
-		Entries: e.claims.Entries, Lives: e.mayBeAlive, Takeover: e.server.Takeover, Sweep: e.sweepClaims,
+		Logs: c.Logs.WithName("orphan"), ScanInterval: c.MemberRowInterval, IsScanner: func() bool { return e.ownsDuty("orphans") },
+		UnfinishedByEntry: e.claims.UnfinishedByEntry, MayBeAlive: e.mayBeAlive, Takeover: e.server.Takeover, Sweep: e.sweepClaims,
 	})
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: e.log, Platform: c.Platform, Planner: plan.New(plan.Config{}), State: e.follow.State,
-		Leases:    lease.New(lease.Config{Entry: e.name(), Table: c.Table, Lives: e.mayBeAlive}),
-		Sighted:   func() (gauge.Sightings, time.Time) { s := e.hostList.Load(); return s.list, s.at },
-		Confirmed: e.member.Confirmed, Mine: e.ownsDuty, Wake: e.follow.Wake, Moved: e.meter.Moved,
-		Clock: c.Clock, Logs: c.Logs.WithName("ctrl"), Every: c.Round,
+		Leases:       lease.New(lease.Config{Entry: e.name(), Table: c.Table, Lives: e.mayBeAlive}),
+		LastHostList: func() (gauge.HostList, time.Time) { s := e.hostList.Load(); return s.list, s.at },
+		IsConfirmed:  e.member.IsConfirmed, OwnsDuty: e.ownsDuty, CatchUpTo: e.follow.Wake, OnHostAdded: e.meter.CountMove,
+		Clock: c.Clock, Logs: c.Logs.WithName("ctrl"), RoundInterval: c.RoundInterval,
 	})
 	e.mesh.Handle(member.Method, e.member.Handle)
-	e.mesh.Handle(broker.MethodAsk, e.broker.HandleAsk)
+	e.mesh.Handle(broker.MethodRequest, e.broker.HandleRequest)
 	e.mesh.Handle(broker.MethodGrant, e.broker.HandleGrant)
 	e.mesh.Handle(stateMethod, e.handleState)
 	e.mesh.Handle(reportMethod, e.handleReport)
@@ -145,7 +145,7 @@
 // maxAnswer bounds a worker's answer.
 const maxAnswer = 16 << 20 // bytes
 
-func (e *Entry) name() string { return e.conf.Self.ID + "/" + e.conf.Self.Run }
+func (e *Entry) name() string { return e.conf.Self.ID + "/" + e.conf.Self.StartID }
 
 func (e *Entry) revision() int64 { return e.follow.State().Revision }
 
@@ -155,17 +155,17 @@
 // onAdopted is called with each new state in force, in order, and with an upper bound of the time
 // since it was accepted.
 func (e *Entry) onAdopted(s gauge.State, delay time.Duration) {
-	e.broker.Adopt(s)
+	e.broker.ApplyState(s)
 	for _, n := range place.New().Unplaceable(s) {
 		e.conf.Logs.V(1).Info(n)
 	}
-	e.meter.Set("", "revision", float64(s.Revision))
+	e.meter.SetState("", "revision", float64(s.Revision))
 	evidence := fmt.Sprintf("revision %d in force here at most %s after its acceptance", s.Revision, delay.Round(time.Millisecond))
-	e.holds.Note(holds.InForce, delay <= inForceLimit, evidence)
-	e.holds.Note(holds.Leaving, delay <= inForceLimit, evidence)
+	e.holds.RecordCheck(holds.PromptConfig, delay <= inForceLimit, evidence)
+	e.holds.RecordCheck(holds.NoWorkWhenLeaving, delay <= inForceLimit, evidence)
 	// Every entry that adopts a revision notifies its peers, so that the notification also
 	// reaches those that the accepting entry can't connect to.
-	go e.member.Tell(context.Background())
+	go e.member.SendHeartbeats(context.Background())
 }
 
 // Run serves until ctx ends or a component fails, then completes the requests in flight, within
@@ -194,7 +194,7 @@
 		cancel()
 		return nil
 	})
-	e.conf.Logs.Info("entry runs", "entry", e.conf.Self.ID, "run", e.conf.Self.Run,
+	e.conf.Logs.Info("entry runs", "entry", e.conf.Self.ID, "run", e.conf.Self.StartID,
 		"http", e.conf.Self.HTTP, "peer", e.conf.Self.Peer, "zone", e.conf.Self.Zone)
 	return group.Wait()
 }
@@ -212,11 +212,11 @@
 func (e *Entry) shutdown() {
 	e.conf.Logs.Info("entry is draining")
 	e.draining.Store(true)
-	time.Sleep(e.conf.Drain)
-	ctx, cancel := context.WithTimeout(context.Background(), e.conf.Stop)
+	time.Sleep(e.conf.DrainDelay)
+	ctx, cancel := context.WithTimeout(context.Background(), e.conf.ShutdownTimeout)
 	defer cancel()
 	err := e.server.Drain(ctx)
-	e.holds.Note(holds.Graceful, err == nil, "shutdown")
+	e.holds.RecordCheck(holds.GracefulShutdown, err == nil, "shutdown")
 	if err != nil {
 		e.conf.Logs.Error(err, "stopped before all requests were done")
 	}
@@ -234,13 +234,15 @@
 }
 
 // watchHosts reads the platform's host list periodically.
-func (e *Entry) watchHosts(ctx context.Context) { ticks.Every(ctx, e.conf.Watch, e.readHosts) }
+func (e *Entry) watchHosts(ctx context.Context) {
+	ticks.Every(ctx, e.conf.HostListInterval, e.readHosts)
+}
 
 func (e *Entry) readHosts(ctx context.Context) {
 	requestedAt := e.conf.Clock()
 	if list, err := e.conf.Platform.List(ctx); err == nil {
 		e.hostList.Store(&hostList{list: list, at: requestedAt})
-		e.broker.Seen(list)
+		e.broker.ObserveHosts(list)
 	}
 	e.updateGauges()
 }
@@ -248,32 +250,32 @@
 // updateGauges sets the metrics that show a current state.
 func (e *Entry) updateGauges() {
 	for _, c := range e.broker.Counts() {
-		e.meter.Set(c.Pool, "slots_held", float64(c.Held))
-		e.meter.Set(c.Pool, "slots_used", float64(c.Used))
-		e.meter.Set(c.Pool, "waiting_quick", float64(c.Quick))
-		e.meter.Set(c.Pool, "waiting_long", float64(c.Long))
-		e.meter.Set(c.Pool, "hosts_serving", float64(c.Hosts))
-		e.meter.Set(c.Pool, "hosts_ejected", float64(c.Ejected))
+		e.meter.SetState(c.Pool, "slots_held", float64(c.Held))
+		e.meter.SetState(c.Pool, "slots_used", float64(c.Used))
+		e.meter.SetState(c.Pool, "waiting_quick", float64(c.Quick))
+		e.meter.SetState(c.Pool, "waiting_long", float64(c.Long))
+		e.meter.SetState(c.Pool, "hosts_serving", float64(c.Hosts))
+		e.meter.SetState(c.Pool, "hosts_ejected", float64(c.Ejected))
 	}
 	e.checkPromises()
 	for _, w := range e.waves() {
-		e.meter.Set(w.Pool, "wave_due", float64(w.Hosts-w.Done))
+		e.meter.SetState(w.Pool, "wave_due", float64(w.Hosts-w.Done))
 	}
-	for _, l := range e.holds.Lines() {
+	for _, l := range e.holds.Results() {
 		if l.Checks > 0 { // an entry that doesn't check a promise must not report zero breaches
-			e.meter.Set("", "breaches_"+string(l.Promise), float64(l.Breaches))
+			e.meter.SetState("", "breaches_"+string(l.Promise), float64(l.Breaches))
 		}
 	}
-	e.meter.Set("", "peer_bytes", float64(e.mesh.Bytes()))
-	commits, writes := e.claims.Counts()
-	e.meter.Set("", "claim_commits", float64(commits))
-	e.meter.Set("", "claim_writes", float64(writes))
+	e.meter.SetState("", "peer_bytes", float64(e.mesh.BytesWritten()))
+	commits, writes := e.claims.CommitCounts()
+	e.meter.SetState("", "claim_commits", float64(commits))
+	e.meter.SetState("", "claim_writes", float64(writes))
 }
 
 // mayBeAlive reports whether an entry (id/run) is still among the live members.
 func (e *Entry) mayBeAlive(name string) bool {
 	for _, m := range e.member.View().Live {
-		if m.ID+"/"+m.Run == name {
+		if m.ID+"/"+m.StartID == name {
 			return true
 		}
 	}
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -74,7 +74,7 @@
 		return gauge.Refuse(nil, gauge.KindDraining, "this entry is shutting down", time.Second)
 	case e.revision() == 0:
 		return gauge.Refuse(nil, gauge.KindUnready, "no configuration is in force here yet", time.Second)
-	case !e.member.Linked():
+	case !e.member.HasRecentContact():
 		return gauge.Refuse(nil, gauge.KindUnready, "neither the table nor a peer has been heard for a while", time.Second)
 	}
 	return nil
@@ -90,9 +90,9 @@
 	kind := gauge.KindInvalid
 	switch fe.Code {
 	case fiber.StatusNotFound, fiber.StatusMethodNotAllowed:
-		kind = gauge.KindMissing
+		kind = gauge.KindNotFound
 	case fiber.StatusRequestEntityTooLarge:
-		kind = gauge.KindLarge
+		kind = gauge.KindTooLarge
 	}
 	return front.Problem(c, gauge.Refuse(nil, kind, fe.Message, 0))
 }
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -43,7 +43,7 @@
 	own := e.follow.State()
 	revisions := e.member.Revisions()
 	if len(revisions) < 2 {
-		return own, gauge.Fail(gauge.KindOutage, "neither the table nor a peer is reachable")
+		return own, gauge.Errorf(gauge.KindOutage, "neither the table nor a peer is reachable")
 	}
 	var newest gauge.Member
 	newestRevision := own.Revision
@@ -74,7 +74,7 @@
 	for _, h := range r.Hosts {
 		s.ByHost[h.ID] = h
 	}
-	return s.Indexed()
+	return s.WithIndex()
 }
 
 // ownsDuty reports whether this entry is responsible for a duty, by its name. Duties are spread
@@ -86,7 +86,7 @@
 // sweep drops claims whose keys are too old to be accepted again.
 func (e *Entry) sweepClaims(ctx context.Context) error {
 	const days = 3 // so that a day that an outage kept from being swept is swept later
-	for _, day := range gauge.ClaimDays(e.conf.Clock(), days) {
+	for _, day := range gauge.ExpiredClaimDays(e.conf.Clock(), days) {
 		if _, err := e.claims.Sweep(ctx, day); err != nil {
 			return err
 		}
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -21,12 +21,12 @@
 type reportReq struct{}
 
 type reportResp struct {
-	Series []burn.Series `msgpack:"s"`
-	Lines  []holds.Line  `msgpack:"l"`
+	Series []burn.Series  `msgpack:"s"`
+	Lines  []holds.Result `msgpack:"l"`
 }
 
 func (e *Entry) handleReport(context.Context, []byte) (any, error) {
-	return &reportResp{Series: e.burn.Series(), Lines: e.holds.Lines()}, nil
+	return &reportResp{Series: e.burn.Series(), Lines: e.holds.Results()}, nil
 }
 
 const reportTimeout = 2 * time.Second
@@ -35,7 +35,7 @@
 func (e *Entry) collectReports(ctx context.Context) []reportResp {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	all := []reportResp{{Series: e.burn.Series(), Lines: e.holds.Lines()}}
+	all := []reportResp{{Series: e.burn.Series(), Lines: e.holds.Results()}}
 	var mu sync.Mutex
 	var group conc.WaitGroup
 	for _, m := range e.member.View().Live {
@@ -57,7 +57,7 @@
 	return all
 }
 
-func (e *Entry) burnReport(ctx context.Context) []burn.Line {
+func (e *Entry) burnReport(ctx context.Context) []burn.ServiceReport {
 	var series [][]burn.Series
 	for _, r := range e.collectReports(ctx) {
 		series = append(series, r.Series)
@@ -65,8 +65,8 @@
 	return burn.Report(e.follow.State(), burn.Sum(series...))
 }
 
-func (e *Entry) promisesReport(ctx context.Context) []holds.Line {
-	var lines [][]holds.Line
+func (e *Entry) promisesReport(ctx context.Context) []holds.Result {
+	var lines [][]holds.Result
 	for _, r := range e.collectReports(ctx) {
 		lines = append(lines, r.Lines)
 	}
@@ -77,32 +77,32 @@
 // serves according to the table and is live in the platform's host list.
 func (e *Entry) checkPromises() {
 	s := e.follow.State()
-	sightings := e.hostList.Load().list.ByID()
+	listed := e.hostList.Load().list.ByID()
 	counted, listings := make(map[string]bool), 0
-	for _, pool := range append(s.Names(gauge.RecordPool), "") {
+	for _, pool := range append(s.RecordNames(gauge.RecordPool), "") {
 		for _, h := range s.InPool(pool) {
 			counted[h.ID] = true
 			listings++
 		}
-		if pool == "" || !e.ownsDuty("watch/"+pool) || len(sightings) == 0 {
+		if pool == "" || !e.ownsDuty("watch/"+pool) || len(listed) == 0 {
 			continue
 		}
 		working := 0
 		for _, h := range s.InPool(pool) {
-			if h.Serves() && sightings[h.ID].Status == gauge.StatusLive {
+			if h.IsServing() && listed[h.ID].Status == gauge.StatusLive {
 				working++
 			}
 		}
 		promised := s.Pool(pool).Hosts
-		e.meter.Set(pool, "hosts_spare", float64(working-promised))
+		e.meter.SetState(pool, "hosts_spare", float64(working-promised))
 		if !e.filled[pool] {
 			e.filled[pool] = working >= promised // no breach while a new pool is first filled
 			continue
 		}
-		e.holds.Note(holds.Budget, working >= promised, fmt.Sprintf("pool %s: %d hosts work, %d are promised", pool, working, promised))
+		e.holds.RecordCheck(holds.AvailabilityBudget, working >= promised, fmt.Sprintf("pool %s: %d hosts work, %d are promised", pool, working, promised))
 	}
 	if s.Revision > 0 && len(s.ByHost) > 0 {
-		e.holds.Note(holds.Single, listings == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listings))
+		e.holds.RecordCheck(holds.SinglePool, listings == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listings))
 	}
 }
 
@@ -114,10 +114,10 @@
 		reasons[w.Wave+"/"+w.Pool] = w.Reason
 	}
 	out := []query.Wave{}
-	for _, name := range s.Names(gauge.RecordWave) {
+	for _, name := range s.RecordNames(gauge.RecordWave) {
 		r := s.Records[gauge.RecordID{Kind: gauge.RecordWave, Name: name}]
 		for _, pool := range r.Wave.Pools {
-			w := query.Wave{Name: name, Pool: pool, Waits: reasons[name+"/"+pool]}
+			w := query.Wave{Name: name, Pool: pool, WaitReason: reasons[name+"/"+pool]}
 			for _, h := range s.InPool(pool) {
 				countHost(&w, r, h)
 			}
@@ -130,10 +130,10 @@
 func countHost(w *query.Wave, r gauge.Record, h gauge.Host) {
 	w.Hosts++
 	switch {
-	case !plan.Due(r, h):
+	case !plan.IsDue(r, h):
 		w.Done++
 	case h.State == gauge.HostLeaving || h.State == gauge.HostRebooting:
-		w.Out++
+		w.Unavailable++
 	case h.State == gauge.HostFailed:
 		w.Failed++
 	}
--- a/internal/exch/exch.go
+++ b/internal/exch/exch.go
@@ -23,11 +23,11 @@
 
 // Config sets up a Pool.
 type Config struct {
-	Dial    time.Duration // timeout for connecting; default 1 s
-	Idle    time.Duration // an idle connection is closed after this time; default 20 s
-	Answer  int           // greatest size of a response body, in bytes; default 1 MiB
-	Resting int           // greatest number of idle connections per address; default 16
-	Clock   gauge.Clock
+	DialTimeout    time.Duration // timeout for connecting; default 1 s
+	IdleTimeout    time.Duration // an idle connection is closed after this time; default 20 s
+	MaxBody        int           // greatest size of a response body, in bytes; default 1 MiB
+	MaxIdlePerAddr int           // greatest number of idle connections per address; default 16
+	Clock          gauge.Clock
 }
 
 const (
@@ -58,10 +58,10 @@
 
 // New makes a Pool.
 func New(c Config) *Pool {
-	fill.Zero(&c.Dial, defaultDialTimeout)
-	fill.Zero(&c.Idle, defaultIdleTimeout)
-	fill.Zero(&c.Answer, defaultMaxBody)
-	fill.Zero(&c.Resting, defaultMaxIdlePerAddr)
+	fill.Zero(&c.DialTimeout, defaultDialTimeout)
+	fill.Zero(&c.IdleTimeout, defaultIdleTimeout)
+	fill.Zero(&c.MaxBody, defaultMaxBody)
+	fill.Zero(&c.MaxIdlePerAddr, defaultMaxIdlePerAddr)
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
@@ -76,18 +76,18 @@
 func (p *Pool) Do(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response, fresh bool) (sent bool, err error) {
 	c, err := p.connect(ctx, addr, fresh)
 	if err != nil {
-		return false, gauge.Fail(gauge.KindOutage, "exch.Do: connect to %s", addr).Because(err)
+		return false, gauge.Errorf(gauge.KindOutage, "exch.Do: connect to %s", addr).WithCause(err)
 	}
 	return p.exchangeOn(ctx, c, req, resp)
 }
 
-// DoResting is like Do, but uses only an idle connection. It reaches the process that has answered
+// DoIdle is like Do, but uses only an idle connection. It reaches the process that has answered
 // on that connection or none, whereas a new connection may reach another process that has the
 // address now. If no connection to addr is idle, nothing is sent and the error is of KindOutage.
-func (p *Pool) DoResting(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
+func (p *Pool) DoIdle(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
 	c := p.takeIdle(addr)
 	if c == nil {
-		return false, gauge.Fail(gauge.KindOutage, "exch.DoResting: no idle connection to %s", addr)
+		return false, gauge.Errorf(gauge.KindOutage, "exch.DoIdle: no idle connection to %s", addr)
 	}
 	return p.exchangeOn(ctx, c, req, resp)
 }
@@ -95,11 +95,11 @@
 // exchangeOn sends req on a connection and reads the whole answer into resp before ctx ends.
 func (p *Pool) exchangeOn(ctx context.Context, c *conn, req *fasthttp.Request, resp *fasthttp.Response) (sent bool, err error) {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
-	err = c.exchange(req, resp, p.conf.Answer)
+	err = c.exchange(req, resp, p.conf.MaxBody)
 	inTime := stop()
 	if err != nil {
 		_ = c.Close() // a late answer may still come on it
-		return true, gauge.Fail(gauge.KindUnknown, "exch.Do: %s", c.addr).Because(err)
+		return true, gauge.Errorf(gauge.KindUnknown, "exch.Do: %s", c.addr).WithCause(err)
 	}
 	if !inTime || resp.ConnectionClose() {
 		_ = c.Close()
@@ -109,9 +109,9 @@
 	return true, nil
 }
 
-// Drop closes all idle connections to an address. It is for an address where one of them was
+// CloseIdle closes all idle connections to an address. It is for an address where one of them was
 // silent while a new connection worked.
-func (p *Pool) Drop(addr string) {
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	old := p.idle[addr]
 	delete(p.idle, addr)
@@ -143,7 +143,7 @@
 		}
 	}
 	d := net.Dialer{
-		Timeout:         p.conf.Dial,
+		Timeout:         p.conf.DialTimeout,
 		Control:         setUserTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: keepAliveProbes},
 	}
@@ -171,7 +171,7 @@
 		c := cs[len(cs)-1]
 		cs = cs[:len(cs)-1]
 		p.idle[addr] = cs
-		if p.conf.Clock().Sub(c.idleSince) < p.conf.Idle && peek.Look(c.Conn) == peek.Quiet {
+		if p.conf.Clock().Sub(c.idleSince) < p.conf.IdleTimeout && peek.Check(c.Conn) == peek.Idle {
 			return c
 		}
 		_ = c.Close()
@@ -183,7 +183,7 @@
 func (p *Pool) putIdle(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.addr]) >= p.conf.Resting || c.br.Buffered() > 0 {
+	if len(p.idle[c.addr]) >= p.conf.MaxIdlePerAddr || c.br.Buffered() > 0 {
 		// Unexpected bytes would be read as the next answer.
 		_ = c.Close()
 		return
@@ -196,14 +196,14 @@
 // prune closes the connections that have been idle for too long, to all addresses: those to a
 // worker that no longer exists are never taken again, and would keep their file descriptors.
 func (p *Pool) prune(now time.Time) {
-	if now.Sub(p.lastPrune) < p.conf.Idle/prunesPerIdleTimeout {
+	if now.Sub(p.lastPrune) < p.conf.IdleTimeout/prunesPerIdleTimeout {
 		return
 	}
 	p.lastPrune = now
 	for addr, cs := range p.idle {
 		keep := cs[:0]
 		for _, c := range cs {
-			if now.Sub(c.idleSince) < p.conf.Idle {
+			if now.Sub(c.idleSince) < p.conf.IdleTimeout {
 				keep = append(keep, c)
 				continue
 			}
@@ -215,7 +215,8 @@
 	}
 }
 
-// prunesPerIdleTimeout is how many times within Config.Idle prune looks for expired connections.
+// prunesPerIdleTimeout is how many times within Config.IdleTimeout prune looks for expired
+// connections.
 const prunesPerIdleTimeout = 4
 
 // exchange writes the request and reads the answer, with a body of at most maxBody bytes. The
--- a/internal/exch/exch_test.go
+++ b/internal/exch/exch_test.go
@@ -125,7 +125,7 @@
 				_, _ = c.Write([]byte(tt.answer))
 				_ = c.Close()
 			})
-			p := exch.New(exch.Config{Answer: 1000})
+			p := exch.New(exch.Config{MaxBody: 1000})
 			_, sent, err := do(context.Background(), p, addr, "x", false)
 			assert.Assert(t, err != nil)
 			assert.Assert(t, sent)
@@ -189,7 +189,7 @@
 // would never be closed if that happened only when they are reused.
 func TestIdleConnectionsToUnusedAddressesAreClosed(t *testing.T) {
 	now := time.Unix(0, 0)
-	pool := exch.New(exch.Config{Idle: time.Second, Clock: func() time.Time { return now }})
+	pool := exch.New(exch.Config{IdleTimeout: time.Second, Clock: func() time.Time { return now }})
 	defer pool.Close()
 	serve := func() (string, chan struct{}) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/flaky/flaky.go
+++ b/internal/flaky/flaky.go
@@ -1,5 +1,5 @@
-// Package flaky is a wrapper of the platform's table that injects one fault, for tests: the n-th call
-// fails in a chosen way.
+// Package flaky is a wrapper of the platform's table that injects one fault, for tests: the n-th
+// call fails in a chosen way.
 package flaky
 
 import (
@@ -15,31 +15,33 @@
 
 // The faults.
 const (
-	None   Fault = "none"
-	Down   Fault = "down"   // refused, not carried out
-	Lost   Fault = "lost"   // carried out, the response is lost
-	Gone   Fault = "gone"   // the request is lost and not carried out; to the caller the outcome is unknown
-	Late   Fault = "late"   // the response is lost, the call is carried out after LateBy
-	Frozen Fault = "frozen" // the caller is paused for FrozenFor before the call, which then succeeds
-	Outage Fault = "outage" // this call and all others for OutageFor are refused
+	None                  Fault = "none"
+	Refused               Fault = "down"   // refused, not carried out
+	ResponseLost          Fault = "lost"   // carried out, the response is lost
+	RequestLost           Fault = "gone"   // the request is lost and not carried out; to the caller the outcome is unknown
+	ResponseLostDoneLater Fault = "late"   // the response is lost, the call is carried out after LateBy
+	CallerPaused          Fault = "frozen" // the caller is paused for FrozenFor before the call, which then succeeds
+	Outage                Fault = "outage" // this call and all others for OutageFor are refused
 )
 
 // Faults lists all faults but None.
-func Faults() []Fault { return []Fault{Down, Lost, Gone, Late, Frozen, Outage} }
+func Faults() []Fault {
+	return []Fault{Refused, ResponseLost, RequestLost, ResponseLostDoneLater, CallerPaused, Outage}
+}
 
 // Durations of the faults.
 const (
-	LateBy    = 5 * time.Second
-	FrozenFor = 12 * time.Second
-	OutageFor = 20 * time.Second
+	DoneLaterDelay = 5 * time.Second
+	PauseDuration  = 12 * time.Second
+	OutageDuration = 20 * time.Second
 )
 
 // Config sets up a Table.
 type Config struct {
-	Table gauge.Table
-	At    int // index of the call that fails, from 0
-	Fault Fault
-	Clock gauge.Clock
+	Table  gauge.Table
+	FailAt int // index of the call that fails, from 0
+	Fault  Fault
+	Clock  gauge.Clock
 }
 
 // Table is a gauge.Table with one injected fault. It is safe for concurrent use.
@@ -69,14 +71,14 @@
 	t.calls++
 	now := t.conf.Clock()
 	if now.Before(t.outageEnd) {
-		return Down
+		return Refused
 	}
-	if n != t.conf.At {
+	if n != t.conf.FailAt {
 		return None
 	}
 	if t.conf.Fault == Outage {
-		t.outageEnd = now.Add(OutageFor)
-		return Down
+		t.outageEnd = now.Add(OutageDuration)
+		return Refused
 	}
 	return t.conf.Fault
 }
@@ -87,11 +89,11 @@
 	switch t.nextFault() {
 	case None:
 		return nil
-	case Frozen:
-		time.Sleep(FrozenFor)
+	case CallerPaused:
+		time.Sleep(PauseDuration)
 		return nil
 	default:
-		return gauge.Fail(gauge.KindOutage, "flaky")
+		return gauge.Errorf(gauge.KindOutage, "flaky")
 	}
 }
 
@@ -113,20 +115,20 @@
 
 // Commit applies a transaction.
 func (t *Table) Commit(ctx context.Context, txn gauge.Txn) error {
-	errUnknown := gauge.Fail(gauge.KindUnknown, "flaky")
+	errUnknown := gauge.Errorf(gauge.KindUnknown, "flaky")
 	switch t.nextFault() {
-	case Down:
-		return gauge.Fail(gauge.KindOutage, "flaky")
-	case Lost:
+	case Refused:
+		return gauge.Errorf(gauge.KindOutage, "flaky")
+	case ResponseLost:
 		_ = t.conf.Table.Commit(ctx, txn)
 		return errUnknown
-	case Gone:
+	case RequestLost:
 		return errUnknown
-	case Late:
-		time.AfterFunc(LateBy, func() { _ = t.conf.Table.Commit(context.Background(), txn) })
+	case ResponseLostDoneLater:
+		time.AfterFunc(DoneLaterDelay, func() { _ = t.conf.Table.Commit(context.Background(), txn) })
 		return errUnknown
-	case Frozen:
-		time.Sleep(FrozenFor)
+	case CallerPaused:
+		time.Sleep(PauseDuration)
 	}
 	return t.conf.Table.Commit(ctx, txn)
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -19,17 +19,17 @@
 
 // Config holds the settings and dependencies of a Follower.
 type Config struct {
-	Log   *revlog.Log
-	Every time.Duration // interval between polls; default 1 s
-	Clock gauge.Clock
-	Logs  logr.Logger
-	// Ask fetches the newest state that any live peer has. It is called only while the table
-	// doesn't answer.
-	Ask func(ctx context.Context) (gauge.State, error)
-	// Adopted is called after each newer state was adopted, one call at a time. Behind is how long
-	// that state may have been in force elsewhere before: the time since it was last confirmed that
-	// there was no newer one, or 0 for the first state.
-	Adopted func(s gauge.State, behind time.Duration)
+	Log          *revlog.Log
+	PollInterval time.Duration // interval between polls; default 1 s
+	Clock        gauge.Clock
+	Logs         logr.Logger
+	// FetchFromPeers fetches the newest state that any live peer has. It is called only while the
+	// table doesn't answer.
+	FetchFromPeers func(ctx context.Context) (gauge.State, error)
+	// OnAdopted is called after each newer state was adopted, one call at a time. Behind is how
+	// long that state may have been in force elsewhere before: the time since it was last confirmed
+	// that there was no newer one, or 0 for the first state.
+	OnAdopted func(s gauge.State, behind time.Duration)
 }
 
 const defaultInterval = time.Second
@@ -46,7 +46,7 @@
 
 // New returns a Follower with no state in force.
 func New(c Config) *Follower {
-	fill.Zero(&c.Every, defaultInterval)
+	fill.Zero(&c.PollInterval, defaultInterval)
 	f := &Follower{conf: c, wake: make(chan struct{}, 1)}
 	f.state.Store(&gauge.State{})
 	return f
@@ -59,10 +59,10 @@
 // been replaced. A single poll can fail because an answer was lost.
 const maxUnconfirmedPolls = 3
 
-// Current reports whether the state in force was confirmed lately.
-func (f *Follower) Current() bool {
+// IsCurrent reports whether the state in force was confirmed lately.
+func (f *Follower) IsCurrent() bool {
 	confirmedAt := f.confirmedAt.Load()
-	return confirmedAt != nil && f.conf.Clock().Sub(*confirmedAt) <= maxUnconfirmedPolls*f.conf.Every
+	return confirmedAt != nil && f.conf.Clock().Sub(*confirmedAt) <= maxUnconfirmedPolls*f.conf.PollInterval
 }
 
 // Wake requests a poll at once if the given revision is newer than the one in force.
@@ -78,7 +78,7 @@
 
 // Run polls until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	tick := time.NewTicker(f.conf.Every)
+	tick := time.NewTicker(f.conf.PollInterval)
 	defer tick.Stop()
 	for {
 		if err := f.Poll(ctx); err != nil && ctx.Err() == nil {
@@ -98,8 +98,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next, err := f.readNewest(ctx)
-	if err != nil && f.conf.Ask != nil {
-		next, err = f.conf.Ask(ctx)
+	if err != nil && f.conf.FetchFromPeers != nil {
+		next, err = f.conf.FetchFromPeers(ctx)
 	}
 	if err != nil {
 		return err
@@ -120,7 +120,7 @@
 		return f.conf.Log.Load(ctx)
 	}
 	next, err := f.conf.Log.CatchUp(ctx, current)
-	if gauge.Is(err, gauge.KindMissing) {
+	if gauge.IsKind(err, gauge.KindNotFound) {
 		return f.conf.Log.Load(ctx) // so many revisions behind that the changes in between were deleted
 	}
 	return next, err
@@ -134,7 +134,7 @@
 	}
 	f.state.Store(&next)
 	f.conf.Logs.Info("configuration in force", "revision", next.Revision)
-	if f.conf.Adopted != nil {
-		f.conf.Adopted(next, behind)
+	if f.conf.OnAdopted != nil {
+		f.conf.OnAdopted(next, behind)
 	}
 }
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -32,24 +32,25 @@
 }
 
 // Write sends one frame of at most limit bytes without its length prefix, and returns the number of
-// bytes sent. A longer frame is an error of gauge.KindLarge.
+// bytes sent. A longer frame is an error of gauge.KindTooLarge.
 func Write(w io.Writer, f Frame, limit int) (int, error) {
 	f.Version = Version
 	var buf bytes.Buffer
 	buf.Write(make([]byte, prefixSize))
 	if err := msgpack.NewEncoder(&buf).Encode(&f); err != nil {
-		return 0, gauge.Fail(gauge.KindInternal, "frame.Write").Because(err)
+		return 0, gauge.Errorf(gauge.KindInternal, "frame.Write").WithCause(err)
 	}
 	size := buf.Len() - prefixSize
 	if size > limit {
-		return 0, gauge.Fail(gauge.KindLarge, "frame of %d bytes, limit %d", size, limit)
+		return 0, gauge.Errorf(gauge.KindTooLarge, "frame of %d bytes, limit %d", size, limit)
 	}
 	binary.BigEndian.PutUint32(buf.Bytes(), uint32(size))
 	return w.Write(buf.Bytes())
 }
 
-// Read reads one frame. A frame of more than limit bytes is an error of gauge.KindLarge, a malformed
-// one or one of another version of gauge.KindInvalid; errors of r are returned as they are.
+// Read reads one frame. A frame of more than limit bytes is an error of gauge.KindTooLarge, a
+// malformed one or one of another version of gauge.KindInvalid; errors of r are returned as they
+// are.
 func Read(r io.Reader, limit int) (Frame, error) {
 	var f Frame
 	var prefix [prefixSize]byte
@@ -58,7 +59,7 @@
 	}
 	size := binary.BigEndian.Uint32(prefix[:])
 	if int64(size) > int64(limit) {
-		return f, gauge.Fail(gauge.KindLarge, "frame of %d bytes, limit %d", size, limit)
+		return f, gauge.Errorf(gauge.KindTooLarge, "frame of %d bytes, limit %d", size, limit)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
@@ -68,7 +69,7 @@
 		return f, err
 	}
 	if f.Version != Version {
-		return f, gauge.Fail(gauge.KindInvalid, "frame version %d, supported version is %d", f.Version, Version)
+		return f, gauge.Errorf(gauge.KindInvalid, "frame version %d, supported version is %d", f.Version, Version)
 	}
 	return f, nil
 }
@@ -77,20 +78,20 @@
 func Encode(v any) (msgpack.RawMessage, error) {
 	b, err := msgpack.Marshal(v)
 	if err != nil {
-		return nil, gauge.Fail(gauge.KindInternal, "frame.Encode").Because(err)
+		return nil, gauge.Errorf(gauge.KindInternal, "frame.Encode").WithCause(err)
 	}
 	return b, nil
 }
 
-// Decode decodes the body of a frame into v. It never panics, whatever the input; trailing bytes are
-// an error.
+// Decode decodes the body of a frame into v. It never panics, whatever the input; trailing bytes
+// are an error.
 func Decode(b []byte, v any) error {
 	r := bytes.NewReader(b)
 	if err := msgpack.NewDecoder(r).Decode(v); err != nil {
-		return gauge.Fail(gauge.KindInvalid, "frame.Decode").Because(err)
+		return gauge.Errorf(gauge.KindInvalid, "frame.Decode").WithCause(err)
 	}
 	if r.Len() > 0 {
-		return gauge.Fail(gauge.KindInvalid, "frame.Decode: %d trailing bytes", r.Len())
+		return gauge.Errorf(gauge.KindInvalid, "frame.Decode: %d trailing bytes", r.Len())
 	}
 	return nil
 }
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -23,12 +23,12 @@
 }
 
 func TestFrameRoundTrip(t *testing.T) {
-	body, err := frame.Encode(&slots.Ask{Holder: "e/1", Pool: "p", Seq: 7})
+	body, err := frame.Encode(&slots.LeaseRequest{Holder: "e/1", Pool: "p", Seq: 7})
 	assert.NilError(t, err)
-	f, err := frame.Read(bytes.NewReader(encoded(t, frame.Frame{ID: 9, Method: broker.MethodAsk, Body: body})), limit)
+	f, err := frame.Read(bytes.NewReader(encoded(t, frame.Frame{ID: 9, Method: broker.MethodRequest, Body: body})), limit)
 	assert.NilError(t, err)
 	assert.Equal(t, f.ID, uint64(9))
-	var a slots.Ask
+	var a slots.LeaseRequest
 	assert.NilError(t, frame.Decode(f.Body, &a))
 	assert.Equal(t, a.Seq, uint64(7))
 }
@@ -46,15 +46,15 @@
 	}
 	var large bytes.Buffer
 	_, err := frame.Write(&large, frame.Frame{Method: string(make([]byte, limit))}, limit)
-	assert.Equal(t, gauge.KindOf(err), gauge.KindLarge)
+	assert.Equal(t, gauge.KindOf(err), gauge.KindTooLarge)
 }
 
 // FuzzRead feeds arbitrary bytes to Read and to the decoders of the messages; none may
 // panic or allocate memory beyond the limit.
 func FuzzRead(f *testing.F) {
-	beat, _ := frame.Encode(&peers.Beat{From: gauge.Member{ID: "e"}, Own: []string{"a"}})
-	ask, _ := frame.Encode(&slots.Ask{Holder: "e/1", Have: []slots.Lot{{Host: "h", Quick: 1}}})
-	grant, _ := frame.Encode(&slots.Grant{Pool: "p", Lots: []slots.Lot{{Host: "h"}}})
+	beat, _ := frame.Encode(&peers.Heartbeat{From: gauge.Member{ID: "e"}, ZoneLive: []string{"a"}})
+	ask, _ := frame.Encode(&slots.LeaseRequest{Holder: "e/1", Slots: []slots.HostSlots{{Host: "h", Quick: 1}}})
+	grant, _ := frame.Encode(&slots.Grant{Pool: "p", Slots: []slots.HostSlots{{Host: "h"}}})
 	for _, body := range [][]byte{beat, ask, grant, nil} {
 		f.Add(encoded(f, frame.Frame{ID: 1, Method: "m", Body: body}))
 	}
@@ -67,8 +67,8 @@
 		if got.Version != frame.Version {
 			t.Fatalf("version %d was accepted", got.Version)
 		}
-		_ = frame.Decode(got.Body, &peers.Beat{})
-		_ = frame.Decode(got.Body, &slots.Ask{})
+		_ = frame.Decode(got.Body, &peers.Heartbeat{})
+		_ = frame.Decode(got.Body, &slots.LeaseRequest{})
 		_ = frame.Decode(got.Body, &slots.Grant{})
 	})
 }
--- a/internal/front/disconnect.go
+++ b/internal/front/disconnect.go
@@ -21,7 +21,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if peek.Look(c) == peek.Closed {
+		if peek.Check(c) == peek.Closed {
 			cancel()
 			return
 		}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -205,8 +205,8 @@
 func Problem(c fiber.Ctx, err error) error {
 	e := gauge.AsError(err)
 	a := e.Kind.Answer()
-	if a.Again {
-		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(retrySeconds(e.Retry)))
+	if a.Retryable {
+		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(retrySeconds(e.RetryAfter)))
 	}
 	c.Set(headerRan, string(e.Ran()))
 	return c.Status(a.Status).JSON(problem{
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -24,7 +24,7 @@
 		Serve: serve, Clock: time.Now,
 		Accept: func(context.Context, *gauge.Request) (gauge.ClaimKey, error) { return gauge.ClaimKey{ID: "k"}, nil },
 		Lookup: func(context.Context, string, string) (gauge.Response, error) {
-			return gauge.Response{}, gauge.Fail(gauge.KindMissing, "x")
+			return gauge.Response{}, gauge.Errorf(gauge.KindNotFound, "x")
 		},
 	}).Register(a)
 	return a
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -30,12 +30,12 @@
 	g.changed = make(chan struct{})
 }
 
-// Open waits until the gate is open. It returns false if ctx ends first.
-func (g *Gate) Open(ctx context.Context) bool { return g.wait(ctx, true) }
+// WaitOpen waits until the gate is open. It returns false if ctx ends first.
+func (g *Gate) WaitOpen(ctx context.Context) bool { return g.wait(ctx, true) }
 
-// Shut waits until the gate has been closed for a time without a break. It returns false if ctx
-// ends first.
-func (g *Gate) Shut(ctx context.Context, period time.Duration) bool {
+// WaitClosed waits until the gate has been closed for a time without a break. It returns false if
+// ctx ends first.
+func (g *Gate) WaitClosed(ctx context.Context, period time.Duration) bool {
 	for g.wait(ctx, false) {
 		periodCtx, cancel := context.WithTimeout(ctx, period)
 		reopened := g.wait(periodCtx, true)
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -34,7 +34,7 @@
 	maxUsed      int         // most slots to use while other entries have too few; 0: no limit
 	maxIdle      int         // most idle slots of a class to keep
 	wanted       classCounts // slots wanted, as the owner knows
-	becomingLong []*gauge.Place
+	becomingLong []*gauge.Slot
 	used         int
 }
 
@@ -70,9 +70,9 @@
 // SetTargets sets the hosts that may be given new requests from now on.
 func (h *Holder) SetTargets(targets map[string]gauge.Target) { h.targets = targets }
 
-// Take returns a slot on the host with the most idle ones. It uses no host of an earlier attempt,
-// and a rack of an earlier attempt only if there is no other.
-func (h *Holder) Take(now time.Time, class gauge.Class, earlier gauge.Attempts, skip func(string) bool) (*gauge.Place, bool) {
+// Acquire returns a slot on the host with the most idle ones. It uses no host of an earlier
+// attempt, and a rack of an earlier attempt only if there is no other.
+func (h *Holder) Acquire(now time.Time, class gauge.Class, earlier gauge.Attempts, skip func(string) bool) (*gauge.Slot, bool) {
 	if !now.Before(h.leaseExpires) || (h.maxUsed > 0 && h.used >= h.maxUsed) {
 		return nil, false
 	}
@@ -93,7 +93,7 @@
 	}
 	h.byHost[best].addUsed(class, 1)
 	h.used++
-	return &gauge.Place{Pool: h.conf.Pool, Class: class, Target: h.targets[best]}, true
+	return &gauge.Slot{Pool: h.conf.Pool, Class: class, Target: h.targets[best]}, true
 }
 
 const newRackBonus = 1 << 20 // outweighs any number of idle slots
@@ -112,10 +112,10 @@
 	return r
 }
 
-// Done returns a slot after its request ended.
-func (h *Holder) Done(p *gauge.Place) {
+// Release returns a slot after its request ended.
+func (h *Holder) Release(p *gauge.Slot) {
 	h.used--
-	h.becomingLong = slices.DeleteFunc(h.becomingLong, func(t *gauge.Place) bool { return t == p })
+	h.becomingLong = slices.DeleteFunc(h.becomingLong, func(t *gauge.Slot) bool { return t == p })
 	l := h.byHost[p.Target.Host]
 	if l == nil {
 		return
@@ -126,8 +126,8 @@
 	}
 }
 
-// Turn counts a quick slot as long from the next full request on.
-func (h *Holder) Turn(p *gauge.Place) {
+// CountAsLong counts a quick slot as long from the next full request on.
+func (h *Holder) CountAsLong(p *gauge.Slot) {
 	if p.Class == gauge.ClassQuick {
 		h.becomingLong = append(h.becomingLong, p)
 	}
@@ -156,7 +156,7 @@
 func (h *Holder) IsEmpty() bool { return len(h.byHost) == 0 }
 
 // FullRequest returns a request that names all slots and renews the lease.
-func (h *Holder) FullRequest(now time.Time, waitingQuick, waitingLong int) slots.Ask {
+func (h *Holder) FullRequest(now time.Time, waitingQuick, waitingLong int) slots.LeaseRequest {
 	if !now.Before(h.leaseExpires) {
 		h.dropIdle()
 	}
@@ -165,29 +165,29 @@
 	h.wanted = h.wantedCounts(waitingQuick, waitingLong)
 	h.seq++
 	h.fullSeq, h.requestedAt, h.renewed = h.seq, now, false
-	return slots.Ask{
-		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Full: true, Have: h.leasedSlots(),
-		Quick: h.wanted.quick, Long: h.wanted.long,
+	return slots.LeaseRequest{
+		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Full: true, Slots: h.leasedSlots(),
+		WantedQuick: h.wanted.quick, WantedLong: h.wanted.long,
 	}
 }
 
 // DeltaRequest returns a request that names what changed since the one before it. It returns false
 // if nothing changed, or if a full request has to come first.
-func (h *Holder) DeltaRequest(now time.Time, waitingQuick, waitingLong int) (slots.Ask, bool) {
+func (h *Holder) DeltaRequest(now time.Time, waitingQuick, waitingLong int) (slots.LeaseRequest, bool) {
 	if !h.HasLease(now) {
-		return slots.Ask{}, false
+		return slots.LeaseRequest{}, false
 	}
 	back := h.giveBack(waitingQuick, waitingLong)
 	want := h.wantedCounts(waitingQuick, waitingLong)
 	more := classCounts{want.quick - h.wanted.quick, want.long - h.wanted.long}
 	if len(back) == 0 && more == (classCounts{}) {
-		return slots.Ask{}, false
+		return slots.LeaseRequest{}, false
 	}
 	h.wanted = want
 	h.seq++
-	return slots.Ask{
-		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Have: back,
-		Quick: more.quick, Long: more.long,
+	return slots.LeaseRequest{
+		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Slots: back,
+		WantedQuick: more.quick, WantedLong: more.long,
 	}, true
 }
 
@@ -266,18 +266,18 @@
 
 // giveBack drops idle slots and returns them: all on hosts that take no new requests, those in
 // excess of twice the reserve, and those over the owner's limit.
-func (h *Holder) giveBack(waitingQuick, waitingLong int) []slots.Lot {
-	back := make(map[string]slots.Lot)
+func (h *Holder) giveBack(waitingQuick, waitingLong int) []slots.HostSlots {
+	back := make(map[string]slots.HostSlots)
 	h.giveBackClass(gauge.ClassQuick, waitingQuick, back)
 	h.giveBackClass(gauge.ClassLong, waitingLong, back)
-	out := make([]slots.Lot, 0, len(back))
+	out := make([]slots.HostSlots, 0, len(back))
 	for _, host := range sortedKeys(back) {
 		out = append(out, back[host])
 	}
 	return out
 }
 
-func (h *Holder) giveBackClass(c gauge.Class, waiting int, back map[string]slots.Lot) {
+func (h *Holder) giveBackClass(c gauge.Class, waiting int, back map[string]slots.HostSlots) {
 	for _, host := range sortedKeys(h.byHost) {
 		if _, serves := h.targets[host]; !serves {
 			h.dropSlots(host, c, h.byHost[host].idleCount(c), back)
@@ -298,7 +298,7 @@
 	}
 }
 
-func (h *Holder) dropSlots(host string, c gauge.Class, n int, back map[string]slots.Lot) {
+func (h *Holder) dropSlots(host string, c gauge.Class, n int, back map[string]slots.HostSlots) {
 	if n <= 0 {
 		return
 	}
@@ -317,11 +317,11 @@
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-func (h *Holder) leasedSlots() []slots.Lot {
-	out := make([]slots.Lot, 0, len(h.byHost))
+func (h *Holder) leasedSlots() []slots.HostSlots {
+	out := make([]slots.HostSlots, 0, len(h.byHost))
 	for _, host := range sortedKeys(h.byHost) {
 		if l := h.byHost[host]; l.quick+l.long > 0 {
-			out = append(out, slots.Lot{Host: host, Quick: l.quick, Long: l.long})
+			out = append(out, slots.HostSlots{Host: host, Quick: l.quick, Long: l.long})
 		}
 	}
 	return out
@@ -331,15 +331,15 @@
 // request is ignored: that request didn't name its slots, so the owner has taken them back. Each
 // grant must be applied at most once.
 func (h *Holder) ApplyGrant(g slots.Grant) {
-	if g.Not || g.Seq < h.fullSeq || h.fullSeq == 0 {
+	if g.Rejected || g.Seq < h.fullSeq || h.fullSeq == 0 {
 		return
 	}
 	if g.Full && g.Seq == h.fullSeq {
-		h.leaseExpires = h.requestedAt.Add(g.Term)
+		h.leaseExpires = h.requestedAt.Add(g.LeaseDuration)
 		h.renewed = true
 	}
-	h.maxUsed, h.maxIdle = g.Cap, g.Free
-	for _, add := range g.Lots {
+	h.maxUsed, h.maxIdle = g.MaxUsed, g.MaxIdle
+	for _, add := range g.Slots {
 		l := h.byHost[add.Host]
 		if l == nil {
 			l = &hostSlots{}
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -20,11 +20,11 @@
 }
 
 // leased returns a Holder with a lease of three seconds from now.
-func leased(now time.Time, lots ...slots.Lot) *hold.Holder {
+func leased(now time.Time, lots ...slots.HostSlots) *hold.Holder {
 	h := hold.New(hold.Config{Name: "e", Pool: "p"})
 	h.SetTargets(targets("a", "b", "c"))
 	h.FullRequest(now, 1, 0)
-	h.ApplyGrant(slots.Grant{Seq: 1, Full: true, Term: 3 * time.Second, Lots: lots, Free: 8})
+	h.ApplyGrant(slots.Grant{Seq: 1, Full: true, LeaseDuration: 3 * time.Second, Slots: lots, MaxIdle: 8})
 	return h
 }
 
@@ -33,10 +33,10 @@
 // owner's.
 func TestLeaseCountsFromBeforeRequest(t *testing.T) {
 	began := time.Unix(1000, 0)
-	h := leased(began, slots.Lot{Host: "a", Quick: 2}) // whenever the answer came
-	_, ok := h.Take(began.Add(2999*time.Millisecond), gauge.ClassQuick, nil, nil)
+	h := leased(began, slots.HostSlots{Host: "a", Quick: 2}) // whenever the answer came
+	_, ok := h.Acquire(began.Add(2999*time.Millisecond), gauge.ClassQuick, nil, nil)
 	assert.Assert(t, ok)
-	_, ok = h.Take(began.Add(3*time.Second), gauge.ClassQuick, nil, nil)
+	_, ok = h.Acquire(began.Add(3*time.Second), gauge.ClassQuick, nil, nil)
 	assert.Assert(t, !ok)
 }
 
@@ -44,13 +44,13 @@
 // when the host began to leave.
 func TestLeavingHostGetsNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
-	h := leased(now, slots.Lot{Host: "a", Quick: 2})
+	h := leased(now, slots.HostSlots{Host: "a", Quick: 2})
 	h.SetTargets(targets("b"))
-	_, ok := h.Take(now, gauge.ClassQuick, nil, nil)
+	_, ok := h.Acquire(now, gauge.ClassQuick, nil, nil)
 	assert.Assert(t, !ok)
 	a, ok := h.DeltaRequest(now, 0, 0)
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, a.Have, []slots.Lot{{Host: "a", Quick: 2}})
+	assert.DeepEqual(t, a.Slots, []slots.HostSlots{{Host: "a", Quick: 2}})
 }
 
 // A retry goes to another host, and to another rack where there is one.
@@ -66,14 +66,14 @@
 		{"never the same host", map[string]string{"a": "r1"}, ""},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			h := leased(now, slots.Lot{Host: "a", Quick: 4}, slots.Lot{Host: "b", Quick: 3}, slots.Lot{Host: "c", Quick: 1})
+			h := leased(now, slots.HostSlots{Host: "a", Quick: 4}, slots.HostSlots{Host: "b", Quick: 3}, slots.HostSlots{Host: "c", Quick: 1})
 			set := make(map[string]gauge.Target)
 			for host, rack := range tt.racks {
 				set[host] = gauge.Target{Host: host, Rack: rack}
 			}
 			h.SetTargets(set)
 			earlier := gauge.Attempts{{Target: gauge.Target{Host: "a", Rack: "r1"}}}
-			p, ok := h.Take(now, gauge.ClassQuick, earlier, nil)
+			p, ok := h.Acquire(now, gauge.ClassQuick, earlier, nil)
 			assert.Equal(t, ok, tt.want != "")
 			if ok {
 				assert.Equal(t, p.Target.Host, tt.want)
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -14,23 +14,23 @@
 
 // The promises, in the order of the report.
 const (
-	Budget   Promise = "budget"   // each pool's availability budget holds
-	Single   Promise = "single"   // a host belongs to exactly one pool
-	Whole    Promise = "whole"    // callers only get complete answers, and only their own
-	NotRun   Promise = "notrun"   // an answer that says "not run" is true
-	Once     Promise = "once"     // a request that must not be repeated runs at most once
-	Leaving  Promise = "leaving"  // a leaving target gets no new requests after a few seconds
-	Graceful Promise = "graceful" // a graceful shutdown cuts off no request
-	InForce  Promise = "inforce"  // configuration is in force within seconds and never reverts to an older revision
+	AvailabilityBudget Promise = "budget"   // each pool's availability budget holds
+	SinglePool         Promise = "single"   // a host belongs to exactly one pool
+	WholeAnswers       Promise = "whole"    // callers only get complete answers, and only their own
+	TrueNotRun         Promise = "notrun"   // an answer that says "not run" is true
+	AtMostOnce         Promise = "once"     // a request that must not be repeated runs at most once
+	NoWorkWhenLeaving  Promise = "leaving"  // a leaving target gets no new requests after a few seconds
+	GracefulShutdown   Promise = "graceful" // a graceful shutdown cuts off no request
+	PromptConfig       Promise = "inforce"  // configuration is in force within seconds and never reverts to an older revision
 )
 
 // Promises lists all promises, in the order of the report.
 func Promises() []Promise {
-	return []Promise{Budget, Single, Whole, NotRun, Once, Leaving, Graceful, InForce}
+	return []Promise{AvailabilityBudget, SinglePool, WholeAnswers, TrueNotRun, AtMostOnce, NoWorkWhenLeaving, GracefulShutdown, PromptConfig}
 }
 
-// Line is what one entry has seen of a promise.
-type Line struct {
+// Result is what one entry has seen of a promise.
+type Result struct {
 	Promise  Promise   `json:"promise" msgpack:"p"`
 	Checks   int64     `json:"checks" msgpack:"c"`   // how often it was checked and could have been found broken
 	Events   int64     `json:"events" msgpack:"n"`   // how often the mechanism that keeps it took effect
@@ -39,25 +39,25 @@
 	Evidence string    `json:"evidence" msgpack:"e"` // what the last breach showed or, without one, the last check or event
 }
 
-// Book keeps this entry's results. It is safe for concurrent use.
-type Book struct {
+// Recorder keeps this entry's results. It is safe for concurrent use.
+type Recorder struct {
 	clock gauge.Clock
 
 	mu      sync.Mutex
-	results map[Promise]*Line
+	results map[Promise]*Result
 }
 
-// New returns a Book without any checks.
-func New(clock gauge.Clock) *Book {
-	b := &Book{clock: clock, results: make(map[Promise]*Line)}
+// New returns a Recorder without any checks.
+func New(clock gauge.Clock) *Recorder {
+	b := &Recorder{clock: clock, results: make(map[Promise]*Result)}
 	for _, p := range Promises() {
-		b.results[p] = &Line{Promise: p}
+		b.results[p] = &Result{Promise: p}
 	}
 	return b
 }
 
-// Note records one check of a promise.
-func (b *Book) Note(p Promise, held bool, evidence string) {
+// RecordCheck records one check of a promise.
+func (b *Recorder) RecordCheck(p Promise, held bool, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := b.results[p]
@@ -71,21 +71,21 @@
 	}
 }
 
-// Work records that the mechanism that keeps a promise took effect. That is no check of the
+// RecordEvent records that the mechanism that keeps a promise took effect. That is no check of the
 // promise: an entry can't see for itself that an answer was meant for another caller, or that a
 // request ran elsewhere as well.
-func (b *Book) Work(p Promise, evidence string) {
+func (b *Recorder) RecordEvent(p Promise, evidence string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.results[p].Events++
 	b.results[p].Evidence = evidence
 }
 
-// Lines returns the results of all promises, in the order of the report.
-func (b *Book) Lines() []Line {
+// Results returns the results of all promises, in the order of the report.
+func (b *Recorder) Results() []Result {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := make([]Line, 0, len(b.results))
+	out := make([]Result, 0, len(b.results))
 	for _, p := range Promises() {
 		out = append(out, *b.results[p])
 	}
@@ -93,8 +93,8 @@
 }
 
 // Sum adds up the results of several entries; the evidence is that of the last breach.
-func Sum(all ...[]Line) []Line {
-	out := make([]Line, len(Promises()))
+func Sum(all ...[]Result) []Result {
+	out := make([]Result, len(Promises()))
 	for i, p := range Promises() {
 		out[i].Promise = p
 		for _, lines := range all {
@@ -108,7 +108,7 @@
 	return out
 }
 
-func (l *Line) merge(o Line) {
+func (l *Result) merge(o Result) {
 	if l.Evidence == "" || o.Last.After(l.Last) {
 		l.Evidence = o.Evidence
 	}
--- a/internal/intake/batcher.go
+++ b/internal/intake/batcher.go
@@ -174,24 +174,24 @@
 	if len(batch) == 0 {
 		return nil, false
 	}
-	var txn gauge.PartTxn
+	var txn gauge.PartitionTxn
 	for _, p := range batch {
 		txn.Checks = append(txn.Checks, p.txn.Checks...)
 		txn.Writes = append(txn.Writes, p.txn.Writes...)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	stamp, rows, err := b.intake.conf.Store.Commit(ctx, txn)
+	position, rows, err := b.intake.conf.Store.Commit(ctx, txn)
 	b.recordAttempt(batch, err)
 	switch {
 	case err == nil:
 		for _, p := range batch {
-			b.settle(p, outcome{version: stamp.Version})
+			b.settle(p, outcome{version: position.Version})
 		}
 		return nil, false
-	case gauge.Is(err, gauge.KindConflict):
+	case gauge.IsKind(err, gauge.KindConflict):
 		return b.settleExisting(batch, rows), false
-	case gauge.Is(err, gauge.KindUnknown), gauge.Is(err, gauge.KindOutage):
+	case gauge.IsKind(err, gauge.KindUnknown), gauge.IsKind(err, gauge.KindOutage):
 		return batch, true
 	case len(batch) > 1:
 		return b.commitEach(batch) // one of the jobs is the cause
@@ -206,7 +206,7 @@
 	defer b.mu.Unlock()
 	for _, p := range batch {
 		p.lastErr, p.inFlight = err, false
-		p.unsettled = p.unsettled || gauge.Is(err, gauge.KindUnknown)
+		p.unsettled = p.unsettled || gauge.IsKind(err, gauge.KindUnknown)
 	}
 }
 
@@ -221,8 +221,8 @@
 
 // settleExisting settles the jobs whose ids exist already: they were submitted before, or a
 // transaction that got no answer took effect. It returns the other jobs.
-func (b *batcher) settleExisting(batch []*pendingJob, rows []gauge.PartRow) []*pendingJob {
-	existing := make(map[string]gauge.PartRow, len(rows))
+func (b *batcher) settleExisting(batch []*pendingJob, rows []gauge.PartitionRow) []*pendingJob {
+	existing := make(map[string]gauge.PartitionRow, len(rows))
 	for _, r := range rows {
 		if r.Version > 0 {
 			existing[r.Key] = r
--- a/internal/intake/breaker.go
+++ b/internal/intake/breaker.go
@@ -84,7 +84,7 @@
 	if b.intake.conf.Disabled.Has(gauge.MechanismBackoff) {
 		outage = minRetryAfter
 	}
-	return gauge.Fail(gauge.KindOutage, "the table doesn't answer").After(min(max(outage, minRetryAfter), maxRetryAfter))
+	return gauge.Errorf(gauge.KindOutage, "the table doesn't answer").WithRetryAfter(min(max(outage, minRetryAfter), maxRetryAfter))
 }
 
 // closeBreakerWhenAnswering waits until the partition of the table answers, and then closes the
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -21,13 +21,13 @@
 func (n *Intake) cancel(ctx context.Context, q *gauge.Queue, id string, relay Relay) error {
 	for delay := minRetryDelay; ; delay = min(2*delay, maxRetryDelay) {
 		err := n.tryCancel(ctx, q, id)
-		if relay != nil && err != nil && !gauge.Is(err, gauge.KindGone) {
+		if relay != nil && err != nil && !gauge.IsKind(err, gauge.KindGone) {
 			err = mergeCancelErrors(err, relay.Cancel(ctx, q, id))
 		}
 		if err == nil {
 			return nil
 		}
-		if gauge.Is(err, gauge.KindGone) || !sleep(ctx, rand.N(delay)) {
+		if gauge.IsKind(err, gauge.KindGone) || !sleep(ctx, rand.N(delay)) {
 			n.logFailure("job not cancelled", q, id, err)
 			return err
 		}
@@ -37,7 +37,7 @@
 // mergeCancelErrors returns the error for a caller after an attempt here has failed and another
 // entry was asked.
 func mergeCancelErrors(here, there error) error {
-	if there == nil || gauge.Is(there, gauge.KindGone) {
+	if there == nil || gauge.IsKind(there, gauge.KindGone) {
 		return there
 	}
 	return here
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	if row.State.Final() {
+	if row.State.IsFinal() {
 		n.conf.Logs.Info("job ended before its cancellation", "job", id, "state", row.State, "version", version)
 		if row.State == gauge.JobCancelled {
 			// An earlier attempt may have taken effect without an answer.
@@ -57,30 +57,30 @@
 		}
 		return nil
 	}
-	stamp, err := n.markCancelled(ctx, q, id, row, version)
+	position, err := n.markCancelled(ctx, q, id, row, version)
 	if err != nil {
-		return gauge.Fail(gauge.KindExpired, "it is not known whether the job was cancelled; ask again").Because(err)
+		return gauge.Errorf(gauge.KindExpired, "it is not known whether the job was cancelled; ask again").WithCause(err)
 	}
 	n.conf.CountEvent("job cancelled")
-	n.conf.Logs.Info("job cancelled", "job", id, "queue", q.Name, "pool", row.Pool, "version", stamp.Version)
-	n.conf.NotifyOwner(Notification{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: stamp.Version})
+	n.conf.Logs.Info("job cancelled", "job", id, "queue", q.Name, "pool", row.Pool, "version", position.Version)
+	n.conf.NotifyOwner(Notification{Pool: row.Pool, Queue: q.Name, ID: id, Cancelled: true, Version: position.Version})
 	return nil
 }
 
-func (n *Intake) markCancelled(ctx context.Context, q *gauge.Queue, id string, row *gauge.JobRow, version int64) (gauge.Stamp, error) {
+func (n *Intake) markCancelled(ctx context.Context, q *gauge.Queue, id string, row *gauge.JobRow, version int64) (gauge.TablePosition, error) {
 	row.State = gauge.JobCancelled
 	row.Ended = n.conf.TableClock()
 	value, err := row.Encode()
 	if err != nil {
-		return gauge.Stamp{}, err
+		return gauge.TablePosition{}, err
 	}
 	key := jobKey(q.Name, id)
-	stamp, _, err := n.conf.Store.Commit(ctx, gauge.PartTxn{
+	position, _, err := n.conf.Store.Commit(ctx, gauge.PartitionTxn{
 		Checks: []gauge.RowCheck{{RowKey: key, Version: version}},
 		Writes: []gauge.RowWrite{
 			{RowKey: key, Value: value},
-			{RowKey: gauge.RowKey{Table: gauge.TableOpen, Part: q.Name, Key: id}, Value: gauge.Mark{Pool: row.Pool, Cancelled: true}.Encode()},
+			{RowKey: gauge.RowKey{Table: gauge.TableOpen, Partition: q.Name, Key: id}, Value: gauge.OpenJobMark{Pool: row.Pool, Cancelled: true}.Encode()},
 		},
 	})
-	return stamp, err
+	return position, err
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -15,7 +15,7 @@
 
 // Config sets up an Intake.
 type Config struct {
-	Store      gauge.Parted
+	Store      gauge.PartitionedTable
 	Logs       logr.Logger
 	CountEvent func(event string)   // counts outcomes of submissions
 	Now        func() time.Duration // monotonic clock
@@ -38,12 +38,12 @@
 	Relay   Relay                                  // nil: there are no other entries
 	After   func(d time.Duration) <-chan time.Time // default time.After
 	// Disabled names the mechanisms that are switched off.
-	Disabled gauge.Without
+	Disabled gauge.Disabled
 }
 
 // Relay forwards to the owner of a queue's pool what the table refuses this entry: the owner writes
 // to that partition of the table all the time, or has another entry take over the pool. Errors:
-// KindOutage: the owner says that it was certainly not done; KindEmpty: no owner could be asked;
+// KindOutage: the owner says that it was certainly not done; KindNoWorker: no owner could be asked;
 // KindUnknown: it may have been done.
 type Relay interface {
 	// PreferOwner reports whether to ask the owner before the table is tried. A partition of the
@@ -89,7 +89,7 @@
 )
 
 func jobKey(queue, id string) gauge.RowKey {
-	return gauge.RowKey{Table: gauge.TableJobs, Part: queue, Key: id}
+	return gauge.RowKey{Table: gauge.TableJobs, Partition: queue, Key: id}
 }
 
 // batcher returns the batcher of a queue, and creates it if there is none.
@@ -113,10 +113,10 @@
 func (n *Intake) readJob(ctx context.Context, q *gauge.Queue, id string) (*gauge.JobRow, int64, error) {
 	rows, _, err := n.conf.Store.Range(ctx, gauge.TableJobs, q.Name, id, id+"\x00")
 	if err != nil {
-		return nil, 0, gauge.Fail(gauge.KindOutage, "the table can't be reached").Because(err)
+		return nil, 0, gauge.Errorf(gauge.KindOutage, "the table can't be reached").WithCause(err)
 	}
 	if len(rows) == 0 {
-		return nil, 0, gauge.Fail(gauge.KindGone, "there is no job %s in this queue", id)
+		return nil, 0, gauge.Errorf(gauge.KindGone, "there is no job %s in this queue", id)
 	}
 	row, err := gauge.DecodeJobRow(rows[0].Value)
 	return row, rows[0].Version, err
@@ -133,10 +133,10 @@
 		if err == nil {
 			return row.State, nil
 		}
-		if gauge.Is(err, gauge.KindOutage) && sleep(ctx, delay) {
+		if gauge.IsKind(err, gauge.KindOutage) && sleep(ctx, delay) {
 			continue
 		}
-		if !gauge.Is(err, gauge.KindGone) {
+		if !gauge.IsKind(err, gauge.KindGone) {
 			n.logFailure("job state not read", q, id, err)
 		}
 		return "", err
@@ -156,7 +156,7 @@
 		return depth, nil
 	}
 	n.conf.Logs.Info("count not told", "queue", q.Name, "pool", q.Pool)
-	return 0, gauge.Fail(gauge.KindOutage, "how many jobs wait isn't known at the moment")
+	return 0, gauge.Errorf(gauge.KindOutage, "how many jobs wait isn't known at the moment")
 }
 
 func sleep(ctx context.Context, d time.Duration) bool {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -19,9 +19,9 @@
 // executes.
 type table struct {
 	mu      sync.Mutex
-	rows    map[gauge.RowKey]gauge.PartRow
+	rows    map[gauge.RowKey]gauge.PartitionRow
 	version int64
-	txns    []gauge.PartTxn
+	txns    []gauge.PartitionTxn
 	answer  func(n int, execute func()) error // nil: execute and succeed
 	silent  bool                              // reads fail
 	reads   int
@@ -48,13 +48,13 @@
 	t.silent = silent
 }
 
-func newTable() *table { return &table{rows: make(map[gauge.RowKey]gauge.PartRow)} }
+func newTable() *table { return &table{rows: make(map[gauge.RowKey]gauge.PartitionRow)} }
 
-func (t *table) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (t *table) Commit(_ context.Context, txn gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.txns = append(t.txns, txn)
-	var current []gauge.PartRow
+	var current []gauge.PartitionRow
 	conflict := false
 	for _, c := range txn.Checks {
 		r := t.rows[c.RowKey]
@@ -63,24 +63,24 @@
 		conflict = conflict || r.Version != c.Version
 	}
 	if conflict {
-		return gauge.Stamp{}, current, gauge.Fail(gauge.KindConflict, "a row has changed")
+		return gauge.TablePosition{}, current, gauge.Errorf(gauge.KindConflict, "a row has changed")
 	}
 	execute := func() {
 		t.version++
 		for _, w := range txn.Writes {
-			t.rows[w.RowKey] = gauge.PartRow{RowKey: w.RowKey, Value: w.Value, Version: t.version}
+			t.rows[w.RowKey] = gauge.PartitionRow{RowKey: w.RowKey, Value: w.Value, Version: t.version}
 		}
 	}
 	if t.answer != nil {
 		if err := t.answer(len(t.txns), execute); err != nil {
-			return gauge.Stamp{}, nil, err
+			return gauge.TablePosition{}, nil, err
 		}
 	}
 	execute()
-	return gauge.Stamp{Version: t.version}, nil, nil
+	return gauge.TablePosition{Version: t.version}, nil, nil
 }
 
-func (t *table) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (t *table) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.reads++
@@ -88,19 +88,19 @@
 		t.onRead(t.reads)
 	}
 	if t.silent {
-		return nil, gauge.Stamp{}, gauge.Fail(gauge.KindOutage, "no answer to a read")
+		return nil, gauge.TablePosition{}, gauge.Errorf(gauge.KindOutage, "no answer to a read")
 	}
-	r, ok := t.rows[gauge.RowKey{Table: name, Part: part, Key: from}]
+	r, ok := t.rows[gauge.RowKey{Table: name, Partition: part, Key: from}]
 	if !ok {
-		return nil, gauge.Stamp{}, nil
+		return nil, gauge.TablePosition{}, nil
 	}
-	return []gauge.PartRow{r}, gauge.Stamp{}, nil
+	return []gauge.PartitionRow{r}, gauge.TablePosition{}, nil
 }
 
-func (t *table) Parts(context.Context, string) ([]string, error) { return nil, nil }
+func (t *table) Partitions(context.Context, string) ([]string, error) { return nil, nil }
 
-func (t *table) Feed(context.Context, string, int64, time.Duration) ([]gauge.PartRow, gauge.Stamp, error) {
-	return nil, gauge.Stamp{}, nil
+func (t *table) Feed(context.Context, string, int64, time.Duration) ([]gauge.PartitionRow, gauge.TablePosition, error) {
+	return nil, gauge.TablePosition{}, nil
 }
 
 func (t *table) count() int {
@@ -193,7 +193,7 @@
 	return g.intake.Submit(ctx, &gauge.Queue{Name: "sheets", Pool: "brakes"}, id(n), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 }
 
-func outage(int, func()) error { return gauge.Fail(gauge.KindOutage, "refused") }
+func outage(int, func()) error { return gauge.Errorf(gauge.KindOutage, "refused") }
 
 // submitTimeout and probeRetryDelay are the timeouts of an intake that tests end.
 const (
@@ -215,7 +215,7 @@
 		{"answered", nil, "", true, 1},
 		{"refused once", func(n int, _ func()) error {
 			if n == 1 {
-				return gauge.Fail(gauge.KindOutage, "refused")
+				return gauge.Errorf(gauge.KindOutage, "refused")
 			}
 			return nil
 		}, "", true, 1},
@@ -223,16 +223,16 @@
 		{"executed, answer lost", func(n int, execute func()) error {
 			if n == 1 {
 				execute()
-				return gauge.Fail(gauge.KindUnknown, "no answer")
+				return gauge.Errorf(gauge.KindUnknown, "no answer")
 			}
 			return nil
 		}, "", true, 1},
 		// "Not run" would be wrong: the first attempt may still take effect.
 		{"no answer, then always refused", func(n int, _ func()) error {
 			if n == 1 {
-				return gauge.Fail(gauge.KindUnknown, "no answer")
+				return gauge.Errorf(gauge.KindUnknown, "no answer")
 			}
-			return gauge.Fail(gauge.KindOutage, "refused")
+			return gauge.Errorf(gauge.KindOutage, "refused")
 		}, gauge.KindExpired, false, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -251,7 +251,7 @@
 				assert.Equal(t, gauge.KindOf(err), tt.kind)
 				assert.ErrorContains(t, err, "refused", "the log names the table's last answer")
 			}
-			_, stored := store.rows[gauge.RowKey{Table: gauge.TableJobs, Part: "sheets", Key: id(1)}]
+			_, stored := store.rows[gauge.RowKey{Table: gauge.TableJobs, Partition: "sheets", Key: id(1)}]
 			assert.Equal(t, stored, tt.stored)
 			assert.Equal(t, len(g.notifications), tt.notifications)
 		})
@@ -293,7 +293,7 @@
 // notifies the owner of a new job, with the row as it was submitted instead of as it is stored now.
 func TestUnsettledSubmissionOfACancelledJobIsNotNotified(t *testing.T) {
 	store := newTable()
-	key := gauge.RowKey{Table: gauge.TableJobs, Part: "sheets", Key: id(1)}
+	key := gauge.RowKey{Table: gauge.TableJobs, Partition: "sheets", Key: id(1)}
 	store.answer = func(n int, execute func()) error {
 		if n > 1 {
 			return nil
@@ -302,8 +302,8 @@
 		value, err := (&gauge.JobRow{State: gauge.JobCancelled}).Encode()
 		assert.NilError(t, err)
 		store.version++
-		store.rows[key] = gauge.PartRow{RowKey: key, Value: value, Version: store.version}
-		return gauge.Fail(gauge.KindUnknown, "no answer")
+		store.rows[key] = gauge.PartitionRow{RowKey: key, Value: value, Version: store.version}
+		return gauge.Errorf(gauge.KindUnknown, "no answer")
 	}
 	g := newRig(store, &clock{step: time.Millisecond})
 	assert.NilError(t, g.submit(1))
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -77,7 +77,7 @@
 func TestJobsSentBeforeATableOutageAreUnsettled(t *testing.T) {
 	store := newTable()
 	store.silent = true
-	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
+	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	g := newRig(store, &clock{step: time.Millisecond})
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
 }
@@ -109,7 +109,7 @@
 // others could store them. Transactions fail here; the owner of the pool is asked and answers in
 // different ways.
 func TestPoolOwnerStoresWhatThisEntryCannot(t *testing.T) {
-	unknown := func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
+	unknown := func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	for _, tt := range []struct {
 		name  string
 		here  func(int, func()) error
@@ -118,13 +118,13 @@
 	}{
 		{"stored there", outage, nil, ""},
 		{"stored there, sent here", unknown, nil, ""},
-		{"refused by both", outage, gauge.Fail(gauge.KindOutage, "away"), gauge.KindOutage},
-		{"refused there, sent here", unknown, gauge.Fail(gauge.KindOutage, "away"), gauge.KindExpired},
-		{"no owner to ask", outage, gauge.Fail(gauge.KindEmpty, "no owner"), gauge.KindExpired},
-		{"no answer from there", outage, gauge.Fail(gauge.KindUnknown, "no answer"), gauge.KindExpired},
-		{"may be stored there", outage, gauge.Fail(gauge.KindExpired, "not known"), gauge.KindExpired},
-		{"no such queue there", outage, gauge.Fail(gauge.KindMissing, "no such queue"), gauge.KindMissing},
-		{"no such queue there, sent here", unknown, gauge.Fail(gauge.KindMissing, "no such queue"), gauge.KindExpired},
+		{"refused by both", outage, gauge.Errorf(gauge.KindOutage, "away"), gauge.KindOutage},
+		{"refused there, sent here", unknown, gauge.Errorf(gauge.KindOutage, "away"), gauge.KindExpired},
+		{"no owner to ask", outage, gauge.Errorf(gauge.KindNoWorker, "no owner"), gauge.KindExpired},
+		{"no answer from there", outage, gauge.Errorf(gauge.KindUnknown, "no answer"), gauge.KindExpired},
+		{"may be stored there", outage, gauge.Errorf(gauge.KindExpired, "not known"), gauge.KindExpired},
+		{"no such queue there", outage, gauge.Errorf(gauge.KindNotFound, "no such queue"), gauge.KindNotFound},
+		{"no such queue there, sent here", unknown, gauge.Errorf(gauge.KindNotFound, "no such queue"), gauge.KindExpired},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			store := newTable()
@@ -164,9 +164,9 @@
 	g := newRelayRig(store, &clock{step: time.Millisecond}, p)
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
-	p.err = gauge.Fail(gauge.KindGone, "no such job")
+	p.err = gauge.Errorf(gauge.KindGone, "no such job")
 	assert.Equal(t, gauge.KindOf(g.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
-	p.err = gauge.Fail(gauge.KindOutage, "away")
+	p.err = gauge.Errorf(gauge.KindOutage, "away")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	assert.Equal(t, gauge.KindOf(g.intake.Cancel(ctx, q, id(1))), gauge.KindOutage)
@@ -178,7 +178,7 @@
 // transactions a second, eight entries that submit jobs of one queue can't each have transactions
 // of their own.
 func TestPoolOwnerStoresForAllEntries(t *testing.T) {
-	unknown := gauge.Fail(gauge.KindUnknown, "no answer")
+	unknown := gauge.Errorf(gauge.KindUnknown, "no answer")
 	lost := func(int, func()) error { return unknown }
 	for _, tt := range []struct {
 		name  string
@@ -189,15 +189,15 @@
 		sent  int           // transactions sent by this entry
 	}{
 		{"stored there", nil, nil, 0, "", 0},
-		{"certainly not stored there", gauge.Fail(gauge.KindOutage, "no owner"), nil, 0, "", 1},
+		{"certainly not stored there", gauge.Errorf(gauge.KindOutage, "no owner"), nil, 0, "", 1},
 		{"may be stored there, stored here", unknown, nil, 0, "", 1},
 		{"may be stored there, not here", unknown, outage, 0, gauge.KindExpired, 1},
 		{"may be stored there after a long wait", unknown, nil, submitTimeout, gauge.KindExpired, 0},
-		{"no owner to ask, stored here", gauge.Fail(gauge.KindEmpty, "no owner"), nil, 0, "", 1},
-		{"no owner to ask, not stored here", gauge.Fail(gauge.KindEmpty, "no owner"), outage, 0, gauge.KindExpired, 1},
-		{"stored by neither", gauge.Fail(gauge.KindOutage, "no owner"), outage, 0, gauge.KindOutage, 0},
-		{"refused there, no answer would come here", gauge.Fail(gauge.KindOutage, "away"), lost, 0, gauge.KindOutage, 0},
-		{"no such queue there", gauge.Fail(gauge.KindMissing, "no such queue"), nil, 0, gauge.KindMissing, 0},
+		{"no owner to ask, stored here", gauge.Errorf(gauge.KindNoWorker, "no owner"), nil, 0, "", 1},
+		{"no owner to ask, not stored here", gauge.Errorf(gauge.KindNoWorker, "no owner"), outage, 0, gauge.KindExpired, 1},
+		{"stored by neither", gauge.Errorf(gauge.KindOutage, "no owner"), outage, 0, gauge.KindOutage, 0},
+		{"refused there, no answer would come here", gauge.Errorf(gauge.KindOutage, "away"), lost, 0, gauge.KindOutage, 0},
+		{"no such queue there", gauge.Errorf(gauge.KindNotFound, "no such queue"), nil, 0, gauge.KindNotFound, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			store := newTable()
@@ -241,7 +241,7 @@
 func TestRetryOfAnUnsettledSubmissionIsNotRefused(t *testing.T) {
 	store := newTable()
 	store.silent = true
-	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
+	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	c := &clock{step: time.Millisecond}
 	g := newRig(store, c)
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
@@ -264,7 +264,7 @@
 			return nil
 		}
 		execute()
-		return gauge.Fail(gauge.KindUnknown, "no answer")
+		return gauge.Errorf(gauge.KindUnknown, "no answer")
 	}
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
@@ -286,7 +286,7 @@
 		{0, time.Second}, {2 * time.Second, 2 * time.Second}, {time.Minute, 4 * time.Second},
 	} {
 		c.advance(tt.away)
-		assert.Equal(t, gauge.AsError(g.submit(2+i)).Retry, tt.want)
+		assert.Equal(t, gauge.AsError(g.submit(2+i)).RetryAfter, tt.want)
 	}
 }
 
@@ -298,7 +298,7 @@
 func TestOwnerLearnsOfUnsettledSubmissions(t *testing.T) {
 	store := newTable()
 	store.silent = true
-	store.answer = func(int, func()) error { return gauge.Fail(gauge.KindUnknown, "no answer") }
+	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	c := &clock{step: time.Millisecond}
 	ownerTable := newTable()
 	ownerTable.silent, ownerTable.answer = true, outage
@@ -306,7 +306,7 @@
 	var notified []string
 	entry := intake.New(intake.Config{
 		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
-		NotifyOwner: func(intake.Notification) {}, Relay: &peer{err: gauge.Fail(gauge.KindOutage, "away")},
+		NotifyOwner: func(intake.Notification) {}, Relay: &peer{err: gauge.Errorf(gauge.KindOutage, "away")},
 		ReportUnsettled: func(_ *gauge.Queue, id string) {
 			notified = append(notified, id)
 			owner.intake.MarkUnsettled(id)
--- a/internal/intake/pending.go
+++ b/internal/intake/pending.go
@@ -12,7 +12,7 @@
 	queue     *gauge.Queue
 	spec      *gauge.JobSpec
 	row       *gauge.JobRow
-	txn       gauge.PartTxn
+	txn       gauge.PartitionTxn
 	startedAt time.Duration
 
 	// Guarded by the batcher's mutex.
@@ -44,22 +44,22 @@
 	return p, nil
 }
 
-func insertTxn(q *gauge.Queue, id string, j *gauge.JobSpec, row *gauge.JobRow) (gauge.PartTxn, error) {
+func insertTxn(q *gauge.Queue, id string, j *gauge.JobSpec, row *gauge.JobRow) (gauge.PartitionTxn, error) {
 	spec, err := gauge.EncodeJobSpec(j)
 	if err != nil {
-		return gauge.PartTxn{}, err
+		return gauge.PartitionTxn{}, err
 	}
 	value, err := row.Encode()
 	if err != nil {
-		return gauge.PartTxn{}, err
+		return gauge.PartitionTxn{}, err
 	}
 	key := jobKey(q.Name, id)
-	return gauge.PartTxn{
+	return gauge.PartitionTxn{
 		Checks: []gauge.RowCheck{{RowKey: key}},
 		Writes: []gauge.RowWrite{
 			{RowKey: key, Value: value},
-			{RowKey: gauge.RowKey{Table: gauge.TableSpecs, Part: q.Name, Key: id}, Value: spec},
-			{RowKey: gauge.RowKey{Table: gauge.TableOpen, Part: q.Name, Key: id}, Value: gauge.Mark{Pool: row.Pool}.Encode()},
+			{RowKey: gauge.RowKey{Table: gauge.TableSpecs, Partition: q.Name, Key: id}, Value: spec},
+			{RowKey: gauge.RowKey{Table: gauge.TableOpen, Partition: q.Name, Key: id}, Value: gauge.OpenJobMark{Pool: row.Pool}.Encode()},
 		},
 	}, nil
 }
@@ -69,5 +69,5 @@
 	if p.unsettled {
 		return outcome{err: unsettledError(p.lastErr)}
 	}
-	return outcome{err: gauge.Fail(gauge.KindOutage, "the table can't be reached").Because(p.lastErr)}
+	return outcome{err: gauge.Errorf(gauge.KindOutage, "the table can't be reached").WithCause(p.lastErr)}
 }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	o := n.storeOrForward(ctx, p, relay)
-	if gauge.Is(o.err, gauge.KindOutage) && (n.isUnsettled(id) || n.conf.OwnsJob != nil && n.conf.OwnsJob(q, id)) {
+	if gauge.IsKind(o.err, gauge.KindOutage) && (n.isUnsettled(id) || n.conf.OwnsJob != nil && n.conf.OwnsJob(q, id)) {
 		o.err = unsettledError(o.err)
 	}
 	n.reportOutcome(p, o)
@@ -46,7 +46,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	if gauge.Is(err, gauge.KindExpired) {
+	if gauge.IsKind(err, gauge.KindExpired) {
 		n.unsettledUntil[id] = now + unsettledFor
 	}
 	n.pruneUnsettled(now)
@@ -92,10 +92,10 @@
 	}
 	there := relay.Submit(ctx, p.queue, p.id, p.spec)
 	tooLate := n.conf.Now()-p.startedAt > submitTimeout/2
-	if !isUndecided(there) || tooLate && !gauge.Is(there, gauge.KindOutage) {
-		return mergeOutcomes(outcome{err: gauge.Fail(gauge.KindOutage, "not tried at this entry")}, there)
+	if !isUndecided(there) || tooLate && !gauge.IsKind(there, gauge.KindOutage) {
+		return mergeOutcomes(outcome{err: gauge.Errorf(gauge.KindOutage, "not tried at this entry")}, there)
 	}
-	if gauge.Is(there, gauge.KindOutage) && !b.canSend(p.id) {
+	if gauge.IsKind(there, gauge.KindOutage) && !b.canSend(p.id) {
 		return mergeOutcomes(outcome{err: b.refusalError()}, there)
 	}
 	return mergeOutcomes(b.store(ctx, p), there)
@@ -105,7 +105,7 @@
 // stored by the one that was asked.
 func isUndecided(err error) bool {
 	switch gauge.KindOf(err) {
-	case gauge.KindOutage, gauge.KindExpired, gauge.KindUnknown, gauge.KindEmpty:
+	case gauge.KindOutage, gauge.KindExpired, gauge.KindUnknown, gauge.KindNoWorker:
 		return true
 	default:
 		return false
@@ -121,7 +121,7 @@
 		return here
 	case there == nil:
 		return outcome{relayed: true}
-	case gauge.Is(here.err, gauge.KindExpired), gauge.Is(there, gauge.KindOutage):
+	case gauge.IsKind(here.err, gauge.KindExpired), gauge.IsKind(there, gauge.KindOutage):
 		return here
 	case isUndecided(there):
 		return outcome{err: unsettledError(there)}
@@ -131,7 +131,7 @@
 }
 
 func unsettledError(cause error) error {
-	return gauge.Fail(gauge.KindExpired, "it is not known whether the job was stored; ask again with the same id").Because(cause)
+	return gauge.Errorf(gauge.KindExpired, "it is not known whether the job was stored; ask again with the same id").WithCause(cause)
 }
 
 // reportOutcome logs and counts the outcome of a submission, and notifies the pool's owner of a new
@@ -139,7 +139,7 @@
 func (n *Intake) reportOutcome(p *pendingJob, o outcome) {
 	n.recordUnsettled(p.id, o.err)
 	switch {
-	case gauge.Is(o.err, gauge.KindExpired):
+	case gauge.IsKind(o.err, gauge.KindExpired):
 		n.conf.CountEvent("job unsettled")
 		n.logFailure("job unsettled", p.queue, p.id, o.err)
 		if n.conf.ReportUnsettled != nil {
--- a/internal/lag/behind.go
+++ b/internal/lag/behind.go
@@ -2,52 +2,52 @@
 
 import "time"
 
-// Said is a change of an owner's state that is to be logged. Its value is the log message.
-type Said string
+// Report is a change of an owner's state that is to be logged. Its value is the log message.
+type Report string
 
 // The values of Said.
 const (
-	SaidNothing  Said = ""
-	SaidBehind   Said = "owner behind"
-	SaidCaughtUp Said = "owner caught up"
+	ReportNone     Report = ""
+	ReportBehind   Report = "owner behind"
+	ReportCaughtUp Report = "owner caught up"
 )
 
-// BeliefConfig sets up a Belief.
-type BeliefConfig struct {
-	Behind time.Duration // an owner whose oldest work has waited at least this long is behind
-	Again  time.Duration // SaidBehind is repeated at this interval while the owner is behind
+// BehindConfig sets up a Belief.
+type BehindConfig struct {
+	Threshold      time.Duration // an owner whose oldest work has waited at least this long is behind
+	ReportInterval time.Duration // SaidBehind is repeated at this interval while the owner is behind
 }
 
-// Belief tracks whether an owner is behind with its work, by the age of its oldest work. It is
-// not safe for concurrent use.
-type Belief struct {
-	conf        BeliefConfig
+// BehindDetector tracks whether an owner is behind with its work, by the age of its oldest work. It
+// is not safe for concurrent use.
+type BehindDetector struct {
+	conf        BehindConfig
 	behind      bool
 	behindSince time.Duration // when the owner last fell behind
 	lastReport  time.Duration // when SaidBehind was last returned
 }
 
-// NewBelief makes a Belief of an owner that is not behind.
-func NewBelief(c BeliefConfig) *Belief { return &Belief{conf: c} }
+// NewBehindDetector makes a BehindDetector of an owner that is not behind.
+func NewBehindDetector(c BehindConfig) *BehindDetector { return &BehindDetector{conf: c} }
 
-// See records how long the oldest work has waited, and returns what is to be logged now. An owner
-// has caught up when its oldest work is less than half as old as the threshold: the hysteresis
-// keeps an owner near the threshold from changing its state all the time.
-func (b *Belief) See(oldest, now time.Duration) Said {
+// Observe records how long the oldest work has waited, and returns what is to be logged now. An
+// owner has caught up when its oldest work is less than half as old as the threshold: the
+// hysteresis keeps an owner near the threshold from changing its state all the time.
+func (b *BehindDetector) Observe(oldest, now time.Duration) Report {
 	switch {
-	case !b.behind && oldest >= b.conf.Behind:
+	case !b.behind && oldest >= b.conf.Threshold:
 		b.behind, b.behindSince, b.lastReport = true, now, now
-		return SaidBehind
-	case b.behind && 2*oldest < b.conf.Behind:
+		return ReportBehind
+	case b.behind && 2*oldest < b.conf.Threshold:
 		b.behind = false
-		return SaidCaughtUp
-	case b.behind && now-b.lastReport >= b.conf.Again:
+		return ReportCaughtUp
+	case b.behind && now-b.lastReport >= b.conf.ReportInterval:
 		b.lastReport = now
-		return SaidBehind
+		return ReportBehind
 	default:
-		return SaidNothing
+		return ReportNone
 	}
 }
 
-// Lasted returns the time since the owner last fell behind.
-func (b *Belief) Lasted(now time.Duration) time.Duration { return now - b.behindSince }
+// BehindFor returns the time since the owner last fell behind.
+func (b *BehindDetector) BehindFor(now time.Duration) time.Duration { return now - b.behindSince }
--- a/internal/lag/bench_test.go
+++ b/internal/lag/bench_test.go
@@ -17,15 +17,15 @@
 	}
 	for _, took := range []time.Duration{5 * time.Millisecond, 300 * time.Millisecond} {
 		b.Run("took="+took.String(), func(b *testing.B) {
-			m := lag.New(lag.Config{Window: time.Second, Slow: 150 * time.Millisecond, Calls: 10, Peers: 3})
+			m := lag.New(lag.Config{Window: time.Second, SlowCall: 150 * time.Millisecond, MinCalls: 10, MinPeers: 3})
 			now := time.Hour
 			for i := range 3700 {
-				m.Note(peers[i%140], took, now+time.Duration(i)*time.Second/3700)
+				m.Record(peers[i%140], took, now+time.Duration(i)*time.Second/3700)
 			}
 			i := 3700
 			b.ReportAllocs()
 			for b.Loop() {
-				m.Note(peers[i%140], took, now+time.Duration(i)*time.Second/3700)
+				m.Record(peers[i%140], took, now+time.Duration(i)*time.Second/3700)
 				i++
 			}
 		})
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -7,10 +7,10 @@
 
 // Config sets up a Meter.
 type Config struct {
-	Window time.Duration // calls that ended within it count
-	Slow   time.Duration // a call that takes longer is slow
-	Calls  int           // least number of calls within the window for a verdict
-	Peers  int           // least number of peers with slow calls; with fewer, the peers are at fault
+	Window   time.Duration // calls that ended within it count
+	SlowCall time.Duration // a call that takes longer is slow
+	MinCalls int           // least number of calls within the window for a verdict
+	MinPeers int           // least number of peers with slow calls; with fewer, the peers are at fault
 }
 
 // Meter counts the slow calls of a sliding window. It is not safe for concurrent use. The counts
@@ -29,8 +29,8 @@
 	slow    bool
 }
 
-// Seen holds the counts of a Meter's window.
-type Seen struct {
+// Counts holds the counts of a Meter's window.
+type Counts struct {
 	Calls int
 	Slow  int
 	Peers int // distinct peers with slow calls
@@ -39,22 +39,23 @@
 // New makes a Meter.
 func New(c Config) *Meter { return &Meter{conf: c, slowPeers: make(map[string]int)} }
 
-// Note records a call that has ended, and reports whether most calls to several peers are slow now.
-func (m *Meter) Note(peer string, took, now time.Duration) bool {
+// Record records a call that has ended, and reports whether most calls to several peers are slow
+// now.
+func (m *Meter) Record(peer string, took, now time.Duration) bool {
 	m.prune(now)
-	c := call{endedAt: now, peer: peer, slow: took > m.conf.Slow}
+	c := call{endedAt: now, peer: peer, slow: took > m.conf.SlowCall}
 	m.calls = append(m.calls, c)
 	if c.slow {
 		m.slowCalls++
 		m.slowPeers[peer]++
 	}
-	return len(m.calls) >= m.conf.Calls && len(m.slowPeers) >= m.conf.Peers && 2*m.slowCalls > len(m.calls)
+	return len(m.calls) >= m.conf.MinCalls && len(m.slowPeers) >= m.conf.MinPeers && 2*m.slowCalls > len(m.calls)
 }
 
-// Seen returns the counts of the window that ends now.
-func (m *Meter) Seen(now time.Duration) Seen {
+// Counts returns the counts of the window that ends now.
+func (m *Meter) Counts(now time.Duration) Counts {
 	m.prune(now)
-	return Seen{Calls: len(m.calls), Slow: m.slowCalls, Peers: len(m.slowPeers)}
+	return Counts{Calls: len(m.calls), Slow: m.slowCalls, Peers: len(m.slowPeers)}
 }
 
 // prune removes the calls that have left the window.
