--- a/internal/lag/lag_test.go
+++ b/internal/lag/lag_test.go
@@ -30,10 +30,10 @@
 		{"slow calls outside the window", 50, 5, func(i int) time.Duration { return time.Duration((49-i)/40) * 300 * ms }, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			m := lag.New(lag.Config{Window: time.Second, Slow: 150 * ms, Calls: 10, Peers: 3})
+			m := lag.New(lag.Config{Window: time.Second, SlowCall: 150 * ms, MinCalls: 10, MinPeers: 3})
 			slow := false
 			for i := range tt.calls {
-				slow = m.Note(fmt.Sprint(i%tt.peers), tt.took(i), time.Hour+time.Duration(i)*25*ms)
+				slow = m.Record(fmt.Sprint(i%tt.peers), tt.took(i), time.Hour+time.Duration(i)*25*ms)
 			}
 			assert.Equal(t, slow, tt.want)
 		})
@@ -42,14 +42,14 @@
 
 // The counts cover exactly the calls within the window.
 func TestCountsOfWindow(t *testing.T) {
-	m := lag.New(lag.Config{Window: time.Second, Slow: 150 * time.Millisecond, Calls: 10, Peers: 3})
+	m := lag.New(lag.Config{Window: time.Second, SlowCall: 150 * time.Millisecond, MinCalls: 10, MinPeers: 3})
 	now := time.Hour
 	for i := range 20 {
 		took := time.Duration(i%2) * 300 * time.Millisecond
-		m.Note(fmt.Sprint(i%4), took, now)
+		m.Record(fmt.Sprint(i%4), took, now)
 	}
-	assert.Equal(t, m.Seen(now), lag.Seen{Calls: 20, Slow: 10, Peers: 2})
-	m.Note("9", time.Second, now+600*time.Millisecond)
-	assert.Equal(t, m.Seen(now+1200*time.Millisecond), lag.Seen{Calls: 1, Slow: 1, Peers: 1})
-	assert.Equal(t, m.Seen(now+2*time.Second), lag.Seen{})
+	assert.Equal(t, m.Counts(now), lag.Counts{Calls: 20, Slow: 10, Peers: 2})
+	m.Record("9", time.Second, now+600*time.Millisecond)
+	assert.Equal(t, m.Counts(now+1200*time.Millisecond), lag.Counts{Calls: 1, Slow: 1, Peers: 1})
+	assert.Equal(t, m.Counts(now+2*time.Second), lag.Counts{})
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -46,7 +46,7 @@
 	var r row
 	if stored.Version > 0 {
 		if err := json.Unmarshal(stored.Value, &r); err != nil {
-			return gauge.Check{}, false, gauge.Fail(gauge.KindInvalid, "lease row %s is malformed", key).Because(err)
+			return gauge.Check{}, false, gauge.Errorf(gauge.KindInvalid, "lease row %s is malformed", key).WithCause(err)
 		}
 	}
 	if r.Entry == l.conf.Entry {
@@ -74,7 +74,7 @@
 func (l *Leases) write(ctx context.Context, key string, version int64, r row) error {
 	body, err := json.Marshal(r)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "lease").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "lease").WithCause(err)
 	}
 	return l.conf.Table.Commit(ctx, gauge.Txn{
 		Checks: []gauge.Check{{Key: key, Version: version}},
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -1,5 +1,5 @@
-// Package local runs a small site in one process, for trials: an embedded platform, workers that echo
-// requests, and one entry. Nothing is persisted.
+// Package local runs a small site in one process, for trials: an embedded platform, workers that
+// echo requests, and one entry. Nothing is persisted.
 package local
 
 import (
@@ -70,12 +70,12 @@
 		group.Go(func(context.Context) error { return w.worker.Serve(w.listener) })
 	}
 	e := entry.New(entry.Config{
-		Self: gauge.Member{ID: "local", Run: uuid.NewString(), Zone: zoneName(0)},
+		Self: gauge.Member{ID: "local", StartID: uuid.NewString(), Zone: zoneName(0)},
 		HTTP: httpListener, Peer: peerListener, Table: store, Objects: store, Platform: hosts,
 		PeerKey: []byte(uuid.NewString()), OperatorKey: s.conf.OperatorKey,
 		Clock: time.Now, Logs: s.conf.Logs,
-		Poll: time.Second / 2, Beat: time.Second / 2, Row: time.Second, Term: time.Second,
-		Round: time.Second / 4, Watch: time.Second / 2, Drain: 0, Stop: time.Minute,
+		PollInterval: time.Second / 2, HeartbeatInterval: time.Second / 2, MemberRowInterval: time.Second, LeaseDuration: time.Second,
+		RoundInterval: time.Second / 4, HostListInterval: time.Second / 2, DrainDelay: 0, ShutdownTimeout: time.Minute,
 	})
 	group.Go(func(ctx context.Context) error {
 		err := e.Run(ctx)
@@ -105,13 +105,13 @@
 		}
 		rack := i / workersPerRack
 		out[i] = runningWorker{listener: l, worker: work.New(work.Config{
-			Self: gauge.Sighting{
+			Self: gauge.ListedHost{
 				ID: fmt.Sprintf("worker-%02d", i+1), Addr: l.Addr().String(),
 				Zone: zoneName(rack), Rack: fmt.Sprintf("rack-%d", rack+1),
 				Cores: coresPerWorker, Memory: memoryPerWorkerGiB, Slots: slotsPerWorker, Conns: connsPerWorker,
 			},
 			BootTime: bootTime, ReportInterval: reportInterval,
-			Report: func(seen gauge.Sighting) (bool, error) { return hosts.Report(seen), nil },
+			Report: func(seen gauge.ListedHost) (bool, error) { return hosts.Report(seen), nil },
 		})}
 	}
 	return out, nil
--- a/internal/logs/bench_test.go
+++ b/internal/logs/bench_test.go
@@ -59,7 +59,7 @@
 	}
 	go func() { _, _ = io.Copy(io.Discard, from) }()
 	counted := &countingWriter{to: to}
-	out := logs.NewBounded(counted)
+	out := logs.NewBoundedWriter(counted)
 	l := logs.New(out, false).WithValues("entry", "edge-ubungo-hall-1")
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
--- a/internal/logs/bound.go
+++ b/internal/logs/bound.go
@@ -17,10 +17,10 @@
 	minWriteInterval = 10 * time.Millisecond
 )
 
-// Bounded is an io.Writer that never blocks: while the underlying writer is slow, lines are
+// BoundedWriter is an io.Writer that never blocks: while the underlying writer is slow, lines are
 // queued, and when the queue is full, they are dropped and counted. It is safe for concurrent
 // use.
-type Bounded struct {
+type BoundedWriter struct {
 	out     io.Writer
 	queued  chan struct{} // signals that lines are queued
 	closing chan struct{}
@@ -32,15 +32,15 @@
 	lines int // in buf
 }
 
-// NewBounded makes a Bounded that writes to out.
-func NewBounded(out io.Writer) *Bounded {
-	b := &Bounded{out: out, queued: make(chan struct{}, 1), closing: make(chan struct{})}
+// NewBoundedWriter makes a BoundedWriter that writes to out.
+func NewBoundedWriter(out io.Writer) *BoundedWriter {
+	b := &BoundedWriter{out: out, queued: make(chan struct{}, 1), closing: make(chan struct{})}
 	b.done.Go(b.run)
 	return b
 }
 
 // Write queues one line, or drops it if the queue is full. It returns no error in either case.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	if !b.enqueue(line) {
 		b.dropped.Add(1)
 		return len(line), nil
@@ -52,7 +52,7 @@
 	return len(line), nil
 }
 
-func (b *Bounded) enqueue(line []byte) bool {
+func (b *BoundedWriter) enqueue(line []byte) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.lines >= maxQueuedLines {
@@ -64,15 +64,15 @@
 }
 
 // Dropped returns the number of lines that were dropped so far.
-func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
+func (b *BoundedWriter) Dropped() int64 { return b.dropped.Load() }
 
 // Close writes the queued lines and ends the goroutine. Write must not be called after it.
-func (b *Bounded) Close() {
+func (b *BoundedWriter) Close() {
 	close(b.closing)
 	b.done.Wait()
 }
 
-func (b *Bounded) run() {
+func (b *BoundedWriter) run() {
 	var spare []byte
 	for {
 		select {
@@ -87,7 +87,7 @@
 }
 
 // waitInterval waits for minWriteInterval, or until Close is called, while lines are queued.
-func (b *Bounded) waitInterval() {
+func (b *BoundedWriter) waitInterval() {
 	timer := time.NewTimer(minWriteInterval)
 	defer timer.Stop()
 	select {
@@ -98,7 +98,7 @@
 
 // flush swaps the buffer of queued lines for the spare one and writes it. It returns the written
 // buffer, which is the next spare one.
-func (b *Bounded) flush(spare []byte) []byte {
+func (b *BoundedWriter) flush(spare []byte) []byte {
 	b.mu.Lock()
 	pending, lines := b.buf, b.lines
 	b.buf, b.lines = spare[:0], 0
--- a/internal/logs/bound_test.go
+++ b/internal/logs/bound_test.go
@@ -40,7 +40,7 @@
 // call of its own.
 func TestQueuedLinesAreWrittenTogether(t *testing.T) {
 	s := newSlow()
-	b := logs.NewBounded(s)
+	b := logs.NewBoundedWriter(s)
 	_, _ = b.Write([]byte("0\n"))
 	<-s.began
 	var want strings.Builder
@@ -61,7 +61,7 @@
 // A caller never waits for the underlying writer, and lines that don't fit the queue are counted.
 func TestLinesBeyondTheQueueAreDroppedAndCounted(t *testing.T) {
 	s := newSlow()
-	b := logs.NewBounded(s)
+	b := logs.NewBoundedWriter(s)
 	_, _ = b.Write([]byte("x\n"))
 	<-s.began
 	for range 10000 {
--- a/internal/logs/line_test.go
+++ b/internal/logs/line_test.go
@@ -62,7 +62,7 @@
 		"text": "w1", "empty": "", "quotes": `a "b" \ c`, "controls": "a\nb\tc\x00\x1f\x7f", "other letters": "naïve – 日本 \u2028", "no UTF-8": "a\xffb",
 		"markup": "<a href='b'>&", "number": 7, "negative": -7, "long": int64(math.MaxInt64), "unsigned": uint64(math.MaxUint64), "small": uint8(3),
 		"short": int32(-5), "yes": true, "no": false, "share": 0.25, "large": 1e30, "float32": float32(0.5), "span": 920667408 * time.Nanosecond, "moment": time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC),
-		"fault": errors.New(`it "failed"`), "kind": gauge.KindOutage, "end": gauge.EndDone, "token": gauge.Fence(5), "nothing": nil,
+		"fault": errors.New(`it "failed"`), "kind": gauge.KindOutage, "end": gauge.EndDone, "token": gauge.FencingToken(5), "nothing": nil,
 		"list": []string{"a", "b"}, "empty list": []string(nil), "table": map[string]int{"a": 1}, "struct": gauge.Resources{MilliCPU: 3}, "bytes": []byte("ab"),
 		"not a number": math.NaN(), "nil fault": (*brokenError)(nil), "address": netip.MustParseAddr("10.0.0.1"),
 	} {
--- a/internal/loose/loose.go
+++ b/internal/loose/loose.go
@@ -1,6 +1,6 @@
-// Package loose is the baseline that leased slots (package hold) are compared with: each entry chooses
-// workers by its own counts alone, the less loaded of two random ones. With several entries it
-// overloads workers.
+// Package loose is the baseline that leased slots (package hold) are compared with: each entry
+// chooses workers by its own counts alone, the less loaded of two random ones. With several entries
+// it overloads workers.
 package loose
 
 import (
@@ -28,9 +28,9 @@
 	return &Slots{conf: c, hosts: hosts, used: make(map[string]int)}
 }
 
-// Take returns a slot on the less loaded of two random hosts, by the counts of this entry alone. It
-// reports false if that host has no free slot.
-func (s *Slots) Take(_ time.Time, class gauge.Class, _ gauge.Attempts, _ func(string) bool) (*gauge.Place, bool) {
+// Acquire returns a slot on the less loaded of two random hosts, by the counts of this entry alone.
+// It reports false if that host has no free slot.
+func (s *Slots) Acquire(_ time.Time, class gauge.Class, _ gauge.Attempts, _ func(string) bool) (*gauge.Slot, bool) {
 	if len(s.hosts) == 0 {
 		return nil, false
 	}
@@ -43,11 +43,11 @@
 		return nil, false
 	}
 	s.used[a.ID]++
-	return &gauge.Place{Pool: s.conf.Pool, Class: class, Target: a.Target()}, true
+	return &gauge.Slot{Pool: s.conf.Pool, Class: class, Target: a.Target()}, true
 }
 
-// Done releases a slot.
-func (s *Slots) Done(p *gauge.Place) { s.used[p.Target.Host]-- }
+// Release releases a slot.
+func (s *Slots) Release(p *gauge.Slot) { s.used[p.Target.Host]-- }
 
-// Turn does nothing, since the baseline doesn't distinguish classes.
-func (s *Slots) Turn(*gauge.Place) {}
+// CountAsLong does nothing, since the baseline doesn't distinguish classes.
+func (s *Slots) CountAsLong(*gauge.Slot) {}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -95,7 +95,7 @@
 	}
 	members, versions := decodeRows(rows)
 	k.mu.Lock()
-	stale := k.peerSet.Rows(k.conf.Clock(), members)
+	stale := k.peerSet.UpdateRows(k.conf.Clock(), members)
 	k.mu.Unlock()
 	for _, m := range stale {
 		k.deleteRow(ctx, m, versions[m.ID])
@@ -103,10 +103,10 @@
 }
 
 func (k *Keeper) writeRow(ctx context.Context) error {
-	k.self.Beat++
+	k.self.WriteCount++
 	body, err := json.Marshal(k.self)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "encoding the member row").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "encoding the member row").WithCause(err)
 	}
 	return k.conf.Table.Commit(ctx, gauge.Txn{Puts: []gauge.Put{{Key: rowPrefix + k.self.ID, Value: body}}})
 }
@@ -119,7 +119,7 @@
 		Puts:   []gauge.Put{{Key: key}},
 	})
 	if err == nil {
-		k.conf.Logs.Info("entry is gone", "entry", m.ID, "run", m.Run)
+		k.conf.Logs.Info("entry is gone", "entry", m.ID, "run", m.StartID)
 	}
 }
 
@@ -141,15 +141,15 @@
 func (k *Keeper) exchangeHeartbeats(ctx context.Context) {
 	now := k.conf.Clock()
 	k.mu.Lock()
-	k.peerSet.Look(now)
-	outgoing := make(map[string]peers.Beat)
+	k.peerSet.Refresh(now)
+	outgoing := make(map[string]peers.Heartbeat)
 	for _, m := range k.peerSet.Neighbours(now) {
-		outgoing[m.Peer] = k.peerSet.Beat(now, k.conf.Revision(), m.Zone)
+		outgoing[m.Peer] = k.peerSet.NewHeartbeat(now, k.conf.Revision(), m.Zone)
 	}
 	if len(outgoing) == 0 {
 		// During a table outage, seeds are the only way for a new entry to learn of the others.
 		for _, addr := range k.conf.Seeds {
-			outgoing[addr] = k.peerSet.Beat(now, k.conf.Revision(), "")
+			outgoing[addr] = k.peerSet.NewHeartbeat(now, k.conf.Revision(), "")
 		}
 	}
 	delete(outgoing, k.self.Peer)
@@ -159,7 +159,7 @@
 	var group conc.WaitGroup
 	for addr, beat := range outgoing {
 		group.Go(func() {
-			var answer peers.Beat
+			var answer peers.Heartbeat
 			if err := k.conf.Peers.Call(ctx, addr, Method, &beat, &answer); err == nil {
 				k.applyHeartbeat(answer)
 			}
@@ -170,51 +170,51 @@
 
 // Handle answers a peer's heartbeat with this entry's own.
 func (k *Keeper) Handle(_ context.Context, body []byte) (any, error) {
-	var b peers.Beat
+	var b peers.Heartbeat
 	if err := frame.Decode(body, &b); err != nil {
 		return nil, err
 	}
 	k.applyHeartbeat(b)
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	answer := k.peerSet.Beat(k.conf.Clock(), k.conf.Revision(), b.From.Zone)
+	answer := k.peerSet.NewHeartbeat(k.conf.Clock(), k.conf.Revision(), b.From.Zone)
 	return &answer, nil
 }
 
-func (k *Keeper) applyHeartbeat(b peers.Beat) {
+func (k *Keeper) applyHeartbeat(b peers.Heartbeat) {
 	k.mu.Lock()
-	k.peerSet.Heard(k.conf.Clock(), b)
+	k.peerSet.Receive(k.conf.Clock(), b)
 	k.mu.Unlock()
 	if k.conf.Newer != nil && b.Revision > k.conf.Revision() {
 		k.conf.Newer(b.Revision)
 	}
 }
 
-// Tell sends heartbeats now, which tell the peers of a new revision.
-func (k *Keeper) Tell(ctx context.Context) { k.exchangeHeartbeats(ctx) }
+// SendHeartbeats sends heartbeats now, which tell the peers of a new revision.
+func (k *Keeper) SendHeartbeats(ctx context.Context) { k.exchangeHeartbeats(ctx) }
 
 // View returns the current view.
 func (k *Keeper) View() View {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.conf.Clock()
-	hash, live := k.peerSet.Look(now)
+	hash, live := k.peerSet.Refresh(now)
 	same, known := k.peerSet.Share(now)
 	return View{Live: live, Hash: hash, Same: same, Known: known}
 }
 
-// Linked reports whether anything was received lately from the table or a peer.
-func (k *Keeper) Linked() bool {
+// HasRecentContact reports whether anything was received lately from the table or a peer.
+func (k *Keeper) HasRecentContact() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.peerSet.Linked(k.conf.Clock())
+	return k.peerSet.IsConnected(k.conf.Clock())
 }
 
-// Confirmed reports whether every entry has a revision in force or is gone.
-func (k *Keeper) Confirmed(revision int64) bool {
+// IsConfirmed reports whether every entry has a revision in force or is gone.
+func (k *Keeper) IsConfirmed(revision int64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.conf.Revision() >= revision && k.peerSet.Confirmed(revision)
+	return k.conf.Revision() >= revision && k.peerSet.IsConfirmed(revision)
 }
 
 // Revisions returns the revision in force at each live entry, by the entry's ID.
--- a/internal/memdb/memdb.go
+++ b/internal/memdb/memdb.go
@@ -1,5 +1,5 @@
-// Package memdb is an in-memory implementation of the platform's table and object store, for the fake
-// platform and the local mode.
+// Package memdb is an in-memory implementation of the platform's table and object store, for the
+// fake platform and the local mode.
 package memdb
 
 import (
@@ -56,7 +56,7 @@
 	defer d.mu.Unlock()
 	for _, c := range t.Checks {
 		if d.rows[c.Key].Version != c.Version {
-			return gauge.Fail(gauge.KindConflict, "row %s is at version %d, not %d", c.Key, d.rows[c.Key].Version, c.Version)
+			return gauge.Errorf(gauge.KindConflict, "row %s is at version %d, not %d", c.Key, d.rows[c.Key].Version, c.Version)
 		}
 	}
 	d.version++
@@ -76,7 +76,7 @@
 	defer d.mu.RUnlock()
 	b, ok := d.objects[name]
 	if !ok {
-		return nil, gauge.Fail(gauge.KindMissing, "object %s", name)
+		return nil, gauge.Errorf(gauge.KindNotFound, "object %s", name)
 	}
 	return b, nil
 }
--- a/internal/mesh/handshake.go
+++ b/internal/mesh/handshake.go
@@ -53,7 +53,7 @@
 		return err
 	}
 	if !hmac.Equal(p.MAC, n.mac(roleCaller, nonce)) {
-		return gauge.Fail(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
+		return gauge.Errorf(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
 	}
 	return sendProof(c, proof{MAC: n.mac(roleServer, p.Nonce)})
 }
@@ -70,10 +70,10 @@
 	}
 	p, err := readProof(c)
 	if err != nil {
-		return gauge.Fail(gauge.KindDenied, "peer at %s did not accept the key", c.RemoteAddr()).Because(err)
+		return gauge.Errorf(gauge.KindDenied, "peer at %s did not accept the key", c.RemoteAddr()).WithCause(err)
 	}
 	if !hmac.Equal(p.MAC, n.mac(roleServer, nonce)) {
-		return gauge.Fail(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
+		return gauge.Errorf(gauge.KindDenied, "peer at %s has another key", c.RemoteAddr())
 	}
 	return nil
 }
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -117,7 +117,7 @@
 	if k.err != nil {
 		err := k.err
 		k.mu.Unlock()
-		return frame.Frame{}, gauge.Fail(gauge.KindOutage, "mesh.Call: %s", k.addr).Because(err)
+		return frame.Frame{}, gauge.Errorf(gauge.KindOutage, "mesh.Call: %s", k.addr).WithCause(err)
 	}
 	k.lastID++
 	id := k.lastID
@@ -134,7 +134,7 @@
 	select {
 	case f, ok := <-ch:
 		if !ok {
-			return f, gauge.Fail(gauge.KindUnknown, "mesh.Call: connection to %s ended", k.addr)
+			return f, gauge.Errorf(gauge.KindUnknown, "mesh.Call: connection to %s ended", k.addr)
 		}
 		return f, nil
 	case <-timeout.C:
@@ -144,7 +144,7 @@
 	k.mu.Lock()
 	delete(k.pending, id)
 	k.mu.Unlock()
-	return frame.Frame{}, gauge.Fail(gauge.KindUnknown, "mesh.Call: no answer to %s from %s", method, k.addr)
+	return frame.Frame{}, gauge.Errorf(gauge.KindUnknown, "mesh.Call: no answer to %s from %s", method, k.addr)
 }
 
 // closeIfSilent closes the connection if no frame has been received since a call was sent. A
@@ -155,6 +155,6 @@
 	silent := k.lastReceived.Before(since)
 	k.mu.Unlock()
 	if silent {
-		k.close(gauge.Fail(gauge.KindOutage, "connection to %s is silent", k.addr))
+		k.close(gauge.Errorf(gauge.KindOutage, "connection to %s is silent", k.addr))
 	}
 }
--- a/internal/mesh/link_test.go
+++ b/internal/mesh/link_test.go
@@ -42,7 +42,7 @@
 	defer n.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 	defer cancel()
-	err := n.Open(ctx, unresponsiveAddr(t))
+	err := n.Connect(ctx, unresponsiveAddr(t))
 	assert.Assert(t, err != nil)
 	assert.NilError(t, ctx.Err(), "the attempt must time out before the caller's context")
 }
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -37,8 +37,8 @@
 const (
 	defaultLimit            = 1 << 20
 	defaultHandshakeTimeout = time.Second
-	// defaultConnectTimeout is ample: the round trip between data centres takes 3 ms, and an entry's
-	// kernel answers even while its process is slow.
+	// defaultConnectTimeout is ample: the round trip between data centres takes 3 ms, and an
+	// entry's kernel answers even while its process is slow.
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultCallTimeout    = 2 * time.Second
 	// maxConcurrentCalls bounds the concurrent calls of one connection, so that a misbehaving
@@ -80,18 +80,18 @@
 // Handle sets the handler of a method. It must be called before Serve.
 func (n *Node) Handle(method string, h Handler) { n.handlers[method] = h }
 
-// Open connects to a peer if there is no connection yet, so that Config.Closed is called when the
-// connection ends.
-func (n *Node) Open(ctx context.Context, addr string) error {
+// Connect connects to a peer if there is no connection yet, so that Config.Closed is called when
+// the connection ends.
+func (n *Node) Connect(ctx context.Context, addr string) error {
 	_, err := n.link(ctx, addr)
 	return err
 }
 
-// Bytes returns the number of bytes written so far, as client and as server.
-func (n *Node) Bytes() int64 { return n.bytes.Load() }
+// BytesWritten returns the number of bytes written so far, as client and as server.
+func (n *Node) BytesWritten() int64 { return n.bytes.Load() }
 
-// Calls returns the number of calls made so far.
-func (n *Node) Calls() int64 { return n.calls.Load() }
+// CallCount returns the number of calls made so far.
+func (n *Node) CallCount() int64 { return n.calls.Load() }
 
 // Serve answers calls until Close.
 func (n *Node) Serve(ctx context.Context, l net.Listener) error {
@@ -104,7 +104,7 @@
 			if n.isClosed() {
 				return nil
 			}
-			return gauge.Fail(gauge.KindInternal, "mesh.Serve").Because(err)
+			return gauge.Errorf(gauge.KindInternal, "mesh.Serve").WithCause(err)
 		}
 		if !n.track(c) {
 			_ = c.Close()
@@ -128,7 +128,7 @@
 	n.links = make(map[string]*link)
 	n.mu.Unlock()
 	for _, k := range links {
-		k.close(gauge.Fail(gauge.KindOutage, "this entry is shutting down"))
+		k.close(gauge.Errorf(gauge.KindOutage, "this entry is shutting down"))
 	}
 	n.group.Wait()
 }
@@ -198,7 +198,7 @@
 	if h == nil {
 		// A newer peer may call methods that this version doesn't have: the connection is
 		// still good.
-		return errorFrame(out, gauge.Fail(gauge.KindMissing, "method %q", f.Method))
+		return errorFrame(out, gauge.Errorf(gauge.KindNotFound, "method %q", f.Method))
 	}
 	resp, err := h(ctx, f.Body)
 	if err != nil {
@@ -232,7 +232,7 @@
 	}
 	k, err := n.link(ctx, addr)
 	if err != nil {
-		return gauge.Fail(gauge.KindOutage, "mesh.Call: %s", addr).Because(err)
+		return gauge.Errorf(gauge.KindOutage, "mesh.Call: %s", addr).WithCause(err)
 	}
 	n.calls.Add(1)
 	f, err := k.call(ctx, method, body)
@@ -242,7 +242,7 @@
 	if f.Fault != "" {
 		var text string
 		_ = frame.Decode(f.Body, &text)
-		return gauge.Fail(gauge.Kind(f.Fault), "%s at %s: %s", method, addr, text)
+		return gauge.Errorf(gauge.Kind(f.Fault), "%s at %s: %s", method, addr, text)
 	}
 	return frame.Decode(f.Body, resp)
 }
@@ -252,7 +252,7 @@
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
-		return nil, gauge.Fail(gauge.KindDraining, "this entry is shutting down")
+		return nil, gauge.Errorf(gauge.KindDraining, "this entry is shutting down")
 	}
 	k := n.links[addr]
 	if k == nil || k.isClosed() {
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -79,37 +79,40 @@
 	return string(gauge.KindOf(err))
 }
 
-// Dropped registers a counter of dropped log lines, whose value count returns at each scrape.
-func (m *Meter) Dropped(count func() int64) {
+// RegisterDroppedLines registers a counter of dropped log lines, whose value count returns at each
+// scrape.
+func (m *Meter) RegisterDroppedLines(count func() int64) {
 	m.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
 		Name: prefix + "log_lines_dropped_total", Help: "Log lines dropped because their receiver was too slow.",
 	}, func() float64 { return float64(count()) }))
 }
 
-// Request records a request's final answer and how long it took.
-func (m *Meter) Request(service string, class gauge.Class, took time.Duration, err error) {
+// ObserveRequest records a request's final answer and how long it took.
+func (m *Meter) ObserveRequest(service string, class gauge.Class, took time.Duration, err error) {
 	m.requests.WithLabelValues(service, label(err)).Inc()
 	m.requestSeconds.WithLabelValues(service, string(class)).Observe(took.Seconds())
 }
 
-// Attempt counts one request that was sent to a worker.
-func (m *Meter) Attempt(pool string, err error) { m.attempts.WithLabelValues(pool, label(err)).Inc() }
+// CountAttempt counts one request that was sent to a worker.
+func (m *Meter) CountAttempt(pool string, err error) {
+	m.attempts.WithLabelValues(pool, label(err)).Inc()
+}
 
-// Ejected counts the ejection of a failing worker from a pool.
-func (m *Meter) Ejected(pool string) { m.ejections.WithLabelValues(pool).Inc() }
+// CountEjection counts the ejection of a failing worker from a pool.
+func (m *Meter) CountEjection(pool string) { m.ejections.WithLabelValues(pool).Inc() }
 
-// Moved counts a host that was moved into a pool.
-func (m *Meter) Moved(pool string) { m.moves.WithLabelValues(pool).Inc() }
+// CountMove counts a host that was moved into a pool.
+func (m *Meter) CountMove(pool string) { m.moves.WithLabelValues(pool).Inc() }
 
-// Call records the duration of a call to the table or to a worker.
-func (m *Meter) Call(call string, took time.Duration) {
+// ObserveCall records the duration of a call to the table or to a worker.
+func (m *Meter) ObserveCall(call string, took time.Duration) {
 	m.callSeconds.WithLabelValues(call).Observe(took.Seconds())
 }
 
-// Event counts an event by its name.
-func (m *Meter) Event(event string) { m.events.WithLabelValues(event).Inc() }
+// CountEvent counts an event by its name.
+func (m *Meter) CountEvent(event string) { m.events.WithLabelValues(event).Inc() }
 
-// Set sets a state gauge of a pool; what names the quantity.
-func (m *Meter) Set(pool, what string, value float64) {
+// SetState sets a state gauge of a pool; what names the quantity.
+func (m *Meter) SetState(pool, what string, value float64) {
 	m.state.WithLabelValues(pool, what).Set(value)
 }
--- a/internal/meter/owner.go
+++ b/internal/meter/owner.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// Backlog sets the backlog of a pool's owner. With nil the pool is no longer owned here, and its
+// SetBacklog sets the backlog of a pool's owner. With nil the pool is no longer owned here, and its
 // gauges are deleted.
-func (m *Meter) Backlog(pool string, b *gauge.Backlog) {
+func (m *Meter) SetBacklog(pool string, b *gauge.Backlog) {
 	o := m.owners
 	if b == nil {
 		for _, g := range o.gauges() {
@@ -56,19 +56,19 @@
 		}
 		return
 	}
-	o.oldest.Observe(b.Oldest().Seconds())
+	o.oldest.Observe(b.OldestAge().Seconds())
 	for _, v := range []struct {
 		of    *prometheus.GaugeVec
 		value float64
 	}{
-		{o.changes, float64(b.Changes)},
+		{o.changes, float64(b.UnwrittenChanges)},
 		{o.changeAge, b.ChangeAge.Seconds()},
-		{o.ends, float64(b.Ends)},
+		{o.ends, float64(b.UnacknowledgedEnds)},
 		{o.endAge, b.EndAge.Seconds()},
-		{o.starts, float64(b.Starts)},
+		{o.starts, float64(b.UnansweredStarts)},
 		{o.startAge, b.StartAge.Seconds()},
-		{o.queued, float64(b.Queued)},
-		{o.silent, float64(b.Silent)},
+		{o.queued, float64(b.QueuedOrders)},
+		{o.silent, float64(b.SilentWorkers)},
 		{o.slow, b.SlowShare()},
 	} {
 		v.of.WithLabelValues(pool).Set(v.value)
--- a/internal/meter/tableages.go
+++ b/internal/meter/tableages.go
@@ -12,9 +12,9 @@
 	ages func() map[string]time.Duration
 }
 
-// Followed registers a gauge of the age of this entry's view of each followed table. ages returns
-// the ages by table at each scrape.
-func (m *Meter) Followed(ages func() map[string]time.Duration) {
+// RegisterTableAges registers a gauge of the age of this entry's view of each followed table. ages
+// returns the ages by table at each scrape.
+func (m *Meter) RegisterTableAges(ages func() map[string]time.Duration) {
 	m.Registry.MustRegister(&tableAges{
 		age: prometheus.NewDesc(prefix+"followed_age_seconds",
 			"How long ago all that a table holds was known here, by table that is followed.", []string{"table"}, nil),
--- a/internal/meter/tableages_test.go
+++ b/internal/meter/tableages_test.go
@@ -15,7 +15,7 @@
 func TestAgesOfFollowedTablesAreCurrentAtEachScrape(t *testing.T) {
 	m := meter.New()
 	ages := map[string]time.Duration{"leases": 250 * time.Millisecond, "workers": time.Second}
-	m.Followed(func() map[string]time.Duration { return ages })
+	m.RegisterTableAges(func() map[string]time.Duration { return ages })
 	text := scrape(m)
 	assert.Assert(t, strings.Contains(text, `sapphiregauge_followed_age_seconds{table="leases"} 0.25`+"\n"), text)
 	assert.Assert(t, strings.Contains(text, `sapphiregauge_followed_age_seconds{table="workers"} 1`+"\n"), text)
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -42,10 +42,10 @@
 	if n.conf.Now() < n.claimPauseUntil {
 		return nil
 	}
-	if n.conf.Now()-n.leasesReadAt > maxClaimViewAge && len(n.board.Pools()) > 0 {
+	if n.conf.Now()-n.leasesReadAt > maxClaimViewAge && len(n.leaseView.Pools()) > 0 {
 		return nil // it can't be seen which leases are renewed, so claims would fail
 	}
-	pools := n.board.Pools()
+	pools := n.leaseView.Pools()
 	if n.conf.Machines != nil {
 		pools = append(pools, fleetPool)
 	}
@@ -55,7 +55,7 @@
 	slices.Sort(pools)
 	pools = slices.Compact(pools)
 	pools = slices.DeleteFunc(pools, func(p string) bool { return n.leasesInUse[p] })
-	claims := n.board.Due(pools, len(n.leasesInUse), n.conf.Now())
+	claims := n.leaseView.DueClaims(pools, len(n.leasesInUse), n.conf.Now())
 	for _, c := range claims {
 		n.markClaiming(c.Pool)
 	}
@@ -98,7 +98,7 @@
 }
 
 func leaseKey(pool string) gauge.RowKey {
-	return gauge.RowKey{Table: gauge.TableLeases, Part: pool, Key: gauge.KeyOwner}
+	return gauge.RowKey{Table: gauge.TableLeases, Partition: pool, Key: gauge.KeyOwner}
 }
 
 // readGrants reads the orders of the previous holders, for a lease that nobody offers. It reports
@@ -107,7 +107,7 @@
 	if c.Version == 0 {
 		return true // there was no previous holder
 	}
-	err := tenure.Read(ctx, n.conf.Store, leaseKey(c.Pool), &c.Row)
+	err := tenure.ReadHandoverRow(ctx, n.conf.Store, leaseKey(c.Pool), &c.Row)
 	if err != nil {
 		n.conf.Logs.Info("lease not claimed", "pool", c.Pool, "version", c.Version, "error", err.Error())
 	}
@@ -140,7 +140,7 @@
 // takenLease is a lease that this entry has just taken.
 type takenLease struct {
 	lease         *tenure.Tenure
-	token         gauge.Fence
+	token         gauge.FencingToken
 	term          int // number of previous holders
 	previousRow   gauge.LeaseRow
 	remainingTerm time.Duration // how much of the previous term may remain
@@ -159,19 +159,19 @@
 	if c.Version > 0 {
 		term++
 	}
-	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, Unnoted: c.Row.Unnoted, Renewed: n.tableClock()}
-	row.CountsOf(&c.Row) // there was no count since
+	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, UnrecordedOwners: c.Row.UnrecordedOwners, RenewedAt: n.tableClock()}
+	row.InheritDepths(&c.Row) // there was no count since
 	if c.Pool == fleetPool {
 		n.carryOverOrders(&row, &c.Row)
 	}
 	key := leaseKey(c.Pool)
-	writes, err := tenure.Writes(key, &row)
+	writes, err := tenure.RowWrites(key, &row)
 	if err != nil {
 		n.conf.Logs.Error(err, "lease not claimed", "pool", c.Pool)
 		return nil, false
 	}
 	sent := n.conf.Now()
-	stamp, rows, err := n.conf.Store.Commit(ctx, gauge.PartTxn{
+	position, rows, err := n.conf.Store.Commit(ctx, gauge.PartitionTxn{
 		Checks: []gauge.RowCheck{{RowKey: key, Version: c.Version}},
 		Writes: writes,
 	})
@@ -179,29 +179,29 @@
 		n.conf.Logs.Info("lease not taken", "pool", c.Pool, "version", c.Version, "kind", gauge.KindOf(err), "from", from)
 		return nil, n.handleClaimFailure(c, from, rows, err)
 	}
-	n.recordTableClock(stamp, sent)
+	n.recordTableClock(position, sent)
 	n.mu.Lock()
-	n.board.Tell(c.Pool, row, stamp.Version, n.conf.Now(), 0)
+	n.leaseView.SetLease(c.Pool, row, position.Version, n.conf.Now(), 0)
 	n.mu.Unlock()
-	n.conf.Event("lease taken")
-	n.conf.Logs.Info("lease taken", "pool", c.Pool, "fence", stamp.Version, "term", term, "before", c.Row.Holder, "from", from,
+	n.conf.CountEvent("lease taken")
+	n.conf.Logs.Info("lease taken", "pool", c.Pool, "fence", position.Version, "term", term, "before", c.Row.Holder, "from", from,
 		"workers", len(c.Row.Workers), "seen", c.Version)
 	lease := tenure.New(tenure.Config{
-		Key: key, Holder: n.holder, Addr: n.conf.Addr, Term: term, Version: stamp.Version, Taken: sent, Lasts: leaseTerm,
-		Store: n.conf.Store, Now: n.conf.Now, Clock: n.tableClock,
+		Key: key, Holder: n.holder, Addr: n.conf.Addr, Term: term, Version: position.Version, ClaimedAt: sent, LeaseDuration: leaseTerm,
+		Store: n.conf.Store, Now: n.conf.Now, TableClock: n.tableClock,
 	})
-	return &takenLease{lease: lease, token: gauge.Fence(stamp.Version), term: term, previousRow: c.Row, remainingTerm: c.Early}, false
+	return &takenLease{lease: lease, token: gauge.FencingToken(position.Version), term: term, previousRow: c.Row, remainingTerm: c.PreviousLeaseLeft}, false
 }
 
 // handleClaimFailure applies what a failed claim shows. It reports whether to try again at once.
-func (n *Node) handleClaimFailure(c *terms.Claim, from string, rows []gauge.PartRow, err error) bool {
-	if gauge.Is(err, gauge.KindUnknown) {
+func (n *Node) handleClaimFailure(c *terms.Claim, from string, rows []gauge.PartitionRow, err error) bool {
+	if gauge.IsKind(err, gauge.KindUnknown) {
 		n.mu.Lock()
-		n.board.Unsure(c.Pool)
+		n.leaseView.MarkClaimUnanswered(c.Pool)
 		n.mu.Unlock()
 	}
 	n.applyLeaseRows(rows, false)
-	if from == "" || !gauge.Is(err, gauge.KindConflict) {
+	if from == "" || !gauge.IsKind(err, gauge.KindConflict) {
 		return false
 	}
 	for _, r := range rows {
@@ -218,11 +218,11 @@
 // runPool runs a pool until its lease is lost or given up.
 func (n *Node) runPool(ctx context.Context, pool string, l *takenLease) {
 	o := owner.New(ctx, owner.Config{
-		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, Earlier: l.previousRow.Workers, Before: l.previousRow, Early: l.remainingTerm,
-		Grace: workerLeaseGrace, Keep: retentionFactor * n.conf.Keep, Hold: min(workerLeaseDuration, n.conf.Longest), Longest: n.conf.Longest,
-		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, Wall: n.conf.Wall,
-		Stamp: n.recordTableClock, Clock: n.tableClock, Count: n.conf.Count, Event: n.conf.Event, Backlog: n.conf.Backlog,
-		Without: n.conf.Without,
+		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, PreviousWorkers: l.previousRow.Workers, PreviousRow: l.previousRow, PreviousLeaseLeft: l.remainingTerm,
+		Grace: workerLeaseGrace, JobRetention: retentionFactor * n.conf.JobRetention, LeaseExtension: min(workerLeaseDuration, n.conf.MaxWorkerLease), MaxWorkerLease: n.conf.MaxWorkerLease,
+		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, WallClock: n.conf.WallClock,
+		ObserveTableClock: n.recordTableClock, TableClock: n.tableClock, ObserveCall: n.conf.ObserveCall, CountEvent: n.conf.CountEvent, ObserveBacklog: n.conf.ObserveBacklog,
+		Disabled: n.conf.Disabled,
 	})
 	o.OnStuck(stuckAfter, func(failing time.Duration) { n.handOverStuckPool(ctx, o, failing) })
 	n.mu.Lock()
@@ -279,7 +279,7 @@
 }
 
 func offerOf(o *owner.Owner) offerCall {
-	row, version := o.Offer()
+	row, version := o.LeaseOffer()
 	return offerCall{Pool: o.Pool(), Row: row, Version: version}
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -33,11 +33,11 @@
 type fleet struct {
 	node          *Node
 	held          *takenLease
-	keeper        *waves.Keeper
+	scheduler     *waves.Scheduler
 	sizer         *sizing.Sizer
 	takenAt       time.Duration
 	ordersFrom    time.Duration // no machine is ordered before this
-	turns         *turns.Turns
+	orderGuard    *turns.OrderGuard
 	renewedAt     time.Duration
 	offeredAt     time.Duration // last offer of the lease
 	listedAt      time.Duration
@@ -56,24 +56,24 @@
 func (n *Node) runFleet(ctx context.Context, l *takenLease) {
 	f := &fleet{
 		node: n, held: l, statusWritten: make(map[int64]bool),
-		keeper: waves.New(waves.Config{
-			Upkeep: n.conf.Upkeep, Without: n.conf.Without, Logs: n.conf.Logs,
+		scheduler: waves.New(waves.Config{
+			MaintenanceDuration: n.conf.MaintenanceDuration, Disabled: n.conf.Disabled, Logs: n.conf.Logs,
 		}),
-		sizer: sizing.New(sizing.Config{Without: n.conf.Without, Logs: n.conf.Logs}),
-		turns: turns.New(n.conf.TurnGap+monotonicClockMargin, turns.Lists{Own: l.previousRow.Ordered, Earlier: l.previousRow.Earlier},
+		sizer: sizing.New(sizing.Config{Disabled: n.conf.Disabled, Logs: n.conf.Logs}),
+		orderGuard: turns.New(n.conf.MinOrderInterval+monotonicClockMargin, turns.RecentOrders{Own: l.previousRow.OwnOrders, Previous: l.previousRow.PreviousOrders},
 			n.wasOwnLease(&l.previousRow), n.tableClock(), n.conf.Now()),
 		renewedAt: n.conf.Now(), takenAt: n.conf.Now(),
 		calls: newBackgroundCalls(), drained: make(chan struct{}, 1),
 		unsaved: make(map[int64]bool),
 	}
-	f.sizer.Learnt(time.Duration(l.previousRow.Kept)*time.Millisecond, n.conf.Now())
+	f.sizer.SetRetention(time.Duration(l.previousRow.Retention)*time.Millisecond, n.conf.Now())
 	f.ordersFrom = n.conf.Now() + initialOrderDelay
 	if l.term > 0 {
 		f.ordersFrom = n.firstOrderTime(l)
 	}
 	n.setFleet(f)
 	defer n.setFleet(nil)
-	for ctx.Err() == nil && n.running.Load() && !l.lease.Lost() {
+	for ctx.Err() == nil && n.running.Load() && !l.lease.IsLost() {
 		f.runRound(ctx)
 		if f.handOverIfStuck(ctx) {
 			return
@@ -106,7 +106,7 @@
 func (f *fleet) handOver(ctx context.Context, why, to string) {
 	n, l := f.node, f.held
 	f.endOrders()
-	if l.lease.Lost() {
+	if l.lease.IsLost() {
 		n.conf.Logs.Info("fleet left", "fence", l.token, "reason", "the lease is lost")
 		return
 	}
@@ -139,7 +139,7 @@
 		return false
 	}
 	f.endOrders()
-	f.held.lease.Lose()
+	f.held.lease.MarkLost()
 	f.node.conf.Logs.Info("fleet left", "fence", f.held.token, "reason", "writes fail here")
 	f.node.offerLease(ctx, to, f.leaseOffer())
 	return true
@@ -173,7 +173,7 @@
 		}
 	}
 	if f.node.conf.Now()-f.renewedAt >= fleetRenewInterval {
-		f.commit(ctx, gauge.PartTxn{})
+		f.commit(ctx, gauge.PartitionTxn{})
 	}
 	if !f.addNewWaves(ctx) {
 		return
@@ -183,14 +183,14 @@
 	if f.listedAt == 0 || f.node.conf.Now() < f.ordersFrom {
 		return
 	}
-	steps := f.keeper.Next(f.node.conf.Now(), waves.Sight{
-		Moving: f.sizer.Moving, Ordered: f.orderedByPrevious, Pressed: f.sizer.Pressed, Lasting: f.sizer.Lasting,
+	steps := f.scheduler.Next(f.node.conf.Now(), waves.View{
+		IsMoving: f.sizer.IsMoving, WasOrdered: f.orderedByPrevious, IsShort: f.sizer.IsShort, LongRunningTasks: f.sizer.LongRunningTasks,
 	})
 	moves := f.nextMoves()
 	f.announceOrders(ctx, machinesToOrder(steps, moves))
-	f.requestDraining(ctx, steps.Asks)
-	f.orderMaintenance(ctx, steps.Begins)
-	for _, number := range steps.Complete {
+	f.requestDraining(ctx, steps.Drains)
+	f.orderMaintenance(ctx, steps.Starts)
+	for _, number := range steps.CompletedWaves {
 		f.completeWave(ctx, number)
 	}
 	f.moveMachines(ctx, moves)
@@ -198,19 +198,19 @@
 
 // commit writes on condition that this entry still holds the fleet lease, and reports whether it
 // succeeded.
-func (f *fleet) commit(ctx context.Context, txn gauge.PartTxn) bool {
-	return f.commitRow(ctx, f.leaseRow(f.turns.Announced()), txn)
+func (f *fleet) commit(ctx context.Context, txn gauge.PartitionTxn) bool {
+	return f.commitRow(ctx, f.leaseRow(f.orderGuard.Announced()), txn)
 }
 
-func (f *fleet) commitRow(ctx context.Context, row gauge.LeaseRow, txn gauge.PartTxn) bool {
+func (f *fleet) commitRow(ctx context.Context, row gauge.LeaseRow, txn gauge.PartitionTxn) bool {
 	sent := f.node.conf.Now()
-	stamp, _, err := f.held.lease.Commit(ctx, row, txn)
+	position, _, err := f.held.lease.Commit(ctx, row, txn)
 	if err != nil {
 		f.node.conf.Logs.Info("fleet write failed", "kind", gauge.KindOf(err), "error", err.Error())
 		return false
 	}
 	f.renewedAt = sent
-	f.node.recordTableClock(stamp, sent)
+	f.node.recordTableClock(position, sent)
 	return true
 }
 
@@ -233,7 +233,7 @@
 // setMachines applies a list of the machines that was requested at the given time.
 func (f *fleet) setMachines(list []gauge.Machine, requestedAt time.Duration) {
 	f.listedAt = requestedAt
-	f.keeper.Machines(list, requestedAt)
+	f.scheduler.SetMachines(list, requestedAt)
 	var standby []string
 	if site := f.node.Site(); site != nil {
 		for _, p := range site.Pools {
@@ -242,6 +242,6 @@
 			}
 		}
 	}
-	f.keeper.Standby(standby)
-	f.sizer.Machines(list, standby, requestedAt)
+	f.scheduler.SetStandbyPools(standby)
+	f.sizer.SetMachines(list, standby, requestedAt)
 }
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -13,10 +13,10 @@
 // differ between tables.
 func (n *Node) followTable(ctx context.Context, c watch.Config) {
 	c.Store, c.Logs, c.Now = n.conf.Store, n.conf.Logs, n.conf.Now
-	if c.Stamp == nil {
-		c.Stamp = n.recordTableClock
+	if c.OnTablePosition == nil {
+		c.OnTablePosition = n.recordTableClock
 	}
-	c.Seen = func(asOf time.Duration) { n.freshness.update(c.Name, asOf) }
+	c.OnKnownAsOf = func(asOf time.Duration) { n.freshness.update(c.Name, asOf) }
 	defer n.freshness.remove(c.Name)
 	watch.New(c).Run(ctx)
 }
@@ -27,7 +27,7 @@
 func (n *Node) leasePause() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if len(n.leasesInUse) == 0 && n.board.Weak() {
+	if len(n.leasesInUse) == 0 && n.leaseView.IsSmallHost() {
 		return smallHostLeasePollDelay
 	}
 	return leasePollDelay
@@ -35,7 +35,7 @@
 
 // recordTableClock records a reading of the table's clock from a call that was sent at the given
 // time. A reading from a slow call is imprecise, by more than the clocks drift apart within a day.
-func (n *Node) recordTableClock(s gauge.Stamp, sent time.Duration) {
+func (n *Node) recordTableClock(s gauge.TablePosition, sent time.Duration) {
 	now := n.conf.Now()
 	if s.Now > 0 && (now-sent < maxClockReadingTime || n.clockOffset.Load() == 0) {
 		n.clockOffset.Store(int64(s.Now - now))
@@ -43,13 +43,13 @@
 }
 
 // recordLeaseRead records that the leases were read, whether or not they have changed.
-func (n *Node) recordLeaseRead(s gauge.Stamp, sent time.Duration) {
+func (n *Node) recordLeaseRead(s gauge.TablePosition, sent time.Duration) {
 	n.recordTableClock(s, sent)
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.leasesReadAt > 0 && now-n.leasesReadAt > tableOutageAfter {
-		n.board.Regained(now)
+		n.leaseView.StartGracePeriod(now)
 		n.tableBackAt = now
 	}
 	n.leasesReadAt = sent
@@ -65,12 +65,12 @@
 	return (n.conf.Now() + time.Duration(n.clockOffset.Load())).Milliseconds()
 }
 
-func (n *Node) applyOperatorRows(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyOperatorRows(rows []gauge.PartitionRow, _ bool) {
 	for _, r := range rows {
-		if r.Dropped {
+		if r.Deleted {
 			continue
 		}
-		site, wave, err := n.conf.Words.Operator(r)
+		site, wave, err := n.conf.Words.DecodeOperatorRow(r)
 		switch {
 		case err != nil:
 			n.conf.Logs.Error(err, "operator row not read", "key", r.Key, "version", r.Version)
@@ -80,7 +80,7 @@
 			n.mu.Lock()
 			n.waves[wave.Wave] = *wave
 			n.mu.Unlock()
-			n.conf.Logs.Info("wave seen", "wave", wave.Wave, "machines", len(wave.Machines), "within", wave.Within, "atonce", wave.AtOnce)
+			n.conf.Logs.Info("wave seen", "wave", wave.Wave, "machines", len(wave.Machines), "within", wave.Within, "atonce", wave.MaxConcurrent)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		return
 	}
 	n.site.Store(site)
-	n.conf.Event("configuration in force")
+	n.conf.CountEvent("configuration in force")
 	behind, _ := n.configurationAge()
 	n.conf.Logs.Info("configuration in force", "version", site.Version, "queues", len(site.Queues), "pools", len(site.Pools), "behind", behind)
 	n.mu.Lock()
@@ -111,7 +111,7 @@
 	return owners
 }
 
-func (n *Node) applyLeaseRows(rows []gauge.PartRow, whole bool) {
+func (n *Node) applyLeaseRows(rows []gauge.PartitionRow, whole bool) {
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -119,42 +119,42 @@
 		n.applyLeaseRow(r, now)
 	}
 	if whole {
-		n.board.Read()
+		n.leaseView.MarkTableRead()
 	}
 }
 
-func (n *Node) applyLeaseRow(r gauge.PartRow, now time.Duration) {
-	if r.Dropped || r.Key != gauge.KeyOwner {
+func (n *Node) applyLeaseRow(r gauge.PartitionRow, now time.Duration) {
+	if r.Deleted || r.Key != gauge.KeyOwner {
 		return
 	}
 	lease, err := gauge.DecodeLeaseRow(r.Value)
 	if err != nil {
-		n.conf.Logs.Error(err, "lease row not read", "pool", r.Part, "version", r.Version)
+		n.conf.Logs.Error(err, "lease row not read", "pool", r.Partition, "version", r.Version)
 		return
 	}
-	if old, ok := n.board.Holder(r.Part); lease.Holder != "" && (!ok || old.Addr != lease.Addr) && lease.Addr != n.conf.Addr {
+	if old, ok := n.leaseView.Lease(r.Partition); lease.Holder != "" && (!ok || old.Addr != lease.Addr) && lease.Addr != n.conf.Addr {
 		n.group.Go(func() { n.keepConnected(lease.Addr) })
 	}
-	n.board.Tell(r.Part, *lease, r.Version, now, n.tableClockIfKnown())
+	n.leaseView.SetLease(r.Partition, *lease, r.Version, now, n.tableClockIfKnown())
 }
 
-func (n *Node) applyEntryRows(rows []gauge.PartRow, _ bool) {
+func (n *Node) applyEntryRows(rows []gauge.PartitionRow, _ bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, r := range rows {
-		if !r.Dropped {
+		if !r.Deleted {
 			n.applyEntryRow(r)
 		}
 	}
 }
 
-func (n *Node) applyEntryRow(r gauge.PartRow) {
+func (n *Node) applyEntryRow(r gauge.PartitionRow) {
 	row, err := gauge.DecodeEntryRow(r.Value)
 	if err != nil {
 		n.conf.Logs.Error(err, "entry row not read", "peer", r.Key, "version", r.Version)
 		return
 	}
-	if n.board.Entry(r.Key, *row) {
+	if n.leaseView.SetEntry(r.Key, *row) {
 		n.conf.Logs.Info("entry known", "peer", r.Key, "addr", row.Addr, "capacity", row.Capacity, "version", r.Version)
 	}
 }
@@ -176,7 +176,7 @@
 	clock := n.tableClockIfKnown()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	row, ok := n.board.Holder(q.Pool)
+	row, ok := n.leaseView.Lease(q.Pool)
 	if !ok || clock == 0 || !n.isQueueKnown(q.Name) {
 		return 0, 0, false
 	}
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -42,9 +42,9 @@
 	return now - asOf, true
 }
 
-// Ages returns, for each table that this entry follows, how long ago its rows here were certain to
-// be complete.
-func (n *Node) Ages() map[string]time.Duration {
+// TableAges returns, for each table that this entry follows, how long ago its rows here were
+// certain to be complete.
+func (n *Node) TableAges() map[string]time.Duration {
 	n.freshness.mu.Lock()
 	defer n.freshness.mu.Unlock()
 	now, ages := n.conf.Now(), make(map[string]time.Duration, len(n.freshness.asOf))
@@ -65,7 +65,7 @@
 // loaded before may have been replaced in between.
 func (n *Node) isConfigCurrent() bool {
 	age, ok := n.configurationAge()
-	return ok && age <= n.conf.Apply
+	return ok && age <= n.conf.MaxApplyDelay
 }
 
 // isQueueKnown reports whether a queue is certain to exist.
@@ -78,13 +78,13 @@
 }
 
 // Route returns the queue of a call according to the configuration in force, and the rest of the
-// path after the queue's prefix. Errors: KindMissing: no queue matches, only returned by an entry
+// path after the queue's prefix. Errors: KindNotFound: no queue matches, only returned by an entry
 // whose configuration is current; KindUnready: this entry can't know.
 func (n *Node) Route(host, path string) (*gauge.Queue, string, error) {
 	current := n.isConfigCurrent()
-	site := n.Serves()
+	site := n.ServingSite()
 	if site == nil {
-		return nil, "", gauge.Fail(gauge.KindUnready, "no configuration yet")
+		return nil, "", gauge.Errorf(gauge.KindUnready, "no configuration yet")
 	}
 	if q, rest, ok := site.Match(host, path); ok {
 		return q, rest, nil
@@ -94,9 +94,9 @@
 	if !current {
 		// The queue may have been added since. A caller that is told that there is none doesn't
 		// retry, although all other entries would have served it.
-		return nil, "", gauge.Fail(gauge.KindUnready, "whether there is such a queue isn't known at the moment")
+		return nil, "", gauge.Errorf(gauge.KindUnready, "whether there is such a queue isn't known at the moment")
 	}
-	return nil, "", gauge.Fail(gauge.KindMissing, "no such queue")
+	return nil, "", gauge.Errorf(gauge.KindNotFound, "no such queue")
 }
 
 // maxLoggedBytes bounds the texts of a caller that are logged.
--- a/internal/node/holdercheck.go
+++ b/internal/node/holdercheck.go
@@ -25,7 +25,7 @@
 func (n *Node) keepConnected(addr string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	if err := n.conf.Mesh.Open(ctx, addr); err != nil {
+	if err := n.conf.Mesh.Connect(ctx, addr); err != nil {
 		n.conf.Logs.Info("holder not reached", "addr", addr, "error", err.Error())
 		n.CheckHolder(addr)
 	}
@@ -51,7 +51,7 @@
 
 // suspectAfter returns how long a lease may go without a renewal before its holder is probed: two
 // renewals and one poll of the leases are overdue by then. 0: holders aren't probed.
-func suspectAfter(disabled gauge.Without) time.Duration {
+func suspectAfter(disabled gauge.Disabled) time.Duration {
 	if disabled.Has(gauge.MechanismSuspect) {
 		return 0
 	}
@@ -63,7 +63,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	for _, addr := range n.board.Suspects(now) {
+	for _, addr := range n.leaseView.OverdueAddrs(now) {
 		if n.probing[addr] {
 			continue
 		}
@@ -78,7 +78,7 @@
 	defer n.mu.Unlock()
 	delete(n.probing, addr)
 	if err != nil {
-		n.board.Unanswered(addr, now)
+		n.leaseView.MarkUnanswered(addr, now)
 		n.conf.Logs.Info("holder silent", "addr", addr, "error", err.Error())
 	}
 }
@@ -87,7 +87,7 @@
 // listens there, or another process of that host's entry does.
 func (n *Node) CheckHolder(addr string) {
 	n.mu.Lock()
-	holders := n.board.HoldersAt(addr)
+	holders := n.leaseView.HoldersAt(addr)
 	n.mu.Unlock()
 	if len(holders) == 0 || addr == n.conf.Addr {
 		return
@@ -100,11 +100,11 @@
 	defer n.mu.Unlock()
 	for _, h := range holders {
 		if err == nil && a.Holder == h {
-			n.board.Alive(h, n.conf.Now())
+			n.leaseView.MarkAlive(h, n.conf.Now())
 			continue
 		}
-		n.board.Gone(h)
-		n.conf.Event("holder gone")
+		n.leaseView.MarkExited(h)
+		n.conf.CountEvent("holder gone")
 		n.conf.Logs.Info("holder gone", "holder", h, "addr", addr, "answers", a.Holder, "kind", gauge.KindOf(err))
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,28 +24,28 @@
 
 // Config sets up a Node.
 type Config struct {
-	Name     string  // name of this entry's host
-	Start    string  // identifies this process: differs between two starts on one host
-	Addr     string  // ip:port at which other entries reach this one
-	Capacity float64 // of this host, in cores of standard speed; 0: not known
-	Store    gauge.Parted
-	Workers  gauge.Workers
-	Machines gauge.Machines // nil: the platform has no machine service
-	Adviser  gauge.Adviser  // nil: the platform has no advice service
-	Words    gauge.Words    // reads and writes the rows of operator and workers
-	Mesh     *mesh.Node
-	Logs     logr.Logger
-	Now      func() time.Duration                   // monotonic clock
-	Wall     func() time.Time                       // wall clock
-	Count    func(event string, took time.Duration) // records the duration of a call
-	Event    func(event string)                     // counts an event that an operator should see
-	Backlog  func(pool string, b *gauge.Backlog)    // receives the backlog of each pool that is owned here; nil: it is not reported
-	Longest  time.Duration                          // longest lease that a worker accepts
-	Apply    time.Duration                          // a configuration change is in force at all entries this long after it was stored; default 2 s
-	TurnGap  time.Duration                          // minimum time between orders of two entries for the same machine
-	Upkeep   time.Duration                          // duration of a machine's maintenance
-	Keep     time.Duration                          // how long callers can query an ended job
-	Without  gauge.Without                          // mechanisms that are switched off
+	Name                string  // name of this entry's host
+	Start               string  // identifies this process: differs between two starts on one host
+	Addr                string  // ip:port at which other entries reach this one
+	CapacityCores       float64 // of this host, in cores of standard speed; 0: not known
+	Store               gauge.PartitionedTable
+	Workers             gauge.Workers
+	Machines            gauge.Machines   // nil: the platform has no machine service
+	Adviser             gauge.Adviser    // nil: the platform has no advice service
+	Words               gauge.TableCodec // reads and writes the rows of operator and workers
+	Mesh                *mesh.Node
+	Logs                logr.Logger
+	Now                 func() time.Duration                   // monotonic clock
+	WallClock           func() time.Time                       // wall clock
+	ObserveCall         func(event string, took time.Duration) // records the duration of a call
+	CountEvent          func(event string)                     // counts an event that an operator should see
+	ObserveBacklog      func(pool string, b *gauge.Backlog)    // receives the backlog of each pool that is owned here; nil: it is not reported
+	MaxWorkerLease      time.Duration                          // longest lease that a worker accepts
+	MaxApplyDelay       time.Duration                          // a configuration change is in force at all entries this long after it was stored; default 2 s
+	MinOrderInterval    time.Duration                          // minimum time between orders of two entries for the same machine
+	MaintenanceDuration time.Duration                          // duration of a machine's maintenance
+	JobRetention        time.Duration                          // how long callers can query an ended job
+	Disabled            gauge.Disabled                         // mechanisms that are switched off
 }
 
 const (
@@ -138,11 +138,11 @@
 	offerMu sync.Mutex
 
 	mu                sync.Mutex
-	board             *terms.Board  // view of the lease table
-	tableBackAt       time.Duration // when the table last became reachable again; 0: there was no outage
-	holdersCheckedAt  time.Duration // last check of the holders during a table outage
-	leasesReadAt      time.Duration // when the last successful read of the leases was sent
-	claimPauseUntil   time.Duration // no pool is claimed before this
+	leaseView         *terms.LeaseView // view of the lease table
+	tableBackAt       time.Duration    // when the table last became reachable again; 0: there was no outage
+	holdersCheckedAt  time.Duration    // last check of the holders during a table outage
+	leasesReadAt      time.Duration    // when the last successful read of the leases was sent
+	claimPauseUntil   time.Duration    // no pool is claimed before this
 	owners            map[string]*owner.Owner
 	leasesInUse       map[string]bool          // leases that are being claimed or held
 	claiming          map[string]chan struct{} // pools that are being claimed and have no owner here yet; closed when the claim has ended
@@ -154,7 +154,7 @@
 	unresponsiveUntil map[string]time.Duration // by address: until when an unresponsive owner isn't called
 	workers           map[string]gauge.Worker
 	broadcasts        chan struct{} // semaphore of the broadcasts of unsettled submissions
-	waves             map[int64]gauge.UpkeepOrder
+	waves             map[int64]gauge.MaintenanceOrder
 }
 
 // ownerMove is where a pool's owner has moved, and the version of the lease row that was known at
@@ -166,19 +166,19 @@
 
 // New returns a Node; Run starts it.
 func New(c Config) *Node {
-	if c.Capacity == 0 {
-		c.Capacity = terms.FullCapacity
+	if c.CapacityCores == 0 {
+		c.CapacityCores = terms.DefaultCapacity
 	}
-	fill.Zero(&c.Apply, defaultApplyDelay)
+	fill.Zero(&c.MaxApplyDelay, defaultApplyDelay)
 	n := &Node{
 		conf: c, holder: c.Name + "/" + c.Start, workerListGate: gate.New(), freshness: newFreshness(),
 		owners: make(map[string]*owner.Owner), leasesInUse: make(map[string]bool), claiming: make(map[string]chan struct{}),
-		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.UpkeepOrder),
+		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.MaintenanceOrder),
 	}
-	n.board = terms.New(terms.Config{Self: n.holder, Addr: c.Addr, Capacity: c.Capacity, Term: leaseTerm, Spread: claimSpread, Held: claimDelayPerLease, Suspect: suspectAfter(c.Without), Regain: renewalGrace})
+	n.leaseView = terms.New(terms.Config{Holder: n.holder, Addr: c.Addr, Capacity: c.CapacityCores, LeaseDuration: leaseTerm, ClaimSpread: claimSpread, DelayPerLease: claimDelayPerLease, ProbeAfter: suspectAfter(c.Disabled), GracePeriod: renewalGrace})
 	n.intake = intake.New(intake.Config{
-		Store: c.Store, Logs: c.Logs, CountEvent: c.Event, Now: c.Now, TableClock: n.tableClock, SeenDepth: n.seenDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
-		Relay: ownerRelay{n}, ReportUnsettled: n.reportUnsettled, OwnsJob: n.ownsJob, Disabled: c.Without,
+		Store: c.Store, Logs: c.Logs, CountEvent: c.CountEvent, Now: c.Now, TableClock: n.tableClock, SeenDepth: n.seenDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
+		Relay: ownerRelay{n}, ReportUnsettled: n.reportUnsettled, OwnsJob: n.ownsJob, Disabled: c.Disabled,
 	})
 	c.Mesh.Handle(methodNotification, n.handleNotification)
 	c.Mesh.Handle(methodUnsettled, n.handleUnsettled)
@@ -199,11 +199,11 @@
 // Site returns the newest configuration, nil if none was read yet.
 func (n *Node) Site() *gauge.Site { return n.site.Load() }
 
-// Serves returns the configuration by which callers are served, nil before this entry has read
+// ServingSite returns the configuration by which callers are served, nil before this entry has read
 // which entries own the pools. Without owners it would send a submission to the table itself; if
 // that got no answer, it could notify no owner, and the owner would refuse the caller's retry of a
 // job that runs after all.
-func (n *Node) Serves() *gauge.Site {
+func (n *Node) ServingSite() *gauge.Site {
 	if !n.leasesRead.Load() {
 		return nil
 	}
@@ -212,7 +212,7 @@
 
 // Ready reports whether callers should be sent here. An entry that can't know whether the
 // configuration has changed isn't ready, since others know better which queues exist.
-func (n *Node) Ready() bool { return n.running.Load() && n.Serves() != nil && n.isConfigCurrent() }
+func (n *Node) Ready() bool { return n.running.Load() && n.ServingSite() != nil && n.isConfigCurrent() }
 
 // Run works until ctx ends and then gives up the pools that it owns. It returns when all its
 // goroutines have ended.
@@ -221,18 +221,18 @@
 	n.running.Store(true)
 	n.group.Go(func() {
 		n.followTable(ctx, watch.Config{
-			Name: n.conf.Words.OperatorTable(), Wait: min(configPollTimeout, n.conf.Apply/configPollsPerApply), Renew: true, Pause: fixedDelay(0), Tell: n.applyOperatorRows,
+			Name: n.conf.Words.OperatorTable(), FeedWait: min(configPollTimeout, n.conf.MaxApplyDelay/configPollsPerApply), ConfirmEachWait: true, PollDelay: fixedDelay(0), OnRows: n.applyOperatorRows,
 		})
 	})
 	n.group.Go(func() {
-		n.followTable(ctx, watch.Config{Name: gauge.TableEntries, Wait: entryPollTimeout, Pause: fixedDelay(entryPollDelay), Tell: n.applyEntryRows})
+		n.followTable(ctx, watch.Config{Name: gauge.TableEntries, FeedWait: entryPollTimeout, PollDelay: fixedDelay(entryPollDelay), OnRows: n.applyEntryRows})
 	})
 	n.group.Go(func() { n.followWorkers(ctx) })
 	n.group.Go(func() {
-		n.followTable(ctx, watch.Config{Name: gauge.TableLeases, Parted: true, Pause: n.leasePause, Stamp: n.recordLeaseRead, Tell: n.applyLeaseRows})
+		n.followTable(ctx, watch.Config{Name: gauge.TableLeases, Partitioned: true, PollDelay: n.leasePause, OnTablePosition: n.recordLeaseRead, OnRows: n.applyLeaseRows})
 	})
 	n.group.Go(func() { n.manage(ctx) })
-	if !n.conf.Without.Has(gauge.MechanismBalance) {
+	if !n.conf.Disabled.Has(gauge.MechanismBalance) {
 		n.group.Go(func() { n.rebalance(ctx) })
 	}
 	n.group.Go(func() { n.register(ctx) })
@@ -253,7 +253,7 @@
 	var group conc.WaitGroup
 	for _, o := range owners {
 		group.Go(func() {
-			for !n.conf.Without.Has(gauge.MechanismCalm) && !o.Calm() && n.conf.Now() < until && ctx.Err() == nil {
+			for !n.conf.Disabled.Has(gauge.MechanismCalm) && !o.IsTableFast() && n.conf.Now() < until && ctx.Err() == nil {
 				sleep(ctx, releaseCheckInterval)
 			}
 			n.handOver(ctx, o, "the entry stops")
--- a/internal/node/notification.go
+++ b/internal/node/notification.go
@@ -51,7 +51,7 @@
 	defer cancel()
 	row, ok := n.findOwner(ctx, notification)
 	if !ok || row.Holder == n.holder {
-		return gauge.Fail(gauge.KindOutage, "pool %s has no owner", notification.Pool)
+		return gauge.Errorf(gauge.KindOutage, "pool %s has no owner", notification.Pool)
 	}
 	var answer notificationAnswer
 	return n.conf.Mesh.Call(ctx, row.Addr, methodNotification, &notification, &answer)
@@ -63,7 +63,7 @@
 // read.
 func (n *Node) findOwner(ctx context.Context, notification intake.Notification) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
-	row, ok := n.board.Holder(notification.Pool)
+	row, ok := n.leaseView.Lease(notification.Pool)
 	n.mu.Unlock()
 	if ok || !notification.Cancelled {
 		return row, ok
@@ -76,7 +76,7 @@
 	n.applyLeaseRows(rows, false)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.board.Holder(notification.Pool)
+	return n.leaseView.Lease(notification.Pool)
 }
 
 // deliverLocally passes a notification to the pool's owner if that is this entry, and reports
@@ -101,10 +101,10 @@
 		return nil, err
 	}
 	if notification.Row == nil && !notification.Cancelled || notification.Spec == nil && !notification.Cancelled {
-		return nil, gauge.Fail(gauge.KindInvalid, "notification of job %s without its specification or row", notification.ID)
+		return nil, gauge.Errorf(gauge.KindInvalid, "notification of job %s without its specification or row", notification.ID)
 	}
 	if !n.deliverLocally(notification) {
-		return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", notification.Pool)
+		return nil, gauge.Errorf(gauge.KindFenced, "this entry doesn't own pool %s", notification.Pool)
 	}
 	return notificationAnswer{}, nil
 }
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -70,14 +70,16 @@
 	Capacity float64 `msgpack:"c"` // of its host
 }
 
-func (a *offerAnswer) load() terms.Burden { return terms.Burden{Held: a.Held, Capacity: a.Capacity} }
+func (a *offerAnswer) load() terms.HostLoad {
+	return terms.HostLoad{Leases: a.Held, Capacity: a.Capacity}
+}
 
 // peerAddrs lists the addresses of the other entries, the least loaded hosts first.
 func (n *Node) peerAddrs(pool string) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var addrs []string
-	for _, p := range n.board.Peers(pool) {
+	for _, p := range n.leaseView.Peers(pool) {
 		addrs = append(addrs, p.Addr)
 	}
 	return addrs
@@ -86,7 +88,7 @@
 // register writes this entry's row, by which other entries find it. An outdated row does little
 // harm, since an entry is probed before a lease is offered to it.
 func (n *Node) register(ctx context.Context) {
-	entry := gauge.EntryRow{Addr: n.conf.Addr, Capacity: n.conf.Capacity}
+	entry := gauge.EntryRow{Addr: n.conf.Addr, Capacity: n.conf.CapacityCores}
 	value, err := entry.Encode()
 	if err != nil {
 		n.conf.Logs.Error(err, "entry not registered")
@@ -94,7 +96,7 @@
 	}
 	row := gauge.RowWrite{RowKey: gauge.RowKey{Table: gauge.TableEntries, Key: n.conf.Name}, Value: value}
 	for ctx.Err() == nil {
-		_, _, err := n.conf.Store.Commit(ctx, gauge.PartTxn{Writes: []gauge.RowWrite{row}})
+		_, _, err := n.conf.Store.Commit(ctx, gauge.PartitionTxn{Writes: []gauge.RowWrite{row}})
 		if err == nil {
 			return
 		}
@@ -155,7 +157,7 @@
 // betterReply returns the reply that is ready, and of two that are, the one from the less loaded
 // host.
 func betterReply(best, r probeReply) probeReply {
-	if r.Ready && (!best.Ready || r.load().Next() < best.load().Next()) {
+	if r.Ready && (!best.Ready || r.load().LoadWithOneMore() < best.load().LoadWithOneMore()) {
 		return r
 	}
 	return best
@@ -252,7 +254,7 @@
 func (n *Node) newAnswer(ready bool) offerAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.leasesInUse), Capacity: n.conf.Capacity}
+	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.leasesInUse), Capacity: n.conf.CapacityCores}
 }
 
 // claimOf returns the claim of an offered lease. Its holder has stopped, so the claim doesn't wait
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -20,11 +20,11 @@
 // have to wait. Otherwise it may have ordered any machine for orderWindow after its last renewal.
 func (n *Node) firstOrderTime(l *takenLease) time.Duration {
 	now := n.conf.Now()
-	if l.previousRow.Holder == "" || l.previousRow.Announced || n.wasOwnLease(&l.previousRow) {
+	if l.previousRow.Holder == "" || l.previousRow.OrdersAnnounced || n.wasOwnLease(&l.previousRow) {
 		return now // given up, or orders known, or held by this entry before a restart
 	}
-	since := time.Duration(n.tableClock()-l.previousRow.Renewed)*time.Millisecond - clockReadingMargin
-	return now + max(0, n.conf.TurnGap+monotonicClockMargin+orderWindow-since)
+	since := time.Duration(n.tableClock()-l.previousRow.RenewedAt)*time.Millisecond - clockReadingMargin
+	return now + max(0, n.conf.MinOrderInterval+monotonicClockMargin+orderWindow-since)
 }
 
 // wasOwnLease reports whether a lease was held by this entry, in an earlier process.
@@ -33,14 +33,14 @@
 	return name == n.conf.Name
 }
 
-// carryOverOrders copies the orders of earlier holders into the row of a claim. If this process ends
-// before its first renewal, its successor has only that row. Announced stays set, or is set if the
-// lease was given up: this holder announces its own orders before it sends them.
+// carryOverOrders copies the orders of earlier holders into the row of a claim. If this process
+// ends before its first renewal, its successor has only that row. Announced stays set, or is set if
+// the lease was given up: this holder announces its own orders before it sends them.
 func (n *Node) carryOverOrders(row, before *gauge.LeaseRow) {
-	row.Kept = before.Kept
-	row.Announced = before.Announced || before.Holder == ""
-	lists := turns.Lists{Own: before.Ordered, Earlier: before.Earlier}.HandedOn(n.wasOwnLease(before))
-	row.Ordered, row.Earlier = lists.Own, lists.Earlier
+	row.Retention = before.Retention
+	row.OrdersAnnounced = before.OrdersAnnounced || before.Holder == ""
+	lists := turns.RecentOrders{Own: before.OwnOrders, Previous: before.PreviousOrders}.Inherited(n.wasOwnLease(before))
+	row.OwnOrders, row.PreviousOrders = lists.Own, lists.Previous
 }
 
 // clockReadingMargin covers the difference between two entries' readings of the table's clock: each
@@ -56,7 +56,7 @@
 	if f.ordersEnded || now >= f.held.lease.Until()-leaseTerm+orderWindow {
 		return false
 	}
-	return f.turns.Order(machine, f.node.tableClock(), now)
+	return f.orderGuard.TryOrder(machine, f.node.tableClock(), now)
 }
 
 // orderWindow is how long after a renewal the fleet lease holder may order machines: two renewals
@@ -73,16 +73,16 @@
 // leaseRow returns the row that a holder that continues writes. It includes the announced machines,
 // which may be ordered before the next write.
 func (f *fleet) leaseRow(announced map[string]bool) gauge.LeaseRow {
-	lists := f.turns.Ahead(announced, orderWindow, f.node.tableClock())
+	lists := f.orderGuard.RecentAndPlanned(announced, orderWindow, f.node.tableClock())
 	return gauge.LeaseRow{
-		Ordered: lists.Own, Earlier: lists.Earlier, Announced: true, Kept: f.sizer.Kept(f.node.conf.Now()).Milliseconds(),
+		OwnOrders: lists.Own, PreviousOrders: lists.Previous, OrdersAnnounced: true, Retention: f.sizer.Retention(f.node.conf.Now()).Milliseconds(),
 	}
 }
 
 // announceOrders writes into the lease row which machines may be ordered from now on.
 func (f *fleet) announceOrders(ctx context.Context, machines map[string]bool) {
-	if f.turns.Narrow(machines) && f.commitRow(ctx, f.leaseRow(machines), gauge.PartTxn{}) {
-		f.turns.Announce(machines)
+	if f.orderGuard.RetainAnnounced(machines) && f.commitRow(ctx, f.leaseRow(machines), gauge.PartitionTxn{}) {
+		f.orderGuard.Announce(machines)
 	}
 }
 
@@ -92,11 +92,11 @@
 // machinesToOrder returns the machines that are about to be ordered.
 func machinesToOrder(steps waves.Steps, moves []sizing.Move) map[string]bool {
 	machines := make(map[string]bool)
-	for _, b := range steps.Begins {
+	for _, b := range steps.Starts {
 		machines[b.Machine] = true
 	}
 	for _, m := range moves {
-		if m.Empty {
+		if m.Drained {
 			machines[m.Machine] = true
 		}
 	}
@@ -105,5 +105,5 @@
 
 // orderedByPrevious reports whether a previous holder has just ordered a machine.
 func (f *fleet) orderedByPrevious(machine string) bool {
-	return f.turns.Before(machine, f.node.tableClock())
+	return f.orderGuard.WasOrderedBefore(machine, f.node.tableClock())
 }
--- a/internal/node/ownercalls.go
+++ b/internal/node/ownercalls.go
@@ -42,12 +42,12 @@
 	if o := n.owners[pool]; o != nil {
 		return o, "", nil
 	}
-	row, ok := n.board.Holder(pool)
-	if m, gone := n.ownerMoves[pool]; gone && (n.board.Version(pool) <= m.version || row.Holder == n.holder) {
+	row, ok := n.leaseView.Lease(pool)
+	if m, gone := n.ownerMoves[pool]; gone && (n.leaseView.LeaseVersion(pool) <= m.version || row.Holder == n.holder) {
 		return nil, m.addr, nil
 	}
 	if !ok || row.Holder == n.holder {
-		return nil, "", gauge.Fail(gauge.KindOutage, "pool %s has no owner", pool)
+		return nil, "", gauge.Errorf(gauge.KindOutage, "pool %s has no owner", pool)
 	}
 	return nil, row.Addr, nil
 }
@@ -59,7 +59,7 @@
 	if o := n.owners[pool]; o != nil {
 		return o, nil
 	}
-	return nil, gauge.Fail(gauge.KindFenced, "this entry doesn't own pool %s", pool)
+	return nil, gauge.Errorf(gauge.KindFenced, "this entry doesn't own pool %s", pool)
 }
 
 // poolLoad asks a pool's owner for the demand of the pool.
@@ -109,7 +109,7 @@
 		return false, err
 	}
 	if o != nil {
-		return o.Empty(c.Worker, c.Force), nil
+		return o.DrainWorker(c.Worker, c.Force), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainTimeout)
 	defer cancel()
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return drainAnswer{Empty: o.Empty(c.Worker, c.Force)}, nil
+	return drainAnswer{Empty: o.DrainWorker(c.Worker, c.Force)}, nil
 }
 
 type stateCall struct {
@@ -148,7 +148,7 @@
 		return "", false
 	}
 	if o != nil {
-		return o.State(q.Name, id)
+		return o.JobState(q.Name, id)
 	}
 	ctx, cancel := context.WithTimeout(ctx, stateTimeout)
 	defer cancel()
@@ -163,7 +163,7 @@
 	if err != nil {
 		return false
 	}
-	_, known := o.State(q.Name, id)
+	_, known := o.JobState(q.Name, id)
 	return known
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, err
 	}
-	state, _ := o.State(c.Queue, c.ID)
+	state, _ := o.JobState(c.Queue, c.ID)
 	return stateAnswer{State: state}, nil
 }
 
@@ -200,7 +200,7 @@
 	}
 	sure := n.isQueueKnown(q.Name)
 	if o != nil {
-		depth, known := o.Depth(q.Name)
+		depth, known := o.QueueDepth(q.Name)
 		return depth, known && sure
 	}
 	ctx, cancel := context.WithTimeout(ctx, depthTimeout)
@@ -219,6 +219,6 @@
 	if err != nil {
 		return nil, err
 	}
-	depth, known := o.Depth(c.Queue)
+	depth, known := o.QueueDepth(c.Queue)
 	return depthAnswer{Depth: depth, Known: known && (c.QueueKnown || n.isQueueKnown(c.Queue))}, nil
 }
--- a/internal/node/rebalance.go
+++ b/internal/node/rebalance.go
@@ -53,7 +53,7 @@
 	var first *owner.Owner
 	var since time.Duration
 	for _, o := range owners {
-		if at, ok := o.Since(); ok && now-at >= minHeldBeforeMove && (first == nil || at < since) {
+		if at, ok := o.ServingSince(); ok && now-at >= minHeldBeforeMove && (first == nil || at < since) {
 			first, since = o, at
 		}
 	}
@@ -84,15 +84,15 @@
 	here, peers := n.moveCandidates(pool)
 	for group := range slices.Chunk(peers, maxConcurrentProbes) {
 		best := n.chooseReady(ctx, group)
-		if !best.Ready || !here.Moves(best.load()) {
+		if !best.Ready || !here.ShouldMoveTo(best.load()) {
 			continue
 		}
 		// Other holders may have chosen the same entry.
 		reserved, err := n.probe(ctx, best.addr, probeCall{Reserve: true})
-		if err != nil || !reserved.Ready || !here.Moves(reserved.load()) {
+		if err != nil || !reserved.Ready || !here.ShouldMoveTo(reserved.load()) {
 			return ""
 		}
-		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Held, "capacity", here.Capacity,
+		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Leases, "capacity", here.Capacity,
 			"heldThere", reserved.Held, "capacityThere", reserved.Capacity)
 		return best.addr
 	}
@@ -102,15 +102,15 @@
 // moveCandidates returns this host's load and, according to the table, the addresses of entries on
 // far less loaded hosts. There are none while the table is out of reach or this entry is about to
 // stop.
-func (n *Node) moveCandidates(pool string) (here terms.Burden, candidates []string) {
+func (n *Node) moveCandidates(pool string) (here terms.HostLoad, candidates []string) {
 	if !n.canTakeOver(maxTakeOverViewAge) {
 		return here, nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	here = terms.Burden{Held: n.board.Held(), Capacity: n.conf.Capacity}
-	for _, p := range n.board.Peers(pool) {
-		if here.Moves(p.Burden) {
+	here = terms.HostLoad{Leases: n.leaseView.LeaseCount(), Capacity: n.conf.CapacityCores}
+	for _, p := range n.leaseView.Peers(pool) {
+		if here.ShouldMoveTo(p.HostLoad) {
 			candidates = append(candidates, p.Addr)
 		}
 	}
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -60,7 +60,7 @@
 	if a.Kind == "" {
 		return nil
 	}
-	return gauge.Fail(a.Kind, "owner at %s: %s", addr, a.Reason)
+	return gauge.Errorf(a.Kind, "owner at %s: %s", addr, a.Reason)
 }
 
 func answerOf(err error) relayAnswer {
@@ -91,33 +91,33 @@
 	return r.node.askOwner(ctx, q.Pool, methodCancel, &cancelCall{Queue: q.Name, ID: id, Version: r.node.Site().Version})
 }
 
-// askOwner calls the owner of a pool at another entry, and follows it if it has moved. KindEmpty:
-// no owner could be asked.
+// askOwner calls the owner of a pool at another entry, and follows it if it has moved.
+// KindNoWorker: no owner could be asked.
 func (n *Node) askOwner(ctx context.Context, pool, method string, call any) error {
 	for range maxOwnersAsked {
 		o, addr, err := n.ownerOf(pool)
 		if err != nil {
-			return gauge.Fail(gauge.KindEmpty, "no owner to ask").Because(err)
+			return gauge.Errorf(gauge.KindNoWorker, "no owner to ask").WithCause(err)
 		}
 		if o != nil {
-			return gauge.Fail(gauge.KindOutage, "this entry owns pool %s itself", pool)
+			return gauge.Errorf(gauge.KindOutage, "this entry owns pool %s itself", pool)
 		}
 		answer, err := n.callOwner(ctx, pool, addr, method, call)
 		switch {
-		case gauge.Is(err, gauge.KindUnknown):
+		case gauge.IsKind(err, gauge.KindUnknown):
 			return err
 		case err != nil:
-			return gauge.Fail(gauge.KindEmpty, "the owner can't be asked").Because(err)
+			return gauge.Errorf(gauge.KindNoWorker, "the owner can't be asked").WithCause(err)
 		case answer.MovedTo != "" && answer.MovedTo != addr && answer.MovedTo != n.conf.Addr:
 			n.recordMove(pool, answer.MovedTo)
 			continue
-		case gauge.Is(answer.err(addr), gauge.KindFenced):
-			return gauge.Fail(gauge.KindEmpty, "%s no longer owns pool %s", addr, pool)
+		case gauge.IsKind(answer.err(addr), gauge.KindFenced):
+			return gauge.Errorf(gauge.KindNoWorker, "%s no longer owns pool %s", addr, pool)
 		default:
 			return answer.err(addr)
 		}
 	}
-	return gauge.Fail(gauge.KindEmpty, "the owner of pool %s moved too often", pool)
+	return gauge.Errorf(gauge.KindNoWorker, "the owner of pool %s moved too often", pool)
 }
 
 func (n *Node) callOwner(ctx context.Context, pool, addr, method string, call any) (relayAnswer, error) {
@@ -141,8 +141,8 @@
 func (n *Node) recordMove(pool, addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ownerMoves[pool] = ownerMove{addr: addr, version: n.board.Version(pool)}
-	n.conf.Logs.Info("owner moved", "pool", pool, "to", addr, "seen", n.board.Version(pool))
+	n.ownerMoves[pool] = ownerMove{addr: addr, version: n.leaseView.LeaseVersion(pool)}
+	n.conf.Logs.Info("owner moved", "pool", pool, "to", addr, "seen", n.leaseView.LeaseVersion(pool))
 }
 
 // markUnresponsive excludes an owner that doesn't answer from calls for unresponsivePause.
@@ -166,7 +166,7 @@
 		return answerOf(err), nil
 	}
 	if c.Spec == nil {
-		return nil, gauge.Fail(gauge.KindInvalid, "job %s without its specification", c.ID)
+		return nil, gauge.Errorf(gauge.KindInvalid, "job %s without its specification", c.ID)
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
@@ -231,19 +231,19 @@
 
 // queueForCall returns the queue of another entry's call, which knows the queue from the given
 // version of the configuration. With an older version this entry can't say that the queue doesn't
-// exist: the caller, whose entry serves the queue, would be refused for good. KindEmpty lets that
-// entry continue without the owner.
+// exist: the caller, whose entry serves the queue, would be refused for good. KindNoWorker lets
+// that entry continue without the owner.
 func (n *Node) queueForCall(name string, version int64) (*gauge.Queue, error) {
 	site := n.Site()
 	if site == nil {
-		return nil, gauge.Fail(gauge.KindOutage, "no configuration yet")
+		return nil, gauge.Errorf(gauge.KindOutage, "no configuration yet")
 	}
 	if q := site.QueueByName(name); q != nil {
 		return q, nil
 	}
 	if site.Version < version {
 		n.conf.Logs.Info("queue not known yet", "queue", name, "version", site.Version, "asked", version)
-		return nil, gauge.Fail(gauge.KindEmpty, "the owner's configuration is older")
+		return nil, gauge.Errorf(gauge.KindNoWorker, "the owner's configuration is older")
 	}
-	return nil, gauge.Fail(gauge.KindMissing, "no such queue")
+	return nil, gauge.Errorf(gauge.KindNotFound, "no such queue")
 }
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -19,14 +19,14 @@
 		if p.Standby {
 			continue
 		}
-		call := loadCall{Pool: p.Name, Soon: f.keeper.Workers(p.Name)}
+		call := loadCall{Pool: p.Name, Soon: f.scheduler.PendingWorkers(p.Name)}
 		f.calls.start("load "+p.Name, func() func() {
 			l, err := f.node.poolLoad(ctx, call)
 			if err != nil {
 				return func() {}
 			}
 			now := f.node.conf.Now()
-			return func() { f.sizer.Load(l, now) }
+			return func() { f.sizer.RecordLoad(l, now) }
 		})
 	}
 }
@@ -34,8 +34,10 @@
 // nextMoves returns the machines to drain or to order now.
 func (f *fleet) nextMoves() []sizing.Move {
 	now := f.node.conf.Now()
-	taken := func(machine string) bool { return f.keeper.Takes(machine) || f.turns.Waits(machine, now) }
-	return f.sizer.Next(now, taken, f.keeper.Waits)
+	taken := func(machine string) bool {
+		return f.scheduler.IsReserved(machine) || f.orderGuard.IsBlocked(machine, now)
+	}
+	return f.sizer.Next(now, taken, f.scheduler.IsPending)
 }
 
 // moveMachines moves machines between pools. A machine that is in use is drained first and ordered
@@ -46,18 +48,18 @@
 func (f *fleet) moveMachines(ctx context.Context, moves []sizing.Move) {
 	for _, m := range moves {
 		began := f.calls.start("move "+m.Machine, func() func() {
-			if !m.Empty {
+			if !m.Drained {
 				empty := f.drainMachine(ctx, m)
-				return func() { f.sizer.Emptied(m.Machine, empty) }
+				return func() { f.sizer.SetDrained(m.Machine, empty) }
 			}
 			err := f.orderMove(ctx, m)
 			return func() {
-				f.sizer.Emptied(m.Machine, true)
-				f.sizer.Ordered(m.Machine, err, f.node.conf.Now())
+				f.sizer.SetDrained(m.Machine, true)
+				f.sizer.RecordOrder(m.Machine, err, f.node.conf.Now())
 			}
 		})
 		if began {
-			f.sizer.Begun(m.Machine)
+			f.sizer.MarkInFlight(m.Machine)
 		}
 	}
 }
@@ -97,11 +99,11 @@
 // orderMove orders the move of one machine while the lease is certain to last.
 func (f *fleet) orderMove(ctx context.Context, m sizing.Move) error {
 	if !f.allowOrder(m.Machine) {
-		return gauge.Fail(gauge.KindOutage, "the lease has ended")
+		return gauge.Errorf(gauge.KindOutage, "the lease has ended")
 	}
-	err := f.node.conf.Machines.Move(ctx, gauge.Duty{Holder: f.node.conf.Name, Fence: f.held.token}, m.Machine, m.To)
-	if gauge.Is(err, gauge.KindFenced) {
-		f.held.lease.Lose()
+	err := f.node.conf.Machines.Move(ctx, gauge.OrderIssuer{Holder: f.node.conf.Name, Fence: f.held.token}, m.Machine, m.To)
+	if gauge.IsKind(err, gauge.KindFenced) {
+		f.held.lease.MarkLost()
 	}
 	return err
 }
--- a/internal/node/unsettled.go
+++ b/internal/node/unsettled.go
@@ -83,7 +83,7 @@
 	}
 	defer func() { <-n.broadcasts }()
 	n.mu.Lock()
-	peers := n.board.Peers(poolName)
+	peers := n.leaseView.Peers(poolName)
 	n.mu.Unlock()
 	ctx, cancel := context.WithTimeout(n.runContext(), unsettledTimeout)
 	defer cancel()
@@ -115,7 +115,7 @@
 		return err
 	}
 	if !a.Owns {
-		return gauge.Fail(gauge.KindOutage, "%s no longer owns pool %s", addr, pool)
+		return gauge.Errorf(gauge.KindOutage, "%s no longer owns pool %s", addr, pool)
 	}
 	return nil
 }
--- a/internal/node/workerlist.go
+++ b/internal/node/workerlist.go
@@ -16,7 +16,7 @@
 
 // followWorkers follows the list of workers whenever this entry has a pool, until ctx ends.
 func (n *Node) followWorkers(ctx context.Context) {
-	for n.workerListGate.Open(ctx) {
+	for n.workerListGate.WaitOpen(ctx) {
 		n.followWorkerList(ctx)
 	}
 }
@@ -26,9 +26,9 @@
 	listCtx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	group.Go(func() {
-		n.followTable(listCtx, watch.Config{Name: n.conf.Words.WorkerTable(), Wait: workerPollTimeout, Pause: fixedDelay(workerPollDelay), Tell: n.applyWorkerRows})
+		n.followTable(listCtx, watch.Config{Name: n.conf.Words.WorkerTable(), FeedWait: workerPollTimeout, PollDelay: fixedDelay(workerPollDelay), OnRows: n.applyWorkerRows})
 	})
-	n.workerListGate.Shut(ctx, workerListLinger)
+	n.workerListGate.WaitClosed(ctx, workerListLinger)
 	cancel()
 	group.Wait()
 	n.mu.Lock()
@@ -36,17 +36,17 @@
 	clear(n.workers) // by the next time the rows will have changed
 }
 
-func (n *Node) applyWorkerRows(rows []gauge.PartRow, whole bool) {
+func (n *Node) applyWorkerRows(rows []gauge.PartitionRow, whole bool) {
 	n.mu.Lock()
 	if whole {
 		clear(n.workers)
 	}
 	for _, r := range rows {
-		if r.Dropped {
+		if r.Deleted {
 			delete(n.workers, r.Key)
 			continue
 		}
-		w, err := n.conf.Words.Worker(r)
+		w, err := n.conf.Words.DecodeWorkerRow(r)
 		if err != nil {
 			// An earlier row may have described a worker, which may not be valid any more.
 			delete(n.workers, r.Key)
@@ -59,7 +59,7 @@
 	owners := n.ownersLocked()
 	n.mu.Unlock()
 	for _, o := range owners {
-		o.List(workers)
+		o.SetWorkers(workers)
 	}
 }
 
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -34,7 +34,7 @@
 func (o *Orders) handleApply(c fiber.Ctx) error {
 	var sub apply.Submission
 	if err := json.Unmarshal(c.Body(), &sub); err != nil {
-		return front.Problem(c, gauge.Fail(gauge.KindInvalid, "body: %s", err))
+		return front.Problem(c, gauge.Errorf(gauge.KindInvalid, "body: %s", err))
 	}
 	res, err := o.conf.Apply(c.Context(), sub)
 	if err != nil {
--- a/internal/orphan/orphan.go
+++ b/internal/orphan/orphan.go
@@ -15,13 +15,13 @@
 
 // Config sets up a Finder.
 type Config struct {
-	Every    time.Duration // between two scans; default 5 s
-	Logs     logr.Logger
-	Mine     func() bool // whether this entry is the one that scans
-	Entries  func(ctx context.Context) (map[string][]gauge.ClaimKey, error)
-	Lives    func(entry string) bool
-	Takeover func(ctx context.Context, key gauge.ClaimKey) error
-	Sweep    func(ctx context.Context) error // deletes claims that are no longer kept
+	ScanInterval      time.Duration // between two scans; default 5 s
+	Logs              logr.Logger
+	IsScanner         func() bool // whether this entry is the one that scans
+	UnfinishedByEntry func(ctx context.Context) (map[string][]gauge.ClaimKey, error)
+	MayBeAlive        func(entry string) bool
+	Takeover          func(ctx context.Context, key gauge.ClaimKey) error
+	Sweep             func(ctx context.Context) error // deletes claims that are no longer kept
 }
 
 const (
@@ -38,26 +38,26 @@
 
 // New returns a Finder.
 func New(c Config) *Finder {
-	fill.Zero(&c.Every, defaultScanInterval)
+	fill.Zero(&c.ScanInterval, defaultScanInterval)
 	return &Finder{conf: c}
 }
 
 // Run scans until ctx ends.
-func (f *Finder) Run(ctx context.Context) { ticks.Every(ctx, f.conf.Every, f.Scan) }
+func (f *Finder) Run(ctx context.Context) { ticks.Every(ctx, f.conf.ScanInterval, f.Scan) }
 
 // Scan scans once. If two entries scan at the same time, the claim's row decides which of them
 // takes a request over.
 func (f *Finder) Scan(ctx context.Context) {
-	if !f.conf.Mine() {
+	if !f.conf.IsScanner() {
 		return
 	}
-	entries, err := f.conf.Entries(ctx)
+	entries, err := f.conf.UnfinishedByEntry(ctx)
 	if err != nil {
 		f.conf.Logs.V(1).Info("accepted requests could not be read", "reason", err.Error())
 		return
 	}
 	for entry, keys := range entries {
-		if f.conf.Lives(entry) {
+		if f.conf.MayBeAlive(entry) {
 			continue
 		}
 		for _, k := range keys {
--- a/internal/owner/backlog.go
+++ b/internal/owner/backlog.go
@@ -28,31 +28,31 @@
 	}
 	o.lastBacklogReport = now
 	b := o.backlog(now)
-	if o.conf.Backlog != nil {
-		o.conf.Backlog(o.conf.Pool, &b)
+	if o.conf.ObserveBacklog != nil {
+		o.conf.ObserveBacklog(o.conf.Pool, &b)
 	}
-	state := o.behindDetector.See(b.Oldest(), now)
-	if state == lag.SaidNothing {
+	state := o.behindDetector.Observe(b.OldestAge(), now)
+	if state == lag.ReportNone {
 		return
 	}
-	o.conf.Logs.Info(string(state), "pool", o.conf.Pool, "changes", b.Changes, "changeAge", b.ChangeAge, "ends", b.Ends, "endAge", b.EndAge,
-		"starts", b.Starts, "startAge", b.StartAge, "queued", b.Queued, "silent", b.Silent, "workers", b.Workers,
-		"calls", b.Calls, "slow", b.Slow, "targets", b.Targets, "lasted", o.behindDetector.Lasted(now))
+	o.conf.Logs.Info(string(state), "pool", o.conf.Pool, "changes", b.UnwrittenChanges, "changeAge", b.ChangeAge, "ends", b.UnacknowledgedEnds, "endAge", b.EndAge,
+		"starts", b.UnansweredStarts, "startAge", b.StartAge, "queued", b.QueuedOrders, "silent", b.SilentWorkers, "workers", b.Workers,
+		"calls", b.EndedOrders, "slow", b.SlowOrders, "targets", b.SlowWorkers, "lasted", o.behindDetector.BehindFor(now))
 }
 
 func (o *Owner) backlog(now time.Duration) gauge.Backlog {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.pool.Backlog(now)
-	seen := o.orderLag.Seen(now)
-	b.Calls, b.Slow, b.Targets = seen.Calls, seen.Slow, seen.Peers
-	b.Queued = int(o.waitingOrders.Load())
+	seen := o.orderLag.Counts(now)
+	b.EndedOrders, b.SlowOrders, b.SlowWorkers = seen.Calls, seen.Slow, seen.Peers
+	b.QueuedOrders = int(o.waitingOrders.Load())
 	return b
 }
 
 // clearBacklog reports that this entry doesn't know the pool's backlog any more.
 func (o *Owner) clearBacklog() {
-	if o.conf.Backlog != nil {
-		o.conf.Backlog(o.conf.Pool, nil)
+	if o.conf.ObserveBacklog != nil {
+		o.conf.ObserveBacklog(o.conf.Pool, nil)
 	}
 }
--- a/internal/owner/backlog_test.go
+++ b/internal/owner/backlog_test.go
@@ -82,11 +82,11 @@
 	s.unreachable = unreachable
 }
 
-func (s *switchableTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (s *switchableTable) Commit(ctx context.Context, t gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.unreachable {
-		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindOutage, "the table is unreachable")
+		return gauge.TablePosition{}, nil, gauge.Errorf(gauge.KindOutage, "the table is unreachable")
 	}
 	for _, w := range t.Writes {
 		if w.Table == gauge.TableJobs {
@@ -96,8 +96,8 @@
 	return s.emptyStore.Commit(ctx, t)
 }
 
-func (s *switchableTable) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
-	return nil, gauge.Stamp{}, nil
+func (s *switchableTable) Range(context.Context, string, string, string, string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
+	return nil, gauge.TablePosition{}, nil
 }
 
 // blockingWorkers are workers that answer their first heartbeat and block the later ones.
@@ -109,7 +109,7 @@
 	starts   int
 }
 
-func (s *blockingWorkers) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (s *blockingWorkers) Heartbeat(ctx context.Context, w *gauge.Worker, _ gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	s.mu.Lock()
 	first := !s.reported[w.ID]
 	s.reported[w.ID] = true
@@ -157,10 +157,10 @@
 	g := &fixture{t: t, clock: &manualClock{now: time.Second}, table: &switchableTable{}, lines: &logLines{}}
 	g.workers = &blockingWorkers{clock: g.clock, reported: make(map[string]bool)}
 	c := owner.Config{
-		Pool: "p", Store: g.table, Workers: g.workers, Logs: g.lines.logger(), Now: g.clock.read, Wall: time.Now,
-		Lease: tenure.New(tenure.Config{Lasts: time.Hour, Taken: g.clock.read(), Store: g.table, Now: g.clock.read, Clock: func() int64 { return 1 }}),
-		Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-		Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(string) {},
+		Pool: "p", Store: g.table, Workers: g.workers, Logs: g.lines.logger(), Now: g.clock.read, WallClock: time.Now,
+		Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: g.clock.read(), Store: g.table, Now: g.clock.read, TableClock: func() int64 { return 1 }}),
+		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	}
 	if adjust != nil {
 		adjust(&c)
--- a/internal/owner/chunk.go
+++ b/internal/owner/chunk.go
@@ -96,13 +96,13 @@
 // unknownJobs applies the cancellations in a queue's marks, and returns the keys of this pool's
 // jobs that aren't known yet. Each chunk of keys spans few marks, so that little is read of the
 // jobs in between, which belong to other pools or are known already.
-func (o *Owner) unknownJobs(marks []gauge.PartRow) [][]string {
+func (o *Owner) unknownJobs(marks []gauge.PartitionRow) [][]string {
 	var chunks [][]string
 	chunkStart := 0 // index of the first mark of the last chunk
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for i, m := range marks {
-		mark := gauge.DecodeMark(m.Value)
+		mark := gauge.DecodeOpenJobMark(m.Value)
 		switch {
 		case mark.Pool != o.conf.Pool:
 		case !o.pool.Knows(m.Key):
@@ -133,13 +133,13 @@
 
 // decodeJobs converts rows to jobs, as sched accepts them, for those that belong to this pool and
 // are still open, which means that they have a spec.
-func (o *Owner) decodeJobs(queue string, rows, specs []gauge.PartRow, inherited bool) []sched.Accepted {
+func (o *Owner) decodeJobs(queue string, rows, specs []gauge.PartitionRow, inherited bool) []sched.AcceptedJob {
 	specsByKey := make(map[string][]byte, len(specs))
 	for _, s := range specs {
 		specsByKey[s.Key] = s.Value
 	}
 	now := o.conf.Now()
-	var jobs []sched.Accepted
+	var jobs []sched.AcceptedJob
 	for _, r := range rows {
 		body, open := specsByKey[r.Key]
 		if !open {
@@ -153,21 +153,21 @@
 	return jobs
 }
 
-func (o *Owner) decodeJob(queue string, r gauge.PartRow, body []byte, now time.Duration) (sched.Accepted, bool) {
+func (o *Owner) decodeJob(queue string, r gauge.PartitionRow, body []byte, now time.Duration) (sched.AcceptedJob, bool) {
 	row, err := gauge.DecodeJobRow(r.Value)
 	if err != nil {
 		o.conf.Logs.Error(err, "job row not decoded", "job", r.Key, "queue", queue)
-		return sched.Accepted{}, false
+		return sched.AcceptedJob{}, false
 	}
 	if row.Pool != o.conf.Pool {
-		return sched.Accepted{}, false
+		return sched.AcceptedJob{}, false
 	}
 	spec, err := gauge.DecodeJobSpec(body)
 	if err != nil {
 		o.conf.Logs.Error(err, "job spec not decoded", "job", r.Key, "queue", queue)
-		return sched.Accepted{}, false
+		return sched.AcceptedJob{}, false
 	}
-	return sched.Accepted{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrivalTime(row, now)}, true
+	return sched.AcceptedJob{ID: r.Key, Queue: queue, Spec: spec, Row: row, Version: r.Version, Arrived: o.arrivalTime(row, now)}, true
 }
 
 // adoptJobs adopts jobs that were read from the table, and returns how many of them were new.
@@ -176,15 +176,15 @@
 // jobs weren't known. So inherited jobs wait until every worker has reported again. That wait
 // begins when they are adopted: a worker that reports while they are being read would otherwise
 // count as one that has reported everything.
-func (o *Owner) adoptJobs(jobs []sched.Accepted) int {
+func (o *Owner) adoptJobs(jobs []sched.AcceptedJob) int {
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	jobs = slices.DeleteFunc(jobs, func(a sched.Accepted) bool {
+	jobs = slices.DeleteFunc(jobs, func(a sched.AcceptedJob) bool {
 		return o.pool.Knows(a.ID) || !a.Inherited && !o.isServing()
 	})
-	if o.loaded && slices.ContainsFunc(jobs, func(a sched.Accepted) bool { return a.Inherited }) {
-		o.pool.Rehear()
+	if o.loaded && slices.ContainsFunc(jobs, func(a sched.AcceptedJob) bool { return a.Inherited }) {
+		o.pool.RequireFreshReports()
 	}
 	for _, a := range jobs {
 		o.pool.Adopt(a, now)
--- a/internal/owner/config_test.go
+++ b/internal/owner/config_test.go
@@ -40,7 +40,7 @@
 func TestOlderWorkerListDoesNotReplaceNewerOne(t *testing.T) {
 	var calls sync.Map
 	o, run := newOwner(t, newRowTable(), recordingWorkers{calls: &calls}, logr.Discard(), nil)
-	o.List([]gauge.Worker{idleWorker("stays")})
+	o.SetWorkers([]gauge.Worker{idleWorker("stays")})
 	run(&gauge.Site{Version: 1}, idleWorker("stays"), idleWorker("left"))
 	waitFor(t, "the one that stays is called", func() bool {
 		_, called := calls.Load("stays")
@@ -57,7 +57,7 @@
 	calls *sync.Map
 }
 
-func (n recordingWorkers) Hold(_ context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (n recordingWorkers) Heartbeat(_ context.Context, w *gauge.Worker, _ gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	n.calls.Store(w.ID, true)
-	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
+	return nil, gauge.Errorf(gauge.KindUnknown, "no answer")
 }
--- a/internal/owner/cost_bench_test.go
+++ b/internal/owner/cost_bench_test.go
@@ -51,7 +51,7 @@
 	defer w.mu.Unlock()
 	e := w.endsOf(to.ID)
 	e.number++
-	e.list = append(e.list, gauge.EndReport{Number: e.number, Task: c.Task, Run: c.Run, How: gauge.EndDone})
+	e.list = append(e.list, gauge.EndReport{Number: e.number, Task: c.Task, Run: c.Run, Ending: gauge.EndDone})
 	select {
 	case e.newEnd <- struct{}{}:
 	default:
@@ -64,14 +64,14 @@
 	return w.clock(), nil
 }
 
-// Hold waits until a run has ended that isn't acknowledged.
-func (w *instantWorkers) Hold(ctx context.Context, to *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+// Heartbeat waits until a run has ended that isn't acknowledged.
+func (w *instantWorkers) Heartbeat(ctx context.Context, to *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	timer := time.NewTimer(c.Wait)
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
 		e := w.endsOf(to.ID)
-		for len(e.list) > 0 && e.list[0].Number <= c.LastSeen {
+		for len(e.list) > 0 && e.list[0].Number <= c.LastSeenEnd {
 			e.list = e.list[1:]
 		}
 		rep := &gauge.WorkerReport{Clock: w.clock(), Ended: append([]gauge.EndReport(nil), e.list...)}
@@ -97,8 +97,8 @@
 	version atomic.Int64
 }
 
-func (s *versionedStore) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
-	return gauge.Stamp{Version: s.version.Add(1)}, nil, nil
+func (s *versionedStore) Commit(context.Context, gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
+	return gauge.TablePosition{Version: s.version.Add(1)}, nil, nil
 }
 
 const (
@@ -125,11 +125,11 @@
 	done := make(chan struct{}, costWaiting)
 	ctx, cancel := context.WithCancel(b.Context())
 	o := owner.New(ctx, owner.Config{
-		Pool: "p", Store: table, Workers: on, Logs: log, Now: now, Wall: time.Now,
-		Lease: tenure.New(tenure.Config{Lasts: time.Hour, Taken: now(), Store: table, Now: now, Clock: func() int64 { return 1 }}),
-		Grace: time.Second, Hold: 5 * time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-		Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(e string) {
-			if e == sched.EventDone {
+		Pool: "p", Store: table, Workers: on, Logs: log, Now: now, WallClock: time.Now,
+		Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: now(), Store: table, Now: now, TableClock: func() int64 { return 1 }}),
+		Grace: time.Second, LeaseExtension: 5 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(e string) {
+			if e == sched.EventCompleted {
 				done <- struct{}{}
 			}
 		},
--- a/internal/owner/count_test.go
+++ b/internal/owner/count_test.go
@@ -19,7 +19,7 @@
 	store := newRowTable()
 	store.addJob(t, "parts", jobID(1), "p")
 	store.addJob(t, "sheets", jobID(2), "p")
-	store.onRange = func(_ context.Context, table, part string, _ []gauge.PartRow) error {
+	store.onRange = func(_ context.Context, table, part string, _ []gauge.PartitionRow) error {
 		if table == gauge.TableOpen && part == "sheets" {
 			return noAnswer()
 		}
@@ -36,9 +36,9 @@
 	assert.Equal(t, waiting, 1)
 	_, known = last.Depth("sheets")
 	assert.Assert(t, !known, "%v", last)
-	_, known = o.Depth("sheets")
+	_, known = o.QueueDepth("sheets")
 	assert.Assert(t, !known)
-	waiting, known = o.Depth("parts")
+	waiting, known = o.QueueDepth("parts")
 	assert.Assert(t, known)
 	assert.Equal(t, waiting, 1)
 }
@@ -49,12 +49,12 @@
 func TestPreviousOwnersCountIsReportedUntilPoolIsRead(t *testing.T) {
 	store := newRowTable()
 	store.addJob(t, "sheets", jobID(1), "p")
-	store.onRange = func(ctx context.Context, _, _ string, _ []gauge.PartRow) error {
+	store.onRange = func(ctx context.Context, _, _ string, _ []gauge.PartitionRow) error {
 		<-ctx.Done()
 		return noAnswer()
 	}
 	o := startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
-		c.Before = gauge.LeaseRow{Depths: map[string]int{"sheets": 7}, Unread: []string{"parts"}, Counted: 4000}
+		c.PreviousRow = gauge.LeaseRow{Depths: map[string]int{"sheets": 7}, UnreadQueues: []string{"parts"}, Counted: 4000}
 	})
 	waitFor(t, "lease renewed", func() bool { return len(store.writtenLeases()) > 0 })
 	lease := store.writtenLeases()[0]
@@ -64,7 +64,7 @@
 	_, known = lease.Depth("parts")
 	assert.Assert(t, !known)
 	assert.Equal(t, lease.Counted, int64(4000), "the time of the count is kept")
-	_, known = o.Depth("sheets")
+	_, known = o.QueueDepth("sheets")
 	assert.Assert(t, !known, "this owner hasn't counted")
 }
 
@@ -77,7 +77,7 @@
 	var now atomic.Int64
 	now.Store(int64(time.Second))
 	var scansFail atomic.Bool
-	store.onRange = func(_ context.Context, table, _ string, _ []gauge.PartRow) error {
+	store.onRange = func(_ context.Context, table, _ string, _ []gauge.PartitionRow) error {
 		if table == gauge.TableOpen && scansFail.Load() {
 			return noAnswer()
 		}
@@ -87,7 +87,7 @@
 		c.Now = func() time.Duration { return time.Duration(now.Load()) }
 	})
 	reported := func() bool {
-		_, known := o.Depth("sheets")
+		_, known := o.QueueDepth("sheets")
 		return known
 	}
 	leaseHasCount := func() bool {
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -69,10 +69,10 @@
 	defer o.mu.Unlock()
 	o.lastPlan, o.planScheduled = now, false
 	if o.loaded && !o.ended && !o.stopping {
-		o.pool.Limit(o.conf.Lease.Until() + o.conf.Grace)
+		o.pool.SetGrantLimit(o.conf.Lease.Until() + o.conf.Grace)
 		orders = o.pool.Plan(now)
 	}
-	return orders, o.pool.Urgent()
+	return orders, o.pool.HasUrgent()
 }
 
 // spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may
@@ -108,14 +108,14 @@
 func (o *Owner) slotsFor(order *sched.Order) (shared, own chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	shared = semaphoreOf(o.orderSlots, order.Worker.Life(), maxConcurrentOrders)
+	shared = semaphoreOf(o.orderSlots, order.Worker.Incarnation(), maxConcurrentOrders)
 	if order.Kind == sched.OrderStop {
-		own = semaphoreOf(o.stopSlots, order.Worker.Life(), extraConcurrentStops)
+		own = semaphoreOf(o.stopSlots, order.Worker.Incarnation(), extraConcurrentStops)
 	}
 	return shared, own
 }
 
-func semaphoreOf(semaphores map[gauge.Life]chan struct{}, incarnation gauge.Life, slots int) chan struct{} {
+func semaphoreOf(semaphores map[gauge.Incarnation]chan struct{}, incarnation gauge.Incarnation, slots int) chan struct{} {
 	semaphore := semaphores[incarnation]
 	if semaphore == nil {
 		semaphore = make(chan struct{}, slots)
@@ -130,7 +130,7 @@
 func (o *Owner) isObsolete(order sched.Order, now time.Duration) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.Void(order, now)
+	return o.pool.IsObsolete(order, now)
 }
 
 // wakeWriter has writeLoop write without waiting for the next renewal.
@@ -150,29 +150,29 @@
 		return
 	}
 	if o.isObsolete(order, began) {
-		err := gauge.Fail(gauge.KindLate, "the order waited here for too long, or is obsolete")
-		o.update(func(now time.Duration) { o.pool.Answered(order, 0, err, now) })
+		err := gauge.Errorf(gauge.KindPastDeadline, "the order waited here for too long, or is obsolete")
+		o.update(func(now time.Duration) { o.pool.OrderAnswered(order, 0, err, now) })
 		return
 	}
 	clock, err := o.callWorker(order, began)
 	now := o.conf.Now()
-	o.conf.Count(string(order.Kind), now-began)
-	o.checkLag(order.Worker.Life(), now-began, now)
-	if gauge.Is(err, gauge.KindFenced) && !o.isOutdated(order.Worker.Life(), order.Fence()) {
+	o.conf.ObserveCall(string(order.Kind), now-began)
+	o.checkLag(order.Worker.Incarnation(), now-began, now)
+	if gauge.IsKind(err, gauge.KindFenced) && !o.isOutdated(order.Worker.Incarnation(), order.Fence()) {
 		o.loseLease("a worker has seen a newer fencing token")
 		return
 	}
-	o.update(func(now time.Duration) { o.pool.Answered(order, clock, err, now) })
+	o.update(func(now time.Duration) { o.pool.OrderAnswered(order, clock, err, now) })
 }
 
 // checkLag requests a handover of the pool when most orders take far too long, because jobs would
 // wait here that another entry could start. Orders to silent workers are not counted: they say
 // nothing about this host, and an unreachable rack would move the pool from owner to owner.
-func (o *Owner) checkLag(incarnation gauge.Life, took, now time.Duration) {
+func (o *Owner) checkLag(incarnation gauge.Incarnation, took, now time.Duration) {
 	o.mu.Lock()
-	isLagging := !o.conf.Without.Has(gauge.MechanismLag) && !o.pool.Silent(incarnation) && o.orderLag.Note(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
+	isLagging := !o.conf.Disabled.Has(gauge.MechanismLag) && !o.pool.IsSilent(incarnation) && o.orderLag.Record(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
 	o.seekingSuccessor = o.seekingSuccessor || isLagging
-	seen := o.orderLag.Seen(now)
+	seen := o.orderLag.Counts(now)
 	o.mu.Unlock()
 	if !isLagging {
 		return
@@ -192,14 +192,14 @@
 	stopping := o.stopping
 	o.mu.Unlock()
 	if leaseOver {
-		return 0, gauge.Fail(gauge.KindOutage, "the lease is over")
+		return 0, gauge.Errorf(gauge.KindOutage, "the lease is over")
 	}
 	if stopping && order.Kind == sched.OrderStart {
-		return 0, gauge.Fail(gauge.KindOutage, "the pool is being handed over")
+		return 0, gauge.Errorf(gauge.KindOutage, "the pool is being handed over")
 	}
 	w := &order.Worker
 	switch order.Kind {
-	case sched.OrderLook:
+	case sched.OrderProbe:
 		return 0, o.probeWorker(order)
 	case sched.OrderStart:
 		return o.conf.Workers.Start(o.ctx, w, order.Start)
@@ -214,22 +214,22 @@
 func (o *Owner) askAdvice(order sched.Order, asked time.Duration) {
 	var tickets []gauge.Ticket
 	var valid time.Duration
-	var err error = gauge.Fail(gauge.KindOutage, "no advice service is configured")
+	var err error = gauge.Errorf(gauge.KindOutage, "no advice service is configured")
 	if o.conf.Adviser != nil {
-		tickets, valid, err = o.conf.Adviser.Advise(o.ctx, order.Step, order.About)
+		tickets, valid, err = o.conf.Adviser.Advise(o.ctx, order.Step, order.AdviceWorkers)
 	}
 	if err != nil {
 		o.pause(nil, adviseRetryDelay)
 	}
-	o.update(func(time.Duration) { o.pool.Advised(order, tickets, valid, err, asked) })
+	o.update(func(time.Duration) { o.pool.AdviceAnswered(order, tickets, valid, err, asked) })
 }
 
 // probeWorker asks a worker for its report without waiting for a run to end.
 func (o *Owner) probeWorker(order sched.Order) error {
-	rep, err := o.conf.Workers.Hold(o.ctx, &order.Worker, order.Look)
+	rep, err := o.conf.Workers.Heartbeat(o.ctx, &order.Worker, order.Probe)
 	if err != nil {
 		return err
 	}
-	o.applyReport(order.Worker.Life(), order.Look, rep)
+	o.applyReport(order.Worker.Incarnation(), order.Probe, rep)
 	return nil
 }
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -17,7 +17,7 @@
 
 // fakeTable stores rows of jobs, and answers each transaction after a delay.
 type fakeTable struct {
-	gauge.Parted
+	gauge.PartitionedTable
 	mu         sync.Mutex
 	delay      time.Duration // delay of each transaction
 	err        error         // returned for each transaction instead of carrying it out
@@ -28,15 +28,15 @@
 	cutOff     int // transactions whose context ended before the answer
 }
 
-func (b *fakeTable) Parts(context.Context, string) ([]string, error) { return nil, nil }
+func (b *fakeTable) Partitions(context.Context, string) ([]string, error) { return nil, nil }
 
-func (b *fakeTable) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (b *fakeTable) Range(context.Context, string, string, string, string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return nil, gauge.Stamp{}, b.err
+	return nil, gauge.TablePosition{}, b.err
 }
 
-func (b *fakeTable) Commit(ctx context.Context, t gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (b *fakeTable) Commit(ctx context.Context, t gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	b.mu.Lock()
 	delay := b.delay
 	b.mu.Unlock()
@@ -45,28 +45,28 @@
 		b.mu.Lock()
 		defer b.mu.Unlock()
 		b.cutOff++
-		return gauge.Stamp{}, nil, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+		return gauge.TablePosition{}, nil, gauge.Errorf(gauge.KindUnknown, "the context ended before the answer")
 	case <-time.After(delay):
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err != nil {
-		return gauge.Stamp{}, nil, b.err
+		return gauge.TablePosition{}, nil, b.err
 	}
 	b.version++
 	b.txns++
-	b.maxEntries = max(b.maxEntries, len(t.Checks)+len(t.Writes)+len(t.Drops))
+	b.maxEntries = max(b.maxEntries, len(t.Checks)+len(t.Writes)+len(t.Deletes))
 	for _, w := range t.Writes {
 		if w.Table != gauge.TableJobs {
 			continue
 		}
 		row, err := gauge.DecodeJobRow(w.Value)
 		if err != nil {
-			return gauge.Stamp{}, nil, err
+			return gauge.TablePosition{}, nil, err
 		}
 		b.jobs[w.Key] = row
 	}
-	return gauge.Stamp{Version: b.version}, nil, nil
+	return gauge.TablePosition{Version: b.version}, nil, nil
 }
 
 // completedJobs returns how many jobs are completed according to the table.
@@ -124,7 +124,7 @@
 // noAnswerAfter fails after the given time without an answer.
 func noAnswerAfter(after time.Duration) error {
 	time.Sleep(after)
-	return gauge.Fail(gauge.KindUnknown, "no answer")
+	return gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
 func (s *fakeSite) Stop(_ context.Context, w *gauge.Worker, _ gauge.StopCall) (time.Duration, error) {
@@ -134,15 +134,16 @@
 	return s.clock(), nil
 }
 
-// Hold answers when a run has ended that isn't acknowledged, at the latest after the call's wait.
-func (s *fakeSite) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+// Heartbeat answers when a run has ended that isn't acknowledged, at the latest after the call's
+// wait.
+func (s *fakeSite) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	if s.isSilent(w.ID) {
 		return nil, noAnswerAfter(800*time.Millisecond + c.Wait)
 	}
 	s.mu.Lock()
 	s.heartbeats++
 	l := s.worker(w.ID)
-	for len(l.ended) > 0 && l.ended[0].Number <= c.LastSeen {
+	for len(l.ended) > 0 && l.ended[0].Number <= c.LastSeenEnd {
 		l.ended = l.ended[1:]
 	}
 	wait, runEnded := len(l.ended) == 0 && c.Wait > 0, s.runEnded
@@ -150,7 +151,7 @@
 	if wait {
 		select {
 		case <-ctx.Done():
-			return nil, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+			return nil, gauge.Errorf(gauge.KindUnknown, "the context ended before the answer")
 		case <-runEnded:
 		case <-time.After(c.Wait):
 		}
@@ -171,7 +172,7 @@
 	if delay > 0 {
 		select {
 		case <-ctx.Done():
-			return 0, gauge.Fail(gauge.KindUnknown, "the context ended before the answer")
+			return 0, gauge.Errorf(gauge.KindUnknown, "the context ended before the answer")
 		case <-time.After(delay):
 		}
 	}
@@ -190,7 +191,7 @@
 		n := min(most, len(l.runs))
 		for _, r := range l.runs[:n] {
 			l.lastEnd++
-			l.ended = append(l.ended, gauge.EndReport{Number: l.lastEnd, Task: r.Task, Run: r.Run, How: gauge.EndDone})
+			l.ended = append(l.ended, gauge.EndReport{Number: l.lastEnd, Task: r.Task, Run: r.Run, Ending: gauge.EndDone})
 		}
 		l.runs = l.runs[n:]
 		most -= n
@@ -242,10 +243,10 @@
 	clock := func() int64 { return g.now().Milliseconds() }
 	ctx, cancel := context.WithCancel(t.Context())
 	g.owner = owner.New(ctx, owner.Config{
-		Pool: "p", Store: g.table, Workers: g.site, Logs: log, Now: g.now, Wall: time.Now, Fence: 2,
-		Lease: tenure.New(tenure.Config{Lasts: 2 * time.Second, Taken: g.now(), Version: 2, Store: g.table, Now: g.now, Clock: clock}),
-		Grace: 6 * time.Second, Hold: 4 * time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-		Clock: clock, Count: func(string, time.Duration) {}, Event: func(string) {},
+		Pool: "p", Store: g.table, Workers: g.site, Logs: log, Now: g.now, WallClock: time.Now, Fence: 2,
+		Lease: tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: g.now(), Version: 2, Store: g.table, Now: g.now, TableClock: clock}),
+		Grace: 6 * time.Second, LeaseExtension: 4 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		TableClock: clock, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	})
 	g.owner.OnStuck(after, func(failing time.Duration) {
 		g.mu.Lock()
--- a/internal/owner/heartbeat.go
+++ b/internal/owner/heartbeat.go
@@ -11,9 +11,9 @@
 // yet.
 func (o *Owner) startHeartbeats() {
 	var fresh []gauge.Worker
-	o.withLock(func() { fresh = o.pool.Unheld() })
+	o.withLock(func() { fresh = o.pool.NewIncarnations() })
 	for _, w := range fresh {
-		o.spawn(func() { o.heartbeatLoop(w.Life()) })
+		o.spawn(func() { o.heartbeatLoop(w.Incarnation()) })
 	}
 	if len(fresh) > 0 {
 		o.wakeWriter() // the lease row has to name them before they are used
@@ -22,7 +22,7 @@
 
 // heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is
 // over.
-func (o *Owner) heartbeatLoop(l gauge.Life) {
+func (o *Owner) heartbeatLoop(l gauge.Incarnation) {
 	defer func() {
 		o.mu.Lock()
 		delete(o.orderSlots, l)
@@ -35,22 +35,22 @@
 		if !ok {
 			return
 		}
-		rep, err := o.conf.Workers.Hold(o.ctx, &w, call)
-		o.conf.Count("hold", o.conf.Now()-now)
+		rep, err := o.conf.Workers.Heartbeat(o.ctx, &w, call)
+		o.conf.ObserveCall("hold", o.conf.Now()-now)
 		if o.ctx.Err() != nil {
 			return
 		}
-		if gauge.Is(err, gauge.KindFenced) {
+		if gauge.IsKind(err, gauge.KindFenced) {
 			if !o.isOutdated(l, call.Fence) {
 				o.loseLease("a worker has seen a newer fencing token")
 				return
 			}
 		}
 		if err == nil && !o.applyReport(l, call, rep) {
-			err = gauge.Fail(gauge.KindUnknown, "the answer is from an earlier incarnation of the worker")
+			err = gauge.Errorf(gauge.KindUnknown, "the answer is from an earlier incarnation of the worker")
 		}
 		if err != nil {
-			o.update(func(now time.Duration) { o.pool.HoldFailed(l, err, now) })
+			o.update(func(now time.Duration) { o.pool.HeartbeatFailed(l, err, now) })
 			o.pause(nil, heartbeatRetryDelay)
 			continue
 		}
@@ -62,40 +62,40 @@
 
 // applyReport applies the answer to a heartbeat. It reports false if the answer is from an
 // incarnation that is over.
-func (o *Owner) applyReport(l gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport) (applied bool) {
-	o.update(func(now time.Duration) { applied = o.pool.Report(l, call, rep, now) })
+func (o *Owner) applyReport(l gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport) (applied bool) {
+	o.update(func(now time.Duration) { applied = o.pool.HandleReport(l, call, rep, now) })
 	o.startHeartbeats()
 	return applied
 }
 
 // isOutdated reports whether a call was refused because of a fencing token that this owner itself
 // has replaced, or because its incarnation of the worker is over.
-func (o *Owner) isOutdated(l gauge.Life, sent gauge.Fence) bool {
+func (o *Owner) isOutdated(l gauge.Incarnation, sent gauge.FencingToken) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.Outdated(l, sent)
+	return o.pool.IsOutdated(l, sent)
 }
 
 // nextHeartbeat returns the next heartbeat for an incarnation of a worker. It reports false if
 // there is none any more.
-func (o *Owner) nextHeartbeat(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
+func (o *Owner) nextHeartbeat(l gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopping {
-		return gauge.Worker{}, gauge.HoldCall{}, false
+		return gauge.Worker{}, gauge.Heartbeat{}, false
 	}
-	return o.pool.Holding(l, now)
+	return o.pool.NextHeartbeat(l, now)
 }
 
 // waitForWrittenEnds waits, for at most ackTimeout, until the ended runs that a worker has reported
 // are written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
 // report them again.
-func (o *Owner) waitForWrittenEnds(l gauge.Life) {
+func (o *Owner) waitForWrittenEnds(l gauge.Incarnation) {
 	ctx, cancel := context.WithTimeout(o.ctx, ackTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
-		behind, writeDone := o.pool.Behind(l), o.writeDone
+		behind, writeDone := o.pool.HasUnstoredEnds(l), o.writeDone
 		o.mu.Unlock()
 		if !behind {
 			return
@@ -122,7 +122,7 @@
 // tickLoop checks deadlines and reports the backlog at regular intervals.
 func (o *Owner) tickLoop() {
 	for o.ctx.Err() == nil {
-		o.update(func(now time.Duration) { o.pool.Tick(now, o.conf.Wall()) })
+		o.update(func(now time.Duration) { o.pool.Tick(now, o.conf.WallClock()) })
 		o.reportBacklog()
 		o.pause(nil, tickInterval)
 	}
--- a/internal/owner/inherit_test.go
+++ b/internal/owner/inherit_test.go
@@ -20,11 +20,11 @@
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
 	clock := func() int64 { return now().Milliseconds() }
 	o := startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
-		c.Term, c.Fence, c.Earlier, c.Before, c.Now, c.Clock = term, gauge.Fence(term+1), before.Workers, before, now, clock
-		c.Grace, c.Hold = 6*time.Second, 4*time.Second
+		c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), before.Workers, before, now, clock
+		c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
 		c.Lease = tenure.New(tenure.Config{
-			Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
-			Lasts: 2 * time.Second, Taken: now(), Store: store, Now: now, Clock: clock,
+			Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
+			LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
 		})
 	}, idleWorker("w1"))
 	time.Sleep(500 * time.Millisecond)
@@ -42,11 +42,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		store, w := newRowTable(), newFakeSite()
 		first := newSuccessor(t, store, w, 1, gauge.LeaseRow{})
-		assert.Assert(t, first.Empty("w1", false))
+		assert.Assert(t, first.DrainWorker("w1", false))
 		first.Stop("the entry stops")
-		before, _ := first.Offer()
-		all, grants := before.Split()
-		all.Join(&grants)
+		before, _ := first.LeaseOffer()
+		all, handover := before.Split()
+		all.Join(&handover)
 
 		store.addJob(t, "sheets", jobID(2), "p")
 		newSuccessor(t, store, w, 2, all)
@@ -63,13 +63,13 @@
 // hears of one of them only.
 func TestOwnerHandsOnCountOfUnrecordedCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newSuccessor(t, newRowTable(), newFakeSite(), 1, gauge.LeaseRow{Unnoted: 1})
-		row, _ := o.Offer()
-		assert.Equal(t, row.Unnoted, 1)
+		o := newSuccessor(t, newRowTable(), newFakeSite(), 1, gauge.LeaseRow{UnrecordedOwners: 1})
+		row, _ := o.LeaseOffer()
+		assert.Equal(t, row.UnrecordedOwners, 1)
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		row, _ = o.Offer()
-		assert.Equal(t, row.Unnoted, 0, "crashes from before have become known by now")
+		row, _ = o.LeaseOffer()
+		assert.Equal(t, row.UnrecordedOwners, 0, "crashes from before have become known by now")
 	})
 }
 
@@ -81,6 +81,6 @@
 		newSuccessor(t, store, newFakeSite(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
 		time.Sleep(8 * time.Second) // until nothing can run there any more
 		synctest.Wait()
-		assert.Equal(t, store.lastGrants().Unnoted, 1)
+		assert.Equal(t, store.lastGrants().UnrecordedOwners, 1)
 	})
 }
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -20,7 +20,7 @@
 	began := o.conf.Now()
 	for {
 		listedAt := o.conf.Now()
-		queues, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
+		queues, err := o.conf.Store.Partitions(o.ctx, gauge.TableOpen)
 		if err == nil && o.loadAtStart(queues, began) {
 			o.withLock(func() { o.readTimes.recordScan(listedAt, nil) })
 			return true
@@ -85,7 +85,7 @@
 	for _, queue := range queues {
 		o.unread[queue] = true
 	}
-	o.pool.Partial(len(queues) > 0)
+	o.pool.SetJobsMissing(len(queues) > 0)
 }
 
 // markRead records that all open jobs of a queue have been read.
@@ -93,7 +93,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.unread, queue)
-	o.pool.Partial(len(o.unread) > 0)
+	o.pool.SetJobsMissing(len(o.unread) > 0)
 }
 
 // unreadQueues returns the names of the queues that haven't been read completely, in order.
@@ -182,7 +182,7 @@
 // jobs are scanned. Every fullScanEvery scans all queuesToScan with open jobs are, because a queue
 // may have been routed to this pool and away again.
 func (o *Owner) queuesToScan() ([]string, error) {
-	open, err := o.conf.Store.Parts(o.ctx, gauge.TableOpen)
+	open, err := o.conf.Store.Partitions(o.ctx, gauge.TableOpen)
 	o.scanCount++
 	if err != nil || o.scanCount%fullScanEvery == 0 {
 		return open, err
@@ -210,7 +210,7 @@
 		if o.ctx.Err() != nil {
 			return
 		}
-		queues, err := o.conf.Store.Parts(o.ctx, gauge.TableJobs)
+		queues, err := o.conf.Store.Partitions(o.ctx, gauge.TableJobs)
 		if err != nil {
 			o.conf.Logs.Info("sweep failed", "pool", o.conf.Pool, "error", err.Error())
 			continue
@@ -228,25 +228,25 @@
 	if err != nil {
 		return err
 	}
-	endedBefore := o.conf.Clock() - o.conf.Keep.Milliseconds()
-	var txn gauge.PartTxn
+	endedBefore := o.conf.TableClock() - o.conf.JobRetention.Milliseconds()
+	var txn gauge.PartitionTxn
 	for _, r := range rows {
 		row, err := gauge.DecodeJobRow(r.Value)
 		if err != nil || row.Pool != o.conf.Pool || row.Ended == 0 || row.Ended > endedBefore {
 			continue
 		}
 		txn.Checks = append(txn.Checks, gauge.RowCheck{RowKey: r.RowKey, Version: r.Version})
-		txn.Drops = append(txn.Drops, r.RowKey)
-		if len(txn.Drops) == maxSweepRows {
+		txn.Deletes = append(txn.Deletes, r.RowKey)
+		if len(txn.Deletes) == maxSweepRows {
 			break
 		}
 	}
-	if len(txn.Drops) == 0 {
+	if len(txn.Deletes) == 0 {
 		return nil
 	}
 	_, _, err = o.conf.Store.Commit(o.ctx, txn)
 	if err == nil {
-		o.conf.Logs.Info("expired job rows deleted", "pool", o.conf.Pool, "queue", queue, "jobs", len(txn.Drops))
+		o.conf.Logs.Info("expired job rows deleted", "pool", o.conf.Pool, "queue", queue, "jobs", len(txn.Deletes))
 	}
 	return err
 }
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -23,7 +23,7 @@
 func TestLeaseIsRenewedWhilePoolLoads(t *testing.T) {
 	store := newRowTable()
 	store.addJob(t, "sheets", jobID(1), "p")
-	store.onRange = func(ctx context.Context, table, _ string, _ []gauge.PartRow) error {
+	store.onRange = func(ctx context.Context, table, _ string, _ []gauge.PartitionRow) error {
 		if table != gauge.TableSpecs {
 			return nil
 		}
@@ -50,7 +50,7 @@
 		ids = append(ids, jobID(n))
 		store.addJob(t, "sheets", jobID(n), "p")
 	}
-	store.onRange = func(_ context.Context, _, _ string, found []gauge.PartRow) error {
+	store.onRange = func(_ context.Context, _, _ string, found []gauge.PartitionRow) error {
 		size := 0
 		for _, r := range found {
 			size += len(r.Value)
@@ -76,7 +76,7 @@
 		store.addJob(t, "sheets", jobID(n), "p")
 	}
 	var reads, specs atomic.Int64
-	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartRow) error {
+	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartitionRow) error {
 		if table != gauge.TableSpecs {
 			return nil
 		}
@@ -103,7 +103,7 @@
 		store.addJob(t, "sheets", jobID(n), pool)
 	}
 	var specs atomic.Int64
-	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartRow) error {
+	store.onRange = func(_ context.Context, table, _ string, found []gauge.PartitionRow) error {
 		if table == gauge.TableSpecs {
 			specs.Add(int64(len(found)))
 		}
@@ -134,7 +134,7 @@
 	return r
 }
 
-func (r *reportingWorkers) Hold(ctx context.Context, w *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (r *reportingWorkers) Heartbeat(ctx context.Context, w *gauge.Worker, _ gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	r.mu.Lock()
 	again := r.reported[w.ID]
 	r.reported[w.ID] = true
@@ -180,7 +180,7 @@
 	store.addJob(t, "sheets", jobID(2), "p")
 	w := newReportingWorkers(map[string][]gauge.RunReport{"w1": {{Task: gauge.TaskID{Job: jobID(2)}, Run: 1}}}, "w1", "w2")
 	var tries atomic.Int64
-	store.onRange = func(ctx context.Context, table, part string, _ []gauge.PartRow) error {
+	store.onRange = func(ctx context.Context, table, part string, _ []gauge.PartitionRow) error {
 		if table != gauge.TableOpen || part != "sheets" {
 			return nil
 		}
@@ -215,7 +215,7 @@
 func TestUnreadablePoolIsGivenUp(t *testing.T) {
 	store := newRowTable()
 	store.addJob(t, "sheets", jobID(1), "p")
-	store.onRange = func(context.Context, string, string, []gauge.PartRow) error { return noAnswer() }
+	store.onRange = func(context.Context, string, string, []gauge.PartitionRow) error { return noAnswer() }
 	var clockReads atomic.Int64
 	startOwner(t, store, silentWorkers{}, logr.Discard(), func(c *owner.Config) {
 		c.Now = func() time.Duration { return time.Second + time.Duration(clockReads.Add(1))*100*time.Millisecond }
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -21,34 +21,34 @@
 
 // Config holds the settings and dependencies of an Owner.
 type Config struct {
-	Pool    string
-	Lease   *tenure.Tenure
-	Term    int // number of owners before this one
-	Fence   gauge.Fence
-	Earlier []string       // incarnations of workers that the previous owner named
-	Before  gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
+	Pool            string
+	Lease           *tenure.Tenure
+	Term            int // number of owners before this one
+	Fence           gauge.FencingToken
+	PreviousWorkers []string       // incarnations of workers that the previous owner named
+	PreviousRow     gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
 
-	Early time.Duration // time left on the previous lease when this one was claimed: the previous holder may act until then
-	Grace time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
-	Keep  time.Duration // how long the row of an ended job is kept
-	Hold  time.Duration // how far a heartbeat extends a worker's lease
-	// Longest is the longest lease that a worker grants.
-	Longest time.Duration
+	PreviousLeaseLeft time.Duration // time left on the previous lease when this one was claimed: the previous holder may act until then
+	Grace             time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
+	JobRetention      time.Duration // how long the row of an ended job is kept
+	LeaseExtension    time.Duration // how far a heartbeat extends a worker's lease
+	// MaxWorkerLease is the longest lease that a worker grants.
+	MaxWorkerLease time.Duration
 
-	Store   gauge.Parted
-	Workers gauge.Workers
-	Adviser gauge.Adviser // nil: there is no advice service
-	Logs    logr.Logger
-	Now     func() time.Duration
-	Wall    func() time.Time
-	Stamp   func(s gauge.Stamp, sent time.Duration) // receives each reading of the table's clock, with the local time at which the call was sent
-	Clock   func() int64                            // the table's clock in milliseconds, approximately
-	Count   func(event string, took time.Duration)  // records the duration of a call or write
-	Event   func(event string)                      // counts an event that operators should see
-	// Backlog receives the owner's backlog several times a second, and nil when this owner has
-	// ended. A nil function disables the reports.
-	Backlog func(pool string, b *gauge.Backlog)
-	Without gauge.Without // mechanisms that are switched off
+	Store             gauge.PartitionedTable
+	Workers           gauge.Workers
+	Adviser           gauge.Adviser // nil: there is no advice service
+	Logs              logr.Logger
+	Now               func() time.Duration
+	WallClock         func() time.Time
+	ObserveTableClock func(s gauge.TablePosition, sent time.Duration) // receives each reading of the table's clock, with the local time at which the call was sent
+	TableClock        func() int64                                    // the table's clock in milliseconds, approximately
+	ObserveCall       func(event string, took time.Duration)          // records the duration of a call or write
+	CountEvent        func(event string)                              // counts an event that operators should see
+	// ObserveBacklog receives the owner's backlog several times a second, and nil when this owner
+	// has ended. A nil function disables the reports.
+	ObserveBacklog func(pool string, b *gauge.Backlog)
+	Disabled       gauge.Disabled // mechanisms that are switched off
 }
 
 // Owner runs one pool.
@@ -62,23 +62,23 @@
 	stuckAfter        time.Duration               // how long writes may fail before onStuck is called
 	claimedAt         time.Duration               // when this owner was made, right after the claim
 	waitingOrders     atomic.Int64                // orders that wait for a slot at their worker
-	behindDetector    *lag.Belief                 // whether this owner is behind; used by tickLoop only
+	behindDetector    *lag.BehindDetector         // whether this owner is behind; used by tickLoop only
 	lastBacklogReport time.Duration               // when the backlog was last reported; used by tickLoop only
 
 	mu               sync.Mutex
 	pool             *sched.Pool
-	writeDone        chan struct{}                // closed after each write and replaced by a new channel
-	tableUnreachable bool                         // the last write got no complete answer
-	writeSentAt      time.Duration                // when the write in progress was sent; 0: there is none
-	lastWriteTook    time.Duration                // duration of the last write
-	ended            bool                         // the lease was lost or given up
-	stopping         bool                         // the pool is being handed over: nothing new is started
-	lastPlan         time.Duration                // when the last plan was made
-	planScheduled    bool                         // a plan is scheduled for the end of the minimum interval
-	orderSlots       map[gauge.Life]chan struct{} // semaphores of all orders to an incarnation of a worker
-	stopSlots        map[gauge.Life]chan struct{} // additional semaphores of stops
-	orderLag         *lag.Meter                   // durations of orders
-	seekingSuccessor bool                         // a successor is being looked for
+	writeDone        chan struct{}                       // closed after each write and replaced by a new channel
+	tableUnreachable bool                                // the last write got no complete answer
+	writeSentAt      time.Duration                       // when the write in progress was sent; 0: there is none
+	lastWriteTook    time.Duration                       // duration of the last write
+	ended            bool                                // the lease was lost or given up
+	stopping         bool                                // the pool is being handed over: nothing new is started
+	lastPlan         time.Duration                       // when the last plan was made
+	planScheduled    bool                                // a plan is scheduled for the end of the minimum interval
+	orderSlots       map[gauge.Incarnation]chan struct{} // semaphores of all orders to an incarnation of a worker
+	stopSlots        map[gauge.Incarnation]chan struct{} // additional semaphores of stops
+	orderLag         *lag.Meter                          // durations of orders
+	seekingSuccessor bool                                // a successor is being looked for
 	loaded           bool
 	site             *gauge.Site
 	workerList       []gauge.Worker           // newest list of workers from the platform
@@ -152,14 +152,14 @@
 	now := c.Now()
 	o := &Owner{
 		conf: c, claimedAt: now,
-		wake: make(chan struct{}, 1), orderSlots: make(map[gauge.Life]chan struct{}), stopSlots: make(map[gauge.Life]chan struct{}),
-		orderLag: lag.New(lag.Config{Window: lagWindow, Slow: lagThreshold, Calls: lagMinOrders, Peers: lagMinWorkers}), heldBackUntil: make(map[string]time.Duration), writeDone: make(chan struct{}),
-		behindDetector: lag.NewBelief(lag.BeliefConfig{Behind: behindAfter, Again: behindLogInterval}),
+		wake: make(chan struct{}, 1), orderSlots: make(map[gauge.Incarnation]chan struct{}), stopSlots: make(map[gauge.Incarnation]chan struct{}),
+		orderLag: lag.New(lag.Config{Window: lagWindow, SlowCall: lagThreshold, MinCalls: lagMinOrders, MinPeers: lagMinWorkers}), heldBackUntil: make(map[string]time.Duration), writeDone: make(chan struct{}),
+		behindDetector: lag.NewBehindDetector(lag.BehindConfig{Threshold: behindAfter, ReportInterval: behindLogInterval}),
 		pool: sched.New(sched.Config{
-			Name: c.Pool, Fence: c.Fence, Term: c.Term, Hold: c.Hold, Start: startTimeout, Wait: maxHeartbeatWait, Window: maxUnansweredStarts, Lane: maxConcurrentOrders,
-			Without: c.Without, Logs: c.Logs, Count: c.Event, Longest: c.Longest,
-			Earlier: parseIncarnations(c.Earlier), Doubt: now + c.Early + c.Grace + clockMargin, Over: runDeadlines(&c.Before, now),
-			Emptied: drainedUntil(&c.Before, now), Unnoted: c.Before.Unnoted,
+			Name: c.Pool, Fence: c.Fence, Term: c.Term, LeaseExtension: c.LeaseExtension, StartTimeout: startTimeout, HeartbeatWait: maxHeartbeatWait, StartWindow: maxUnansweredStarts, WorkerStartWindow: maxConcurrentOrders,
+			Disabled: c.Disabled, Logs: c.Logs, CountEvent: c.CountEvent, MaxWorkerLease: c.MaxWorkerLease,
+			PreviousWorkers: parseIncarnations(c.PreviousWorkers), PreviousRunsEnd: now + c.PreviousLeaseLeft + c.Grace + clockMargin, WorkerRunsEnd: runDeadlines(&c.PreviousRow, now),
+			DrainedUntil: drainedUntil(&c.PreviousRow, now), UnrecordedOwners: c.PreviousRow.UnrecordedOwners,
 		}),
 	}
 	o.ctx, o.cancel = context.WithCancel(ctx)
@@ -169,13 +169,13 @@
 // runDeadlines returns, for each worker that didn't answer the previous owner, when nothing can run
 // there any more. The previous owner writes this when it gives up the lease; a row written while it
 // still held the lease doesn't cover what it granted later.
-func runDeadlines(before *gauge.LeaseRow, now time.Duration) map[gauge.Life]time.Duration {
+func runDeadlines(before *gauge.LeaseRow, now time.Duration) map[gauge.Incarnation]time.Duration {
 	if before.Holder != "" {
 		return nil
 	}
-	until := make(map[gauge.Life]time.Duration, len(before.Left))
-	for name, left := range before.Left {
-		until[gauge.ParseLife(name)] = now + time.Duration(left)*time.Millisecond + clockMargin
+	until := make(map[gauge.Incarnation]time.Duration, len(before.RemainingLeases))
+	for name, left := range before.RemainingLeases {
+		until[gauge.ParseIncarnation(name)] = now + time.Duration(left)*time.Millisecond + clockMargin
 	}
 	return until
 }
@@ -186,8 +186,8 @@
 	if before.Holder != "" {
 		return nil
 	}
-	until := make(map[string]time.Duration, len(before.Emptied))
-	for id, left := range before.Emptied {
+	until := make(map[string]time.Duration, len(before.DrainedFor))
+	for id, left := range before.DrainedFor {
 		until[id] = now + time.Duration(left)*time.Millisecond
 	}
 	return until
@@ -217,7 +217,7 @@
 	o.mu.Lock()
 	workers = o.workerList
 	o.mu.Unlock()
-	o.List(workers)
+	o.SetWorkers(workers)
 	o.spawn(o.tickLoop)
 	o.spawn(o.scanLoop)
 	o.spawn(o.sweepLoop)
@@ -225,22 +225,22 @@
 	o.clearBacklog()
 }
 
-// Offer returns the lease row to hand to a successor, and the row's last known version.
-func (o *Owner) Offer() (gauge.LeaseRow, int64) {
+// LeaseOffer returns the lease row to hand to a successor, and the row's last known version.
+func (o *Owner) LeaseOffer() (gauge.LeaseRow, int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	row := o.leaseRow(o.pool.Name())
+	row := o.leaseRow(o.pool.LeaseRowWorkers())
 	row.Term = o.conf.Term
 	now := o.conf.Now()
-	if o.pool.Unnoted() {
-		row.Unnoted++
+	if o.pool.HasUnrecordedCrashes() {
+		row.UnrecordedOwners++
 	}
-	row.Left, row.Emptied = make(map[string]int64), make(map[string]int64)
-	for l, left := range o.pool.Left(now) {
-		row.Left[l.String()] = left.Milliseconds() + 1
+	row.RemainingLeases, row.DrainedFor = make(map[string]int64), make(map[string]int64)
+	for l, left := range o.pool.RemainingLeases(now) {
+		row.RemainingLeases[l.String()] = left.Milliseconds() + 1
 	}
-	for id, left := range o.pool.Emptied(now) {
-		row.Emptied[id] = left.Milliseconds() + 1
+	for id, left := range o.pool.DrainedWorkers(now) {
+		row.DrainedFor[id] = left.Milliseconds() + 1
 	}
 	return row, o.conf.Lease.Version()
 }
@@ -248,7 +248,7 @@
 // GiveUp writes the lease row without a holder, so that any entry can claim the pool at once. It is
 // called after Stop.
 func (o *Owner) GiveUp(ctx context.Context) {
-	row, _ := o.Offer()
+	row, _ := o.LeaseOffer()
 	if err := o.conf.Lease.GiveUp(ctx, row); err != nil {
 		o.conf.Logs.Info("lease not given up", "pool", o.conf.Pool, "error", err.Error())
 		return
@@ -271,8 +271,8 @@
 	if !o.end() {
 		return
 	}
-	o.conf.Lease.Lose()
-	o.conf.Event("lease lost")
+	o.conf.Lease.MarkLost()
+	o.conf.CountEvent("lease lost")
 	o.conf.Logs.Info("lease lost", "pool", o.conf.Pool, "fence", o.conf.Fence, "reason", why)
 }
 
@@ -307,12 +307,12 @@
 	o.pool.Configure(s)
 }
 
-// List applies the platform's list of workers.
-func (o *Owner) List(workers []gauge.Worker) {
+// SetWorkers applies the platform's list of workers.
+func (o *Owner) SetWorkers(workers []gauge.Worker) {
 	o.withLock(func() {
 		o.workerList = workers
 		if o.loaded && !o.ended { // before that, reports would refer to jobs that aren't known yet
-			o.pool.Workers(workers)
+			o.pool.UpdateWorkers(workers)
 		}
 	})
 	o.startHeartbeats()
@@ -330,7 +330,7 @@
 	ok := false
 	o.withLock(func() {
 		if ok = o.isServing(); ok {
-			o.pool.Adopt(sched.Accepted{
+			o.pool.Adopt(sched.AcceptedJob{
 				ID: id, Queue: queue, Spec: spec, Row: row, Version: version, Arrived: o.arrivalTime(row, now),
 			}, now)
 		}
@@ -344,7 +344,7 @@
 // arrivalTime converts the time of acceptance, on the table's clock, to this process's steady
 // clock.
 func (o *Owner) arrivalTime(row *gauge.JobRow, now time.Duration) time.Duration {
-	age := time.Duration(o.conf.Clock()-row.Accepted) * time.Millisecond
+	age := time.Duration(o.conf.TableClock()-row.Accepted) * time.Millisecond
 	return now - max(0, age)
 }
 
@@ -354,43 +354,45 @@
 	o.update(nil)
 }
 
-// Empty requests that a worker is drained: for some seconds from now on it gets no starts. It
+// DrainWorker requests that a worker is drained: for some seconds from now on it gets no starts. It
 // reports whether nothing runs there. With force, tasks that don't end by themselves are stopped.
 // It returns false without a valid lease, because the next owner may have started tasks there.
-func (o *Owner) Empty(worker string, force bool) bool {
+func (o *Owner) DrainWorker(worker string, force bool) bool {
 	empty := false
-	o.update(func(now time.Duration) { empty = o.pool.Empty(worker, force, now) && o.isServing() && !o.stopping })
+	o.update(func(now time.Duration) {
+		empty = o.pool.DrainWorker(worker, force, now) && o.isServing() && !o.stopping
+	})
 	return empty
 }
 
-// Since returns when this owner claimed the pool. It reports false if the jobs haven't been read
-// yet or the lease may be over.
-func (o *Owner) Since() (time.Duration, bool) {
+// ServingSince returns when this owner claimed the pool. It reports false if the jobs haven't been
+// read yet or the lease may be over.
+func (o *Owner) ServingSince() (time.Duration, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.claimedAt, o.isServing()
 }
 
-// State returns the state of a job. It reports false if the job isn't known here, or if another
+// JobState returns the state of a job. It reports false if the job isn't known here, or if another
 // owner may know better.
-func (o *Owner) State(queue, id string) (gauge.JobState, bool) {
+func (o *Owner) JobState(queue, id string) (gauge.JobState, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.isServing() {
 		return "", false
 	}
-	return o.pool.State(queue, id)
+	return o.pool.JobState(queue, id)
 }
 
-// Depth returns how many jobs of a queue have no task started. It reports false if this owner
+// QueueDepth returns how many jobs of a queue have no task started. It reports false if this owner
 // hasn't read the queue lately, or if another owner may know better.
-func (o *Owner) Depth(queue string) (int, bool) {
+func (o *Owner) QueueDepth(queue string) (int, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if !o.isServing() || o.unread[queue] || o.readTimes.isOld(queue, o.conf.Now()) {
 		return 0, false
 	}
-	return o.pool.Depths()[queue], true
+	return o.pool.QueueDepths()[queue], true
 }
 
 // Load returns the pool's load. It also records which of the workers are to be drained soon.
@@ -398,6 +400,6 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.conf.Now()
-	o.pool.Soon(soon, now)
+	o.pool.ExpectDrain(soon, now)
 	return o.pool.Load(now)
 }
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -19,19 +19,19 @@
 )
 
 // emptyStore accepts every transaction and has no rows.
-type emptyStore struct{ gauge.Parted }
+type emptyStore struct{ gauge.PartitionedTable }
 
-func (emptyStore) Parts(context.Context, string) ([]string, error) { return nil, nil }
+func (emptyStore) Partitions(context.Context, string) ([]string, error) { return nil, nil }
 
-func (emptyStore) Commit(context.Context, gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
-	return gauge.Stamp{Version: 2}, nil, nil
+func (emptyStore) Commit(context.Context, gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
+	return gauge.TablePosition{Version: 2}, nil, nil
 }
 
 // silentWorkers answers no heartbeat.
 type silentWorkers struct{ gauge.Workers }
 
-func (silentWorkers) Hold(context.Context, *gauge.Worker, gauge.HoldCall) (*gauge.WorkerReport, error) {
-	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
+func (silentWorkers) Heartbeat(context.Context, *gauge.Worker, gauge.Heartbeat) (*gauge.WorkerReport, error) {
+	return nil, gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
 // Guards against an entry that panics, or that keeps a pool nobody runs: the owner ends and its run
@@ -42,16 +42,16 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		now := func() time.Duration { return time.Second }
 		o := owner.New(ctx, owner.Config{
-			Pool: "p", Store: emptyStore{}, Workers: silentWorkers{}, Logs: logr.Discard(), Now: now, Wall: time.Now,
-			Lease: tenure.New(tenure.Config{Lasts: time.Hour, Store: emptyStore{}, Now: now, Clock: func() int64 { return 1 }}),
-			Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-			Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(string) {},
+			Pool: "p", Store: emptyStore{}, Workers: silentWorkers{}, Logs: logr.Discard(), Now: now, WallClock: time.Now,
+			Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
+			Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+			TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 		})
 		var group sync.WaitGroup
 		group.Go(func() { o.Run(&gauge.Site{}, nil) })
 		group.Go(func() {
 			for i := range 50 {
-				o.List([]gauge.Worker{{ID: fmt.Sprint(i), Pool: "p"}})
+				o.SetWorkers([]gauge.Worker{{ID: fmt.Sprint(i), Pool: "p"}})
 			}
 		})
 		group.Go(cancel)
@@ -68,7 +68,7 @@
 	sent       chan struct{} // signals that a start has arrived
 }
 
-func (c *countingWorkers) Hold(ctx context.Context, _ *gauge.Worker, _ gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (c *countingWorkers) Heartbeat(ctx context.Context, _ *gauge.Worker, _ gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	c.mu.Lock()
 	c.heartbeats++
 	first := c.heartbeats == 1
@@ -113,10 +113,10 @@
 	w := &countingWorkers{sent: make(chan struct{}, 1)}
 	ctx, cancel := context.WithCancel(t.Context())
 	o := owner.New(ctx, owner.Config{
-		Pool: "p", Store: emptyStore{}, Workers: w, Logs: log, Now: now, Wall: time.Now,
-		Lease: tenure.New(tenure.Config{Lasts: 2 * time.Second, Taken: now(), Store: emptyStore{}, Now: now, Clock: func() int64 { return 1 }}),
-		Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-		Clock: func() int64 { return 1 }, Count: func(string, time.Duration) {}, Event: func(string) {},
+		Pool: "p", Store: emptyStore{}, Workers: w, Logs: log, Now: now, WallClock: time.Now,
+		Lease: tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
+		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	})
 	var group sync.WaitGroup
 	group.Go(func() {
--- a/internal/owner/rowtable_test.go
+++ b/internal/owner/rowtable_test.go
@@ -21,27 +21,27 @@
 
 // rowTable is a table whose reads a test can intercept.
 type rowTable struct {
-	gauge.Parted
+	gauge.PartitionedTable
 	// onRange is called before each range read is answered, with the rows that it would return; an
 	// error fails the read. If nil, all reads are answered.
-	onRange func(ctx context.Context, table, part string, found []gauge.PartRow) error
+	onRange func(ctx context.Context, table, part string, found []gauge.PartitionRow) error
 
 	leaseWritten chan struct{} // closed after the first write of a lease row
 
 	mu        sync.Mutex
-	stored    map[gauge.RowKey]gauge.PartRow
-	leases    []gauge.LeaseRow // written by the owner
-	grants    gauge.GrantRow   // last one written
-	listCalls int              // calls of Parts
+	stored    map[gauge.RowKey]gauge.PartitionRow
+	leases    []gauge.LeaseRow  // written by the owner
+	handover  gauge.HandoverRow // last one written
+	listCalls int               // calls of Partitions
 }
 
 func newRowTable() *rowTable {
-	return &rowTable{leaseWritten: make(chan struct{}), stored: make(map[gauge.RowKey]gauge.PartRow)}
+	return &rowTable{leaseWritten: make(chan struct{}), stored: make(map[gauge.RowKey]gauge.PartitionRow)}
 }
 
 func (r *rowTable) put(table, part, key string, value []byte, version int64) {
-	k := gauge.RowKey{Table: table, Part: part, Key: key}
-	r.stored[k] = gauge.PartRow{RowKey: k, Value: value, Version: version}
+	k := gauge.RowKey{Table: table, Partition: part, Key: key}
+	r.stored[k] = gauge.PartitionRow{RowKey: k, Value: value, Version: version}
 }
 
 // addJob adds a job that was accepted before the owner started.
@@ -56,20 +56,20 @@
 	assert.NilError(t, err)
 	r.put(gauge.TableJobs, queue, id, row, 1)
 	r.put(gauge.TableSpecs, queue, id, spec, 1)
-	r.put(gauge.TableOpen, queue, id, gauge.Mark{Pool: pool}.Encode(), 1)
+	r.put(gauge.TableOpen, queue, id, gauge.OpenJobMark{Pool: pool}.Encode(), 1)
 }
 
 // payloadBytes is the size of a typical job's payload.
 const payloadBytes = 2400
 
-func (r *rowTable) Parts(_ context.Context, table string) ([]string, error) {
+func (r *rowTable) Partitions(_ context.Context, table string) ([]string, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.listCalls++
 	var parts []string
 	for k := range r.stored {
-		if k.Table == table && !slices.Contains(parts, k.Part) {
-			parts = append(parts, k.Part)
+		if k.Table == table && !slices.Contains(parts, k.Partition) {
+			parts = append(parts, k.Partition)
 		}
 	}
 	slices.Sort(parts)
@@ -82,47 +82,47 @@
 	return r.listCalls
 }
 
-func (r *rowTable) Range(ctx context.Context, table, part, from, to string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (r *rowTable) Range(ctx context.Context, table, part, from, to string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	r.mu.Lock()
-	var found []gauge.PartRow
+	var found []gauge.PartitionRow
 	for k, row := range r.stored {
-		if k.Table == table && k.Part == part && k.Key >= from && (to == "" || k.Key < to) {
+		if k.Table == table && k.Partition == part && k.Key >= from && (to == "" || k.Key < to) {
 			found = append(found, row)
 		}
 	}
 	r.mu.Unlock()
-	slices.SortFunc(found, func(a, b gauge.PartRow) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(found, func(a, b gauge.PartitionRow) int { return cmp.Compare(a.Key, b.Key) })
 	if r.onRange != nil {
 		if err := r.onRange(ctx, table, part, found); err != nil {
-			return nil, gauge.Stamp{}, err
+			return nil, gauge.TablePosition{}, err
 		}
 	}
-	return found, gauge.Stamp{Version: 2}, nil
+	return found, gauge.TablePosition{Version: 2}, nil
 }
 
-func (r *rowTable) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (r *rowTable) Commit(_ context.Context, txn gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range txn.Writes {
-		if w.Table == gauge.TableGrants {
-			grants, err := gauge.DecodeGrantRow(w.Value)
+		if w.Table == gauge.TableHandovers {
+			handover, err := gauge.DecodeHandoverRow(w.Value)
 			if err != nil {
-				return gauge.Stamp{}, nil, err
+				return gauge.TablePosition{}, nil, err
 			}
-			r.grants = *grants
+			r.handover = *handover
 		}
 		if w.Table != gauge.TableLeases {
 			continue
 		}
 		lease, err := gauge.DecodeLeaseRow(w.Value)
 		if err != nil {
-			return gauge.Stamp{}, nil, err
+			return gauge.TablePosition{}, nil, err
 		}
 		if r.leases = append(r.leases, *lease); len(r.leases) == 1 {
 			close(r.leaseWritten)
 		}
 	}
-	return gauge.Stamp{Version: 2}, nil, nil
+	return gauge.TablePosition{Version: 2}, nil, nil
 }
 
 func (r *rowTable) writtenLeases() []gauge.LeaseRow {
@@ -131,13 +131,13 @@
 	return slices.Clone(r.leases)
 }
 
-func (r *rowTable) lastGrants() gauge.GrantRow {
+func (r *rowTable) lastGrants() gauge.HandoverRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.grants
+	return r.handover
 }
 
-func noAnswer() error { return gauge.Fail(gauge.KindOutage, "no answer to a read") }
+func noAnswer() error { return gauge.Errorf(gauge.KindOutage, "no answer to a read") }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
@@ -145,7 +145,7 @@
 func frozenClock() time.Duration { return time.Second }
 
 // startOwner starts an owner of pool "p" that runs until the test ends.
-func startOwner(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
+func startOwner(t *testing.T, store gauge.PartitionedTable, w gauge.Workers, log logr.Logger, change func(c *owner.Config), list ...gauge.Worker) *owner.Owner {
 	t.Helper()
 	o, run := newOwner(t, store, w, log, change)
 	run(&gauge.Site{}, list...)
@@ -153,17 +153,17 @@
 }
 
 // newOwner returns an owner of pool "p", and a function that runs it until the test ends.
-func newOwner(t *testing.T, store gauge.Parted, w gauge.Workers, log logr.Logger, change func(c *owner.Config)) (*owner.Owner, func(*gauge.Site, ...gauge.Worker)) {
+func newOwner(t *testing.T, store gauge.PartitionedTable, w gauge.Workers, log logr.Logger, change func(c *owner.Config)) (*owner.Owner, func(*gauge.Site, ...gauge.Worker)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	c := owner.Config{
-		Pool: "p", Term: 1, Store: store, Workers: w, Logs: log, Now: frozenClock, Wall: time.Now,
+		Pool: "p", Term: 1, Store: store, Workers: w, Logs: log, Now: frozenClock, WallClock: time.Now,
 		Lease: tenure.New(tenure.Config{
-			Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1",
-			Term: 1, Lasts: time.Hour, Store: store, Now: frozenClock, Clock: func() int64 { return 5000 },
+			Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1",
+			Term: 1, LeaseDuration: time.Hour, Store: store, Now: frozenClock, TableClock: func() int64 { return 5000 },
 		}),
-		Grace: time.Second, Hold: time.Second, Stamp: func(gauge.Stamp, time.Duration) {},
-		Clock: func() int64 { return 5000 }, Count: func(string, time.Duration) {}, Event: func(string) {},
+		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		TableClock: func() int64 { return 5000 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	}
 	if change != nil {
 		change(&c)
@@ -189,7 +189,7 @@
 // knowsJobs reports whether the owner knows the states of all the given jobs.
 func knowsJobs(o *owner.Owner, queue string, jobs ...string) bool {
 	for _, id := range jobs {
-		if _, ok := o.State(queue, id); !ok {
+		if _, ok := o.JobState(queue, id); !ok {
 			return false
 		}
 	}
--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -17,15 +17,15 @@
 // siteWithSilentWorker has a worker that never answers.
 type siteWithSilentWorker struct{ *fakeSite }
 
-func (d siteWithSilentWorker) Hold(ctx context.Context, w *gauge.Worker, c gauge.HoldCall) (*gauge.WorkerReport, error) {
+func (d siteWithSilentWorker) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	if w.ID != "dark" {
-		return d.fakeSite.Hold(ctx, w, c)
+		return d.fakeSite.Heartbeat(ctx, w, c)
 	}
 	select {
 	case <-ctx.Done():
 	case <-time.After(time.Second):
 	}
-	return nil, gauge.Fail(gauge.KindUnknown, "no answer")
+	return nil, gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
 // Guards against long-running tasks standing still for sixteen seconds while there is room for
@@ -44,11 +44,11 @@
 		w := siteWithSilentWorker{&fakeSite{began: began, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}}
 		take := func(term int, before gauge.LeaseRow) *owner.Owner {
 			return startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
-				c.Term, c.Fence, c.Earlier, c.Before, c.Now, c.Clock = term, gauge.Fence(term+1), before.Workers, before, now, clock
-				c.Grace, c.Hold = 6*time.Second, 4*time.Second
+				c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), before.Workers, before, now, clock
+				c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
 				c.Lease = tenure.New(tenure.Config{
-					Key: gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
-					Lasts: 2 * time.Second, Taken: now(), Store: store, Now: now, Clock: clock,
+					Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
+					LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
 				})
 			}, idleWorker("sound"), idleWorker("dark"))
 		}
@@ -63,7 +63,7 @@
 				assert.Equal(t, starts, 1, "nine seconds after anything may have been granted")
 			}
 			o.Stop("the entry stops")
-			before, _ = o.Offer()
+			before, _ = o.LeaseOffer()
 		}
 	})
 }
--- a/internal/owner/slots_test.go
+++ b/internal/owner/slots_test.go
@@ -31,7 +31,7 @@
 		select {
 		case <-release:
 		case <-ctx.Done():
-			return 0, gauge.Fail(gauge.KindUnknown, "no answer")
+			return 0, gauge.Errorf(gauge.KindUnknown, "no answer")
 		}
 	}
 	return s.blockingWorkers.Start(ctx, w, c)
--- a/internal/owner/stop.go
+++ b/internal/owner/stop.go
@@ -14,10 +14,10 @@
 // tenth of a second more when the CPU quota is used up.
 const maxFastWrite = 150 * time.Millisecond
 
-// Calm reports whether a successor could take over quickly because the table answers and isn't
-// slow. Claiming a lease and reading a pool takes about five calls in sequence; with a table 65
-// times slower than usual, a busy pool stood still for two to three seconds.
-func (o *Owner) Calm() bool {
+// IsTableFast reports whether a successor could take over quickly because the table answers and
+// isn't slow. Claiming a lease and reading a pool takes about five calls in sequence; with a table
+// 65 times slower than usual, a busy pool stood still for two to three seconds.
+func (o *Owner) IsTableFast() bool {
 	now := o.conf.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -36,7 +36,7 @@
 	}
 	b := o.backlog(o.conf.Now())
 	o.conf.Logs.Info("pool left", "pool", o.conf.Pool, "fence", o.conf.Fence, "reason", why,
-		"unwritten", b.Changes, "ends", b.Ends, "took", o.conf.Now()-began)
+		"unwritten", b.UnwrittenChanges, "ends", b.UnacknowledgedEnds, "took", o.conf.Now()-began)
 	return true
 }
 
@@ -48,7 +48,7 @@
 	for {
 		o.mu.Lock()
 		o.stopping = true
-		done := o.ended || o.tableUnreachable || o.pool.Unwritten() == 0
+		done := o.ended || o.tableUnreachable || o.pool.UnwrittenJobs() == 0
 		writeDone := o.writeDone
 		o.mu.Unlock()
 		if done {
--- a/internal/owner/stop_test.go
+++ b/internal/owner/stop_test.go
@@ -23,21 +23,21 @@
 			g.table.delay, g.table.err = takes, err
 		}
 		g.advance(time.Second)
-		assert.Assert(t, g.owner.Calm())
+		assert.Assert(t, g.owner.IsTableFast())
 
 		set(700*time.Millisecond, nil)
 		g.advance(600 * time.Millisecond) // the next renewal is in progress
-		assert.Assert(t, !g.owner.Calm(), "a write is hanging")
+		assert.Assert(t, !g.owner.IsTableFast(), "a write is hanging")
 		g.advance(time.Second)
-		assert.Assert(t, !g.owner.Calm(), "the last write took long")
+		assert.Assert(t, !g.owner.IsTableFast(), "the last write took long")
 
-		set(10*time.Millisecond, gauge.Fail(gauge.KindOutage, "unreachable"))
+		set(10*time.Millisecond, gauge.Errorf(gauge.KindOutage, "unreachable"))
 		g.advance(2 * time.Second)
-		assert.Assert(t, !g.owner.Calm(), "the table is unreachable")
+		assert.Assert(t, !g.owner.IsTableFast(), "the table is unreachable")
 
 		set(10*time.Millisecond, nil)
 		g.advance(2 * time.Second)
-		assert.Assert(t, g.owner.Calm(), "the table is back")
+		assert.Assert(t, g.owner.IsTableFast(), "the table is back")
 	})
 }
 
@@ -65,7 +65,7 @@
 				}
 				set(tt.takes, nil)
 				g.advance(3 * time.Second)
-				set(tt.takes, gauge.Fail(gauge.KindOutage, "no answer"))
+				set(tt.takes, gauge.Errorf(gauge.KindOutage, "no answer"))
 				g.advance(2 * time.Second)
 				g.mu.Lock()
 				defer g.mu.Unlock()
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -86,16 +86,16 @@
 // pendingWrite is one transaction: the lease row and the changes of jobs.
 type pendingWrite struct {
 	batch        sched.Batch
-	txn          gauge.PartTxn
+	txn          gauge.PartitionTxn
 	lease        gauge.LeaseRow
-	namedWorkers []gauge.Life // incarnations of workers that the lease row names
+	namedWorkers []gauge.Incarnation // incarnations of workers that the lease row names
 }
 
 // write sends one transaction and applies its result. It reports whether the next one is due at
 // once.
 func (o *Owner) write() (more bool, err error) {
 	if o.isTableUnreachable() && !o.canReadTable() {
-		return false, gauge.Fail(gauge.KindOutage, "the table doesn't answer a read")
+		return false, gauge.Errorf(gauge.KindOutage, "the table doesn't answer a read")
 	}
 	p, err := o.prepareWrite()
 	if err != nil {
@@ -104,10 +104,10 @@
 	}
 	sent := o.conf.Now()
 	o.withLock(func() { o.writeSentAt = sent })
-	stamp, rows, err := o.conf.Lease.Commit(o.ctx, p.lease, p.txn)
+	position, rows, err := o.conf.Lease.Commit(o.ctx, p.lease, p.txn)
 	took := o.conf.Now() - sent
 	o.withLock(func() { o.writeSentAt, o.lastWriteTook = 0, took })
-	o.conf.Count("write", took)
+	o.conf.ObserveCall("write", took)
 	switch gauge.KindOf(err) {
 	case gauge.KindFenced:
 		o.loseLease(err.Error())
@@ -124,8 +124,8 @@
 		o.recordWrite(true)
 		return false, err
 	}
-	o.conf.Stamp(stamp, sent)
-	return o.applyWrite(p, stamp), nil
+	o.conf.ObserveTableClock(position, sent)
+	return o.applyWrite(p, position), nil
 }
 
 // holdBack holds back a queue's changes for a while after a write with them has failed. Only the
@@ -145,20 +145,20 @@
 func (o *Owner) prepareWrite() (pendingWrite, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	batch, err := o.pool.Batch(maxBatchEntries, o.conf.Clock(), o.isHeldBack)
+	batch, err := o.pool.NextBatch(maxBatchEntries, o.conf.TableClock(), o.isHeldBack)
 	if err != nil {
 		return pendingWrite{}, err
 	}
-	names := o.pool.Name()
+	names := o.pool.LeaseRowWorkers()
 	p := pendingWrite{batch: batch, lease: o.leaseRow(names), namedWorkers: names}
 	for _, c := range batch.Changes {
-		job := gauge.RowKey{Table: gauge.TableJobs, Part: c.Queue, Key: c.Job}
+		job := gauge.RowKey{Table: gauge.TableJobs, Partition: c.Queue, Key: c.Job}
 		p.txn.Checks = append(p.txn.Checks, gauge.RowCheck{RowKey: job, Version: c.Version})
 		p.txn.Writes = append(p.txn.Writes, gauge.RowWrite{RowKey: job, Value: c.Row})
 		if c.Final {
-			p.txn.Drops = append(p.txn.Drops,
-				gauge.RowKey{Table: gauge.TableSpecs, Part: c.Queue, Key: c.Job},
-				gauge.RowKey{Table: gauge.TableOpen, Part: c.Queue, Key: c.Job})
+			p.txn.Deletes = append(p.txn.Deletes,
+				gauge.RowKey{Table: gauge.TableSpecs, Partition: c.Queue, Key: c.Job},
+				gauge.RowKey{Table: gauge.TableOpen, Partition: c.Queue, Key: c.Job})
 		}
 	}
 	return p, nil
@@ -168,13 +168,13 @@
 // of the previous owner, which are reported while they are recent enough. Queues that haven't been
 // read, or not for long, are listed as unread, because reporting them as empty would hide the jobs
 // that wait there.
-func (o *Owner) leaseRow(named []gauge.Life) gauge.LeaseRow {
-	row := gauge.LeaseRow{Workers: incarnationNames(named), Unnoted: o.unrecordedCrashes()}
+func (o *Owner) leaseRow(named []gauge.Incarnation) gauge.LeaseRow {
+	row := gauge.LeaseRow{Workers: incarnationNames(named), UnrecordedOwners: o.unrecordedCrashes()}
 	if !o.loaded {
-		row.CountsOf(&o.conf.Before)
+		row.InheritDepths(&o.conf.PreviousRow)
 		return row
 	}
-	row.Depths, row.Unread, row.Counted = o.pool.Depths(), o.queuesWithoutCount(), o.conf.Clock()
+	row.Depths, row.UnreadQueues, row.Counted = o.pool.QueueDepths(), o.queuesWithoutCount(), o.conf.TableClock()
 	return row
 }
 
@@ -188,14 +188,14 @@
 	switch {
 	case o.conf.Now()-o.claimedAt >= unrecordedCrashesFor:
 		return 0
-	case o.pool.LostBefore():
-		return o.conf.Before.Unnoted + 1
+	case o.pool.HasUnreportedLosses():
+		return o.conf.PreviousRow.UnrecordedOwners + 1
 	default:
-		return o.conf.Before.Unnoted
+		return o.conf.PreviousRow.UnrecordedOwners
 	}
 }
 
-func incarnationNames(incarnations []gauge.Life) []string {
+func incarnationNames(incarnations []gauge.Incarnation) []string {
 	names := make([]string, len(incarnations))
 	for i, l := range incarnations {
 		names[i] = l.String()
@@ -203,22 +203,22 @@
 	return names
 }
 
-func parseIncarnations(names []string) []gauge.Life {
-	incarnations := make([]gauge.Life, len(names))
+func parseIncarnations(names []string) []gauge.Incarnation {
+	incarnations := make([]gauge.Incarnation, len(names))
 	for i, name := range names {
-		incarnations[i] = gauge.ParseLife(name)
+		incarnations[i] = gauge.ParseIncarnation(name)
 	}
 	return incarnations
 }
 
 // applyWrite applies a write that is in the table. It reports whether the next one is due at once.
-func (o *Owner) applyWrite(p pendingWrite, stamp gauge.Stamp) bool {
+func (o *Owner) applyWrite(p pendingWrite, position gauge.TablePosition) bool {
 	urgent, more := false, false
 	o.withLock(func() {
-		o.pool.Written(p.batch, stamp.Version, o.conf.Now())
-		o.pool.Noted(p.namedWorkers, stamp.Version)
-		urgent = o.pool.Urgent()
-		more = p.batch.More || o.stopping && len(p.batch.Changes) > 0 && o.pool.Unwritten() > 0
+		o.pool.BatchWritten(p.batch, position.Version, o.conf.Now())
+		o.pool.LeaseRowWritten(p.namedWorkers, position.Version)
+		urgent = o.pool.HasUrgent()
+		more = p.batch.HasMore || o.stopping && len(p.batch.Changes) > 0 && o.pool.UnwrittenJobs() > 0
 	})
 	o.recordWrite(false)
 	if urgent {
@@ -229,14 +229,14 @@
 }
 
 // applyConflicts applies the job rows that the table returned with a refused write.
-func (o *Owner) applyConflicts(rows []gauge.PartRow) {
+func (o *Owner) applyConflicts(rows []gauge.PartitionRow) {
 	for _, r := range rows {
 		row, err := gauge.DecodeJobRow(r.Value)
 		if err != nil {
 			o.conf.Logs.Error(err, "job row not decoded", "job", r.Key, "pool", o.conf.Pool)
 			continue
 		}
-		o.withLock(func() { o.pool.Conflicted(r.Key, row, r.Version) })
+		o.withLock(func() { o.pool.RowConflicted(r.Key, row, r.Version) })
 	}
 	o.update(nil)
 }
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -7,22 +7,22 @@
 	"syscall"
 )
 
-// Seen is the state of the receiving side of a connection.
-type Seen string
+// State is the state of the receiving side of a connection.
+type State string
 
 // The states.
 const (
-	Quiet  Seen = "quiet"  // open, no data received
-	Bytes  Seen = "bytes"  // data received that hasn't been read
-	Closed Seen = "closed" // closed by the peer, or failed
+	Idle    State = "quiet"  // open, no data received
+	HasData State = "bytes"  // data received that hasn't been read
+	Closed  State = "closed" // closed by the peer, or failed
 )
 
-// Look returns the present state of a connection. A connection that gives no access to its file
+// Check returns the present state of a connection. A connection that gives no access to its file
 // descriptor counts as Quiet.
-func Look(c net.Conn) Seen {
+func Check(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
@@ -34,9 +34,9 @@
 		n, _, e := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case n > 0:
-			state = Bytes
+			state = HasData
 		case errors.Is(e, syscall.EAGAIN), errors.Is(e, syscall.EINTR):
-			state = Quiet
+			state = Idle
 		}
 		return true
 	})
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -38,16 +38,16 @@
 	maxReadGap = 10 * time.Second
 )
 
-// Beat is a heartbeat. Own lists the live entries of the sender's data centre,
+// Heartbeat is a heartbeat. Own lists the live entries of the sender's data centre,
 // Same those of them that have the same view as the sender: so one link between
 // two data centres is enough to hear of all entries at its other end.
-type Beat struct {
-	From        gauge.Member `msgpack:"f"`
-	Revision    int64        `msgpack:"r"` // configuration revision in force at the sender
-	View        uint64       `msgpack:"v"` // hash of the sender's live entries
-	Own         []string     `msgpack:"o,omitempty"`
-	Same        []string     `msgpack:"s,omitempty"`
-	MinRevision int64        `msgpack:"l,omitempty"` // lowest revision in force among Own
+type Heartbeat struct {
+	From         gauge.Member `msgpack:"f"`
+	Revision     int64        `msgpack:"r"` // configuration revision in force at the sender
+	View         uint64       `msgpack:"v"` // hash of the sender's live entries
+	ZoneLive     []string     `msgpack:"o,omitempty"`
+	ZoneSameView []string     `msgpack:"s,omitempty"`
+	MinRevision  int64        `msgpack:"l,omitempty"` // lowest revision in force among Own
 }
 
 // Set holds what this entry knows of the others.
@@ -78,11 +78,11 @@
 	return s
 }
 
-// Rows records the member rows that were just read and returns the stale ones,
+// UpdateRows records the member rows that were just read and returns the stale ones,
 // which are to be deleted: they haven't changed for the whole term, and the table
 // could be read all that time. During an outage nobody can write its row, so the
 // term starts again after it.
-func (s *Set) Rows(now time.Time, rows []gauge.Member) (stale []gauge.Member) {
+func (s *Set) UpdateRows(now time.Time, rows []gauge.Member) (stale []gauge.Member) {
 	if now.Sub(s.lastRead) > maxReadGap {
 		s.readableSince = now
 	}
@@ -94,7 +94,7 @@
 			continue
 		}
 		p := s.peerOf(now, m)
-		if p.member.Beat != m.Beat || p.member.Run != m.Run {
+		if p.member.WriteCount != m.WriteCount || p.member.StartID != m.StartID {
 			p.member = m
 			p.rowChanged = now
 		}
@@ -131,25 +131,25 @@
 	return now.Sub(since) > s.conf.Term
 }
 
-// Heard records a heartbeat.
-func (s *Set) Heard(now time.Time, b Beat) {
+// Receive records a heartbeat.
+func (s *Set) Receive(now time.Time, b Heartbeat) {
 	if b.From.ID == s.conf.Self.ID || b.From.ID == "" {
 		return
 	}
 	p := s.peerOf(now, b.From)
-	row := p.member.Beat
+	row := p.member.WriteCount
 	p.member = b.From
-	p.member.Beat = row
+	p.member.WriteCount = row
 	p.lastHeartbeat, p.lastDirect = now, now
 	p.view, p.revision = b.View, b.Revision
-	for _, id := range b.Own {
+	for _, id := range b.ZoneLive {
 		s.recordRelayed(now, id, b)
 	}
 }
 
 // recordRelayed records what a heartbeat says of a third entry. A recent direct
 // heartbeat of that entry holds more, and takes precedence.
-func (s *Set) recordRelayed(now time.Time, id string, b Beat) {
+func (s *Set) recordRelayed(now time.Time, id string, b Heartbeat) {
 	p := s.known[id]
 	if p == nil || now.Sub(p.lastDirect) <= s.conf.Silence {
 		return
@@ -157,7 +157,7 @@
 	p.lastHeartbeat = now
 	p.revision = max(p.revision, b.MinRevision)
 	p.view = 0
-	if slices.Contains(b.Same, id) {
+	if slices.Contains(b.ZoneSameView, id) {
 		p.view = b.View
 	}
 }
@@ -174,8 +174,8 @@
 	return live
 }
 
-// Look recomputes the view and returns it with the live entries.
-func (s *Set) Look(now time.Time) (uint64, []gauge.Member) {
+// Refresh recomputes the view and returns it with the live entries.
+func (s *Set) Refresh(now time.Time) (uint64, []gauge.Member) {
 	live := s.Live(now)
 	s.view = s.hash(live)
 	return s.view, live
@@ -187,7 +187,7 @@
 	h := xxhash.New()
 	for _, m := range live {
 		_, _ = h.WriteString(m.ID)
-		_, _ = h.WriteString("\x00" + m.Run + "\x00")
+		_, _ = h.WriteString("\x00" + m.StartID + "\x00")
 	}
 	return h.Sum64()
 }
@@ -214,9 +214,9 @@
 	return same, known
 }
 
-// Linked reports whether this entry has read the table or received a heartbeat
+// IsConnected reports whether this entry has read the table or received a heartbeat
 // lately, or knows no other entry.
-func (s *Set) Linked(now time.Time) bool {
+func (s *Set) IsConnected(now time.Time) bool {
 	if now.Sub(s.lastRead) <= maxReadGap {
 		return true
 	}
@@ -228,10 +228,10 @@
 	return len(s.known) == 0
 }
 
-// Beat returns this entry's heartbeat to an entry in the data centre zone; revision is the
+// NewHeartbeat returns this entry's heartbeat to an entry in the data centre zone; revision is the
 // configuration revision that is in force here.
-func (s *Set) Beat(now time.Time, revision int64, zone string) Beat {
-	b := Beat{From: s.conf.Self, Revision: revision, View: s.view}
+func (s *Set) NewHeartbeat(now time.Time, revision int64, zone string) Heartbeat {
+	b := Heartbeat{From: s.conf.Self, Revision: revision, View: s.view}
 	if len(s.known) < s.conf.Mesh || zone == s.conf.Self.Zone {
 		return b // these entries exchange heartbeats directly: nothing to relay
 	}
@@ -239,12 +239,12 @@
 		if p.member.Zone != s.conf.Self.Zone || now.Sub(p.lastDirect) > s.conf.Silence {
 			continue
 		}
-		b.Own = append(b.Own, id)
-		if len(b.Own) == 1 || p.revision < b.MinRevision {
+		b.ZoneLive = append(b.ZoneLive, id)
+		if len(b.ZoneLive) == 1 || p.revision < b.MinRevision {
 			b.MinRevision = p.revision
 		}
 		if p.view == s.view {
-			b.Same = append(b.Same, id)
+			b.ZoneSameView = append(b.ZoneSameView, id)
 		}
 	}
 	return b
@@ -293,10 +293,10 @@
 	return out
 }
 
-// Confirmed reports whether every entry that may still be sending work has a
+// IsConfirmed reports whether every entry that may still be sending work has a
 // revision, or a later one, in force: a live entry by its own report; an entry that has
 // been gone for longer than the term is no longer known.
-func (s *Set) Confirmed(revision int64) bool {
+func (s *Set) IsConfirmed(revision int64) bool {
 	for _, p := range s.known {
 		if p.revision < revision {
 			return false
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -13,10 +13,10 @@
 	"sapphiregauge/internal/peers"
 )
 
-func TestMain(m *testing.M) { fixed.Run{Checks: "60", Steps: "40"}.Main(m) }
+func TestMain(m *testing.M) { fixed.Flags{Checks: "60", Steps: "40"}.Main(m) }
 
 func entry(i int) gauge.Member {
-	return gauge.Member{ID: fmt.Sprint("e", i), Run: "r", Zone: fmt.Sprint("z", i%3)}
+	return gauge.Member{ID: fmt.Sprint("e", i), StartID: "r", Zone: fmt.Sprint("z", i%3)}
 }
 
 // cluster is a number of entries that have read each other's rows; links[a][b]
@@ -35,7 +35,7 @@
 	}
 	for i := range n {
 		s := peers.New(peers.Config{Self: entry(i), Mesh: mesh})
-		s.Rows(g.now, rows)
+		s.UpdateRows(g.now, rows)
 		g.sets = append(g.sets, s)
 		g.links = append(g.links, make([]bool, n))
 		for j := range n {
@@ -49,25 +49,25 @@
 	var rows []gauge.Member
 	for i := range g.sets {
 		m := entry(i)
-		m.Beat = g.now.Unix()
+		m.WriteCount = g.now.Unix()
 		rows = append(rows, m)
 	}
 	for _, s := range g.sets {
-		s.Rows(g.now, rows)
+		s.UpdateRows(g.now, rows)
 	}
 }
 
 func (g *cluster) exchangeHeartbeats() {
 	for i, s := range g.sets {
-		s.Look(g.now)
+		s.Refresh(g.now)
 		for _, m := range s.Neighbours(g.now) {
 			var j int
 			_, _ = fmt.Sscanf(m.ID, "e%d", &j)
 			if g.links[i][j] {
-				g.sets[j].Heard(g.now, s.Beat(g.now, 1, m.Zone))
+				g.sets[j].Receive(g.now, s.NewHeartbeat(g.now, 1, m.Zone))
 			}
 			if g.links[i][j] && g.links[j][i] {
-				s.Heard(g.now, g.sets[j].Beat(g.now, 1, entry(i).Zone))
+				s.Receive(g.now, g.sets[j].NewHeartbeat(g.now, 1, entry(i).Zone))
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 				"": func(t *rapid.T) {
 					total, known := 0, n
 					for i, s := range g.sets {
-						_, live := s.Look(g.now)
+						_, live := s.Refresh(g.now)
 						if peers.Owner(live, "pool").ID == entry(i).ID {
 							same, k := s.Share(g.now)
 							total += same
@@ -123,7 +123,7 @@
 			g.exchangeHeartbeats()
 		}
 		for _, s := range g.sets {
-			_, live := s.Look(g.now)
+			_, live := s.Refresh(g.now)
 			assert.Equal(t, len(live), 9)
 			same, known := s.Share(g.now)
 			assert.Equal(t, same, 9)
@@ -141,11 +141,11 @@
 	s := g.sets[0]
 	old := []gauge.Member{entry(0), entry(1)}
 	g.now = g.now.Add(time.Hour)
-	assert.Equal(t, len(s.Rows(g.now, old)), 0)
+	assert.Equal(t, len(s.UpdateRows(g.now, old)), 0)
 	g.now = g.now.Add(10 * time.Second)
-	assert.Equal(t, len(s.Rows(g.now, old)), 0, "the term starts at the end of the outage")
+	assert.Equal(t, len(s.UpdateRows(g.now, old)), 0, "the term starts at the end of the outage")
 	g.now = g.now.Add(6 * time.Second)
-	assert.Equal(t, len(s.Rows(g.now, old)), 1, "unchanged for a term while the table was readable: stale")
+	assert.Equal(t, len(s.UpdateRows(g.now, old)), 1, "unchanged for a term while the table was readable: stale")
 }
 
 // An entry that can reach neither the table nor a peer grants nothing and is
@@ -155,5 +155,5 @@
 	g.now = g.now.Add(20 * time.Second)
 	same, _ := g.sets[0].Share(g.now)
 	assert.Equal(t, same, 0)
-	assert.Assert(t, !g.sets[0].Linked(g.now))
+	assert.Assert(t, !g.sets[0].IsConnected(g.now))
 }
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -29,7 +29,7 @@
 		return nil
 	}
 	var out []string
-	for _, name := range s.Names(gauge.RecordJob) {
+	for _, name := range s.RecordNames(gauge.RecordJob) {
 		job := s.Records[gauge.RecordID{Kind: gauge.RecordJob, Name: name}].Job
 		pool := s.Pool(job.Pool)
 		if pool == nil {
--- a/internal/plan/availability.go
+++ b/internal/plan/availability.go
@@ -15,7 +15,7 @@
 func newAvailability(p *gauge.Pool, hosts gauge.Hosts) *availability {
 	a := &availability{pool: p, counts: make(map[string]int)}
 	for _, h := range hosts {
-		if h.Serves() {
+		if h.IsServing() {
 			a.counts[p.Domain.Of(h)]++
 			a.total++
 		}
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -38,20 +38,20 @@
 	for _, s := range in.List {
 		h, known := in.State.ByHost[s.ID]
 		if known && h.State == gauge.HostFree && s.Status == gauge.StatusLive && hasChanged(h, s) {
-			out = append(out, Step{Host: withListedAttributes(h, s), Why: "has changed"})
+			out = append(out, Step{Host: withListedAttributes(h, s), Reason: "has changed"})
 		}
 		if known || s.Status != gauge.StatusLive {
 			continue
 		}
 		h = withListedAttributes(gauge.Host{ID: s.ID, State: gauge.HostFree}, s)
-		out = append(out, Step{Host: h, Why: "is new"})
+		out = append(out, Step{Host: h, Reason: "is new"})
 	}
 	return out
 }
 
-func hasChanged(h gauge.Host, s gauge.Sighting) bool { return h != withListedAttributes(h, s) }
+func hasChanged(h gauge.Host, s gauge.ListedHost) bool { return h != withListedAttributes(h, s) }
 
-func withListedAttributes(h gauge.Host, s gauge.Sighting) gauge.Host {
+func withListedAttributes(h gauge.Host, s gauge.ListedHost) gauge.Host {
 	h.Addr, h.Zone, h.Rack = s.Addr, s.Zone, s.Rack
 	h.Cores, h.Memory, h.Accels = s.Cores, s.Memory, s.Accels
 	h.Slots, h.Conns, h.Boots = s.Slots, s.Conns, s.Boots
@@ -63,8 +63,8 @@
 	var out []Step
 	for _, h := range in.State.Hosts() {
 		if h.State == gauge.HostServing && in.State.Pool(h.Pool) == nil {
-			h.State, h.Goal, h.Next = gauge.HostLeaving, gauge.GoalMove, ""
-			out = append(out, Step{Host: h, Why: "its pool is gone"})
+			h.State, h.Goal, h.NextPool = gauge.HostLeaving, gauge.GoalMove, ""
+			out = append(out, Step{Host: h, Reason: "its pool is gone"})
 		}
 	}
 	return out
@@ -87,16 +87,16 @@
 	a := &assignment{
 		in: in, live: make(map[string]bool), pools: make(map[string]*gauge.Pool),
 		members: make(map[string]gauge.Hosts), wanted: make(map[string]int),
-		poolNames: in.State.Names(gauge.RecordPool), hasStep: moved,
+		poolNames: in.State.RecordNames(gauge.RecordPool), hasStep: moved,
 	}
-	for id, s := range in.Seen {
+	for id, s := range in.ListByHost {
 		a.live[id] = s.Status == gauge.StatusLive
 	}
 	for _, h := range in.State.Hosts() {
 		switch {
 		case moved[h.ID]:
 		case h.State == gauge.HostLeaving && h.Goal == gauge.GoalMove:
-			a.members[h.Next] = append(a.members[h.Next], h)
+			a.members[h.NextPool] = append(a.members[h.NextPool], h)
 		case h.State == gauge.HostFree && a.live[h.ID]:
 			a.free = append(a.free, h)
 		case h.Pool != "":
@@ -106,15 +106,15 @@
 	for _, name := range a.poolNames {
 		pool := in.State.Pool(name)
 		a.pools[name] = pool
-		a.wanted[name] = Want(in.State, name, a.members[name])
+		a.wanted[name] = WantedHosts(in.State, name, a.members[name])
 	}
 	return a
 }
 
-// Want returns how many hosts a pool should have: the promised number, as many as its largest
-// failure domain has with the present spread, and what a wave needs in addition: one more domain if
-// speed is preferred, else one host while a wave covers the pool.
-func Want(s gauge.State, pool string, members gauge.Hosts) int {
+// WantedHosts returns how many hosts a pool should have: the promised number, as many as its
+// largest failure domain has with the present spread, and what a wave needs in addition: one more
+// domain if speed is preferred, else one host while a wave covers the pool.
+func WantedHosts(s gauge.State, pool string, members gauge.Hosts) int {
 	rec := s.Pool(pool)
 	worst := max(1, largestDomain(rec, members))
 	want := rec.Hosts + worst
@@ -232,7 +232,7 @@
 func (a *assignment) movableHosts(pool string) gauge.Hosts {
 	var out gauge.Hosts
 	for _, h := range a.members[pool] {
-		if h.Serves() && h.Pool == pool && a.live[h.ID] && !a.hasStep[h.ID] {
+		if h.IsServing() && h.Pool == pool && a.live[h.ID] && !a.hasStep[h.ID] {
 			out = append(out, h)
 		}
 	}
@@ -281,11 +281,11 @@
 		if h.State == gauge.HostFree {
 			h.State, h.Pool = gauge.HostServing, m.to
 		} else {
-			h.State, h.Goal, h.Next = gauge.HostLeaving, gauge.GoalMove, m.to
+			h.State, h.Goal, h.NextPool = gauge.HostLeaving, gauge.GoalMove, m.to
 		}
 		a.members[m.to] = append(a.members[m.to], h)
-		a.steps = append(a.steps, Step{Host: h, Why: why})
-		a.wanted[m.to] = Want(a.in.State, m.to, a.members[m.to])
+		a.steps = append(a.steps, Step{Host: h, Reason: why})
+		a.wanted[m.to] = WantedHosts(a.in.State, m.to, a.members[m.to])
 	}
 }
 
@@ -294,6 +294,6 @@
 	a.free = slices.DeleteFunc(a.free, same)
 	if h.Pool != "" {
 		a.members[h.Pool] = slices.DeleteFunc(a.members[h.Pool], same)
-		a.wanted[h.Pool] = Want(a.in.State, h.Pool, a.members[h.Pool])
+		a.wanted[h.Pool] = WantedHosts(a.in.State, h.Pool, a.members[h.Pool])
 	}
 }
--- a/internal/plan/measure_test.go
+++ b/internal/plan/measure_test.go
@@ -23,7 +23,7 @@
 	hosts, zones    int
 	pools, promised int // number of pools, and hosts promised to each
 	accelPools      int // pools that need accelerators
-	prefer          gauge.Prefer
+	prefer          gauge.Preference
 	days            int
 	tick            time.Duration
 	failures        float64 // hosts that fail per day
@@ -57,7 +57,7 @@
 	now         time.Duration
 	state       gauge.State
 	wave        gauge.Record // declared after a day
-	seen        map[string]gauge.Sighting
+	seen        map[string]gauge.ListedHost
 	repairedAt  map[string]time.Duration // failed hosts: when they are repaired
 	idleAt      map[string]time.Duration // leaving hosts: when their work ends
 	bootAt      map[string]time.Duration
@@ -73,7 +73,7 @@
 
 func newSimulation(s scenario) *simulation {
 	f := &simulation{
-		scenario: s, random: rand.New(rand.NewPCG(7, 7)), seen: make(map[string]gauge.Sighting),
+		scenario: s, random: rand.New(rand.NewPCG(7, 7)), seen: make(map[string]gauge.ListedHost),
 		repairedAt: make(map[string]time.Duration), idleAt: make(map[string]time.Duration),
 		bootAt: make(map[string]time.Duration), failedAt: make(map[string]time.Duration),
 	}
@@ -88,7 +88,7 @@
 			h.Accels = 4
 		}
 		f.state.ByHost[h.ID] = h
-		f.seen[h.ID] = gauge.Sighting{
+		f.seen[h.ID] = gauge.ListedHost{
 			ID: h.ID, Zone: h.Zone, Rack: h.Rack, Cores: 16, Memory: 64, Accels: h.Accels, Slots: 8, Status: gauge.StatusLive,
 		}
 	}
@@ -98,12 +98,12 @@
 		if i < s.accelPools {
 			p.Accels = 4
 		}
-		p.Defaults()
+		p.SetDefaults()
 		name := fmt.Sprintf("p%03d", i)
 		names = append(names, name)
 		f.state.Records[gauge.RecordID{Kind: gauge.RecordPool, Name: name}] = gauge.Record{Kind: gauge.RecordPool, Name: name, Pool: p}
 	}
-	f.state = f.state.Indexed()
+	f.state = f.state.WithIndex()
 	f.wave = gauge.Record{Kind: gauge.RecordWave, Name: "w", Wave: &gauge.Wave{Pools: names}}
 	return f
 }
@@ -113,7 +113,7 @@
 	for f.now = 0; f.now < time.Duration(f.days)*24*time.Hour; f.now += f.tick {
 		if !declared && f.now >= waveAt {
 			declared = true
-			f.wave.Born = f.state.Revision + 1
+			f.wave.FirstRevision = f.state.Revision + 1
 			f.apply(gauge.Change{Records: []gauge.Record{f.wave}})
 			f.moves = 0 // filling the pools for the first time doesn't count as moves
 		}
@@ -132,7 +132,7 @@
 	c.Revision = f.state.Revision + 1
 	for i := range c.Hosts {
 		c.Hosts[i].Epoch++
-		c.Hosts[i].Since = c.Revision
+		c.Hosts[i].ChangedRevision = c.Revision
 	}
 	next, err := f.state.Apply(c)
 	if err != nil {
@@ -195,17 +195,17 @@
 }
 
 func (f *simulation) plan(p planner) {
-	list := make(gauge.Sightings, 0, len(f.seen))
+	list := make(gauge.HostList, 0, len(f.seen))
 	for i := range f.hosts {
 		list = append(list, f.seen[fmt.Sprintf("h%05d", i)])
 	}
 	in := plan.Input{
-		State: f.state, List: list, Seen: f.seen,
-		Quit: func(h gauge.Host) bool { _, busy := f.idleAt[h.ID]; return !busy },
-		Lost: func(h gauge.Host) bool { return f.now-f.failedAt[h.ID] > lostAfter },
+		State: f.state, List: list, ListByHost: f.seen,
+		IsQuiesced: func(h gauge.Host) bool { _, busy := f.idleAt[h.ID]; return !busy },
+		IsLost:     func(h gauge.Host) bool { return f.now-f.failedAt[h.ID] > lostAfter },
 	}
 	f.applyPlan(p.Fleet, in)
-	for _, name := range in.State.Names(gauge.RecordPool) {
+	for _, name := range in.State.RecordNames(gauge.RecordPool) {
 		in.State = f.state
 		f.applyPlan(func(in plan.Input) plan.Plan { return p.Pool(in, name) }, in)
 	}
@@ -222,7 +222,7 @@
 			f.bootAt[s.Host.ID] = f.now + bootTime
 			f.setStatus(s.Host.ID, gauge.StatusBooting, 0, f.seen[s.Host.ID].Boots)
 		}
-		if s.Why == "" {
+		if s.Reason == "" {
 			continue
 		}
 		f.recordChange(f.state.ByHost[s.Host.ID], s.Host)
@@ -252,11 +252,11 @@
 
 func (f *simulation) measure() {
 	f.ticks++
-	for _, name := range f.state.Names(gauge.RecordPool) {
+	for _, name := range f.state.RecordNames(gauge.RecordPool) {
 		hosts, promised := f.state.InPool(name), f.state.Pool(name).Hosts
 		working := 0
 		for _, h := range hosts {
-			if h.Serves() && f.seen[h.ID].Status == gauge.StatusLive {
+			if h.IsServing() && f.seen[h.ID].Status == gauge.StatusLive {
 				working++
 			}
 		}
@@ -268,9 +268,9 @@
 }
 
 func (f *simulation) waveDone() bool {
-	for _, name := range f.state.Names(gauge.RecordPool) {
+	for _, name := range f.state.RecordNames(gauge.RecordPool) {
 		for _, h := range f.state.InPool(name) {
-			if plan.Due(f.wave, h) && h.State != gauge.HostFailed {
+			if plan.IsDue(f.wave, h) && h.State != gauge.HostFailed {
 				return false
 			}
 		}
@@ -287,7 +287,7 @@
 func BenchmarkPlanners(b *testing.B) {
 	for _, s := range scenarios() {
 		for name, p := range map[string]planner{
-			"plan": plan.New(plan.Config{}), "naive25": naive.New(naive.Config{Spare: 0.25}), "naive12": naive.New(naive.Config{Spare: 0.12}),
+			"plan": plan.New(plan.Config{}), "naive25": naive.New(naive.Config{SpareShare: 0.25}), "naive12": naive.New(naive.Config{SpareShare: 0.12}),
 		} {
 			b.Run(s.name+"/"+name, func(b *testing.B) {
 				for b.Loop() {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -24,15 +24,15 @@
 
 // Input is the state that a plan is made from.
 type Input struct {
-	State gauge.State
-	List  gauge.Sightings
-	Seen  map[string]gauge.Sighting // the list by host ID
-	// Quit reports whether it is certain that no entry sends new work to a leaving host any more,
-	// and that the list was read after that.
-	Quit func(gauge.Host) bool
-	// Lost reports whether a failed host has been down for so long that its pool is to get another
-	// one.
-	Lost func(gauge.Host) bool
+	State      gauge.State
+	List       gauge.HostList
+	ListByHost map[string]gauge.ListedHost // the list by host ID
+	// IsQuiesced reports whether it is certain that no entry sends new work to a leaving host any
+	// more, and that the list was read after that.
+	IsQuiesced func(gauge.Host) bool
+	// IsLost reports whether a failed host has been down for so long that its pool is to get
+	// another one.
+	IsLost func(gauge.Host) bool
 }
 
 // Step is one change of a host's row, and whether to ask the platform for a reboot once the row is
@@ -40,7 +40,7 @@
 type Step struct {
 	Host   gauge.Host
 	Reboot bool
-	Why    string
+	Reason string
 }
 
 // Wait is the reason why a wave doesn't continue in a pool.
@@ -67,7 +67,7 @@
 // Pool plans for the hosts of one pool: those that failed, left or came back, and the waves that
 // cover it.
 func (p *Planner) Pool(in Input, pool string) Plan {
-	out := p.Lives(in, pool)
+	out := p.HostSteps(in, pool)
 	hosts := slices.Clone(in.State.InPool(pool))
 	moved := make(map[string]bool) // one step per host: the next one is planned from its result
 	for _, s := range out.Steps {
@@ -85,16 +85,16 @@
 	return out
 }
 
-// Lives plans for the hosts of a pool regardless of waves: those that failed, came back, or have no
-// work any more.
-func (p *Planner) Lives(in Input, pool string) Plan {
+// HostSteps plans for the hosts of a pool regardless of waves: those that failed, came back, or
+// have no work any more.
+func (p *Planner) HostSteps(in Input, pool string) Plan {
 	var out Plan
 	for _, h := range in.State.InPool(pool) {
-		s := in.Seen[h.ID]
+		s := in.ListByHost[h.ID]
 		next, why := nextState(in, h, s)
 		switch {
 		case why != "":
-			out.Steps = append(out.Steps, Step{Host: next, Reboot: next.State == gauge.HostRebooting, Why: why})
+			out.Steps = append(out.Steps, Step{Host: next, Reboot: next.State == gauge.HostRebooting, Reason: why})
 		case mustRepeatReboot(h, s):
 			out.Steps = append(out.Steps, Step{Host: h, Reboot: true})
 		}
@@ -103,13 +103,13 @@
 }
 
 // nextState returns a host's next row and why it changes. Why is empty if nothing changes.
-func nextState(in Input, h gauge.Host, s gauge.Sighting) (next gauge.Host, why string) {
+func nextState(in Input, h gauge.Host, s gauge.ListedHost) (next gauge.Host, why string) {
 	next = h
 	live := s.Status == gauge.StatusLive
 	switch {
 	case h.State == gauge.HostRebooting && live && s.Boots > h.Boots:
-		next.State, next.Goal, next.Done, next.Boots = gauge.HostServing, "", true, s.Boots
-		next.Waved = h.Begun
+		next.State, next.Goal, next.WaveDone, next.Boots = gauge.HostServing, "", true, s.Boots
+		next.LastDoneRevision = h.WaveRevision
 		return next, "is back from its reboot"
 	case h.State == gauge.HostServing && s.ID != "" && s.Status != gauge.StatusLive:
 		next.State = gauge.HostFailed
@@ -117,22 +117,22 @@
 	case h.State == gauge.HostFailed && live:
 		next.State, next.Goal, next.Boots = gauge.HostServing, "", s.Boots
 		return next, "is back"
-	case h.State == gauge.HostFailed && in.Lost(h):
-		next.State, next.Pool, next.Goal, next.Next = gauge.HostFree, "", "", ""
+	case h.State == gauge.HostFailed && in.IsLost(h):
+		next.State, next.Pool, next.Goal, next.NextPool = gauge.HostFree, "", "", ""
 		return next, "is given up by its pool"
-	case h.State == gauge.HostLeaving && live && s.Used == 0 && in.Quit(h):
+	case h.State == gauge.HostLeaving && live && s.Used == 0 && in.IsQuiesced(h):
 		return afterDrain(next, s)
 	}
 	return h, ""
 }
 
 // afterDrain returns the next row of a host that has no work any more, and why it changes.
-func afterDrain(h gauge.Host, s gauge.Sighting) (gauge.Host, string) {
+func afterDrain(h gauge.Host, s gauge.ListedHost) (gauge.Host, string) {
 	if h.Goal == gauge.GoalReboot {
 		h.State, h.Boots = gauge.HostRebooting, s.Boots
 		return h, "is drained and to be rebooted"
 	}
-	h.Pool, h.Next, h.Goal = h.Next, "", ""
+	h.Pool, h.NextPool, h.Goal = h.NextPool, "", ""
 	h.State = gauge.HostServing
 	if h.Pool == "" {
 		h.State = gauge.HostFree
@@ -140,10 +140,10 @@
 	return h, "is drained and moved"
 }
 
-// mustRepeatReboot reports whether the platform shows no sign of a reboot: the previous controller may
-// have died between writing the row and asking for the reboot. The token is the same, so a reboot
-// requested twice happens once.
-func mustRepeatReboot(h gauge.Host, s gauge.Sighting) bool {
+// mustRepeatReboot reports whether the platform shows no sign of a reboot: the previous controller
+// may have died between writing the row and asking for the reboot. The token is the same, so a
+// reboot requested twice happens once.
+func mustRepeatReboot(h gauge.Host, s gauge.ListedHost) bool {
 	return h.State == gauge.HostRebooting && s.Status == gauge.StatusLive && s.Boots == h.Boots
 }
 
@@ -167,7 +167,7 @@
 			continue
 		}
 		mark := waveMark{wave: w.Name, revision: in.State.Revision}
-		steps, reason := p.drainForWave(mark, due, hosts, in.Seen, available)
+		steps, reason := p.drainForWave(mark, due, hosts, in.ListByHost, available)
 		out.Steps = append(out.Steps, steps...)
 		if reason != "" {
 			out.Waits = append(out.Waits, Wait{Wave: w.Name, Pool: pool, Reason: reason})
@@ -185,25 +185,25 @@
 // wavesCovering lists the waves that cover a pool, the oldest first.
 func wavesCovering(s gauge.State, pool string) []gauge.Record {
 	var out []gauge.Record
-	for _, name := range s.Names(gauge.RecordWave) {
+	for _, name := range s.RecordNames(gauge.RecordWave) {
 		r := s.Records[gauge.RecordID{Kind: gauge.RecordWave, Name: name}]
 		if r.Wave.Covers(pool) {
 			out = append(out, r)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b gauge.Record) int { return cmp.Compare(a.Born, b.Born) })
+	slices.SortStableFunc(out, func(a, b gauge.Record) int { return cmp.Compare(a.FirstRevision, b.FirstRevision) })
 	return out
 }
 
-// Due reports whether the wave has yet to reboot the host.
-func Due(wave gauge.Record, h gauge.Host) bool { return h.Waved < wave.Born }
+// IsDue reports whether the wave has yet to reboot the host.
+func IsDue(wave gauge.Record, h gauge.Host) bool { return h.LastDoneRevision < wave.FirstRevision }
 
 // dueHosts lists the hosts that the wave has yet to reboot, including those that are draining or
 // rebooting for it and those that failed.
 func dueHosts(wave gauge.Record, hosts gauge.Hosts) gauge.Hosts {
 	var due gauge.Hosts
 	for _, h := range hosts {
-		if Due(wave, h) && h.State != gauge.HostFree {
+		if IsDue(wave, h) && h.State != gauge.HostFree {
 			due = append(due, h)
 		}
 	}
@@ -212,7 +212,7 @@
 
 // drainForWave chooses the hosts to drain now: rack by rack, since losing a rack that is partly
 // under maintenance anyway costs less, and within a rack those with the least work first.
-func (p *Planner) drainForWave(mark waveMark, due, all gauge.Hosts, seen map[string]gauge.Sighting, r *availability) ([]Step, string) {
+func (p *Planner) drainForWave(mark waveMark, due, all gauge.Hosts, seen map[string]gauge.ListedHost, r *availability) ([]Step, string) {
 	out := 0
 	busy := make(map[string]int)
 	for _, h := range all {
@@ -243,9 +243,9 @@
 		}
 		out++
 		h.State, h.Goal = gauge.HostLeaving, gauge.GoalReboot
-		h.Wave, h.Begun = mark.wave, mark.revision
-		h.Done = false
-		steps = append(steps, Step{Host: h, Why: "leaves for wave " + mark.wave})
+		h.Wave, h.WaveRevision = mark.wave, mark.revision
+		h.WaveDone = false
+		steps = append(steps, Step{Host: h, Reason: "leaves for wave " + mark.wave})
 	}
 	if len(steps) == 0 && out == 0 {
 		return nil, fmt.Sprintf("%d hosts serve, the worst failure takes %d, %d are promised: none can be spared", r.total, r.largestDomain(), r.pool.Hosts)
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -12,19 +12,19 @@
 	"sapphiregauge/internal/plan"
 )
 
-func TestMain(m *testing.M) { fixed.Run{Checks: "1500"}.Main(m) }
+func TestMain(m *testing.M) { fixed.Flags{Checks: "1500"}.Main(m) }
 
 // smallFleet draws a fleet of a few hosts, each in a rack of its own.
-func smallFleet(t *rapid.T) (gauge.State, gauge.Sightings) {
+func smallFleet(t *rapid.T) (gauge.State, gauge.HostList) {
 	s := gauge.State{Records: make(map[gauge.RecordID]gauge.Record), ByHost: make(map[string]gauge.Host)}
 	pools := rapid.IntRange(1, 3).Draw(t, "pools")
 	for i := range pools {
 		p := &gauge.Pool{Hosts: rapid.IntRange(0, 2).Draw(t, "promised"), Accels: rapid.IntRange(0, 1).Draw(t, "needs")}
-		p.Defaults()
+		p.SetDefaults()
 		name := fmt.Sprint("p", i)
 		s.Records[gauge.RecordID{Kind: gauge.RecordPool, Name: name}] = gauge.Record{Kind: gauge.RecordPool, Name: name, Pool: p}
 	}
-	var list gauge.Sightings
+	var list gauge.HostList
 	for i := range rapid.IntRange(1, 7).Draw(t, "hosts") {
 		h := gauge.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), Accels: rapid.IntRange(0, 1).Draw(t, "accels"), State: gauge.HostFree}
 		if at := rapid.IntRange(-1, pools-1).Draw(t, "at"); at >= 0 {
@@ -34,7 +34,7 @@
 			}
 		}
 		s.ByHost[h.ID] = h
-		list = append(list, gauge.Sighting{ID: h.ID, Rack: h.Rack, Accels: h.Accels, Status: gauge.StatusLive})
+		list = append(list, gauge.ListedHost{ID: h.ID, Rack: h.Rack, Accels: h.Accels, Status: gauge.StatusLive})
 	}
 	return s, list
 }
@@ -42,7 +42,7 @@
 // shortfall returns how many hosts are missing over all pools, given the pool of each host.
 func shortfall(s gauge.State, at map[string]string) int {
 	n := 0
-	for _, name := range s.Names(gauge.RecordPool) {
+	for _, name := range s.RecordNames(gauge.RecordPool) {
 		p, have := s.Pool(name), 0
 		for id, pool := range at {
 			if pool == name && p.Fits(s.ByHost[id]) {
@@ -64,7 +64,7 @@
 	}
 	h, rest := hosts[0], hosts[1:]
 	missing, moves = 1<<30, 1<<30
-	for _, pool := range append(s.Names(gauge.RecordPool), "") {
+	for _, pool := range append(s.RecordNames(gauge.RecordPool), "") {
 		step := 0
 		if pool != h.Pool {
 			step = 1
@@ -93,13 +93,13 @@
 		before := shortfall(s, at)
 		missing, moves := optimum(s, s.Hosts(), make(map[string]string), 0)
 		p := plan.New(plan.Config{}).Fleet(plan.Input{
-			State: s.Indexed(), List: list, Seen: list.ByID(),
-			Quit: func(gauge.Host) bool { return true }, Lost: func(gauge.Host) bool { return false },
+			State: s.WithIndex(), List: list, ListByHost: list.ByID(),
+			IsQuiesced: func(gauge.Host) bool { return true }, IsLost: func(gauge.Host) bool { return false },
 		})
 		for _, st := range p.Steps {
 			at[st.Host.ID] = st.Host.Pool
 			if st.Host.State == gauge.HostLeaving {
-				at[st.Host.ID] = st.Host.Next
+				at[st.Host.ID] = st.Host.NextPool
 			}
 		}
 		if missing > 0 {
@@ -122,9 +122,9 @@
 func TestBrieflyFailedHostMovesNothing(t *testing.T) {
 	s := gauge.State{Records: make(map[gauge.RecordID]gauge.Record), ByHost: make(map[string]gauge.Host)}
 	p := &gauge.Pool{Hosts: 2, Prefer: gauge.PreferSpeed}
-	p.Defaults()
+	p.SetDefaults()
 	s.Records[gauge.RecordID{Kind: gauge.RecordPool, Name: "p"}] = gauge.Record{Kind: gauge.RecordPool, Name: "p", Pool: p}
-	var list gauge.Sightings
+	var list gauge.HostList
 	for i := range 6 {
 		h := gauge.Host{ID: fmt.Sprint("h", i), Rack: fmt.Sprint("r", i), State: gauge.HostFree}
 		if i < 4 {
@@ -134,11 +134,11 @@
 			h.State = gauge.HostFailed
 		}
 		s.ByHost[h.ID] = h
-		list = append(list, gauge.Sighting{ID: h.ID, Rack: h.Rack, Status: gauge.StatusLive})
+		list = append(list, gauge.ListedHost{ID: h.ID, Rack: h.Rack, Status: gauge.StatusLive})
 	}
 	in := plan.Input{
-		State: s, List: list, Seen: list.ByID(),
-		Quit: func(gauge.Host) bool { return true }, Lost: func(gauge.Host) bool { return false },
+		State: s, List: list, ListByHost: list.ByID(),
+		IsQuiesced: func(gauge.Host) bool { return true }, IsLost: func(gauge.Host) bool { return false },
 	}
 	assert.Equal(t, len(plan.New(plan.Config{}).Fleet(in).Steps), 0)
 }
