--- a/internal/plat/plat.go
+++ b/internal/plat/plat.go
@@ -39,7 +39,7 @@
 // New returns a Client.
 func New(c Config) *Client {
 	fill.Zero(&c.Timeout, defaultTimeout)
-	return &Client{conf: c, pool: exch.New(exch.Config{Answer: answerLimit, Clock: c.Clock})}
+	return &Client{conf: c, pool: exch.New(exch.Config{MaxBody: answerLimit, Clock: c.Clock})}
 }
 
 // Close closes the idle connections.
@@ -52,7 +52,7 @@
 		return gauge.Row{}, err
 	}
 	if len(rows) != 1 {
-		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "plat.Get: %d rows for one key", len(rows))
+		return gauge.Row{}, gauge.Errorf(gauge.KindOutage, "plat.Get: %d rows for one key", len(rows))
 	}
 	return rows[0], nil
 }
@@ -74,7 +74,7 @@
 func (c *Client) Commit(ctx context.Context, t gauge.Txn) error {
 	body, err := json.Marshal(t)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "plat.Commit").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "plat.Commit").WithCause(err)
 	}
 	_, err = c.call(ctx, http.MethodPost, "/table/commit", body)
 	return err
@@ -93,7 +93,7 @@
 }
 
 // List returns the host list.
-func (c *Client) List(ctx context.Context) (gauge.Sightings, error) {
+func (c *Client) List(ctx context.Context) (gauge.HostList, error) {
 	var body hostsBody
 	if err := c.readJSON(ctx, "/hosts", &body); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 func (c *Client) Reboot(ctx context.Context, host, token string) error {
 	body, err := json.Marshal(tokenBody{Token: token})
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "plat.Reboot").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "plat.Reboot").WithCause(err)
 	}
 	_, err = c.call(ctx, http.MethodPost, "/hosts/"+url.PathEscape(host)+"/reboot", body)
 	return err
@@ -117,7 +117,7 @@
 		return readError(err)
 	}
 	if err := json.Unmarshal(b, value); err != nil {
-		return gauge.Fail(gauge.KindOutage, "plat: answer of %s", path).Because(err)
+		return gauge.Errorf(gauge.KindOutage, "plat: answer of %s", path).WithCause(err)
 	}
 	return nil
 }
@@ -125,8 +125,8 @@
 // readError converts the error of a lost answer to KindOutage: a read has no effect that could be
 // unknown.
 func readError(err error) error {
-	if gauge.Is(err, gauge.KindUnknown) {
-		return gauge.Fail(gauge.KindOutage, "read got no answer").Because(err)
+	if gauge.IsKind(err, gauge.KindUnknown) {
+		return gauge.Errorf(gauge.KindOutage, "read got no answer").WithCause(err)
 	}
 	return err
 }
@@ -147,11 +147,11 @@
 	sent, err := c.pool.Do(ctx, c.conf.Addr, req, resp, false)
 	if err != nil {
 		// If one connection gets no answer, the other idle ones are often broken too.
-		c.pool.Drop(c.conf.Addr)
+		c.pool.CloseIdle(c.conf.Addr)
 		if sent {
-			return nil, gauge.Fail(gauge.KindUnknown, "plat: %s %s", method, path).Because(err)
+			return nil, gauge.Errorf(gauge.KindUnknown, "plat: %s %s", method, path).WithCause(err)
 		}
-		return nil, gauge.Fail(gauge.KindOutage, "plat: %s %s", method, path).Because(err)
+		return nil, gauge.Errorf(gauge.KindOutage, "plat: %s %s", method, path).WithCause(err)
 	}
 	return resp.Body(), statusError(resp.StatusCode(), method, path, resp.Body())
 }
@@ -161,13 +161,13 @@
 	case http.StatusOK, http.StatusNoContent, http.StatusCreated:
 		return nil
 	case http.StatusConflict:
-		return gauge.Fail(gauge.KindConflict, "plat: %s", body)
+		return gauge.Errorf(gauge.KindConflict, "plat: %s", body)
 	case http.StatusNotFound:
-		return gauge.Fail(gauge.KindMissing, "plat: %s", path)
+		return gauge.Errorf(gauge.KindNotFound, "plat: %s", path)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return gauge.Fail(gauge.KindOutage, "plat: %s %s: status %d", method, path, status)
+		return gauge.Errorf(gauge.KindOutage, "plat: %s %s: status %d", method, path, status)
 	default:
 		// The service may have carried out the call before it failed.
-		return gauge.Fail(gauge.KindUnknown, "plat: %s %s: status %d", method, path, status)
+		return gauge.Errorf(gauge.KindUnknown, "plat: %s %s: status %d", method, path, status)
 	}
 }
--- a/internal/plat/wire.go
+++ b/internal/plat/wire.go
@@ -9,7 +9,7 @@
 
 // hostsBody is the response to a read of the host list.
 type hostsBody struct {
-	Hosts gauge.Sightings `json:"hosts"`
+	Hosts gauge.HostList `json:"hosts"`
 }
 
 // tokenBody is the request for a reboot.
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// Soon is the time after a start within which a crash makes the task a suspect: a run that its
-	// worker has reported for longer doesn't crash the worker by starting.
-	Soon = time.Second
-	// Calm is how long a run must last to clear its task of suspicion. It also bounds how long a
-	// task runs isolated.
-	Calm = 30 * time.Second
+	// StartPhase is the time after a start within which a crash makes the task a suspect: a run
+	// that its worker has reported for longer doesn't crash the worker by starting.
+	StartPhase = time.Second
+	// ClearAfter is how long a run must last to clear its task of suspicion. It also bounds how
+	// long a task runs isolated.
+	ClearAfter = 30 * time.Second
 
 	// suspectCrashes is the number of crashes that make a task a suspect, however long its runs
 	// lasted.
@@ -47,49 +47,55 @@
 	maxUnattributed = 2
 )
 
-// Case is what is known of a task's starts.
-type Case struct {
-	Trials gauge.Trials // runs that were, or may have been, lost in a crash
-	// Excused is the number of starts after which the run was lost before the task had proved
+// Evidence is what is known of a task's starts.
+type Evidence struct {
+	SuspectRuns gauge.SuspectRuns // runs that were, or may have been, lost in a crash
+	// Unattributed is the number of starts after which the run was lost before the task had proved
 	// sound, but which are not attributed to it.
-	Excused int
-	// Lone is how many of these runs were isolated from other jobs' tasks.
-	Lone  int
-	Lasts bool // the task is a long-running one
+	Unattributed int
+	// UnattributedIsolated is how many of these runs were isolated from other jobs' tasks.
+	UnattributedIsolated int
+	LongRunning          bool // the task is a long-running one
 }
 
-// Starts returns the number of starts after which the task has not proved sound.
-func (c Case) Starts() int { return c.Trials.Crashes() + c.Excused }
+// UnprovenStarts returns the number of starts after which the task has not proved sound.
+func (c Evidence) UnprovenStarts() int { return c.SuspectRuns.CrashCount() + c.Unattributed }
 
-// Suspect reports whether the task may be the cause of a crash.
-func (c Case) Suspect() bool { return c.Trials.Soon(Soon) || c.Starts() >= suspectCrashes }
+// IsSuspect reports whether the task may be the cause of a crash.
+func (c Evidence) IsSuspect() bool {
+	return c.SuspectRuns.AnyEndedWithin(StartPhase) || c.UnprovenStarts() >= suspectCrashes
+}
 
-// Strong reports whether the task has lost so many workers that a correlated loss of other workers
-// doesn't exonerate it.
-func (c Case) Strong() bool { return c.Trials.Crashes() >= suspectCrashes }
+// HasRepeatedCrashes reports whether the task has lost so many workers that a correlated loss of
+// other workers doesn't exonerate it.
+func (c Evidence) HasRepeatedCrashes() bool { return c.SuspectRuns.CrashCount() >= suspectCrashes }
 
-// FewLeft reports whether few starts are left, counting as starts the lost runs whose loss is not
-// attributed yet.
-func (c Case) FewLeft(lost int) bool { return c.Starts()+lost >= maxCrashes-lastStarts }
+// HasFewStartsLeft reports whether few starts are left, counting as starts the lost runs whose loss
+// is not attributed yet.
+func (c Evidence) HasFewStartsLeft(lost int) bool {
+	return c.UnprovenStarts()+lost >= maxCrashes-lastStarts
+}
 
-// Cause reports whether the task must be the cause of crashes.
-func (c Case) Cause() bool {
+// IsCause reports whether the task must be the cause of crashes.
+func (c Evidence) IsCause() bool {
 	soleJob := soleJobCrashes
-	if c.Lasts {
+	if c.LongRunning {
 		soleJob = soleJobCrashesLongRunning
 	}
-	soon := min(maxSoonCrashes, maxCrashes-min(c.Excused+c.Trials.Beside(Soon), maxUnattributed))
-	return c.Trials.Alone() >= soleJob || c.Trials.LikelySoon(Soon) >= soon || c.Trials.Likely() >= maxCrashes ||
-		c.Starts() >= maxCrashes && c.hasConclusiveStarts()
+	soon := min(maxSoonCrashes, maxCrashes-min(c.Unattributed+c.SuspectRuns.UnlikelyCrashCountWithin(StartPhase), maxUnattributed))
+	return c.SuspectRuns.SoleJobCrashCount() >= soleJob || c.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= soon || c.SuspectRuns.LikelyCrashCount() >= maxCrashes ||
+		c.UnprovenStarts() >= maxCrashes && c.hasConclusiveStarts()
 }
 
-// hasConclusiveStarts reports whether the last starts leave no doubt: at least one crash was that of
-// an isolated run, or the last starts were isolated and are unattributed, and two crashes soon after
-// a start had no likelier cause.
-func (c Case) hasConclusiveStarts() bool {
-	isolated := c.Trials.Apart()
-	return isolated > 0 || c.Lone >= lastStarts && c.Trials.LikelySoon(Soon) >= suspectCrashes
+// hasConclusiveStarts reports whether the last starts leave no doubt: at least one crash was that
+// of an isolated run, or the last starts were isolated and are unattributed, and two crashes soon
+// after a start had no likelier cause.
+func (c Evidence) hasConclusiveStarts() bool {
+	isolated := c.SuspectRuns.IsolatedCrashCount()
+	return isolated > 0 || c.UnattributedIsolated >= lastStarts && c.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= suspectCrashes
 }
 
 // Probation returns how long a run must last before its worker counts as having survived it.
-func (c Case) Probation() time.Duration { return min(2*c.Trials.Longest()+Soon, Calm) }
+func (c Evidence) Probation() time.Duration {
+	return min(2*c.SuspectRuns.LongestRunTime()+StartPhase, ClearAfter)
+}
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -20,20 +20,20 @@
 	State   func() gauge.State
 	Entries func() map[string]int64 // revision in force at each live entry, by entry id
 	Counts  func() []desk.Counts
-	Burn    func(ctx context.Context) []burn.Line
-	Holds   func(ctx context.Context) []holds.Line
+	Burn    func(ctx context.Context) []burn.ServiceReport
+	Holds   func(ctx context.Context) []holds.Result
 	Waves   func() []Wave
 }
 
 // Wave is the progress of a wave in one pool, in hosts.
 type Wave struct {
-	Name   string `json:"name"`
-	Pool   string `json:"pool"`
-	Hosts  int    `json:"hosts"`
-	Done   int    `json:"done"`
-	Out    int    `json:"out"` // leaving or rebooting
-	Failed int    `json:"failed"`
-	Waits  string `json:"waits,omitempty"` // why it makes no progress, as far as this entry knows
+	Name        string `json:"name"`
+	Pool        string `json:"pool"`
+	Hosts       int    `json:"hosts"`
+	Done        int    `json:"done"`
+	Unavailable int    `json:"out"` // leaving or rebooting
+	Failed      int    `json:"failed"`
+	WaitReason  string `json:"waits,omitempty"` // why it makes no progress, as far as this entry knows
 }
 
 // Queries handles read requests.
@@ -65,7 +65,7 @@
 	s := q.conf.State()
 	body := recordsBody{Revision: s.Revision, Records: []gauge.Record{}}
 	for _, k := range []gauge.RecordKind{gauge.RecordPool, gauge.RecordService, gauge.RecordTeam, gauge.RecordJob, gauge.RecordWave} {
-		for _, name := range s.Names(k) {
+		for _, name := range s.RecordNames(k) {
 			body.Records = append(body.Records, s.Records[gauge.RecordID{Kind: k, Name: name}])
 		}
 	}
@@ -76,7 +76,7 @@
 	id := gauge.RecordID{Kind: gauge.RecordKind(c.Params("kind")), Name: c.Params("name")}
 	r, ok := q.conf.State().Records[id]
 	if !ok {
-		return front.Problem(c, gauge.Fail(gauge.KindMissing, "there is no %s", id))
+		return front.Problem(c, gauge.Errorf(gauge.KindNotFound, "there is no %s", id))
 	}
 	return c.JSON(r)
 }
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -13,16 +13,16 @@
 
 // Config sets up a Queue.
 type Config struct {
-	Length int       // maximum number of waiting requests, both classes together
-	Start  time.Time // when measuring the rate begins
+	MaxLength int       // maximum number of waiting requests, both classes together
+	StartTime time.Time // when measuring the rate begins
 }
 
 // Item is one waiting request.
 type Item struct {
 	Class    gauge.Class
 	Deadline time.Time
-	Ready    chan *gauge.Place // receives the slot; must have a buffer of one
-	Earlier  gauge.Attempts
+	Granted  chan *gauge.Slot // receives the slot; must have a buffer of one
+	Attempts gauge.Attempts
 	index    int // in its heap; -1: not waiting
 	sequence uint64
 }
@@ -39,8 +39,8 @@
 func New(c Config) *Queue {
 	return &Queue{
 		conf:  c,
-		quick: classQueue{windowStart: c.Start},
-		long:  classQueue{windowStart: c.Start},
+		quick: classQueue{windowStart: c.StartTime},
+		long:  classQueue{windowStart: c.StartTime},
 	}
 }
 
@@ -60,7 +60,7 @@
 func (q *Queue) Add(now time.Time, it *Item) (wait time.Duration, ok bool) {
 	l := q.classQueue(it.Class)
 	wait = l.estimateWait(now, len(l.items)+1)
-	if len(q.quick.items)+len(q.long.items) >= q.conf.Length {
+	if len(q.quick.items)+len(q.long.items) >= q.conf.MaxLength {
 		return wait, false
 	}
 	if wait > 0 && now.Add(wait).After(it.Deadline) {
@@ -72,12 +72,12 @@
 	return wait, true
 }
 
-// Return puts back a request that was taken out but got no slot.
-func (q *Queue) Return(it *Item) { heap.Push(q.classQueue(it.Class), it) }
+// Requeue puts back a request that was taken out but got no slot.
+func (q *Queue) Requeue(it *Item) { heap.Push(q.classQueue(it.Class), it) }
 
-// Next returns the request of a class that is to be served next, without taking it out; nil if none
+// Peek returns the request of a class that is to be served next, without taking it out; nil if none
 // waits.
-func (q *Queue) Next(c gauge.Class) *Item {
+func (q *Queue) Peek(c gauge.Class) *Item {
 	l := q.classQueue(c)
 	if len(l.items) == 0 {
 		return nil
@@ -99,11 +99,11 @@
 	return true
 }
 
-// Finished records that a request of a class has released its slot.
-func (q *Queue) Finished(now time.Time, c gauge.Class) { q.classQueue(c).recordFinished(now) }
+// RecordFinished records that a request of a class has released its slot.
+func (q *Queue) RecordFinished(now time.Time, c gauge.Class) { q.classQueue(c).recordFinished(now) }
 
-// Wait estimates how long a request that comes now would wait.
-func (q *Queue) Wait(now time.Time, c gauge.Class) time.Duration {
+// EstimateWait estimates how long a request that comes now would wait.
+func (q *Queue) EstimateWait(now time.Time, c gauge.Class) time.Duration {
 	l := q.classQueue(c)
 	return l.estimateWait(now, len(l.items)+1)
 }
--- a/internal/queue/queue_test.go
+++ b/internal/queue/queue_test.go
@@ -23,7 +23,7 @@
 func TestDeadlineOrderAgainstSorting(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
-		q := queue.New(queue.Config{Length: 1000, Start: start()})
+		q := queue.New(queue.Config{MaxLength: 1000, StartTime: start()})
 		var all []*queue.Item
 		for range random.IntN(60) {
 			it := newItem(time.Duration(random.IntN(20)) * time.Second)
@@ -39,22 +39,22 @@
 		}
 		slices.SortStableFunc(all, func(a, b *queue.Item) int { return a.Deadline.Compare(b.Deadline) })
 		for _, want := range all {
-			got := q.Next(gauge.ClassQuick)
+			got := q.Peek(gauge.ClassQuick)
 			assert.Equal(t, got, want)
 			q.Remove(got)
 		}
-		assert.Assert(t, q.Next(gauge.ClassQuick) == nil)
+		assert.Assert(t, q.Peek(gauge.ClassQuick) == nil)
 	}
 }
 
 // Guards against callers that wait for answers which can't come in time. Requests come faster than
 // they are finished, and a queue that checks only its length accepts them all the same.
 func TestRequestThatCannotStartInTimeIsRefused(t *testing.T) {
-	q := queue.New(queue.Config{Length: 1000, Start: start()})
+	q := queue.New(queue.Config{MaxLength: 1000, StartTime: start()})
 	now := start()
 	for range 100 { // ten finish each second
 		now = now.Add(100 * time.Millisecond)
-		q.Finished(now, gauge.ClassQuick)
+		q.RecordFinished(now, gauge.ClassQuick)
 	}
 	added := 0
 	for {
@@ -70,7 +70,7 @@
 }
 
 func TestLengthIsBounded(t *testing.T) {
-	q := queue.New(queue.Config{Length: 2, Start: start()})
+	q := queue.New(queue.Config{MaxLength: 2, StartTime: start()})
 	for i := range 3 {
 		_, ok := q.Add(start(), newItem(time.Hour))
 		assert.Equal(t, ok, i < 2)
--- a/internal/retry/retry.go
+++ b/internal/retry/retry.go
@@ -47,8 +47,8 @@
 	return &Budget{conf: c, available: c.Capacity, updatedAt: c.Start}
 }
 
-// Success adds the retries of one success to the budget.
-func (b *Budget) Success() { b.available = min(b.conf.Capacity, b.available+b.conf.PerSuccess) }
+// RecordSuccess adds the retries of one success to the budget.
+func (b *Budget) RecordSuccess() { b.available = min(b.conf.Capacity, b.available+b.conf.PerSuccess) }
 
 // Spend takes one retry out of the budget and reports whether there was one.
 func (b *Budget) Spend(now time.Time) bool {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -27,7 +27,7 @@
 		for try := 0; ; try++ {
 			sent++
 			if random.IntN(3) > 0 {
-				b.Success()
+				b.RecordSuccess()
 				break
 			}
 			if try == 7 || !b.Spend(now) {
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -69,7 +69,7 @@
 	return row, h.Revision, nil
 }
 
-// Change returns the change of one revision. An error of KindMissing means that it was trimmed or
+// Change returns the change of one revision. An error of KindNotFound means that it was trimmed or
 // doesn't exist yet.
 func (l *Log) Change(ctx context.Context, rev int64) (gauge.Change, error) {
 	var c gauge.Change
@@ -78,7 +78,7 @@
 		return c, err
 	}
 	if row.Version == 0 {
-		return c, gauge.Fail(gauge.KindMissing, "revision %d", rev)
+		return c, gauge.Errorf(gauge.KindNotFound, "revision %d", rev)
 	}
 	return c, decode(row, &c)
 }
@@ -110,7 +110,7 @@
 	if s.ByHost, err = l.hosts(ctx); err != nil {
 		return s, err
 	}
-	return l.CatchUp(ctx, s.Indexed())
+	return l.CatchUp(ctx, s.WithIndex())
 }
 
 // CatchUp applies the changes between a state and the head.
@@ -176,7 +176,7 @@
 		return c, err
 	}
 	if rev != basis {
-		return c, gauge.Fail(gauge.KindConflict, "revision %d is in force, the change was made for %d", rev, basis)
+		return c, gauge.Errorf(gauge.KindConflict, "revision %d is in force, the change was made for %d", rev, basis)
 	}
 	if c.Submission == "" {
 		c.Submission = uuid.NewString()
@@ -199,7 +199,7 @@
 		if err == nil {
 			return nil
 		}
-		if !gauge.Is(err, gauge.KindUnknown) && !gauge.Is(err, gauge.KindConflict) {
+		if !gauge.IsKind(err, gauge.KindUnknown) && !gauge.IsKind(err, gauge.KindConflict) {
 			return err
 		}
 		commitErr := err
@@ -208,10 +208,10 @@
 		switch {
 		case readErr == nil && stored.Submission == c.Submission:
 			return nil
-		case readErr == nil || gauge.Is(commitErr, gauge.KindConflict):
-			return gauge.Fail(gauge.KindConflict, "revision %d was taken by another change", c.Revision).Because(commitErr)
-		case !gauge.Is(readErr, gauge.KindMissing):
-			return gauge.Fail(gauge.KindUnknown, "revision %d: the answer was lost and reading back failed", c.Revision).Because(readErr)
+		case readErr == nil || gauge.IsKind(commitErr, gauge.KindConflict):
+			return gauge.Errorf(gauge.KindConflict, "revision %d was taken by another change", c.Revision).WithCause(commitErr)
+		case !gauge.IsKind(readErr, gauge.KindNotFound):
+			return gauge.Errorf(gauge.KindUnknown, "revision %d: the answer was lost and reading back failed", c.Revision).WithCause(readErr)
 		}
 	}
 	return err
@@ -223,12 +223,12 @@
 	c.Revision = rev
 	for i := range c.Records {
 		c.Records[i].Revision = rev
-		if c.Records[i].Born == 0 {
-			c.Records[i].Born = rev
+		if c.Records[i].FirstRevision == 0 {
+			c.Records[i].FirstRevision = rev
 		}
 	}
 	for i := range c.Hosts {
-		c.Hosts[i].Since = rev
+		c.Hosts[i].ChangedRevision = rev
 		c.Hosts[i].Epoch++
 	}
 	return c
@@ -244,7 +244,7 @@
 	b.put(revKey(c.Revision), c)
 	b.put(subKey(c.Submission), subRow{Revision: c.Revision})
 	for _, r := range c.Records {
-		if r.Gone {
+		if r.Deleted {
 			b.delete(recKey(r.ID()))
 			continue
 		}
@@ -266,7 +266,7 @@
 		return nil
 	}
 	old, err := l.Change(ctx, rev)
-	if gauge.Is(err, gauge.KindMissing) {
+	if gauge.IsKind(err, gauge.KindNotFound) {
 		return nil
 	}
 	if err != nil {
@@ -286,7 +286,7 @@
 func (b *batch) put(key string, v any) {
 	body, err := json.Marshal(v)
 	if err != nil && b.err == nil {
-		b.err = gauge.Fail(gauge.KindInternal, "revlog: encode %s", key).Because(err)
+		b.err = gauge.Errorf(gauge.KindInternal, "revlog: encode %s", key).WithCause(err)
 	}
 	b.puts = append(b.puts, gauge.Put{Key: key, Value: body})
 }
@@ -296,7 +296,7 @@
 // decode parses a row's value. The error names a malformed row, of which nothing must be used.
 func decode(row gauge.Row, v any) error {
 	if err := json.Unmarshal(row.Value, v); err != nil {
-		return gauge.Fail(gauge.KindInvalid, "row %s", row.Key).Because(err)
+		return gauge.Errorf(gauge.KindInvalid, "row %s", row.Key).WithCause(err)
 	}
 	return nil
 }
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -56,10 +56,10 @@
 	ctx := context.Background()
 	db := memdb.New()
 	reliable := revlog.New(db)
-	l := revlog.New(flaky.New(flaky.Config{Table: db, At: at, Fault: fault, Clock: time.Now}))
+	l := revlog.New(flaky.New(flaky.Config{Table: db, FailAt: at, Fault: fault, Clock: time.Now}))
 	first, err := appendOnce(l, 0, "first", team("a", 1))
 	accepted := err == nil
-	if fault == flaky.Lost && at == commitCall {
+	if fault == flaky.ResponseLost && at == commitCall {
 		assert.NilError(t, err, "the lost answer was not read back")
 	}
 	// Another operator's change is accepted in between.
@@ -67,7 +67,7 @@
 	assert.NilError(t, loadErr)
 	_, otherErr := appendOnce(reliable, state.Revision, "other", team("b", 2))
 	assert.NilError(t, otherErr)
-	time.Sleep(2 * flaky.OutageFor) // delayed writes arrive now
+	time.Sleep(2 * flaky.OutageDuration) // delayed writes arrive now
 
 	rev, lookupErr := reliable.SubmissionRevision(ctx, "first")
 	assert.NilError(t, lookupErr)
@@ -149,7 +149,7 @@
 	table := &switchedTable{Table: db}
 	f := follow.New(follow.Config{
 		Log: revlog.New(table), Clock: time.Now, Logs: logr.Discard(),
-		Ask: func(context.Context) (gauge.State, error) { return peerState, peerErr },
+		FetchFromPeers: func(context.Context) (gauge.State, error) { return peerState, peerErr },
 	})
 	assert.NilError(t, f.Poll(ctx))
 	assert.Equal(t, f.State().Revision, int64(3))
@@ -178,7 +178,7 @@
 
 func (s *switchedTable) Get(ctx context.Context, key string) (gauge.Row, error) {
 	if s.unreachable {
-		return gauge.Row{}, gauge.Fail(gauge.KindOutage, "out")
+		return gauge.Row{}, gauge.Errorf(gauge.KindOutage, "out")
 	}
 	return s.Table.Get(ctx, key)
 }
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,6 +1,6 @@
 // Package roster is an in-memory implementation of the platform's host list. Readers get the hosts'
-// last reports from a snapshot that is refreshed after a set time. A reboot request is delivered to the
-// host with the response to its next report.
+// last reports from a snapshot that is refreshed after a set time. A reboot request is delivered to
+// the host with the response to its next report.
 package roster
 
 import (
@@ -26,13 +26,13 @@
 	mu           sync.Mutex
 	hosts        map[string]*hostEntry
 	rebootTokens map[string]bool // tokens of past reboot requests, so that a retry doesn't reboot twice
-	lastList     gauge.Sightings
+	lastList     gauge.HostList
 	snapshotAt   time.Time
 }
 
 // hostEntry is a host's last report, its time, and whether a reboot is pending.
 type hostEntry struct {
-	report        gauge.Sighting
+	report        gauge.ListedHost
 	reportedAt    time.Time
 	rebootPending bool
 }
@@ -43,7 +43,7 @@
 }
 
 // Report records a host's report and returns whether the host is to reboot now.
-func (r *Roster) Report(s gauge.Sighting) (reboot bool) {
+func (r *Roster) Report(s gauge.ListedHost) (reboot bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.hosts[s.ID]
@@ -59,7 +59,7 @@
 }
 
 // List returns the hosts as of at most MaxAge ago, sorted by ID. Their ages are up to date.
-func (r *Roster) List(context.Context) (gauge.Sightings, error) {
+func (r *Roster) List(context.Context) (gauge.HostList, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.conf.Clock()
@@ -74,13 +74,14 @@
 	return out, nil
 }
 
-// Reboot requests a reboot of a host, once per token. It fails with KindMissing for an unknown host.
+// Reboot requests a reboot of a host, once per token. It fails with KindMissing for an unknown
+// host.
 func (r *Roster) Reboot(_ context.Context, host, token string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.hosts[host]
 	if e == nil {
-		return gauge.Fail(gauge.KindMissing, "host %s", host)
+		return gauge.Errorf(gauge.KindNotFound, "host %s", host)
 	}
 	if r.rebootTokens[token] {
 		return nil
@@ -90,8 +91,8 @@
 	return nil
 }
 
-func (r *Roster) snapshot(now time.Time) gauge.Sightings {
-	out := make(gauge.Sightings, 0, len(r.hosts))
+func (r *Roster) snapshot(now time.Time) gauge.HostList {
+	out := make(gauge.HostList, 0, len(r.hosts))
 	for _, e := range r.hosts {
 		s := e.report
 		s.Age = now.Sub(e.reportedAt)
@@ -100,6 +101,6 @@
 		}
 		out = append(out, s)
 	}
-	slices.SortFunc(out, func(a, b gauge.Sighting) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b gauge.ListedHost) int { return strings.Compare(a.ID, b.ID) })
 	return out
 }
--- a/internal/sched/acknowledge_test.go
+++ b/internal/sched/acknowledge_test.go
@@ -22,11 +22,11 @@
 	g.confirm(starts)
 	g.advance(time.Second)
 	g.report("w1", []gauge.RunReport{runReport(starts[1])}, g.endReport("w1", starts[0].Start.Task, 1, gauge.EndDone))
-	_, call, _ := g.pool.Holding(incarnation("w1"), g.now)
-	assert.Equal(t, call.LastSeen, int64(0))
+	_, call, _ := g.pool.NextHeartbeat(incarnation("w1"), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(0))
 	g.writeAll(500)
-	_, call, _ = g.pool.Holding(incarnation("w1"), g.now)
-	assert.Equal(t, call.LastSeen, int64(1))
+	_, call, _ = g.pool.NextHeartbeat(incarnation("w1"), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(1))
 }
 
 // Guards against a job that fails although its task failed only once. The end "failed" is written,
@@ -35,10 +35,10 @@
 	g := newHarness(t, withPredecessor())
 	task := gauge.TaskID{Job: jobID(1)}
 	row := &gauge.JobRow{State: gauge.JobRunning, Failures: map[string][]int{"0.0.0": {1}}}
-	g.pool.Adopt(sched.Accepted{ID: task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 50, Arrived: 0, Inherited: true}, 0)
+	g.pool.Adopt(sched.AcceptedJob{ID: task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 50, Arrived: 0, Inherited: true}, 0)
 	g.listWorkers("w1")
 	g.report("w1", nil, g.endReport("w1", task, 1, gauge.EndFailed))
-	state, _ := g.pool.State(queueName, task.Job)
+	state, _ := g.pool.JobState(queueName, task.Job)
 	assert.Equal(t, state, gauge.JobRunning)
 	assert.Equal(t, len(g.planStarts()), 1)
 }
@@ -52,9 +52,9 @@
 	g.report("w1", nil)
 	id := g.adopt(1, false, newStep(2))
 	g.confirm(g.planStarts())
-	g.pool.Conflicted(id, &gauge.JobRow{State: gauge.JobCancelled}, 900)
+	g.pool.RowConflicted(id, &gauge.JobRow{State: gauge.JobCancelled}, 900)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 2)
-	b, err := g.pool.Batch(10, 1, skipNone)
+	b, err := g.pool.NextBatch(10, 1, skipNone)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Changes), 1)
 	assert.Equal(t, b.Changes[0].Version, int64(900))
@@ -68,7 +68,7 @@
 // task of an unread job. The owner must not acknowledge it as belonging to no job.
 func TestEndsAndRunsOfUnreadJobsAreLeftAlone(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1")
 	done := gauge.TaskID{Job: jobID(1)}
 	running := gauge.RunReport{Task: gauge.TaskID{Job: jobID(1), Index: 1}, Run: 1}
@@ -76,14 +76,14 @@
 	g.report("w1", []gauge.RunReport{running}, end)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 0)
 	g.writeAll(500)
-	_, call, _ := g.pool.Holding(incarnation("w1"), g.now)
-	assert.Equal(t, call.LastSeen, int64(0))
+	_, call, _ := g.pool.NextHeartbeat(incarnation("w1"), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(0))
 
 	g.advance(7 * time.Second) // everything that the previous owner ordered has ended
 	g.report("w1", []gauge.RunReport{running}, end)
-	g.pool.Rehear()
+	g.pool.RequireFreshReports()
 	g.adopt(1, true, newStep(2))
-	g.pool.Partial(false)
+	g.pool.SetJobsMissing(false)
 	assert.Equal(t, len(g.planStarts()), 0, "there is no report yet since this job is known")
 	g.advance(10 * time.Millisecond)
 	g.report("w1", []gauge.RunReport{running}, end)
@@ -97,14 +97,14 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	for i, queue := range []string{"sheets", "parts"} {
-		g.pool.Adopt(sched.Accepted{ID: jobID(i), Queue: queue, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
+		g.pool.Adopt(sched.AcceptedJob{ID: jobID(i), Queue: queue, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
 	}
 	g.confirm(g.planStarts())
-	b, err := g.pool.Batch(10, 1, func(queue string) bool { return queue == "sheets" })
+	b, err := g.pool.NextBatch(10, 1, func(queue string) bool { return queue == "sheets" })
 	assert.NilError(t, err)
 	assert.Equal(t, b.Queue, "parts")
 	assert.Equal(t, len(b.Changes), 1)
-	b, err = g.pool.Batch(10, 1, skipNone)
+	b, err = g.pool.NextBatch(10, 1, skipNone)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Changes), 1, "one queue at a time")
 }
@@ -115,7 +115,7 @@
 // as running for lost.
 func TestRunsWithUnacknowledgedEndsAreNotLost(t *testing.T) {
 	g := newHarness(t)
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	g.adopt(1, false, newStep(1))
@@ -128,11 +128,11 @@
 	g.advance(time.Second)
 	g.report("w1", nil, unread, done)
 	assert.Equal(t, len(g.planStarts()), 0, "the worker still lists its end")
-	g.pool.Partial(false)
+	g.pool.SetJobsMissing(false)
 	g.report("w1", nil, unread, done)
 	assert.Equal(t, len(g.planStarts()), 0)
 	g.writeAll(1000)
-	state, known := g.pool.State(queueName, jobID(1))
+	state, known := g.pool.JobState(queueName, jobID(1))
 	assert.Assert(t, known)
 	assert.Equal(t, state, gauge.JobCompleted)
 }
--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -6,8 +6,8 @@
 	gauge "sapphiregauge"
 )
 
-// Accepted is a job as the table has it.
-type Accepted struct {
+// AcceptedJob is a job as the table has it.
+type AcceptedJob struct {
 	ID        string
 	Queue     string
 	Spec      *gauge.JobSpec
@@ -22,30 +22,30 @@
 // A notification of a job may come late: after the job has ended here, or from before this owner
 // took over, when the job was read from the table already or has ended. If it were adopted then, it
 // would run a second time.
-func (p *Pool) Adopt(a Accepted, now time.Duration) {
+func (p *Pool) Adopt(a AcceptedJob, now time.Duration) {
 	if p.Knows(a.ID) || (!a.Inherited && a.Version <= int64(p.conf.Fence)) {
 		return
 	}
 	j := &job{
 		id: a.ID, queue: a.Queue, spec: a.Spec, row: *a.Row, version: a.Version, arrived: a.Arrived, inherited: a.Inherited,
-		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.Over, longestChain: longestChain(a.Spec), index: &p.index,
+		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.CompletedOccurrences, longestChain: longestChain(a.Spec), index: &p.index,
 	}
 	p.jobs[a.ID] = j
 	p.adoptedWork += estimatedWork(a.Spec)
 	p.adoptedJobs++
 	if a.Inherited {
-		j.startOrdered = len(a.Row.Done) > 0 || a.Row.Over > 0
-		j.started = j.startOrdered || len(a.Row.Failures) > 0 || len(a.Row.Saved) > 0
+		j.startOrdered = len(a.Row.Done) > 0 || a.Row.CompletedOccurrences > 0
+		j.started = j.startOrdered || len(a.Row.Failures) > 0 || len(a.Row.Checkpoints) > 0
 	}
 	p.index.add(j)
-	if !a.Spec.Timed() {
+	if !a.Spec.IsScheduled() {
 		j.occurrence(0, now)
 		j.nextOccurrence = 1
 	}
 	p.cancelEarly(j)
 	if a.Inherited && p.jobsMissing {
 		// Reports about its runs were ignored so far, also those that came while it was being read.
-		p.Rehear()
+		p.RequireFreshReports()
 	}
 	if a.Inherited {
 		j.barrier = p.newestBarrier
@@ -72,9 +72,10 @@
 	}
 }
 
-// Partial sets whether jobs may be missing because some of the table can't be read. Runs of unknown
-// jobs are left alone until the jobs are known, and their end reports stay with the workers.
-func (p *Pool) Partial(missing bool) { p.jobsMissing = missing }
+// SetJobsMissing sets whether jobs may be missing because some of the table can't be read. Runs of
+// unknown jobs are left alone until the jobs are known, and their end reports stay with the
+// workers.
+func (p *Pool) SetJobsMissing(missing bool) { p.jobsMissing = missing }
 
 // Knows reports whether a job has been adopted, also if it has ended since.
 func (p *Pool) Knows(id string) bool {
@@ -121,8 +122,8 @@
 	}
 }
 
-// State returns the state of a job in a queue, false if the job isn't known here.
-func (p *Pool) State(queue, id string) (gauge.JobState, bool) {
+// JobState returns the state of a job in a queue, false if the job isn't known here.
+func (p *Pool) JobState(queue, id string) (gauge.JobState, bool) {
 	if ended, ok := p.endedJobs[id]; ok && ended.queue == queue {
 		return ended.state, true
 	}
@@ -130,10 +131,10 @@
 	if j == nil || j.queue != queue {
 		return "", false
 	}
-	if j.row.State.Final() && j.row.State != gauge.JobCancelled && j.isDirty() {
+	if j.row.State.IsFinal() && j.row.State != gauge.JobCancelled && j.isDirty() {
 		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
 	}
-	if j.startOrdered && !j.row.State.Final() {
+	if j.startOrdered && !j.row.State.IsFinal() {
 		return gauge.JobRunning, true
 	}
 	return j.row.State, true
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -11,8 +11,8 @@
 // stageAdvice holds the tickets that a stage has for workers, if its queue requires advice.
 type stageAdvice struct {
 	queryInFlight bool
-	tickets       map[gauge.Life]ticket        // each holds for one incarnation of a worker
-	queriedAt     map[gauge.Life]time.Duration // when each worker was last asked about
+	tickets       map[gauge.Incarnation]ticket        // each holds for one incarnation of a worker
+	queriedAt     map[gauge.Incarnation]time.Duration // when each worker was last asked about
 }
 
 type ticket struct {
@@ -38,7 +38,7 @@
 	if c.advice == nil {
 		return "", true
 	}
-	found, ok := c.stage.advice.tickets[w.info.Life()]
+	found, ok := c.stage.advice.tickets[w.info.Incarnation()]
 	return found.text, ok && now < found.expiresAt-ticketMargin
 }
 
@@ -51,8 +51,8 @@
 	}
 	var about []*worker
 	for _, w := range round.workers {
-		asked, known := a.queriedAt[w.info.Life()]
-		if w.free().Holds(c.stage.spec.Room()) && (!known || now > asked+max(adviceRetryDelay, c.advice.Valid)) {
+		asked, known := a.queriedAt[w.info.Incarnation()]
+		if w.free().Contains(c.stage.spec.Reservation()) && (!known || now > asked+max(adviceRetryDelay, c.advice.TicketValidity)) {
 			about = append(about, w)
 		}
 	}
@@ -61,29 +61,29 @@
 	}
 	slices.SortFunc(about, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
 	a.queryInFlight = true
-	order := Order{Kind: OrderAdvise, stage: c.stage, Step: c.stage.tasks[0].id.StepName(), validity: c.advice.Valid}
+	order := Order{Kind: OrderAdvise, stage: c.stage, Step: c.stage.tasks[0].id.StepName(), validity: c.advice.TicketValidity}
 	for _, w := range about[:min(len(about), maxAdviceWorkers)] {
-		order.About = append(order.About, w.info.ID)
-		order.incarnations = append(order.incarnations, w.info.Life())
+		order.AdviceWorkers = append(order.AdviceWorkers, w.info.ID)
+		order.incarnations = append(order.incarnations, w.info.Incarnation())
 	}
 	p.orders = append(p.orders, order)
 }
 
-// Advised handles the answer to a query. The tickets are valid from the time of the query.
-func (p *Pool) Advised(o Order, tickets []gauge.Ticket, valid time.Duration, err error, queriedAt time.Duration) {
+// AdviceAnswered handles the answer to a query. The tickets are valid from the time of the query.
+func (p *Pool) AdviceAnswered(o Order, tickets []gauge.Ticket, valid time.Duration, err error, queriedAt time.Duration) {
 	a := &o.stage.advice
 	a.queryInFlight = false
 	if err != nil {
-		p.conf.Logs.Info("advice failed", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "error", err.Error())
+		p.conf.Logs.Info("advice failed", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.AdviceWorkers), "error", err.Error())
 		return
 	}
 	if valid == 0 {
 		valid = o.validity // the service doesn't say: as configured
 	}
 	if a.tickets == nil {
-		a.tickets, a.queriedAt = make(map[gauge.Life]ticket), make(map[gauge.Life]time.Duration)
+		a.tickets, a.queriedAt = make(map[gauge.Incarnation]ticket), make(map[gauge.Incarnation]time.Duration)
 	}
-	byWorker := make(map[string]gauge.Life, len(o.incarnations))
+	byWorker := make(map[string]gauge.Incarnation, len(o.incarnations))
 	for _, l := range o.incarnations {
 		a.queriedAt[l], byWorker[l.Worker] = queriedAt, l
 		delete(a.tickets, l)
@@ -91,5 +91,5 @@
 	for _, t := range tickets {
 		a.tickets[byWorker[t.Worker]] = ticket{text: t.Text, expiresAt: queriedAt + valid}
 	}
-	p.conf.Logs.Info("advice", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.About), "good", len(tickets), "valid", valid)
+	p.conf.Logs.Info("advice", "job", o.stage.tasks[0].id.Job, "step", o.Step, "about", len(o.AdviceWorkers), "good", len(tickets), "valid", valid)
 }
--- a/internal/sched/advice_test.go
+++ b/internal/sched/advice_test.go
@@ -15,7 +15,7 @@
 func TestQueueWithAdviceStartsOnlyWithATicket(t *testing.T) {
 	g := newHarness(t)
 	g.pool.Configure(&gauge.Site{Version: 2, Queues: []gauge.Queue{{
-		Name: queueName, Pool: poolName, MaxAttempts: 2, Stretch: 2, Advice: &gauge.Advice{Valid: 3 * time.Second},
+		Name: queueName, Pool: poolName, MaxAttempts: 2, Stretch: 2, Advice: &gauge.Advice{TicketValidity: 3 * time.Second},
 	}}})
 	g.listWorkers("w1", "w2")
 	g.report("w1", nil)
@@ -26,23 +26,23 @@
 	asks := ofKind(orders, sched.OrderAdvise)
 	assert.Equal(t, len(asks), 1)
 	assert.Equal(t, asks[0].Step, id+".0.0")
-	assert.Equal(t, len(asks[0].About), 2)
+	assert.Equal(t, len(asks[0].AdviceWorkers), 2)
 	assert.Equal(t, len(g.plan()), 0, "one request at a time")
 
-	g.pool.Advised(asks[0], []gauge.Ticket{{Worker: "w2", Text: "t"}}, 0, nil, g.now)
+	g.pool.AdviceAnswered(asks[0], []gauge.Ticket{{Worker: "w2", Text: "t"}}, 0, nil, g.now)
 	starts := g.planStarts()
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Worker.ID, "w2")
 	assert.Equal(t, starts[0].Start.Ticket, "t")
 
-	g.pool.Answered(starts[0], 0, gauge.Fail(gauge.KindTicket, "ticket has expired"), g.now)
+	g.pool.OrderAnswered(starts[0], 0, gauge.Errorf(gauge.KindBadTicket, "ticket has expired"), g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderAdvise)), 1, "the service is asked again about the worker that refused")
 }
 
 func TestExpiredTicketIsNotUsed(t *testing.T) {
 	g := newHarness(t)
 	g.pool.Configure(&gauge.Site{Version: 2, Queues: []gauge.Queue{{
-		Name: queueName, Pool: poolName, MaxAttempts: 2, Advice: &gauge.Advice{Valid: 3 * time.Second},
+		Name: queueName, Pool: poolName, MaxAttempts: 2, Advice: &gauge.Advice{TicketValidity: 3 * time.Second},
 	}}})
 	g.listWorkers("w1")
 	g.report("w1", nil)
@@ -51,7 +51,7 @@
 	asked := g.now
 	g.advance(2900 * time.Millisecond)
 	g.report("w1", nil)
-	g.pool.Advised(ask, []gauge.Ticket{{Worker: "w1", Text: "t"}}, 0, nil, asked)
+	g.pool.AdviceAnswered(ask, []gauge.Ticket{{Worker: "w1", Text: "t"}}, 0, nil, asked)
 	assert.Equal(t, len(g.planStarts()), 0)
 }
 
@@ -60,20 +60,20 @@
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
-	spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}, Repeats: 3, FirstAt: time.Unix(1001, 0), Every: time.Second}
-	g.pool.Adopt(sched.Accepted{ID: jobID(1), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: g.now}, g.now)
+	spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}, Repeats: 3, FirstAt: time.Unix(1001, 0), Interval: time.Second}
+	g.pool.Adopt(sched.AcceptedJob{ID: jobID(1), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: g.now}, g.now)
 	var at []int
 	for range 40 {
 		g.advance(100 * time.Millisecond)
 		g.report("w1", nil)
 		for _, o := range g.planStarts() {
 			at = append(at, int(g.now/(100*time.Millisecond)))
-			g.pool.Answered(o, g.workerClock(), nil, g.now)
+			g.pool.OrderAnswered(o, g.workerClock(), nil, g.now)
 			g.report("w1", nil, g.endReport("w1", o.Start.Task, o.Start.Run, gauge.EndDone))
 		}
 	}
 	assert.DeepEqual(t, at, []int{10, 20, 30})
-	b, err := g.pool.Batch(10, 1, skipNone)
+	b, err := g.pool.NextBatch(10, 1, skipNone)
 	assert.NilError(t, err)
 	row, err := gauge.DecodeJobRow(b.Changes[0].Row)
 	assert.NilError(t, err)
@@ -87,9 +87,9 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	serving := newStep(1)
-	serving.Lasts, serving.TailTarget = true, 100*time.Millisecond
+	serving.LongRunning, serving.TailTarget = true, 100*time.Millisecond
 	bestEffort := newStep(1)
-	bestEffort.Fills = true
+	bestEffort.BestEffort = true
 	g.adopt(1, false, serving)
 	g.adopt(2, false, bestEffort)
 	starts := g.planStarts()
@@ -120,7 +120,7 @@
 func TestTicketIsValidForOneIncarnation(t *testing.T) {
 	g := newHarness(t)
 	g.pool.Configure(&gauge.Site{Version: 2, Queues: []gauge.Queue{{
-		Name: queueName, Pool: poolName, MaxAttempts: 2, Advice: &gauge.Advice{Valid: 3 * time.Second},
+		Name: queueName, Pool: poolName, MaxAttempts: 2, Advice: &gauge.Advice{TicketValidity: 3 * time.Second},
 	}}})
 	g.listRows(200, workerRow("w1", 1))
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
@@ -128,7 +128,7 @@
 	ask := ofKind(g.plan(), sched.OrderAdvise)[0]
 	g.listRows(300, workerRow("w1", 2))
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
-	g.pool.Advised(ask, []gauge.Ticket{{Worker: "w1", Text: "t"}}, 0, nil, g.now)
+	g.pool.AdviceAnswered(ask, []gauge.Ticket{{Worker: "w1", Text: "t"}}, 0, nil, g.now)
 	orders := g.plan()
 	assert.Equal(t, len(ofKind(orders, sched.OrderStart)), 0)
 	assert.Equal(t, len(ofKind(orders, sched.OrderAdvise)), 1, "the service is asked again about the current incarnation")
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -7,8 +7,8 @@
 	gauge "sapphiregauge"
 )
 
-// Answered handles the outcome of an order.
-func (p *Pool) Answered(o Order, clock time.Duration, err error, now time.Duration) {
+// OrderAnswered handles the outcome of an order.
+func (p *Pool) OrderAnswered(o Order, clock time.Duration, err error, now time.Duration) {
 	r := o.run
 	if o.orphan != nil {
 		p.orphanAnswered(o.orphan, clock, err, now)
@@ -16,7 +16,7 @@
 	if r == nil {
 		return
 	}
-	if r.worker.info.Life() != o.Worker.Life() {
+	if r.worker.info.Incarnation() != o.Worker.Incarnation() {
 		p.answeredTooLate(o, err, now)
 		return
 	}
@@ -44,7 +44,7 @@
 			r.pace = paceUnknown
 		}
 	}
-	if gauge.Is(err, gauge.KindReplaced) {
+	if gauge.IsKind(err, gauge.KindReplaced) {
 		p.retireWorker(r.worker, "another incarnation answers at its address", now)
 	}
 	if err != nil {
@@ -69,7 +69,7 @@
 		p.endRun(r, now)
 	}
 	p.conf.Logs.Info("order to an earlier life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
-		"worker", o.Worker.ID, "born", o.Worker.Born, "kind", kind)
+		"worker", o.Worker.ID, "born", o.Worker.StartedAt, "kind", kind)
 }
 
 // lateStartSpan is how long a start without an answer may still be carried out by a later
@@ -104,7 +104,7 @@
 	}
 	p.probe(r.worker)
 	p.conf.Logs.Info("order answered by a later incarnation", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
-		"worker", o.Worker.ID, "born", o.Worker.Born)
+		"worker", o.Worker.ID, "born", o.Worker.StartedAt)
 }
 
 // markNotLost corrects a run that was taken for lost with a dead incarnation: its order reached the
@@ -130,9 +130,9 @@
 	}
 }
 
-// Void reports whether a start that hasn't been sent yet is pointless: its run is to end, or it
-// would certainly arrive too late. Its outcome is then KindLate.
-func (p *Pool) Void(o Order, now time.Duration) bool {
+// IsObsolete reports whether a start that hasn't been sent yet is pointless: its run is to end, or
+// it would certainly arrive too late. Its outcome is then KindPastDeadline.
+func (p *Pool) IsObsolete(o Order, now time.Duration) bool {
 	if o.Kind != OrderStart {
 		return false
 	}
@@ -163,11 +163,11 @@
 	case gauge.KindOutage:
 		r.worker.startUnanswered = true // nothing listens there, or this host can't connect
 		p.endRun(r, now)
-	case gauge.KindLate, gauge.KindReplaced, gauge.KindFenced:
+	case gauge.KindPastDeadline, gauge.KindReplaced, gauge.KindFenced:
 		p.endRun(r, now)
-	case gauge.KindTicket:
-		delete(r.task.stage.advice.tickets, r.worker.info.Life())
-		delete(r.task.stage.advice.queriedAt, r.worker.info.Life())
+	case gauge.KindBadTicket:
+		delete(r.task.stage.advice.tickets, r.worker.info.Incarnation())
+		delete(r.task.stage.advice.queriedAt, r.worker.info.Incarnation())
 		p.endRun(r, now)
 	default:
 		p.endRun(r, now)
@@ -182,7 +182,7 @@
 // a waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
 func (p *Pool) probe(w *worker) {
 	p.orders = append(p.orders, Order{
-		Kind: OrderLook, Worker: w.info, Look: gauge.HoldCall{Fence: p.fence(w)},
+		Kind: OrderProbe, Worker: w.info, Probe: gauge.Heartbeat{Fence: p.fence(w)},
 	})
 }
 
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -31,7 +31,7 @@
 	b := gauge.Backlog{}
 	for _, j := range p.jobs {
 		if j.isDirty() {
-			b.Changes++
+			b.UnwrittenChanges++
 		}
 		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedChanges), int64(j.changes), now))
 	}
@@ -39,16 +39,16 @@
 		if w.listed {
 			b.Workers++
 			if w.silent {
-				b.Silent++
+				b.SilentWorkers++
 			}
 		}
 		if !w.dead {
-			b.Ends += int(w.lastEnd - w.lastStoredEnd)
+			b.UnacknowledgedEnds += int(w.lastEnd - w.lastStoredEnd)
 			b.EndAge = max(b.EndAge, w.endAge.age(w.lastStoredEnd, w.lastEnd, now))
 		}
 		for r := range w.runs {
 			if r.phase == phaseSent {
-				b.Starts++
+				b.UnansweredStarts++
 				b.StartAge = max(b.StartAge, now-r.orderedAt)
 			}
 		}
--- a/internal/sched/barrier.go
+++ b/internal/sched/barrier.go
@@ -16,10 +16,10 @@
 // isOpen reports whether some workers still have to report.
 func (b *reportBarrier) isOpen() bool { return b != nil && len(b.missing) > 0 }
 
-// Rehear makes inherited tasks that are adopted from now on wait until every worker has reported
-// anew or can run nothing any more: what workers have reported so far about jobs that are to be
-// adopted now was ignored. Tasks of jobs that were known before don't wait.
-func (p *Pool) Rehear() {
+// RequireFreshReports makes inherited tasks that are adopted from now on wait until every worker
+// has reported anew or can run nothing any more: what workers have reported so far about jobs that
+// are to be adopted now was ignored. Tasks of jobs that were known before don't wait.
+func (p *Pool) RequireFreshReports() {
 	if p.newestBarrier != nil && !p.newestBarrier.reported && len(p.newestBarrier.missing) == p.liveWorkers() {
 		return // no worker has reported since
 	}
--- a/internal/sched/barrier_test.go
+++ b/internal/sched/barrier_test.go
@@ -15,13 +15,13 @@
 // have to wait for fresh reports of all workers.
 func TestReadJobsDoNotWaitForJobsThatAreReadLate(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1", "w2"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	read := g.adopt(1, true, newStep(1))
 	g.listWorkers("w1", "w2")
 	g.report("w1", nil)
 	g.report("w2", nil)
 	g.advance(10 * time.Millisecond)
-	g.pool.Rehear()
+	g.pool.RequireFreshReports()
 	late := g.adopt(2, true, newStep(1))
 	starts := g.planStarts()
 	assert.Equal(t, len(starts), 1)
@@ -29,7 +29,7 @@
 
 	g.advance(10 * time.Millisecond)
 	g.report("w1", nil)
-	g.pool.Rehear()
+	g.pool.RequireFreshReports()
 	g.adopt(3, true, newStep(1))
 	assert.Equal(t, len(g.planStarts()), 0, "the second worker may run tasks of both")
 	g.advance(10 * time.Millisecond)
@@ -50,7 +50,7 @@
 	g.report("w1", nil)
 	g.report("w2", nil)
 	g.sendHeartbeat("w1")
-	g.pool.Rehear()
+	g.pool.RequireFreshReports()
 	g.adopt(1, true, newStep(1))
 	g.report("w2", nil)
 	g.advance(4 * time.Second)
@@ -66,8 +66,8 @@
 
 // sendHeartbeat sends a worker a heartbeat; the test decides on its answer.
 func (g *harness) sendHeartbeat(id string) {
-	g.pool.Limit(g.now + 9*time.Second)
-	_, _, ok := g.pool.Holding(incarnation(id), g.now)
+	g.pool.SetGrantLimit(g.now + 9*time.Second)
+	_, _, ok := g.pool.NextHeartbeat(incarnation(id), g.now)
 	assert.Assert(g.t, ok)
 }
 
@@ -98,7 +98,7 @@
 	g.adopt(1, false, newStep(1))
 	orders := g.planStarts()
 	assert.Equal(t, len(orders), 1)
-	g.pool.Answered(orders[0], 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(orders[0], 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.failHeartbeat("w1")
 	g.advance(1500 * time.Millisecond) // past the lease that the start granted
 	g.report("w2", nil)
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -22,7 +22,7 @@
 type Batch struct {
 	Queue   string // of all changes
 	Changes []Change
-	More    bool // more changes wait than fit into the transaction, in queues that aren't avoided
+	HasMore bool // more changes wait than fit into the transaction, in queues that aren't avoided
 }
 
 const (
@@ -35,11 +35,11 @@
 	batchBytes = 256 << 10
 )
 
-// Batch returns changes of one queue that the table doesn't have yet, urgent ones first, as many as
-// fit into a transaction with the given number of entries. Queues to avoid are left out: their
-// partition doesn't answer, and would delay the others. Now is the table's clock in milliseconds.
-// It fails if a row can't be encoded.
-func (p *Pool) Batch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
+// NextBatch returns changes of one queue that the table doesn't have yet, urgent ones first, as
+// many as fit into a transaction with the given number of entries. Queues to avoid are left out:
+// their partition doesn't answer, and would delay the others. Now is the table's clock in
+// milliseconds. It fails if a row can't be encoded.
+func (p *Pool) NextBatch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
 	b := Batch{}
 	waiting := p.writable(avoid)
 	if len(waiting) == 0 {
@@ -48,9 +48,9 @@
 	b.Queue = slices.MinFunc(waiting, byUrgency).queue
 	due, left, size := 0, entries, 0
 	for _, j := range waiting {
-		due += j.entryCount(j.row.State.Final())
+		due += j.entryCount(j.row.State.IsFinal())
 	}
-	b.More = due > entries
+	b.HasMore = due > entries
 	for _, j := range firstOf(waiting, b.Queue, max(1, entries/jobEntries)) {
 		c, err := j.change(now)
 		if err != nil {
@@ -59,7 +59,7 @@
 		left -= j.entryCount(c.Final)
 		size += len(c.Row)
 		if len(b.Changes) > 0 && (left < 0 || size > batchBytes) {
-			b.More = true
+			b.HasMore = true
 			break
 		}
 		b.Changes = append(b.Changes, c)
@@ -77,7 +77,7 @@
 
 // change returns the job's row as it is to be written.
 func (j *job) change(now int64) (Change, error) {
-	if j.row.State.Final() && j.row.Ended == 0 {
+	if j.row.State.IsFinal() && j.row.Ended == 0 {
 		j.row.Ended = now
 	}
 	row, err := j.row.Encode()
@@ -86,12 +86,12 @@
 	}
 	return Change{
 		Job: j.id, Queue: j.queue, Row: row, Version: j.version,
-		Final: j.row.State.Final() && len(j.liveRuns()) == 0, changes: j.changes,
+		Final: j.row.State.IsFinal() && len(j.liveRuns()) == 0, changes: j.changes,
 	}, nil
 }
 
-// Urgent reports whether a change waits that justifies a write of its own.
-func (p *Pool) Urgent() bool {
+// HasUrgent reports whether a change waits that justifies a write of its own.
+func (p *Pool) HasUrgent() bool {
 	if p.index.hasUrgent() {
 		return true
 	}
@@ -140,11 +140,11 @@
 // isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
 // table.
 func (j *job) isDroppable() bool {
-	return j.row.State.Final() && !j.dropped && len(j.liveRuns()) == 0
+	return j.row.State.IsFinal() && !j.dropped && len(j.liveRuns()) == 0
 }
 
-// Written records that a batch is in the table, as of a version.
-func (p *Pool) Written(b Batch, version int64, now time.Duration) {
+// BatchWritten records that a batch is in the table, as of a version.
+func (p *Pool) BatchWritten(b Batch, version int64, now time.Duration) {
 	for _, c := range b.Changes {
 		j := p.jobs[c.Job]
 		if j == nil {
@@ -166,10 +166,10 @@
 	}
 }
 
-// Conflicted handles a row as the table has it, after a batch was refused. A row that a caller's
+// RowConflicted handles a row as the table has it, after a batch was refused. A row that a caller's
 // cancellation has changed ends the job here. A row that was changed by an earlier batch without an
 // answer is merely newer.
-func (p *Pool) Conflicted(id string, row *gauge.JobRow, version int64) {
+func (p *Pool) RowConflicted(id string, row *gauge.JobRow, version int64) {
 	j := p.jobs[id]
 	if j == nil || version <= j.version {
 		return
--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -15,23 +15,23 @@
 // costs most.
 func newFullPool(b *testing.B, workers, jobs int) *sched.Pool {
 	b.Helper()
-	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: logr.Discard()})
+	p := sched.New(sched.Config{Name: poolName, Fence: fence, LeaseExtension: 5 * time.Second, StartTimeout: time.Second, Logs: logr.Discard()})
 	p.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: poolName, Stretch: 2}}})
-	p.Limit(time.Hour)
+	p.SetGrantLimit(time.Hour)
 	var list []gauge.Worker
 	var ids []string
 	for i := range workers {
 		w := newWorker(fmt.Sprintf("w%d", i))
 		list, ids = append(list, w), append(ids, w.ID)
 	}
-	p.Workers(list)
-	p.Noted(incarnations(ids...), fence)
+	p.UpdateWorkers(list)
+	p.LeaseRowWritten(incarnations(ids...), fence)
 	for _, id := range ids {
-		p.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+		p.HandleReport(incarnation(id), gauge.Heartbeat{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	}
 	for i := range workers/2 + jobs {
 		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(8)}}
-		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
+		p.Adopt(sched.AcceptedJob{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
 	}
 	p.Plan(0)
 	return p
@@ -73,11 +73,11 @@
 				b.StopTimer()
 				p := newPoolWithEndedJobs(jobs)
 				b.StartTimer()
-				batch, err := p.Batch(batchEntries, 1, skipNone)
+				batch, err := p.NextBatch(batchEntries, 1, skipNone)
 				if err != nil {
 					b.Fatal(err)
 				}
-				p.Written(batch, fence+2, time.Second)
+				p.BatchWritten(batch, fence+2, time.Second)
 				changes += len(batch.Changes)
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(changes), "ns/change")
@@ -91,24 +91,24 @@
 
 // newPoolWithEndedJobs returns a pool with jobs that have just ended and must be written.
 func newPoolWithEndedJobs(jobs int) *sched.Pool {
-	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: logr.Discard()})
+	p := sched.New(sched.Config{Name: poolName, Fence: fence, LeaseExtension: 5 * time.Second, StartTimeout: time.Second, Logs: logr.Discard()})
 	p.Configure(&gauge.Site{Queues: []gauge.Queue{{Name: queueName, Pool: poolName, Stretch: 2}}})
 	const workers = 40
 	list := make([]gauge.Worker, workers)
 	for i := range list {
 		list[i] = newWorker(fmt.Sprintf("w%d", i))
 	}
-	p.Workers(list)
+	p.UpdateWorkers(list)
 	reports := make([]gauge.WorkerReport, workers)
 	for i := range jobs {
 		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}
-		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobRunning}, Version: fence + 1, Arrived: time.Duration(i * 7919 % jobs)}, 0)
+		p.Adopt(sched.AcceptedJob{ID: jobID(i), Queue: queueName, Spec: spec, Row: &gauge.JobRow{State: gauge.JobRunning}, Version: fence + 1, Arrived: time.Duration(i * 7919 % jobs)}, 0)
 		r := &reports[i%workers]
-		r.Ended = append(r.Ended, gauge.EndReport{Number: int64(len(r.Ended) + 1), Task: gauge.TaskID{Job: jobID(i)}, Run: 1, How: gauge.EndDone})
+		r.Ended = append(r.Ended, gauge.EndReport{Number: int64(len(r.Ended) + 1), Task: gauge.TaskID{Job: jobID(i)}, Run: 1, Ending: gauge.EndDone})
 	}
 	for i := range reports {
 		reports[i].Clock = time.Hour
-		p.Report(incarnation(list[i].ID), gauge.HoldCall{}, &reports[i], 0)
+		p.HandleReport(incarnation(list[i].ID), gauge.Heartbeat{}, &reports[i], 0)
 	}
 	return p
 }
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -68,12 +68,12 @@
 
 // candidates ranks the waiting stages that the worker with the most room could take.
 func (p *Pool) candidates(maxFree gauge.Resources, now time.Duration) candidateHeap {
-	if len(p.index.waiting) == 0 || !maxFree.Holds(p.index.minNeed) {
+	if len(p.index.waiting) == 0 || !maxFree.Contains(p.index.minNeed) {
 		return nil
 	}
 	list := p.candidateBuf[:0]
 	p.index.pruneWaiting(func(st *stage, need gauge.Resources) {
-		if maxFree.Holds(need) {
+		if maxFree.Contains(need) {
 			list = append(list, candidate{job: st.job, stage: st, rank: p.rank(st.job, st.occ, st, now), advice: p.advice(st.job)})
 		}
 	})
@@ -114,9 +114,9 @@
 
 func (p *Pool) rank(j *job, o *occurrence, st *stage, now time.Duration) rank {
 	r := rank{class: 1}
-	if st.spec.Lasts {
+	if st.spec.LongRunning {
 		r.class = 0
-		if st.spec.Fills {
+		if st.spec.BestEffort {
 			r.class = 1
 		}
 	}
@@ -125,11 +125,11 @@
 	}
 	r.due = j.arrived + j.objective
 	left := r.due - now
-	if p.conf.Without.Has(gauge.MechanismDeadline) {
+	if p.conf.Disabled.Has(gauge.MechanismDeadline) {
 		r.due = j.arrived
 	}
 	switch {
-	case p.conf.Without.Has(gauge.MechanismTimely):
+	case p.conf.Disabled.Has(gauge.MechanismTimely):
 	case left < -j.objective*(lateFactor-1):
 		r.lateness = 2
 	case left < o.chain()/2:
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -28,7 +28,7 @@
 			if o.task.job == r.task.job {
 				continue
 			}
-			if o.lived < proof.Soon && r.lived >= proof.Soon || o.task.suspectRuns().Crashes() > r.task.suspectRuns().Crashes() {
+			if o.lived < proof.StartPhase && r.lived >= proof.StartPhase || o.task.suspectRuns().CrashCount() > r.task.suspectRuns().CrashCount() {
 				tasks[r.task] = true
 			}
 		}
@@ -113,7 +113,7 @@
 
 // lostWith reports whether a worker stopped answering at about the time of a loss.
 func (p *Pool) lostWith(w *worker, l *loss, now time.Duration) bool {
-	return w.reported && w.silent && !w.isLeaving(w.silentSince) && now-w.silentSince >= confirmedSilence && l.overlaps(w.earliestLoss(p.conf.Wait), w.silentSince)
+	return w.reported && w.silent && !w.isLeaving(w.silentSince) && now-w.silentSince >= confirmedSilence && l.overlaps(w.earliestLoss(p.conf.HeartbeatWait), w.silentSince)
 }
 
 // earliestLoss is the earliest time at which a silent worker can have been lost: shortly before its
--- a/internal/sched/correlation_test.go
+++ b/internal/sched/correlation_test.go
@@ -34,7 +34,7 @@
 			for range 20 {
 				g.advance(100 * time.Millisecond)
 			}
-			assert.Equal(t, g.unwrittenRow(start.Start.Task.Job).Trials[firstTaskKey].Crashes(), tt.want)
+			assert.Equal(t, g.unwrittenRow(start.Start.Task.Job).SuspectRuns[firstTaskKey].CrashCount(), tt.want)
 		})
 	}
 }
--- a/internal/sched/crash_harness_test.go
+++ b/internal/sched/crash_harness_test.go
@@ -17,21 +17,21 @@
 type crashHarness struct {
 	*harness
 	lastWorker       int
-	rackOfAlive      map[string]string         // by id, of workers that are alive
-	rackOf           map[string]string         // by id, of all workers that ever were
-	runs             map[string][]sched.Order  // on the workers that are alive
-	badTask          gauge.TaskID              // crashes the worker that starts it
-	badTasks         map[gauge.TaskID]bool     // more such tasks
-	crashDelay       time.Duration             // how long after their start they crash the worker
-	crashDue         map[string]time.Duration  // workers that they will crash, and when
-	crashed          map[string]time.Duration  // workers that crashed, and when another incarnation answers
-	movedAway        map[string]time.Duration  // workers of machines that have left, and until when they stay listed
-	crashes          int                       // caused by bad tasks
-	starts           map[gauge.TaskID]int      // by task
-	lost             map[gauge.TaskID]int      // runs that were lost with a worker, by task
-	done             map[gauge.TaskID]bool     // tasks that have ended done
-	accepted         map[string]sched.Accepted // jobs as submitted
-	rows             map[string]*gauge.JobRow  // stored job rows
+	rackOfAlive      map[string]string            // by id, of workers that are alive
+	rackOf           map[string]string            // by id, of all workers that ever were
+	runs             map[string][]sched.Order     // on the workers that are alive
+	badTask          gauge.TaskID                 // crashes the worker that starts it
+	badTasks         map[gauge.TaskID]bool        // more such tasks
+	crashDelay       time.Duration                // how long after their start they crash the worker
+	crashDue         map[string]time.Duration     // workers that they will crash, and when
+	crashed          map[string]time.Duration     // workers that crashed, and when another incarnation answers
+	movedAway        map[string]time.Duration     // workers of machines that have left, and until when they stay listed
+	crashes          int                          // caused by bad tasks
+	starts           map[gauge.TaskID]int         // by task
+	lost             map[gauge.TaskID]int         // runs that were lost with a worker, by task
+	done             map[gauge.TaskID]bool        // tasks that have ended done
+	accepted         map[string]sched.AcceptedJob // jobs as submitted
+	rows             map[string]*gauge.JobRow     // stored job rows
 	version          int64
 	tableDown        bool          // the table is unavailable
 	unrecorded       int           // successive owners that may not have recorded all crashes, as the lease row says
@@ -50,7 +50,7 @@
 	w := &crashHarness{
 		harness: newHarness(t), rackOfAlive: make(map[string]string), rackOf: make(map[string]string), runs: make(map[string][]sched.Order), crashDue: make(map[string]time.Duration),
 		crashed: make(map[string]time.Duration), movedAway: make(map[string]time.Duration), starts: make(map[gauge.TaskID]int), lost: make(map[gauge.TaskID]int),
-		done: make(map[gauge.TaskID]bool), accepted: make(map[string]sched.Accepted), rows: make(map[string]*gauge.JobRow),
+		done: make(map[gauge.TaskID]bool), accepted: make(map[string]sched.AcceptedJob), rows: make(map[string]*gauge.JobRow),
 		version: 1000, restartDelay: 3 * time.Second,
 	}
 	for i := range workers {
@@ -97,10 +97,10 @@
 			list = append(list, w.workerRow(id))
 		}
 	}
-	w.pool.Workers(list)
-	w.pool.Noted(w.pool.Name(), int64(fence))
+	w.pool.UpdateWorkers(list)
+	w.pool.LeaseRowWritten(w.pool.LeaseRowWorkers(), int64(fence))
 	for _, id := range w.aliveIDs() {
-		_, call, _ := w.pool.Holding(incarnation(id), w.now)
+		_, call, _ := w.pool.NextHeartbeat(incarnation(id), w.now)
 		assert.Assert(w.t, call.Fence > 0)
 		var running []gauge.RunReport
 		for _, o := range w.runs[id] {
@@ -112,7 +112,7 @@
 
 func (w *crashHarness) submit(n int, steps ...gauge.Step) string {
 	id := w.adopt(n, false, steps...)
-	w.accepted[id] = sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}}
+	w.accepted[id] = sched.AcceptedJob{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}}
 	return id
 }
 
@@ -155,7 +155,7 @@
 	var ended []gauge.EndReport
 	for _, o := range w.runs[id] {
 		spec := w.accepted[o.Start.Task.Job].Spec.Steps[o.Start.Task.Step]
-		if spec.Lasts || w.now < o.Start.Until-time.Hour+taskDuration-time.Second || w.isBad(o.Start.Task) {
+		if spec.LongRunning || w.now < o.Start.Until-time.Hour+taskDuration-time.Second || w.isBad(o.Start.Task) {
 			left = append(left, o)
 			continue
 		}
@@ -183,7 +183,7 @@
 			continue
 		}
 		delete(w.crashed, id)
-		w.pool.HoldFailed(incarnation(id), gauge.Fail(gauge.KindReplaced, "status 421"), w.now)
+		w.pool.HeartbeatFailed(incarnation(id), gauge.Errorf(gauge.KindReplaced, "status 421"), w.now)
 	}
 }
 
@@ -197,7 +197,7 @@
 		case o.Kind != sched.OrderStart:
 			w.confirm([]sched.Order{o})
 		case w.rackOfAlive[o.Worker.ID] == "":
-			w.pool.Answered(o, 0, gauge.Fail(gauge.KindOutage, "connection refused"), w.now)
+			w.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindOutage, "connection refused"), w.now)
 		default:
 			w.starts[o.Start.Task]++
 			w.runs[o.Worker.ID] = append(w.runs[o.Worker.ID], o)
@@ -205,7 +205,7 @@
 				w.crashDue[o.Worker.ID] = w.now + w.crashDelay
 			}
 			if w.startsUnanswered {
-				w.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+				w.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
 				continue
 			}
 			w.confirm([]sched.Order{o})
@@ -217,7 +217,7 @@
 	if w.tableDown {
 		return
 	}
-	b, err := w.pool.Batch(100, w.now.Milliseconds(), skipNone)
+	b, err := w.pool.NextBatch(100, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
 	w.version++
 	for _, c := range b.Changes {
@@ -225,17 +225,17 @@
 		assert.NilError(w.t, err)
 		w.rows[c.Job] = row
 	}
-	w.pool.Written(b, w.version, w.now)
+	w.pool.BatchWritten(b, w.version, w.now)
 }
 
 // replaceOwner has another owner take the pool over, from what the table has.
 func (w *crashHarness) replaceOwner() {
-	named := w.pool.Name()
+	named := w.pool.LeaseRowWorkers()
 	w.version++
 	term := int(w.version)
 	g := newHarness(w.t, func(c *sched.Config) {
-		c.Term, c.Earlier, c.Doubt, c.Fence = term, named, w.now+6*time.Second, gauge.Fence(w.version)
-		c.Unnoted = w.unrecorded
+		c.Term, c.PreviousWorkers, c.PreviousRunsEnd, c.Fence = term, named, w.now+6*time.Second, gauge.FencingToken(w.version)
+		c.UnrecordedOwners = w.unrecorded
 	})
 	w.pool = g.pool
 	for id, a := range w.accepted {
@@ -243,7 +243,7 @@
 		if row == nil {
 			row = &gauge.JobRow{State: gauge.JobPending, Pool: poolName}
 		}
-		if row.State.Final() {
+		if row.State.IsFinal() {
 			continue
 		}
 		a.Row, a.Version, a.Inherited, a.Arrived = row, w.version, true, w.now
@@ -253,7 +253,7 @@
 }
 
 func (w *crashHarness) jobState(id string) gauge.JobState {
-	state, ok := w.pool.State(queueName, id)
+	state, ok := w.pool.JobState(queueName, id)
 	if !ok && w.rows[id] != nil {
 		return w.rows[id].State
 	}
@@ -272,7 +272,7 @@
 // more, and is listed until three of its heartbeats to the platform are missing.
 func (w *crashHarness) moveIdleMachine(drained bool) {
 	for _, id := range w.aliveIDs() {
-		if len(w.runs[id]) > 0 || drained && !w.pool.Empty(id, false, w.now) {
+		if len(w.runs[id]) > 0 || drained && !w.pool.DrainWorker(id, false, w.now) {
 			continue
 		}
 		w.movedAway[id] = w.now + 4500*time.Millisecond
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxCrashes is the bound on a task's crashes: after the third, two more starts are allowed, which
-	// may crash as well.
+	// maxCrashes is the bound on a task's crashes: after the third, two more starts are allowed,
+	// which may crash as well.
 	maxCrashes = 5
 	// maxCrashesIsolated is the bound where the task can be started on a worker without other work.
 	maxCrashesIsolated = 3
@@ -22,7 +22,7 @@
 
 func longRunningStep(count int) gauge.Step {
 	s := newStep(count)
-	s.Lasts, s.MaxAway = true, 1
+	s.LongRunning, s.MaxUnplaced = true, 1
 	return s
 }
 
@@ -31,7 +31,7 @@
 	gang := newStep(3)
 	gang.Gang = true
 	copies := newStep(2)
-	copies.Copies = true
+	copies.Speculative = true
 	for _, tt := range []struct {
 		name       string
 		step       gauge.Step
@@ -199,7 +199,7 @@
 				}
 				w.advance(30 * time.Second)
 				want := gauge.JobCompleted
-				if s.Lasts {
+				if s.LongRunning {
 					want = gauge.JobRunning
 				}
 				assert.Equal(t, w.jobState(id), want)
@@ -237,7 +237,7 @@
 			g.writeAll(int64(1000 + g.now/time.Millisecond))
 		}
 	}
-	state, _ := g.pool.State(queueName, jobID(1))
+	state, _ := g.pool.JobState(queueName, jobID(1))
 	assert.Equal(t, state, gauge.JobRunning)
 }
 
@@ -266,11 +266,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness(t, withPredecessor("w1", tt.worker))
 			g.listWorkers("w1", "w2")
-			row := &gauge.JobRow{State: gauge.JobRunning, Pool: poolName, Trials: map[string]gauge.Trials{
-				"0.0.0": {{Run: 3, Worker: "w0", Crashed: true}, {Run: 4, Worker: tt.worker, Alone: true}},
+			row := &gauge.JobRow{State: gauge.JobRunning, Pool: poolName, SuspectRuns: map[string]gauge.SuspectRuns{
+				"0.0.0": {{Run: 3, Worker: "w0", Crashed: true}, {Run: 4, Worker: tt.worker, SoleJob: true}},
 			}}
 			id := jobID(1)
-			g.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 2, Inherited: true}, g.now)
+			g.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 2, Inherited: true}, g.now)
 			for range 70 {
 				g.advance(100 * time.Millisecond)
 				g.report("w1", nil)
@@ -281,7 +281,7 @@
 			assert.Equal(t, len(b.Changes), 1)
 			stored, err := gauge.DecodeJobRow(b.Changes[0].Row)
 			assert.NilError(t, err)
-			assert.Equal(t, stored.Trials["0.0.0"].Crashes(), tt.want)
+			assert.Equal(t, stored.SuspectRuns["0.0.0"].CrashCount(), tt.want)
 		})
 	}
 }
--- a/internal/sched/double_run_test.go
+++ b/internal/sched/double_run_test.go
@@ -30,9 +30,9 @@
 	}
 	g.listWorkers(start.Worker.ID)
 	g.failHeartbeat(left[0])
-	assert.DeepEqual(t, g.pool.Name(), incarnations(start.Worker.ID))
+	assert.DeepEqual(t, g.pool.LeaseRowWorkers(), incarnations(start.Worker.ID))
 	g.failHeartbeat(start.Worker.ID)
-	assert.DeepEqual(t, g.pool.Name(), incarnations(start.Worker.ID)) // its run may continue
+	assert.DeepEqual(t, g.pool.LeaseRowWorkers(), incarnations(start.Worker.ID)) // its run may continue
 }
 
 // Guards against a task that runs twice after a handover. An idle worker misses a heartbeat, so
@@ -43,15 +43,15 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	g.failHeartbeat("w1")
-	assert.Equal(t, len(g.pool.Name()), 0)
+	assert.Equal(t, len(g.pool.LeaseRowWorkers()), 0)
 	g.report("w1", nil)
 	g.adopt(1, false, newStep(1))
 	assert.Equal(t, len(g.planStarts()), 0)
-	assert.Assert(t, g.pool.Urgent(), "the lease row must be written")
-	named := g.pool.Name()
+	assert.Assert(t, g.pool.HasUrgent(), "the lease row must be written")
+	named := g.pool.LeaseRowWorkers()
 	assert.DeepEqual(t, named, incarnations("w1"))
 	assert.Equal(t, len(g.planStarts()), 0, "not before the row is in the table")
-	g.pool.Noted(named, fence)
+	g.pool.LeaseRowWritten(named, fence)
 	assert.Equal(t, len(g.planStarts()), 1)
 }
 
@@ -83,7 +83,7 @@
 	g := newHarness(t, withPredecessor())
 	g.listWorkers("w1")
 	g.report("w1", nil)
-	g.pool.Adopt(sched.Accepted{ID: jobID(1), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence - 1, Arrived: g.now}, g.now)
+	g.pool.Adopt(sched.AcceptedJob{ID: jobID(1), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence - 1, Arrived: g.now}, g.now)
 	assert.Equal(t, len(g.planStarts()), 0)
 }
 
@@ -140,7 +140,7 @@
 	g.adopt(1, false, newStep(1))
 	start := g.planStarts()[0]
 	on := start.Worker.ID
-	g.pool.Answered(start, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(start, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.advance(300 * time.Millisecond)
 	g.report(on, nil)
 	assert.Equal(t, len(g.planStarts()), 0)
@@ -157,8 +157,8 @@
 	g.report("w1", nil)
 	g.adopt(1, false, newStep(1))
 	start := g.planStarts()[0]
-	g.pool.Answered(start, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
-	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 1, "the worker is probed at once")
+	g.pool.OrderAnswered(start, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderProbe)), 1, "the worker is probed at once")
 	g.advance(2 * time.Second)
 	g.report("w1", []gauge.RunReport{runReport(start)})
 	assert.Equal(t, len(g.plan()), 0)
@@ -173,12 +173,12 @@
 	g.adopt(1, false, newStep(1))
 	start := g.planStarts()[0]
 	g.advance(300 * time.Millisecond)
-	g.pool.Answered(start, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(start, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.report("w1", nil)
 	orders := g.plan()
 	assert.Equal(t, len(ofKind(orders, sched.OrderStart)), 0)
 	g.confirm(ofKind(orders, sched.OrderStop))
-	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 1)
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderProbe)), 1)
 	g.advance(10 * time.Millisecond)
 	g.report("w1", nil)
 	starts := g.planStarts()
@@ -216,10 +216,10 @@
 	if on == "w1" {
 		other = "w2"
 	}
-	_, call, _ := g.pool.Holding(incarnation(on), g.now)
+	_, call, _ := g.pool.NextHeartbeat(incarnation(on), g.now)
 	assert.Assert(t, call.Until > 0)
 	g.failHeartbeat(on)
-	_, call, _ = g.pool.Holding(incarnation(on), g.now)
+	_, call, _ = g.pool.NextHeartbeat(incarnation(on), g.now)
 	assert.Equal(t, call.Until, time.Duration(0), "a silent worker gets no extension")
 	g.listWorkers(other)
 	g.advance(4900 * time.Millisecond)
@@ -242,7 +242,7 @@
 	g.confirm(g.planStarts())
 	g.listWorkers("w2")
 	g.report("w2", nil)
-	g.pool.HoldFailed(incarnation("w1"), gauge.Fail(gauge.KindReplaced, "status 421"), g.now)
+	g.pool.HeartbeatFailed(incarnation("w1"), gauge.Errorf(gauge.KindReplaced, "status 421"), g.now)
 	starts := g.startsAfterWrites()
 	assert.Equal(t, len(starts), 1)
 	assert.Equal(t, starts[0].Worker.ID, "w2")
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -7,11 +7,11 @@
 // answer to this request to its effect.
 const drainSpan = 4 * time.Second
 
-// Empty has a worker drained, and reports whether nothing runs there and the table has all its end
-// reports. Otherwise these would be lost with its machine, and the successor would start their
-// tasks again. An unknown worker isn't drained: starts may go there as soon as it is known. With
-// force, runs that don't end by themselves are stopped.
-func (p *Pool) Empty(id string, force bool, now time.Duration) bool {
+// DrainWorker has a worker drained, and reports whether nothing runs there and the table has all
+// its end reports. Otherwise these would be lost with its machine, and the successor would start
+// their tasks again. An unknown worker isn't drained: starts may go there as soon as it is known.
+// With force, runs that don't end by themselves are stopped.
+func (p *Pool) DrainWorker(id string, force bool, now time.Duration) bool {
 	w := p.workers[id]
 	if w == nil {
 		return false
@@ -23,9 +23,9 @@
 	return w.reported && !w.silent && len(w.runs) == 0 && w.orphanCount == 0 && w.isSettled()
 }
 
-// Emptied returns the workers that are being drained, and for how much longer. A successor has to
-// know, as their machines may be taken away meanwhile.
-func (p *Pool) Emptied(now time.Duration) map[string]time.Duration {
+// DrainedWorkers returns the workers that are being drained, and for how much longer. A successor
+// has to know, as their machines may be taken away meanwhile.
+func (p *Pool) DrainedWorkers(now time.Duration) map[string]time.Duration {
 	left := make(map[string]time.Duration)
 	for id, w := range p.workers {
 		if now < w.drainUntil && !w.dead {
@@ -39,9 +39,9 @@
 // announcement is repeated several times a second.
 const soonSpan = 2 * time.Second
 
-// Soon announces workers that will be drained before long: long-running tasks that start now avoid
-// them if they can.
-func (p *Pool) Soon(ids []string, now time.Duration) {
+// ExpectDrain announces workers that will be drained before long: long-running tasks that start now
+// avoid them if they can.
+func (p *Pool) ExpectDrain(ids []string, now time.Duration) {
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
 			w.drainSoonUntil = now + soonSpan
--- a/internal/sched/drain_test.go
+++ b/internal/sched/drain_test.go
@@ -24,7 +24,7 @@
 	var runs []gauge.RunReport
 	for _, o := range starts {
 		r := runReport(o)
-		r.Progress, r.Saved = 50, "half"
+		r.Progress, r.Checkpoint = 50, "half"
 		runs = append(runs, r)
 	}
 	g.report("w1", runs)
@@ -37,14 +37,14 @@
 func TestRunsThatEndSoonAreNotStoppedForAMove(t *testing.T) {
 	g := newHarness(t)
 	startCheckpointing(g)
-	g.pool.Empty("w1", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 0)
 }
 
 func TestForcedDrainStopsRuns(t *testing.T) {
 	g := newHarness(t)
 	startCheckpointing(g)
-	g.pool.Empty("w1", true, g.now)
+	g.pool.DrainWorker("w1", true, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 2)
 }
 
@@ -63,8 +63,8 @@
 			g := newHarness(t)
 			startCheckpointing(g)
 			w := newWorker("w1")
-			w.Draining, w.Leaves = true, tt.leaves
-			g.pool.Workers([]gauge.Worker{w})
+			w.Draining, w.MinDrainTime = true, tt.leaves
+			g.pool.UpdateWorkers([]gauge.Worker{w})
 			assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), tt.stops)
 		})
 	}
@@ -78,7 +78,7 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	longRunning := newStep(1)
-	longRunning.Lasts, longRunning.Needs.MilliCPU = true, 2000
+	longRunning.LongRunning, longRunning.Needs.MilliCPU = true, 2000
 	g.adopt(1, false, longRunning)
 	serviceStarts := g.planStarts()
 	g.confirm(serviceStarts)
@@ -98,7 +98,7 @@
 	}
 	startAll()
 	g.report("w1", append([]gauge.RunReport{serving}, runs["w1"]...))
-	g.pool.Empty("w1", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
 	moved := false
 	for range 6 {
 		g.advance(300 * time.Millisecond)
--- a/internal/sched/endreports.go
+++ b/internal/sched/endreports.go
@@ -45,14 +45,14 @@
 // isSettled reports whether the table has all of the worker's end reports.
 func (w *worker) isSettled() bool { return w.lastStoredEnd == w.lastEnd && !w.endsPending }
 
-// Behind reports whether a worker has listed end reports that the table doesn't have yet.
-func (p *Pool) Behind(l gauge.Life) bool {
+// HasUnstoredEnds reports whether a worker has listed end reports that the table doesn't have yet.
+func (p *Pool) HasUnstoredEnds(l gauge.Incarnation) bool {
 	w := p.current(l)
 	return w != nil && w.lastStoredEnd < w.lastEnd
 }
 
-// Unwritten counts the jobs with changes that the table doesn't have.
-func (p *Pool) Unwritten() int {
+// UnwrittenJobs counts the jobs with changes that the table doesn't have.
+func (p *Pool) UnwrittenJobs() int {
 	n := 0
 	for _, j := range p.jobs {
 		if j.isDirty() {
--- a/internal/sched/endreports_test.go
+++ b/internal/sched/endreports_test.go
@@ -26,8 +26,8 @@
 
 // ackedEnd is the number of the last end that the next heartbeat to a worker acknowledges.
 func (g *harness) ackedEnd(id string) int64 {
-	_, call, _ := g.pool.Holding(incarnation(id), g.now)
-	return call.LastSeen
+	_, call, _ := g.pool.NextHeartbeat(incarnation(id), g.now)
+	return call.LastSeenEnd
 }
 
 // Guards against a task that starts again although a run of it has ended done. An owner receives
@@ -38,9 +38,9 @@
 	g := newHarness(t)
 	start := g.runTask("w1", 1)
 	g.report("w1", nil, g.endReport("w1", start.Start.Task, 1, gauge.EndDone))
-	assert.Assert(t, !g.pool.Empty("w1", false, g.now), "its end isn't written yet")
+	assert.Assert(t, !g.pool.DrainWorker("w1", false, g.now), "its end isn't written yet")
 	g.writeAll(500)
-	assert.Assert(t, g.pool.Empty("w1", false, g.now))
+	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
 // The same with more ends on the worker than it lists at a time.
@@ -54,29 +54,29 @@
 	}
 	g.report("w1", nil, ends...)
 	g.writeAll(500)
-	assert.Assert(t, !g.pool.Empty("w1", false, g.now), "there may be more ends than are listed")
+	assert.Assert(t, !g.pool.DrainWorker("w1", false, g.now), "there may be more ends than are listed")
 	g.advance(time.Second)
 	g.report("w1", nil)
 	g.writeAll(501)
-	assert.Assert(t, g.pool.Empty("w1", false, g.now))
+	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
 // The same with the end of a job that could not be read yet, and that is left with the worker.
 func TestWorkerWithUnacknowledgedEndsIsNotDrained(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1")
 	end := g.endReport("w1", gauge.TaskID{Job: jobID(1)}, 1, gauge.EndDone)
 	g.report("w1", nil, end)
 	g.writeAll(500)
-	assert.Assert(t, !g.pool.Empty("w1", false, g.now), "its end isn't processed yet")
+	assert.Assert(t, !g.pool.DrainWorker("w1", false, g.now), "its end isn't processed yet")
 	g.adopt(1, true, newStep(1))
-	g.pool.Partial(false)
+	g.pool.SetJobsMissing(false)
 	g.advance(time.Second)
 	g.report("w1", nil, end)
-	assert.Assert(t, !g.pool.Empty("w1", false, g.now), "its end isn't written yet")
+	assert.Assert(t, !g.pool.DrainWorker("w1", false, g.now), "its end isn't written yet")
 	g.writeAll(501)
-	assert.Assert(t, g.pool.Empty("w1", false, g.now))
+	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
 // Guards against a task that starts again on a new owner although a run of it has ended done. A
@@ -89,7 +89,7 @@
 	for name, removeWorker := range map[string]func(g *harness){
 		"silent":   func(g *harness) { g.failHeartbeat("w1") },
 		"unlisted": func(g *harness) { g.listWorkers("w2") },
-		"draining": func(g *harness) { g.pool.Workers([]gauge.Worker{draining}) },
+		"draining": func(g *harness) { g.pool.UpdateWorkers([]gauge.Worker{draining}) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t)
@@ -120,7 +120,7 @@
 
 // isNamed reports whether the lease row is to name a worker.
 func isNamed(g *harness, id string) bool {
-	for _, n := range g.pool.Name() {
+	for _, n := range g.pool.LeaseRowWorkers() {
 		if n == incarnation(id) {
 			return true
 		}
@@ -137,13 +137,13 @@
 	g.adopt(2, false, newStep(1))
 	g.confirm(g.planStarts())
 	g.report("w1", nil, g.endReport("w1", start.Start.Task, 1, gauge.EndDone))
-	b, err := g.pool.Batch(1, 1, skipNone)
+	b, err := g.pool.NextBatch(1, 1, skipNone)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Changes), 1)
 	assert.Equal(t, b.Changes[0].Job, jobID(1), "the urgent change goes first")
-	g.pool.Written(b, 500, g.now)
+	g.pool.BatchWritten(b, 500, g.now)
 	assert.Equal(t, g.ackedEnd("w1"), int64(1))
-	assert.Assert(t, !g.pool.Urgent(), "only a start is still to be written")
+	assert.Assert(t, !g.pool.HasUrgent(), "only a start is still to be written")
 }
 
 // An acknowledgement covers all earlier ends: one that the table doesn't have holds back those
@@ -155,19 +155,19 @@
 	var ends []gauge.EndReport
 	for i, queue := range []string{"sheets", "parts"} {
 		id := jobID(i)
-		g.pool.Adopt(sched.Accepted{ID: id, Queue: queue, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
+		g.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queue, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1, Arrived: 0}, 0)
 		ends = append(ends, g.endReport("w1", gauge.TaskID{Job: id}, 1, gauge.EndDone))
 	}
 	g.confirm(g.planStarts())
 	g.advance(time.Second)
 	g.report("w1", nil, ends...)
-	b, err := g.pool.Batch(100, 1, func(queue string) bool { return queue == "sheets" })
+	b, err := g.pool.NextBatch(100, 1, func(queue string) bool { return queue == "sheets" })
 	assert.NilError(t, err)
-	g.pool.Written(b, 500, g.now)
+	g.pool.BatchWritten(b, 500, g.now)
 	assert.Equal(t, g.ackedEnd("w1"), int64(0), "the first end isn't in the table")
-	b, err = g.pool.Batch(100, 1, skipNone)
+	b, err = g.pool.NextBatch(100, 1, skipNone)
 	assert.NilError(t, err)
-	g.pool.Written(b, 501, g.now)
+	g.pool.BatchWritten(b, 501, g.now)
 	assert.Equal(t, g.ackedEnd("w1"), int64(2))
 }
 
@@ -181,12 +181,12 @@
 	g.confirm(starts)
 	g.advance(time.Second)
 	g.report("w1", []gauge.RunReport{runReport(starts[1])}, g.endReport("w1", starts[0].Start.Task, 1, gauge.EndDone))
-	b, err := g.pool.Batch(100, 1, skipNone)
+	b, err := g.pool.NextBatch(100, 1, skipNone)
 	assert.NilError(t, err)
 	g.report("w1", nil, g.endReport("w1", starts[1].Start.Task, 1, gauge.EndDone))
-	g.pool.Written(b, 500, g.now)
+	g.pool.BatchWritten(b, 500, g.now)
 	assert.Equal(t, g.ackedEnd("w1"), int64(1))
-	assert.Assert(t, !g.pool.Empty("w1", false, g.now))
+	assert.Assert(t, !g.pool.DrainWorker("w1", false, g.now))
 	g.writeAll(501)
 	assert.Equal(t, g.ackedEnd("w1"), int64(2))
 }
@@ -218,7 +218,7 @@
 					g.report(o.Worker.ID, nil, g.endReport(o.Worker.ID, o.Start.Task, 1, gauge.EndDone))
 				}
 			}
-			b, err := g.pool.Batch(entries, 1, skipNone)
+			b, err := g.pool.NextBatch(entries, 1, skipNone)
 			assert.NilError(t, err)
 			used, each := 0, 0
 			for _, c := range b.Changes {
@@ -251,13 +251,13 @@
 		g.confirm(start)
 		g.advance(time.Second)
 		end := g.endReport("w1", start[0].Start.Task, start[0].Start.Run, gauge.EndStopped)
-		end.Saved = saved
+		end.Checkpoint = saved
 		g.report("w1", nil, end)
 		g.pool.Cancel(jobID(i+1), int64(1000+i))
 	}
 	written := 0
 	for written < 40 {
-		b, err := g.pool.Batch(98, 1, skipNone)
+		b, err := g.pool.NextBatch(98, 1, skipNone)
 		assert.NilError(t, err)
 		size := 0
 		for _, c := range b.Changes {
@@ -266,7 +266,7 @@
 		assert.Assert(t, len(b.Changes) > 0)
 		assert.Assert(t, size <= most, "%d bytes", size)
 		written += len(b.Changes)
-		g.pool.Written(b, int64(2000+written), g.now)
+		g.pool.BatchWritten(b, int64(2000+written), g.now)
 	}
 }
 
@@ -289,7 +289,7 @@
 	g.report("w1", nil, g.endReport("w1", gauge.TaskID{Job: id}, 1, gauge.EndDone))
 	assert.Equal(t, len(g.planStarts()), 0)
 	g.writeAll(500)
-	state, _ := g.pool.State(queueName, id)
+	state, _ := g.pool.JobState(queueName, id)
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
@@ -297,7 +297,7 @@
 // worker for longer than any lease of the previous owner.
 func TestInheritedTaskWaitsForUnacknowledgedEnds(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	id := g.adopt(1, true, newStep(1))
 	g.listWorkers("w1", "w2")
 	unread := g.endReport("w1", gauge.TaskID{Job: jobID(9)}, 1, gauge.EndDone)
@@ -309,10 +309,10 @@
 		g.advance(time.Second)
 	}
 	g.adopt(9, true, newStep(1))
-	g.pool.Partial(false)
+	g.pool.SetJobsMissing(false)
 	g.report("w1", nil, unread, done)
 	g.writeAll(500)
-	state, _ := g.pool.State(queueName, id)
+	state, _ := g.pool.JobState(queueName, id)
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
@@ -320,7 +320,7 @@
 func TestInheritedTaskDoesNotWaitForADeadWorker(t *testing.T) {
 	for name, loseWorker := range map[string]func(g *harness){
 		"another incarnation": func(g *harness) {
-			g.pool.HoldFailed(incarnation("w1"), gauge.Fail(gauge.KindReplaced, "status 421"), g.now)
+			g.pool.HeartbeatFailed(incarnation("w1"), gauge.Errorf(gauge.KindReplaced, "status 421"), g.now)
 		},
 		"silent for longer than its lease": func(g *harness) {
 			g.failHeartbeat("w1")
@@ -329,7 +329,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t, withPredecessor("w1"))
-			g.pool.Partial(true)
+			g.pool.SetJobsMissing(true)
 			g.adopt(1, true, newStep(1))
 			g.listWorkers("w1", "w2")
 			g.report("w1", nil, g.endReport("w1", gauge.TaskID{Job: jobID(9)}, 1, gauge.EndDone))
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -9,19 +9,19 @@
 	gauge "sapphiregauge"
 )
 
-// Walked holds what the pool tracks incrementally, computed by a walk over all jobs instead.
-type Walked struct {
-	Depths  map[string]int
-	Urgent  bool
-	Changed []string // jobs that are to be written
-	Waiting []string // steps with tasks that may start
-	Stale   []string // occurrences whose cached chain of remaining steps is wrong
-	Load    gauge.PoolLoad
+// Recounted holds what the pool tracks incrementally, computed by a walk over all jobs instead.
+type Recounted struct {
+	Depths      map[string]int
+	Urgent      bool
+	Changed     []string // jobs that are to be written
+	Waiting     []string // steps with tasks that may start
+	WrongChains []string // occurrences whose cached chain of remaining steps is wrong
+	Load        gauge.PoolLoad
 }
 
-// Walk goes over all jobs and workers.
-func (p *Pool) Walk(now time.Duration) Walked {
-	w := Walked{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.adoptedWork, Jobs: p.adoptedJobs}}
+// Recount goes over all jobs and workers.
+func (p *Pool) Recount(now time.Duration) Recounted {
+	w := Recounted{Depths: make(map[string]int), Load: gauge.PoolLoad{Pool: p.conf.Name, ArrivedCoreSeconds: p.adoptedWork, ArrivedJobs: p.adoptedJobs}}
 	for _, j := range p.jobs {
 		if !j.started && j.isOpen() {
 			w.Depths[j.queue]++
@@ -39,11 +39,11 @@
 		if worker.listed && !worker.dead {
 			lasting := 0
 			for r := range worker.runs {
-				if r.task.stage.spec.Lasts {
+				if r.task.stage.spec.LongRunning {
 					lasting++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), Lasting: lasting, Takes: worker.takesStarts(now), Busy: worker.busyFor(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), LongRunning: lasting, AcceptsRuns: worker.takesStarts(now), RemainingTime: worker.busyFor(now)})
 		}
 	}
 	slices.Sort(w.Changed)
@@ -51,10 +51,10 @@
 	return w
 }
 
-func (w *Walked) addJob(p *Pool, j *job, now time.Duration) {
+func (w *Recounted) addJob(p *Pool, j *job, now time.Duration) {
 	for _, o := range j.occurrences {
 		if known := o.chain(); known != o.uncachedChain() {
-			w.Stale = append(w.Stale, fmt.Sprintf("%s.%d", j.id, o.number))
+			w.WrongChains = append(w.WrongChains, fmt.Sprintf("%s.%d", j.id, o.number))
 		}
 		for i, st := range o.steps {
 			idle, remaining := 0, 0
@@ -80,13 +80,13 @@
 	}
 }
 
-func (w *Walked) addStage(demand *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
-	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
-	if st.spec.Lasts {
-		w.Load.Lasting += cores * float64(len(st.tasks))
-		w.Load.Away += idle
+func (w *Recounted) addStage(demand *gauge.Demand, st *stage, ready bool, idle int, now time.Duration) {
+	cores := float64(st.spec.Reservation().MilliCPU) / milliPerCore
+	if st.spec.LongRunning {
+		w.Load.LongRunningCores += cores * float64(len(st.tasks))
+		w.Load.Unplaced += idle
 		if per := st.spec.PerWorker; per > 0 {
-			w.Load.Spread = max(w.Load.Spread, (len(st.tasks)+per-1)/per)
+			w.Load.MinWorkers = max(w.Load.MinWorkers, (len(st.tasks)+per-1)/per)
 		}
 		return
 	}
@@ -94,10 +94,10 @@
 		switch {
 		case t.done:
 		case len(t.runs) > 0:
-			demand.Busy += cores
+			demand.RunningCores += cores
 		case ready:
-			demand.Waiting += cores
-			w.Load.Oldest = max(w.Load.Oldest, now-t.readyAt)
+			demand.WaitingCores += cores
+			w.Load.LongestWait = max(w.Load.LongestWait, now-t.readyAt)
 		}
 	}
 }
--- a/internal/sched/handover_test.go
+++ b/internal/sched/handover_test.go
@@ -18,13 +18,13 @@
 	first.report("w1", nil)
 	first.adopt(1, false, newStep(1))
 	first.confirm(first.planStarts())
-	first.pool.Holding(incarnation("w1"), first.now) // grants 5 s
+	first.pool.NextHeartbeat(incarnation("w1"), first.now) // grants 5 s
 	first.advance(time.Second)
 	first.failHeartbeat("w1")
-	left := first.pool.Left(first.now)
+	left := first.pool.RemainingLeases(first.now)
 	assert.Equal(t, left[incarnation("w1")], 4*time.Second)
 
-	second := newHarness(t, withPredecessor("w1"), func(c *sched.Config) { c.Over = left })
+	second := newHarness(t, withPredecessor("w1"), func(c *sched.Config) { c.WorkerRunsEnd = left })
 	second.listWorkers("w1", "w2")
 	second.adopt(1, true, newStep(1))
 	second.report("w2", nil)
--- a/internal/sched/harness_test.go
+++ b/internal/sched/harness_test.go
@@ -33,14 +33,14 @@
 func withPredecessor(earlier ...string) option {
 	return func(c *sched.Config) {
 		c.Term = 1
-		c.Earlier = incarnations(earlier...)
-		c.Doubt = 6 * time.Second
+		c.PreviousWorkers = incarnations(earlier...)
+		c.PreviousRunsEnd = 6 * time.Second
 	}
 }
 
 func newHarness(t *testing.T, options ...option) *harness {
 	c := sched.Config{
-		Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Wait: time.Second, Logs: logr.Discard(),
+		Name: poolName, Fence: fence, LeaseExtension: 5 * time.Second, StartTimeout: time.Second, HeartbeatWait: time.Second, Logs: logr.Discard(),
 	}
 	for _, o := range options {
 		o(&c)
@@ -51,10 +51,10 @@
 }
 
 // incarnation is the only incarnation of a worker, which reports no start time.
-func incarnation(id string) gauge.Life { return gauge.Life{Worker: id} }
+func incarnation(id string) gauge.Incarnation { return gauge.Incarnation{Worker: id} }
 
-func incarnations(ids ...string) []gauge.Life {
-	var list []gauge.Life
+func incarnations(ids ...string) []gauge.Incarnation {
+	var list []gauge.Incarnation
 	for _, id := range ids {
 		list = append(list, incarnation(id))
 	}
@@ -74,8 +74,8 @@
 	for _, id := range ids {
 		ws = append(ws, newWorker(id))
 	}
-	g.pool.Workers(ws)
-	g.pool.Noted(incarnations(ids...), fence)
+	g.pool.UpdateWorkers(ws)
+	g.pool.LeaseRowWritten(incarnations(ids...), fence)
 }
 
 // workerClock is what a worker's clock shows, one hour ahead of the owner's.
@@ -88,18 +88,18 @@
 
 // reportAt delivers a report that was made when the worker's clock showed a given time.
 func (g *harness) reportAt(id string, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) {
-	g.pool.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: clock, Running: running, Ended: ended}, g.now)
+	g.pool.HandleReport(incarnation(id), gauge.Heartbeat{}, &gauge.WorkerReport{Clock: clock, Running: running, Ended: ended}, g.now)
 }
 
 // failHeartbeat has a heartbeat to a worker get no answer.
 func (g *harness) failHeartbeat(id string) {
-	g.pool.HoldFailed(incarnation(id), gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.HeartbeatFailed(incarnation(id), gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 }
 
 // endReport is the worker's next report of an ended run.
 func (g *harness) endReport(id string, task gauge.TaskID, run int, how gauge.Ending) gauge.EndReport {
 	g.ends[id]++
-	return gauge.EndReport{Number: g.ends[id], Task: task, Run: run, How: how}
+	return gauge.EndReport{Number: g.ends[id], Task: task, Run: run, Ending: how}
 }
 
 func (g *harness) advance(d time.Duration) {
@@ -109,7 +109,7 @@
 
 // plan sets how far grants may reach and returns the orders.
 func (g *harness) plan() []sched.Order {
-	g.pool.Limit(g.now + 9*time.Second)
+	g.pool.SetGrantLimit(g.now + 9*time.Second)
 	return g.pool.Plan(g.now)
 }
 
@@ -128,7 +128,7 @@
 // confirm has workers answer orders with success.
 func (g *harness) confirm(orders []sched.Order) {
 	for _, o := range orders {
-		g.pool.Answered(o, g.workerClock(), nil, g.now)
+		g.pool.OrderAnswered(o, g.workerClock(), nil, g.now)
 	}
 }
 
@@ -141,15 +141,15 @@
 func (g *harness) adopt(n int, inherited bool, steps ...gauge.Step) string {
 	id := jobID(n)
 	version := int64(fence + n)
-	g.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}, Row: &gauge.JobRow{State: gauge.JobPending, Pool: poolName}, Version: version, Arrived: g.now, Inherited: inherited}, g.now)
+	g.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: steps}, Row: &gauge.JobRow{State: gauge.JobPending, Pool: poolName}, Version: version, Arrived: g.now, Inherited: inherited}, g.now)
 	return id
 }
 
 // writeAll has the table take all changes.
 func (g *harness) writeAll(version int64) sched.Batch {
-	b, err := g.pool.Batch(100, 1, skipNone)
+	b, err := g.pool.NextBatch(100, 1, skipNone)
 	assert.NilError(g.t, err)
-	g.pool.Written(b, version, g.now)
+	g.pool.BatchWritten(b, version, g.now)
 	return b
 }
 
@@ -168,5 +168,5 @@
 	return gauge.RunReport{Task: o.Start.Task, Run: o.Start.Run}
 }
 
-// skipNone is the Batch filter that skips no queue.
+// skipNone is the NextBatch filter that skips no queue.
 func skipNone(string) bool { return false }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -14,9 +14,9 @@
 
 // current returns the worker of an incarnation; nil if that incarnation isn't known or isn't the
 // newest.
-func (p *Pool) current(l gauge.Life) *worker {
+func (p *Pool) current(l gauge.Incarnation) *worker {
 	w := p.workers[l.Worker]
-	if w == nil || w.info.Life() != l {
+	if w == nil || w.info.Incarnation() != l {
 		return nil
 	}
 	return w
@@ -29,9 +29,9 @@
 	switch {
 	case w == nil:
 		return p.begin(info)
-	case w.info.Life().Before(info.Life()):
+	case w.info.Incarnation().IsBefore(info.Incarnation()):
 		return p.succeed(w, info, p.lastTick)
-	case info.Life().Before(w.info.Life()):
+	case info.Incarnation().IsBefore(w.info.Incarnation()):
 		return nil
 	default:
 		return w
@@ -42,7 +42,7 @@
 // isn't this owner's, even if it has answered a heartbeat that was meant for the previous one.
 func (p *Pool) listedElsewhere(info gauge.Worker) {
 	w := p.workers[info.ID]
-	if w == nil || info.Life().Before(w.info.Life()) || w.listedHere && info.Life() == w.info.Life() {
+	if w == nil || info.Incarnation().IsBefore(w.info.Incarnation()) || w.listedHere && info.Incarnation() == w.info.Incarnation() {
 		return
 	}
 	p.retireWorker(w, "restarted in another pool", p.lastTick)
@@ -50,18 +50,18 @@
 
 // answering returns the worker whose incarnation has answered a call; nil if it is dead or no
 // longer the newest.
-func (p *Pool) answering(incarnation gauge.Life, born int64, now time.Duration) *worker {
+func (p *Pool) answering(incarnation gauge.Incarnation, startedAt int64, now time.Duration) *worker {
 	w := p.workers[incarnation.Worker]
 	if w == nil {
 		return nil
 	}
-	answered := gauge.Life{Worker: incarnation.Worker, Born: born}
-	switch known := w.info.Life(); {
-	case known.Before(answered):
+	answered := gauge.Incarnation{Worker: incarnation.Worker, StartedAt: startedAt}
+	switch known := w.info.Incarnation(); {
+	case known.IsBefore(answered):
 		// What it is and has is known only from its own entry in the list.
-		return p.succeed(w, gauge.Worker{ID: w.info.ID, Born: born, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
-	case answered.Before(known):
-		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", born, "newest", known.Born)
+		return p.succeed(w, gauge.Worker{ID: w.info.ID, StartedAt: startedAt, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
+	case answered.IsBefore(known):
+		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", startedAt, "newest", known.StartedAt)
 		return nil
 	case w.dead:
 		return nil
@@ -73,12 +73,12 @@
 // begin adds an incarnation of a worker.
 func (p *Pool) begin(info gauge.Worker) *worker {
 	w := &worker{
-		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Life()), knownSince: p.lastTick, drainUntil: p.conf.Emptied[info.ID],
+		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Incarnation()), knownSince: p.lastTick, drainUntil: p.conf.DrainedUntil[info.ID],
 	}
 	w.info.Draining = false // handled with its entry in the platform's list
 	p.raiseFence(w)
 	previous, awaited := p.unreported[info.ID]
-	if w.restarted = awaited && previous != info.Life(); w.restarted {
+	if w.restarted = awaited && previous != info.Incarnation(); w.restarted {
 		p.replacedUnreported = append(p.replacedUnreported, previous)
 		p.lostUnreported = true
 	}
@@ -94,13 +94,13 @@
 func (p *Pool) succeed(previous *worker, info gauge.Worker, now time.Duration) *worker {
 	w := p.begin(info)
 	w.restarted = true
-	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
+	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.MaxWorkerLease)
 	w.drainUntil, w.forceDrain, w.drainSoonUntil = previous.drainUntil, previous.forceDrain, previous.drainSoonUntil
 	w.fence, w.fencePending = p.fence(previous), previous.fencePending
 	if !previous.silent || previous.fencePending {
 		p.raiseFence(w)
 	}
-	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "before", previous.info.Born,
+	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.StartedAt, "before", previous.info.StartedAt,
 		"runs", len(previous.runs), "kept", previous.lastStoredEnd, "ends", previous.lastEnd)
 	p.passOn(previous, w)
 	p.markDead(previous, "restarted", now)
@@ -132,7 +132,7 @@
 // rises with each incarnation and whenever the worker doesn't answer, because a worker that
 // restarts knows of no token and would carry out calls for its previous incarnation up to seconds
 // later. It never reaches the successor's token, as a successor takes the lease by a later write.
-func (p *Pool) fence(w *worker) gauge.Fence { return max(p.conf.Fence, w.fence) }
+func (p *Pool) fence(w *worker) gauge.FencingToken { return max(p.conf.Fence, w.fence) }
 
 // raiseFence gives a worker a higher token, so that earlier calls are refused once the worker has
 // answered. Without a write since the last time it waits for the next one.
@@ -143,17 +143,18 @@
 	}
 }
 
-// Outdated reports whether a call's fencing token is an earlier one of this owner's own, or whether
-// the call was for an incarnation that is dead or has never reported to this owner. The refusal of
-// such a call doesn't show that this pool has another owner. An incarnation that has never reported
-// may have been called by the owner of another pool, which had its previous incarnation.
-func (p *Pool) Outdated(l gauge.Life, sent gauge.Fence) bool {
+// IsOutdated reports whether a call's fencing token is an earlier one of this owner's own, or
+// whether the call was for an incarnation that is dead or has never reported to this owner. The
+// refusal of such a call doesn't show that this pool has another owner. An incarnation that has
+// never reported may have been called by the owner of another pool, which had its previous
+// incarnation.
+func (p *Pool) IsOutdated(l gauge.Incarnation, sent gauge.FencingToken) bool {
 	w := p.current(l)
 	return w == nil || !w.reported || sent < p.fence(w)
 }
 
-// Unheld returns the incarnations that began since the last call; each needs heartbeats.
-func (p *Pool) Unheld() []gauge.Worker {
+// NewIncarnations returns the incarnations that began since the last call; each needs heartbeats.
+func (p *Pool) NewIncarnations() []gauge.Worker {
 	list := p.newIncarnations
 	p.newIncarnations = nil
 	return list
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -11,27 +11,29 @@
 )
 
 // incarnationAt is the incarnation of a worker that started at a given time.
-func incarnationAt(id string, born int64) gauge.Life { return gauge.Life{Worker: id, Born: born} }
+func incarnationAt(id string, born int64) gauge.Incarnation {
+	return gauge.Incarnation{Worker: id, StartedAt: born}
+}
 
 // workerRow is the platform's row of an incarnation of a worker.
 func workerRow(id string, born int64) gauge.Worker {
 	w := newWorker(id)
-	w.Born = born
+	w.StartedAt = born
 	return w
 }
 
 // listRows delivers the rows of incarnations of workers, and that the lease row of a version names
 // them.
 func (g *harness) listRows(version int64, rows ...gauge.Worker) {
-	g.pool.Workers(rows)
-	g.pool.Noted(g.pool.Name(), version)
+	g.pool.UpdateWorkers(rows)
+	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), version)
 }
 
 // answerHeartbeat has an incarnation of a worker answer the heartbeat that the owner sent to
 // another one, or to the same.
-func (g *harness) answerHeartbeat(asked gauge.Life, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
-	_, call, _ := g.pool.Holding(asked, g.now)
-	return g.pool.Report(asked, call, &gauge.WorkerReport{Born: born, Clock: clock, Running: running, Ended: ended}, g.now)
+func (g *harness) answerHeartbeat(asked gauge.Incarnation, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
+	_, call, _ := g.pool.NextHeartbeat(asked, g.now)
+	return g.pool.HandleReport(asked, call, &gauge.WorkerReport{StartedAt: born, Clock: clock, Running: running, Ended: ended}, g.now)
 }
 
 // newHarnessWithRun is a harness with a worker in its first incarnation that has had a run of a
@@ -44,11 +46,11 @@
 // newHarnessWithRunOf is the same with a run that is as old as given.
 func newHarnessWithRunOf(t *testing.T, lived time.Duration) (*harness, sched.Order) {
 	t.Helper()
-	g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+	g := newHarness(t, func(c *sched.Config) { c.MaxWorkerLease = maxLease })
 	g.listRows(200, workerRow("w1", 1))
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
 	s := newStep(1)
-	s.Lasts = true
+	s.LongRunning = true
 	g.adopt(1, false, s)
 	start := g.planStarts()[0]
 	g.confirm([]sched.Order{start})
@@ -69,14 +71,14 @@
 		again := g.planStarts()
 		assert.Equal(t, len(again), 1)
 		assert.Equal(t, again[0].Start.Task, first.Start.Task)
-		assert.Equal(t, again[0].Worker.Born, int64(2))
+		assert.Equal(t, again[0].Worker.StartedAt, int64(2))
 		assert.Assert(t, again[0].Start.Until < clock+2*time.Second, "the deadline must be on the clock of the new incarnation")
 	}
 }
 
 // failHeartbeatOf has a heartbeat to an incarnation of a worker get no answer.
-func (g *harness) failHeartbeatOf(l gauge.Life) {
-	g.pool.HoldFailed(l, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+func (g *harness) failHeartbeatOf(l gauge.Incarnation) {
+	g.pool.HeartbeatFailed(l, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 }
 
 // Guards against ends that are lost because a worker numbers them from 1 in each incarnation: the
@@ -85,17 +87,17 @@
 	g, start := newHarnessWithRun(t)
 	other := gauge.TaskID{Job: jobID(9)}
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(start)},
-		gauge.EndReport{Number: 1, Task: other, Run: 1, How: gauge.EndDone}, gauge.EndReport{Number: 2, Task: other, Run: 2, How: gauge.EndDone})
-	_, call, _ := g.pool.Holding(incarnationAt("w1", 1), g.now)
-	assert.Equal(t, call.LastSeen, int64(2))
+		gauge.EndReport{Number: 1, Task: other, Run: 1, Ending: gauge.EndDone}, gauge.EndReport{Number: 2, Task: other, Run: 2, Ending: gauge.EndDone})
+	_, call, _ := g.pool.NextHeartbeat(incarnationAt("w1", 1), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(2))
 	g.failHeartbeatOf(incarnationAt("w1", 1))
-	_, call, _ = g.pool.Holding(incarnationAt("w1", 1), g.now)
-	assert.Equal(t, call.LastSeen, int64(0), "it may be another incarnation by now")
+	_, call, _ = g.pool.NextHeartbeat(incarnationAt("w1", 1), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(0), "it may be another incarnation by now")
 
 	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
 	g.listRows(300, workerRow("w1", 2))
-	_, call, _ = g.pool.Holding(incarnationAt("w1", 2), g.now)
-	assert.Equal(t, call.LastSeen, int64(0))
+	_, call, _ = g.pool.NextHeartbeat(incarnationAt("w1", 2), g.now)
+	assert.Equal(t, call.LastSeenEnd, int64(0))
 	id := g.adopt(2, false, newStep(1))
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, 2*time.Second, nil)
 	var order sched.Order
@@ -104,10 +106,10 @@
 			order = o
 		}
 	}
-	g.pool.Answered(order, 2*time.Second, nil, g.now)
-	g.answerHeartbeat(incarnationAt("w1", 2), 2, 3*time.Second, nil, gauge.EndReport{Number: 1, Task: order.Start.Task, Run: 1, How: gauge.EndDone})
+	g.pool.OrderAnswered(order, 2*time.Second, nil, g.now)
+	g.answerHeartbeat(incarnationAt("w1", 2), 2, 3*time.Second, nil, gauge.EndReport{Number: 1, Task: order.Start.Task, Run: 1, Ending: gauge.EndDone})
 	g.writeAll(400)
-	state, _ := g.pool.State(queueName, id)
+	state, _ := g.pool.JobState(queueName, id)
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
@@ -116,7 +118,7 @@
 	g, start := newHarnessWithRun(t)
 	g.listRows(300, workerRow("w1", 2))
 	assert.Assert(t, !g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(start)}))
-	_, _, held := g.pool.Holding(incarnationAt("w1", 1), g.now)
+	_, _, held := g.pool.NextHeartbeat(incarnationAt("w1", 1), g.now)
 	assert.Assert(t, !held)
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 
@@ -133,24 +135,24 @@
 // have a lower fencing token than the heartbeat that follows.
 func TestTokenRisesWithEachFailedHeartbeat(t *testing.T) {
 	g, start := newHarnessWithRun(t)
-	g.pool.Noted(g.pool.Name(), 250)
+	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), 250)
 	g.failHeartbeatOf(incarnationAt("w1", 1))
-	_, call, _ := g.pool.Holding(incarnationAt("w1", 1), g.now)
+	_, call, _ := g.pool.NextHeartbeat(incarnationAt("w1", 1), g.now)
 	assert.Assert(t, call.Fence > start.Start.Fence)
-	assert.Assert(t, g.pool.Outdated(incarnationAt("w1", 1), start.Start.Fence), "its refusal doesn't mean that there is another owner")
-	assert.Assert(t, !g.pool.Outdated(incarnationAt("w1", 1), call.Fence))
+	assert.Assert(t, g.pool.IsOutdated(incarnationAt("w1", 1), start.Start.Fence), "its refusal doesn't mean that there is another owner")
+	assert.Assert(t, !g.pool.IsOutdated(incarnationAt("w1", 1), call.Fence))
 }
 
 // Guards against a worker that is drained, as its machine is to be moved, and gets new work once it
 // has started again.
 func TestDrainedWorkerStaysDrainedInItsNextIncarnation(t *testing.T) {
 	g, _ := newHarnessWithRun(t)
-	g.pool.Empty("w1", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.listRows(300, workerRow("w1", 2))
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 	assert.Equal(t, len(g.planStarts()), 0)
-	assert.Assert(t, g.pool.Empty("w1", false, g.now))
+	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
 // Guards against a worker that announced that it drains, and is still taken to be leaving after it
@@ -169,7 +171,7 @@
 // onlyUnwrittenRow is the row of the one job whose change waits to be written.
 func (g *harness) onlyUnwrittenRow() *gauge.JobRow {
 	g.t.Helper()
-	batch, err := g.pool.Batch(100, 1, skipNone)
+	batch, err := g.pool.NextBatch(100, 1, skipNone)
 	assert.NilError(g.t, err)
 	assert.Equal(g.t, len(batch.Changes), 1)
 	row, err := gauge.DecodeJobRow(batch.Changes[0].Row)
@@ -187,14 +189,14 @@
 	next := newHarness(t, withPredecessor("w1"))
 	next.listRows(500, workerRow("w1", 2))
 	s := newStep(1)
-	s.Lasts = true
-	next.pool.Adopt(sched.Accepted{
+	s.LongRunning = true
+	next.pool.Adopt(sched.AcceptedJob{
 		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{s}}, Row: recorded, Version: 400, Inherited: true,
 	}, 0)
 	next.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
 	next.plan()
 	recorded = next.onlyUnwrittenRow()
-	assert.Equal(t, recorded.Trials["0.0.0"].Crashes(), 1)
+	assert.Equal(t, recorded.SuspectRuns["0.0.0"].CrashCount(), 1)
 }
 
 // Guards against a crash that is attributed to a task although several workers lost power together:
@@ -221,7 +223,7 @@
 		recorded, err := gauge.DecodeJobRow(c.Row)
 		assert.NilError(t, err)
 		if c.Job == start.Start.Task.Job {
-			assert.Equal(t, len(recorded.Trials), 0, "%v", recorded.Trials)
+			assert.Equal(t, len(recorded.SuspectRuns), 0, "%v", recorded.SuspectRuns)
 		}
 	}
 }
@@ -233,13 +235,13 @@
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
 	g.failHeartbeatOf(incarnationAt("w1", 2))
-	assert.Equal(t, g.pool.Left(g.now)[incarnationAt("w1", 2)], maxLease)
+	assert.Equal(t, g.pool.RemainingLeases(g.now)[incarnationAt("w1", 2)], maxLease)
 
 	g.advance(3 * time.Second)
-	g.pool.Noted(g.pool.Name(), 300) // the token rises; until the worker has answered to it, older grants may reach it
+	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), 300) // the token rises; until the worker has answered to it, older grants may reach it
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, 4*time.Second, nil)
 	g.failHeartbeatOf(incarnationAt("w1", 2))
-	assert.Equal(t, g.pool.Left(g.now)[incarnationAt("w1", 2)], maxLease)
+	assert.Equal(t, g.pool.RemainingLeases(g.now)[incarnationAt("w1", 2)], maxLease)
 }
 
 // Guards against a worker that drains when the owner first learns of it and is taken to leave at
@@ -248,7 +250,7 @@
 	g := newHarness(t)
 	g.listRows(200, workerRow("w1", 1), workerRow("w2", 1))
 	leaving := workerRow("w1", 2)
-	leaving.Draining, leaving.Leaves = true, 20*time.Second
+	leaving.Draining, leaving.MinDrainTime = true, 20*time.Second
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
 	job := newStep(1)
 	job.Checkpoints, job.Estimate = true, 5*time.Second
@@ -265,17 +267,17 @@
 	g, _ := newHarnessWithRun(t)
 	id := g.adopt(2, false, newStep(1))
 	order := ofKind(g.plan(), sched.OrderStart)[0]
-	g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(order, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.pool.Cancel(id, 500)
 	stops := ofKind(g.plan(), sched.OrderStop)
 	assert.Equal(t, len(stops), 1)
 	g.listRows(300, workerRow("w1", 2))
-	g.pool.Answered(stops[0], time.Hour+3*time.Second, nil, g.now)
+	g.pool.OrderAnswered(stops[0], time.Hour+3*time.Second, nil, g.now)
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, 3*time.Hour, nil)
 	g.advance(250 * time.Millisecond)
 	again := ofKind(g.plan(), sched.OrderStop)
 	assert.Equal(t, len(again), 1)
-	assert.Equal(t, again[0].Worker.Born, int64(2))
+	assert.Equal(t, again[0].Worker.StartedAt, int64(2))
 }
 
 // Guards against a sound task that is taken for the cause of a crash: the next owner finds all
@@ -286,10 +288,10 @@
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	recorded := g.onlyUnwrittenRow()
 	next := newHarness(t, withPredecessor("w1", "w2", "w3"), func(c *sched.Config) {
-		c.Earlier = []gauge.Life{incarnationAt("w1", 1), incarnationAt("w2", 1), incarnationAt("w3", 1)}
+		c.PreviousWorkers = []gauge.Incarnation{incarnationAt("w1", 1), incarnationAt("w2", 1), incarnationAt("w3", 1)}
 	})
 	next.listRows(500, workerRow("w1", 2), workerRow("w2", 2), workerRow("w3", 2))
-	next.pool.Adopt(sched.Accepted{
+	next.pool.Adopt(sched.AcceptedJob{
 		ID: start.Start.Task.Job, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{longRunningStep(1)}}, Row: recorded, Version: 400, Inherited: true,
 	}, 0)
 	for _, id := range []string{"w1", "w2", "w3"} {
@@ -297,7 +299,7 @@
 	}
 	next.plan()
 	recorded = next.onlyUnwrittenRow()
-	assert.Equal(t, recorded.Trials["0.0.0"].Crashes(), 0)
+	assert.Equal(t, recorded.SuspectRuns["0.0.0"].CrashCount(), 0)
 }
 
 // Guards against a worker that has started again in another pool and gets heartbeats from two
@@ -313,7 +315,7 @@
 		other.Pool = "other"
 		g.listRows(300, other)
 		for born := range int64(3) {
-			_, _, held := g.pool.Holding(incarnationAt("w1", born), g.now)
+			_, _, held := g.pool.NextHeartbeat(incarnationAt("w1", born), g.now)
 			assert.Assert(t, !held)
 		}
 		g.listRows(301, workerRow("w2", 1))
@@ -327,14 +329,14 @@
 func TestRefusedFirstHeartbeatIsNoSignOfAnotherOwner(t *testing.T) {
 	g := newHarness(t)
 	g.listRows(200, workerRow("w1", 2))
-	_, call, _ := g.pool.Holding(incarnationAt("w1", 2), g.now)
-	assert.Assert(t, g.pool.Outdated(incarnationAt("w1", 2), call.Fence))
-	g.pool.HoldFailed(incarnationAt("w1", 2), gauge.Fail(gauge.KindFenced, "fence"), g.now)
-	g.pool.Noted(g.pool.Name(), 300)
-	_, again, _ := g.pool.Holding(incarnationAt("w1", 2), g.now)
+	_, call, _ := g.pool.NextHeartbeat(incarnationAt("w1", 2), g.now)
+	assert.Assert(t, g.pool.IsOutdated(incarnationAt("w1", 2), call.Fence))
+	g.pool.HeartbeatFailed(incarnationAt("w1", 2), gauge.Errorf(gauge.KindFenced, "fence"), g.now)
+	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), 300)
+	_, again, _ := g.pool.NextHeartbeat(incarnationAt("w1", 2), g.now)
 	assert.Assert(t, again.Fence > call.Fence)
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, time.Second, nil)
-	assert.Assert(t, !g.pool.Outdated(incarnationAt("w1", 2), again.Fence))
+	assert.Assert(t, !g.pool.IsOutdated(incarnationAt("w1", 2), again.Fence))
 }
 
 // Guards against a second run of a task: the next incarnation answered the start, and a late report
@@ -343,7 +345,7 @@
 	g, first := newHarnessWithRun(t)
 	id := g.adopt(2, false, newStep(1))
 	order := ofKind(g.plan(), sched.OrderStart)[0]
-	g.pool.Answered(order, time.Minute, nil, g.now) // a clock far behind that of the first incarnation
+	g.pool.OrderAnswered(order, time.Minute, nil, g.now) // a clock far behind that of the first incarnation
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(first)})
 	assert.Assert(t, !hasStart(g.plan(), id), "it runs in the next incarnation")
 	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Minute+time.Second, []gauge.RunReport{runReport(order)})
@@ -356,7 +358,7 @@
 	g, first := newHarnessWithRun(t)
 	g.adopt(2, false, newStep(1))
 	order := ofKind(g.plan(), sched.OrderStart)[0]
-	g.pool.Answered(order, 0, gauge.Fail(gauge.KindOutage, "connection refused"), g.now)
+	g.pool.OrderAnswered(order, 0, gauge.Errorf(gauge.KindOutage, "connection refused"), g.now)
 	assert.Equal(t, len(g.planStarts()), 0)
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+3*time.Second, []gauge.RunReport{runReport(first)})
 	assert.Equal(t, len(g.planStarts()), 1)
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -27,7 +27,7 @@
 	if j.isOpen() && !j.started {
 		x.depths[j.queue]++
 	}
-	if j.spec.Timed() {
+	if j.spec.IsScheduled() {
 		x.scheduled[j] = true
 	}
 	if !j.isOpen() {
@@ -60,8 +60,8 @@
 	j.index.changed[j] = true
 }
 
-// Depths returns the number of jobs by queue of which no worker has reported a started task.
-func (p *Pool) Depths() map[string]int { return maps.Clone(p.index.depths) }
+// QueueDepths returns the number of jobs by queue of which no worker has reported a started task.
+func (p *Pool) QueueDepths() map[string]int { return maps.Clone(p.index.depths) }
 
 // unwrittenJobs returns the jobs with something to write.
 func (x *poolIndex) unwrittenJobs() []*job {
@@ -92,7 +92,7 @@
 	if st.waiting || st.idle == 0 || !st.job.isOpen() || !st.occ.isReady(st) {
 		return
 	}
-	need := st.spec.Room()
+	need := st.spec.Reservation()
 	if len(x.waiting) == 0 {
 		x.minNeed = need
 	}
@@ -110,7 +110,7 @@
 			st.waiting = false
 			continue
 		}
-		need := st.spec.Room()
+		need := st.spec.Reservation()
 		if len(keep) == 0 {
 			x.minNeed = need
 		}
--- a/internal/sched/index_test.go
+++ b/internal/sched/index_test.go
@@ -23,22 +23,22 @@
 	id := jobID(len(w.specs))
 	second := newStep(1)
 	second.After = []int{0}
-	w.specs[id] = &gauge.JobSpec{Steps: []gauge.Step{newStep(2), second}, Repeats: 3, FirstAt: time.Unix(0, 0).Add(w.now), Every: time.Second}
+	w.specs[id] = &gauge.JobSpec{Steps: []gauge.Step{newStep(2), second}, Repeats: 3, FirstAt: time.Unix(0, 0).Add(w.now), Interval: time.Second}
 	row := &gauge.JobRow{State: gauge.JobPending, Pool: poolName}
 	value, err := row.Encode()
 	assert.NilError(w.t, err)
 	w.lastVersion++
 	w.rows[id], w.versions[id] = value, w.lastVersion
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
+	w.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
 }
 
 // checkCounts compares the pool's counts with a walk over all jobs.
 func (w *simulation) checkCounts() {
-	walk := w.pool.Walk(w.now)
-	depths := w.pool.Depths()
+	walk := w.pool.Recount(w.now)
+	depths := w.pool.QueueDepths()
 	assert.Assert(w.t, maps.Equal(depths, walk.Depths), "depths %v, want %v", depths, walk.Depths)
-	assert.Equal(w.t, w.pool.Urgent(), walk.Urgent)
-	assert.Equal(w.t, len(walk.Stale), 0, "%v", walk.Stale)
+	assert.Equal(w.t, w.pool.HasUrgent(), walk.Urgent)
+	assert.Equal(w.t, len(walk.WrongChains), 0, "%v", walk.WrongChains)
 	waiting := w.pool.Waiting(w.now)
 	assert.Assert(w.t, slices.Equal(waiting, walk.Waiting), "waiting steps %v, want %v", waiting, walk.Waiting)
 	changed := w.pool.Changed()
@@ -60,7 +60,7 @@
 			w.endRandom, w.endRandom, w.advance, w.cancelRandom, w.crashWorker,
 			func() { w.pool.Tick(w.now, time.Unix(0, 0).Add(w.now)) },
 			func() { w.startOwner(w.leaseWorkers) },
-			func() { w.pool.Rehear() },
+			func() { w.pool.RequireFreshReports() },
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			rapid.SampledFrom(events).Draw(t, "event")()
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -105,10 +105,12 @@
 
 // isolatedOnly reports whether a suspect has lost so many workers, or has so few starts left, that
 // it starts only in isolation and only once the table has the record of it.
-func (t *task) isolatedOnly() bool { return t.evidence().Strong() || t.fewLeft() }
+func (t *task) isolatedOnly() bool { return t.evidence().HasRepeatedCrashes() || t.fewLeft() }
 
 // fewLeft reports whether few starts are left until the task's job is failed.
-func (t *task) fewLeft() bool { return t.evidence().FewLeft(t.unattributedLosses + t.undecidedRuns) }
+func (t *task) fewLeft() bool {
+	return t.evidence().HasFewStartsLeft(t.unattributedLosses + t.undecidedRuns)
+}
 
 // maxIsolationWait is how long a suspect waits for a worker that is free of other work.
 func (t *task) maxIsolationWait() time.Duration {
@@ -154,7 +156,7 @@
 		}
 		if !recorded[w] {
 			recorded[w] = true
-			p.recordSuspectRun(t, gauge.Trial{Run: res.number, Worker: w.info.ID, Born: w.info.Born, Alone: res.soleJob, Apart: res.soleJob})
+			p.recordSuspectRun(t, gauge.SuspectRun{Run: res.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: res.soleJob, Isolated: res.soleJob})
 		}
 	}
 }
@@ -203,7 +205,7 @@
 			return nil
 		}
 		perWorker.add(w)
-		taken[w] = taken[w].Plus(t.stage.spec.Room())
+		taken[w] = taken[w].Plus(t.stage.spec.Reservation())
 		picked = append(picked, w)
 	}
 	return picked
@@ -245,10 +247,10 @@
 	perWorker := st.countByWorker() // counts the reservation itself
 	taken := make(map[*worker]gauge.Resources)
 	for _, w := range t.reservation.workers {
-		if !st.fits(w, st.spec.Room(), taken[w], perWorker[w]-1) {
+		if !st.fits(w, st.spec.Reservation(), taken[w], perWorker[w]-1) {
 			return false
 		}
-		taken[w] = taken[w].Plus(st.spec.Room())
+		taken[w] = taken[w].Plus(st.spec.Reservation())
 	}
 	return true
 }
@@ -262,7 +264,7 @@
 
 // isolationRound returns the workers on which a suspect may start.
 func (p *Pool) isolationRound(now time.Duration) *placementRound {
-	round := &placementRound{disabled: p.conf.Without}
+	round := &placementRound{disabled: p.conf.Disabled}
 	for _, w := range p.workersByID() {
 		if w.takesStarts(now) {
 			round.workers = append(round.workers, w)
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -126,7 +126,7 @@
 func (j *job) isDirty() bool { return j.changes > j.savedChanges }
 
 // isOpen reports whether tasks of the job may still start.
-func (j *job) isOpen() bool { return !j.row.State.Final() }
+func (j *job) isOpen() bool { return !j.row.State.IsFinal() }
 
 // occurrence returns an occurrence, created from the row if needed.
 func (j *job) occurrence(number int, now time.Duration) *occurrence {
@@ -143,8 +143,8 @@
 				job: j, stage: st, readyAt: now, noRunSince: now,
 			}
 			t.done = i < len(done) && hasBit(done[i], k)
-			if len(j.row.Saved) > 0 {
-				t.checkpoint = j.row.Saved[t.key()]
+			if len(j.row.Checkpoints) > 0 {
+				t.checkpoint = j.row.Checkpoints[t.key()]
 			}
 			for _, n := range t.failedRuns() {
 				t.lastRun = max(t.lastRun, n)
@@ -165,7 +165,7 @@
 
 // task returns a task by its id, nil if the job has no such task.
 func (j *job) task(id gauge.TaskID, now time.Duration) *task {
-	if id.Occurrence < j.row.Over || id.Occurrence >= j.spec.Occurrences() || id.Step >= len(j.spec.Steps) {
+	if id.Occurrence < j.row.CompletedOccurrences || id.Occurrence >= j.spec.Occurrences() || id.Step >= len(j.spec.Steps) {
 		return nil
 	}
 	if id.Index >= j.spec.Steps[id.Step].Count {
@@ -228,14 +228,14 @@
 	}
 	bits[t.id.Step] = setBit(bits[t.id.Step], t.id.Index)
 	j.row.Done[o.number] = bits
-	if len(j.row.Saved) > 0 {
-		delete(j.row.Saved, t.key())
+	if len(j.row.Checkpoints) > 0 {
+		delete(j.row.Checkpoints, t.key())
 	}
 	if len(j.row.Failures) > 0 {
 		delete(j.row.Failures, t.key())
 	}
-	if len(j.row.Trials) > 0 {
-		delete(j.row.Trials, t.leadTask().key())
+	if len(j.row.SuspectRuns) > 0 {
+		delete(j.row.SuspectRuns, t.leadTask().key())
 	}
 	t.forgetUnattributed()
 	j.touch(true)
@@ -245,15 +245,15 @@
 // advance moves the mark of completed occurrences, and completes the job with the last of them.
 func (j *job) advance() {
 	for {
-		o := j.occurrences[j.row.Over]
+		o := j.occurrences[j.row.CompletedOccurrences]
 		if o == nil || o.remaining > 0 {
 			break
 		}
-		delete(j.occurrences, j.row.Over)
-		delete(j.row.Done, j.row.Over)
-		j.row.Over++
+		delete(j.occurrences, j.row.CompletedOccurrences)
+		delete(j.row.Done, j.row.CompletedOccurrences)
+		j.row.CompletedOccurrences++
 	}
-	if j.row.Over >= j.spec.Occurrences() && j.isOpen() {
+	if j.row.CompletedOccurrences >= j.spec.Occurrences() && j.isOpen() {
 		j.close(gauge.JobCompleted)
 	}
 }
--- a/internal/sched/large_pool_bench_test.go
+++ b/internal/sched/large_pool_bench_test.go
@@ -27,29 +27,29 @@
 // which waits once the workers are full.
 func newLargePool(tb testing.TB, workers, jobs int, log logr.Logger) *sched.Pool {
 	tb.Helper()
-	p := sched.New(sched.Config{Name: poolName, Fence: fence, Hold: 5 * time.Second, Start: time.Second, Logs: log})
+	p := sched.New(sched.Config{Name: poolName, Fence: fence, LeaseExtension: 5 * time.Second, StartTimeout: time.Second, Logs: log})
 	site := &gauge.Site{}
 	for i := range largeQueues {
 		site.Queues = append(site.Queues, gauge.Queue{Name: queueNameOf(i), Pool: poolName, Stretch: 2, Priority: i % 3})
 	}
 	p.Configure(site)
-	p.Limit(time.Hour)
+	p.SetGrantLimit(time.Hour)
 	var list []gauge.Worker
 	var ids []string
 	for i := range workers {
 		w := newWorker(fmt.Sprintf("w%d", i))
 		list, ids = append(list, w), append(ids, w.ID)
 	}
-	p.Workers(list)
-	p.Noted(incarnations(ids...), fence)
+	p.UpdateWorkers(list)
+	p.LeaseRowWritten(incarnations(ids...), fence)
 	for _, id := range ids {
-		p.Report(incarnation(id), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+		p.HandleReport(incarnation(id), gauge.Heartbeat{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	}
 	for i := range jobs + (workers*tasksPerWorker+7)/8 {
 		second := newStep(5)
 		second.After = []int{0}
 		spec := &gauge.JobSpec{Steps: []gauge.Step{newStep(8), second}}
-		p.Adopt(sched.Accepted{ID: jobID(i), Queue: queueNameOf(i % largeQueues), Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1}, 0)
+		p.Adopt(sched.AcceptedJob{ID: jobID(i), Queue: queueNameOf(i % largeQueues), Spec: spec, Row: &gauge.JobRow{State: gauge.JobPending}, Version: fence + 1}, 0)
 	}
 	return p
 }
@@ -81,7 +81,7 @@
 		for b.Loop() {
 			b.StopTimer()
 			for _, o := range started {
-				p.Answered(o, time.Hour, late, time.Millisecond)
+				p.OrderAnswered(o, time.Hour, late, time.Millisecond)
 			}
 			b.StartTimer()
 			started = p.Plan(time.Millisecond)
@@ -100,7 +100,7 @@
 				b.StopTimer()
 				p, rep := newPoolWithBusyWorker(b, log)
 				b.StartTimer()
-				p.Report(incarnation("w0"), gauge.HoldCall{}, rep, time.Millisecond)
+				p.HandleReport(incarnation("w0"), gauge.Heartbeat{}, rep, time.Millisecond)
 			}
 		})
 	}
@@ -112,17 +112,17 @@
 	p := newLargePool(b, 0, 4, log)
 	w := newWorker("w0")
 	w.Capacity = gauge.Resources{MilliCPU: 30000, MemoryMB: 30000}
-	p.Workers([]gauge.Worker{w})
-	p.Noted(incarnations(w.ID), fence)
-	p.Report(incarnation(w.ID), gauge.HoldCall{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
+	p.UpdateWorkers([]gauge.Worker{w})
+	p.LeaseRowWritten(incarnations(w.ID), fence)
+	p.HandleReport(incarnation(w.ID), gauge.Heartbeat{}, &gauge.WorkerReport{Clock: time.Hour}, 0)
 	rep := &gauge.WorkerReport{Clock: time.Hour + time.Second}
 	for i, o := range p.Plan(0) {
-		p.Answered(o, time.Hour, nil, 0)
+		p.OrderAnswered(o, time.Hour, nil, 0)
 		if i < 10 {
 			rep.Running = append(rep.Running, gauge.RunReport{Task: o.Start.Task, Run: 1, Progress: 10, Load: 1000})
 			continue
 		}
-		rep.Ended = append(rep.Ended, gauge.EndReport{Number: int64(i), Task: o.Start.Task, Run: 1, How: gauge.EndDone})
+		rep.Ended = append(rep.Ended, gauge.EndReport{Number: int64(i), Task: o.Start.Task, Run: 1, Ending: gauge.EndDone})
 	}
 	assert.Equal(b, len(rep.Ended), 20)
 	return p, rep
@@ -139,7 +139,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				for _, o := range started {
-					p.Answered(o, time.Hour, late, time.Millisecond)
+					p.OrderAnswered(o, time.Hour, late, time.Millisecond)
 				}
 				b.StartTimer()
 				started = p.Plan(time.Millisecond)
@@ -152,10 +152,10 @@
 func BenchmarkWriteQueries(b *testing.B) {
 	p := newFullLargePool(b, largeWorkers, largeJobs)
 	for name, ask := range map[string]func(){
-		"urgent": func() { p.Urgent() },
-		"depths": func() { p.Depths() },
-		"name":   func() { p.Name() },
-		"batch":  func() { _, _ = p.Batch(24, 1, skipNone) },
+		"urgent": func() { p.HasUrgent() },
+		"depths": func() { p.QueueDepths() },
+		"name":   func() { p.LeaseRowWorkers() },
+		"batch":  func() { _, _ = p.NextBatch(24, 1, skipNone) },
 	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -182,12 +182,12 @@
 	for i := range ended {
 		id := jobID(1<<20 + i)
 		row := &gauge.JobRow{State: gauge.JobCancelled}
-		p.Adopt(sched.Accepted{ID: id, Queue: queueNameOf(0), Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: fence + 1}, 0)
+		p.Adopt(sched.AcceptedJob{ID: id, Queue: queueNameOf(0), Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: fence + 1}, 0)
 	}
 	for done := 0; done < ended; {
-		batch, err := p.Batch(ended, 1, skipNone)
+		batch, err := p.NextBatch(ended, 1, skipNone)
 		assert.NilError(b, err)
-		p.Written(batch, fence+2, 0)
+		p.BatchWritten(batch, fence+2, 0)
 		done += len(batch.Changes)
 		assert.Assert(b, len(batch.Changes) > 0)
 	}
@@ -198,4 +198,4 @@
 }
 
 // newLateStartError is the refusal that shows that a run doesn't exist.
-func newLateStartError() error { return gauge.Fail(gauge.KindLate, "deadline has passed") }
+func newLateStartError() error { return gauge.Errorf(gauge.KindPastDeadline, "deadline has passed") }
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -10,7 +10,7 @@
 
 // Load returns the pool's demand and the load of its workers.
 func (p *Pool) Load(now time.Duration) gauge.PoolLoad {
-	l := gauge.PoolLoad{Pool: p.conf.Name, Arrived: p.adoptedWork, Jobs: p.adoptedJobs}
+	l := gauge.PoolLoad{Pool: p.conf.Name, ArrivedCoreSeconds: p.adoptedWork, ArrivedJobs: p.adoptedJobs}
 	for _, j := range p.jobs {
 		if !j.isOpen() {
 			continue
@@ -32,7 +32,7 @@
 		if w.dead || !w.listed {
 			continue
 		}
-		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), Lasting: w.longRunning, Takes: w.takesStarts(now), Busy: w.busyFor(now)})
+		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), LongRunning: w.longRunning, AcceptsRuns: w.takesStarts(now), RemainingTime: w.busyFor(now)})
 	}
 	return l
 }
@@ -42,26 +42,26 @@
 	if st.remaining == 0 {
 		return
 	}
-	cores := float64(st.spec.Room().MilliCPU) / milliPerCore
-	if st.spec.Lasts {
-		l.Lasting += cores * float64(len(st.tasks))
-		l.Away += st.idle
+	cores := float64(st.spec.Reservation().MilliCPU) / milliPerCore
+	if st.spec.LongRunning {
+		l.LongRunningCores += cores * float64(len(st.tasks))
+		l.Unplaced += st.idle
 		if per := st.spec.PerWorker; per > 0 {
-			l.Spread = max(l.Spread, (len(st.tasks)+per-1)/per)
+			l.MinWorkers = max(l.MinWorkers, (len(st.tasks)+per-1)/per)
 		}
 		return
 	}
-	demand.Busy += cores * float64(st.remaining-st.idle)
+	demand.RunningCores += cores * float64(st.remaining-st.idle)
 	if !ready {
 		return
 	}
-	demand.Waiting += cores * float64(st.idle)
-	if now-st.earliestReady <= l.Oldest {
+	demand.WaitingCores += cores * float64(st.idle)
+	if now-st.earliestReady <= l.LongestWait {
 		return // none of its tasks has waited longer
 	}
 	for _, t := range st.tasks {
 		if !t.done && len(t.runs) == 0 {
-			l.Oldest = max(l.Oldest, now-t.readyAt)
+			l.LongestWait = max(l.LongestWait, now-t.readyAt)
 		}
 	}
 }
@@ -71,8 +71,8 @@
 	sum := 0.0
 	for i := range j.Steps {
 		st := &j.Steps[i]
-		if !st.Lasts {
-			sum += float64(st.Room().MilliCPU) / milliPerCore * st.Estimate.Seconds() * float64(st.Count)
+		if !st.LongRunning {
+			sum += float64(st.Reservation().MilliCPU) / milliPerCore * st.Estimate.Seconds() * float64(st.Count)
 		}
 	}
 	return sum * float64(j.Occurrences())
@@ -86,7 +86,7 @@
 func (w *worker) busyFor(now time.Duration) time.Duration {
 	var longest time.Duration
 	for r := range w.runs {
-		if r.task.stage.spec.Lasts {
+		if r.task.stage.spec.LongRunning {
 			continue
 		}
 		passed := now - r.orderedAt
--- a/internal/sched/longrunning_test.go
+++ b/internal/sched/longrunning_test.go
@@ -18,7 +18,7 @@
 		g.report(id, nil)
 	}
 	st := newStep(len(ids))
-	st.Lasts, st.MaxAway, st.PerWorker = true, 1, 1
+	st.LongRunning, st.MaxUnplaced, st.PerWorker = true, 1, 1
 	g.adopt(1, false, st)
 	starts := g.planStarts()
 	assert.Equal(g.t, len(starts), len(ids))
@@ -46,8 +46,8 @@
 	g.listWorkers("w1", "w2", "w3", "w4", "w5")
 	g.report("w4", nil)
 	g.report("w5", nil)
-	g.pool.Empty("w1", false, g.now)
-	g.pool.Empty("w2", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
+	g.pool.DrainWorker("w2", false, g.now)
 	stops := ofKind(g.plan(), sched.OrderStop)
 	assert.Equal(t, len(stops), 1)
 	g.confirm(stops)
@@ -58,17 +58,17 @@
 	assert.Equal(t, len(starts), 1)
 	g.confirm(starts)
 
-	probes := ofKind(g.plan(), sched.OrderLook)
+	probes := ofKind(g.plan(), sched.OrderProbe)
 	assert.Equal(t, len(probes), 1, "its worker is probed")
 	assert.Equal(t, probes[0].Worker.ID, starts[0].Worker.ID)
-	assert.Equal(t, len(ofKind(g.plan(), sched.OrderLook)), 0, "it isn't probed continuously")
+	assert.Equal(t, len(ofKind(g.plan(), sched.OrderProbe)), 0, "it isn't probed continuously")
 	starting := runReport(starts[0])
 	starting.Progress = 60
 	g.advance(300 * time.Millisecond)
 	g.report(starts[0].Worker.ID, []gauge.RunReport{starting})
 	orders := g.plan()
 	assert.Equal(t, len(ofKind(orders, sched.OrderStop)), 0)
-	assert.Equal(t, len(ofKind(orders, sched.OrderLook)), 1)
+	assert.Equal(t, len(ofKind(orders, sched.OrderProbe)), 1)
 	g.advance(300 * time.Millisecond)
 	starting.Progress = 100
 	g.report(starts[0].Worker.ID, []gauge.RunReport{starting})
@@ -82,7 +82,7 @@
 	g := newHarness(t, withPredecessor("w1", "w2"))
 	g.listWorkers("w1", "w2", "w3")
 	st := newStep(2)
-	st.Lasts, st.MaxAway, st.PerWorker = true, 1, 1
+	st.LongRunning, st.MaxUnplaced, st.PerWorker = true, 1, 1
 	id := g.adopt(1, true, st)
 	listed := func(worker string, index int) {
 		task := gauge.TaskID{Job: id, Index: index}
@@ -91,7 +91,7 @@
 	g.report("w3", nil)
 	listed("w1", 0) // the previous owner has just stopped it
 	listed("w2", 1)
-	g.pool.Empty("w2", false, g.now)
+	g.pool.DrainWorker("w2", false, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 0)
 	g.advance(time.Second)
 	listed("w2", 1)
@@ -99,7 +99,7 @@
 	g.advance(2100 * time.Millisecond)
 	listed("w1", 0)
 	listed("w2", 1)
-	g.pool.Empty("w2", false, g.now)
+	g.pool.DrainWorker("w2", false, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 1, "it was not stopped")
 }
 
@@ -108,22 +108,22 @@
 func TestLongRunningTasksAvoidWorkersThatAreDrainedSoon(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		without gauge.Without
+		without gauge.Disabled
 		want    string
 	}{
 		{"avoided", nil, "w4"},
-		{"mechanism disabled", gauge.Without{gauge.MechanismSoon}, "w2"}, // it has another long-running task
+		{"mechanism disabled", gauge.Disabled{gauge.MechanismSoon}, "w2"}, // it has another long-running task
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newHarness(t, func(c *sched.Config) { c.Without = tt.without })
+			g := newHarness(t, func(c *sched.Config) { c.Disabled = tt.without })
 			startLongRunning(g, "w1", "w2")
 			g.listWorkers("w1", "w2", "w3", "w4")
 			g.report("w3", nil)
 			g.report("w4", nil)
-			g.pool.Soon([]string{"w1", "w2", "w3"}, g.now)
+			g.pool.ExpectDrain([]string{"w1", "w2", "w3"}, g.now)
 			st := newStep(1)
-			st.Lasts = true
-			g.pool.Empty("w1", false, g.now)
+			st.LongRunning = true
+			g.pool.DrainWorker("w1", false, g.now)
 			g.adopt(2, false, st)
 			for _, o := range g.planStarts() {
 				assert.Equal(t, o.Worker.ID, tt.want)
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -33,7 +33,7 @@
 
 // loss is a worker whose incarnation is dead.
 type loss struct {
-	incarnation gauge.Life
+	incarnation gauge.Incarnation
 	rack        string
 	earliest    time.Duration // last time that it answered ...
 	noticedAt   time.Duration // ... and when it no longer did: it was lost in between
@@ -51,7 +51,7 @@
 // how many others were lost with it: a task that crashes its workers shows as runs that are lost
 // soon after their starts, on one worker after the other.
 func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
-	p.conf.Count(EventLost)
+	p.conf.CountEvent(EventLost)
 	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
 		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", others, "reason", reason)
 	r.worker.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0})
@@ -77,7 +77,7 @@
 	if len(lost) == 0 {
 		return
 	}
-	p.conf.Count(EventLapsed)
+	p.conf.CountEvent(EventLeaseExpired)
 	p.conf.Logs.Info("worker lapsed", "pool", p.conf.Name, "worker", w.info.ID, "runs", len(lost), "unsure", len(w.runs)-len(lost), "listed", w.listed)
 	for _, r := range lost {
 		p.lose(r, "its worker's lease expired", len(lost)-1, now)
@@ -98,7 +98,7 @@
 	singleJob := w.runsSingleJob()
 	for r := range w.runs {
 		if r.isolatedFor == nil && r.task.job.isOpen() {
-			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: w.info.ID, Born: w.info.Born, Alone: singleJob && r.reportedAt > 0, Lived: r.lived()})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: singleJob && r.reportedAt > 0, RunTime: r.lived()})
 		}
 	}
 }
@@ -158,12 +158,12 @@
 // tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
 func (w *worker) tasksRuledOut() bool {
 	for r := range w.runs {
-		if r.lived() < proof.Soon || r.isolatedFor != nil || r.task.leadTask().isSuspect {
+		if r.lived() < proof.StartPhase || r.isolatedFor != nil || r.task.leadTask().isSuspect {
 			return false
 		}
 	}
 	for _, l := range w.lostRuns {
-		if l.lived < proof.Soon || l.task.leadTask().isSuspect {
+		if l.lived < proof.StartPhase || l.task.leadTask().isSuspect {
 			return false
 		}
 	}
@@ -174,7 +174,7 @@
 // attributed a little later.
 func (p *Pool) recordLoss(w *worker, now time.Duration) {
 	l := &loss{
-		incarnation: w.info.Life(), rack: w.info.Rack(), earliest: w.earliestLoss(p.conf.Wait), noticedAt: w.silentSince, runs: w.lostRuns, tasksRuledOut: w.tasksRuledOut(),
+		incarnation: w.info.Incarnation(), rack: w.info.Rack(), earliest: w.earliestLoss(p.conf.HeartbeatWait), noticedAt: w.silentSince, runs: w.lostRuns, tasksRuledOut: w.tasksRuledOut(),
 		singleJob: w.runsSingleJob(),
 	}
 	if !w.silent {
@@ -187,7 +187,7 @@
 		r.task.unattributedLosses++
 		if !l.planned && !r.task.done && r.task.job.isOpen() {
 			// The successor has to know, should this owner not get to attribute the loss.
-			p.recordSuspectRun(r.task, gauge.Trial{Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Alone: l.singleJob && r.reported, Lived: r.lived})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, SoleJob: l.singleJob && r.reported, RunTime: r.lived})
 		}
 	}
 	w.lostRuns = nil
@@ -212,8 +212,8 @@
 	others := p.correlatedLosses(l, now)
 	correlated := others.areCorrelated()
 	if len(l.runs) > 0 {
-		p.conf.Count(EventCrashed)
-		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.Born, "runs", len(l.runs), "alone", l.singleJob,
+		p.conf.CountEvent(EventCrashed)
+		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.StartedAt, "runs", len(l.runs), "alone", l.singleJob,
 			"together", correlated, "planned", l.planned, "age", now-l.noticedAt)
 	}
 	likelierCause := l.tasksWithLikelierCause()
@@ -230,9 +230,9 @@
 		if r.task.done || !r.task.job.isOpen() {
 			continue
 		}
-		p.recordSuspectRun(r.task, gauge.Trial{
-			Run: r.number, Worker: l.incarnation.Worker, Born: l.incarnation.Born, Crashed: true, Alone: !others.isAmbiguous() && l.provesCrash(r),
-			Apart: !others.isAmbiguous() && r.task.suspectRuns().Tried(r.number), Beside: likelierCause[r.task], Lived: r.lived,
+		p.recordSuspectRun(r.task, gauge.SuspectRun{
+			Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, Crashed: true, SoleJob: !others.isAmbiguous() && l.provesCrash(r),
+			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.lived,
 		})
 		p.failIfCause(r.task)
 	}
@@ -245,7 +245,7 @@
 }
 
 // lossOf is the loss of a worker that never reported to this owner.
-func (p *Pool) lossOf(incarnation gauge.Life, now time.Duration) *loss {
+func (p *Pool) lossOf(incarnation gauge.Incarnation, now time.Duration) *loss {
 	for _, l := range p.losses {
 		if l.incarnation == incarnation {
 			return l
@@ -256,7 +256,7 @@
 
 // loseUnreported records that a worker of a previous owner, which has never reported to this one,
 // can't run anything any more.
-func (p *Pool) loseUnreported(l gauge.Life, now time.Duration) {
+func (p *Pool) loseUnreported(l gauge.Incarnation, now time.Duration) {
 	p.lostUnreported = true
 	if p.workers[l.Worker] == nil {
 		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
--- a/internal/sched/main_test.go
+++ b/internal/sched/main_test.go
@@ -6,4 +6,4 @@
 	"sapphiregauge/internal/fixed"
 )
 
-func TestMain(m *testing.M) { fixed.Run{Checks: "2000"}.Main(m) }
+func TestMain(m *testing.M) { fixed.Flags{Checks: "2000"}.Main(m) }
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -14,30 +14,30 @@
 	OrderStart OrderKind = "start"
 	OrderStop  OrderKind = "stop"
 	OrderPace  OrderKind = "pace"
-	OrderLook  OrderKind = "look" // asks at once what runs on the worker
-	// OrderAdvise queries the advice service. Its outcome goes to Advised.
+	OrderProbe OrderKind = "look" // asks at once what runs on the worker
+	// OrderAdvise queries the advice service. Its outcome goes to AdviceAnswered.
 	OrderAdvise OrderKind = "advise"
 )
 
-// Order is one call to a worker. Its outcome goes to Answered.
+// Order is one call to a worker. Its outcome goes to OrderAnswered.
 type Order struct {
-	Kind         OrderKind
-	Worker       gauge.Worker
-	Start        gauge.StartCall
-	Stop         gauge.StopCall
-	Pace         gauge.PaceCall
-	Look         gauge.HoldCall
-	Step         string   // that the query is about
-	About        []string // workers that the query is about
-	incarnations []gauge.Life
-	stage        *stage
-	validity     time.Duration
-	run          *run
-	orphan       *orphanRun
+	Kind          OrderKind
+	Worker        gauge.Worker
+	Start         gauge.StartCall
+	Stop          gauge.StopCall
+	Pace          gauge.PaceCall
+	Probe         gauge.Heartbeat
+	Step          string   // that the query is about
+	AdviceWorkers []string // workers that the query is about
+	incarnations  []gauge.Incarnation
+	stage         *stage
+	validity      time.Duration
+	run           *run
+	orphan        *orphanRun
 }
 
 // Fence is the fencing token that the order was sent with.
-func (o *Order) Fence() gauge.Fence {
+func (o *Order) Fence() gauge.FencingToken {
 	switch o.Kind {
 	case OrderStart:
 		return o.Start.Fence
@@ -46,20 +46,20 @@
 	case OrderPace:
 		return o.Pace.Fence
 	default:
-		return o.Look.Fence
+		return o.Probe.Fence
 	}
 }
 
 // Events that are counted, besides the ends of runs by kind. The first three show that a guarantee
 // is in danger.
 const (
-	EventSurplus  = "surplus run"      // a task had two runs; the surplus one is stopped
-	EventVanished = "run vanished"     // a worker lost a run without an end report
-	EventOdd      = "run of ended job" // a run that belongs to no open job; stopped
-	EventLost     = "run lost"         // a run ended with its worker's incarnation or lease
-	EventLapsed   = "worker lapsed"    // a silent worker's lease expired with runs there
-	EventCrashed  = "worker crashed"   // with runs there
-	EventGivenUp  = "job given up"     // one of its tasks crashes its workers
-	EventFailed   = "job failed"
-	EventDone     = "job completed"
+	EventSurplus      = "surplus run"      // a task had two runs; the surplus one is stopped
+	EventVanished     = "run vanished"     // a worker lost a run without an end report
+	EventOrphan       = "run of ended job" // a run that belongs to no open job; stopped
+	EventLost         = "run lost"         // a run ended with its worker's incarnation or lease
+	EventLeaseExpired = "worker lapsed"    // a silent worker's lease expired with runs there
+	EventCrashed      = "worker crashed"   // with runs there
+	EventGivenUp      = "job given up"     // one of its tasks crashes its workers
+	EventFailed       = "job failed"
+	EventCompleted    = "job completed"
 )
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -63,7 +63,7 @@
 	}
 	o := &orphanRun{worker: w, key: k}
 	w.orphans[k], p.orphans[o] = o, true
-	p.conf.Count(EventOdd)
+	p.conf.CountEvent(EventOrphan)
 	p.conf.Logs.Info("run of no open job", "job", rr.Task.Job, "task", rr.Task.String(), "run", rr.Run, "worker", w.info.ID)
 }
 
@@ -128,7 +128,7 @@
 		o.nextStopAt = now + stopConfirmSpan
 		return
 	}
-	if gauge.Is(err, gauge.KindReplaced) {
+	if gauge.IsKind(err, gauge.KindReplaced) {
 		p.retireWorker(o.worker, "another incarnation answers at its address", now)
 	}
 	p.conf.Logs.Info("order failed", "order", OrderStop, "job", o.key.task.Job, "task", o.key.task.String(), "run", o.key.run,
--- a/internal/sched/orphan_test.go
+++ b/internal/sched/orphan_test.go
@@ -20,7 +20,7 @@
 // loseAnswers has the answers to orders lost.
 func (g *harness) loseAnswers(orders []sched.Order) {
 	for _, o := range orders {
-		g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+		g.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	}
 }
 
@@ -112,7 +112,7 @@
 	g.advance(100 * time.Millisecond)
 	g.report("w1", nil)
 	g.writeAll(1000)
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.report("w1", []gauge.RunReport{late, unknownRun()})
 	stops := g.planStops()
 	assert.Equal(t, len(stops), 1, "the job of the other run may be an unread one")
@@ -123,7 +123,7 @@
 // the job's queue yet when the job is cancelled, and must not forget the cancel.
 func TestRunOfAJobCancelledBeforeItWasReadIsStopped(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1")
 	g.report("w1", []gauge.RunReport{unknownRun()})
 	assert.Equal(t, len(g.planStops()), 0)
@@ -143,7 +143,7 @@
 		g.pool.Cancel(jobID(1), fence+500)
 		g.adopt(1, inherited, newStep(1))
 		assert.Equal(t, len(g.planStarts()), 0)
-		state, _ := g.pool.State(queueName, jobID(1))
+		state, _ := g.pool.JobState(queueName, jobID(1))
 		assert.Equal(t, state, gauge.JobCancelled)
 	}
 }
@@ -203,7 +203,7 @@
 		g.listWorkers("w1")
 		g.report("w1", nil)
 		g.listWorkers("w2")
-		_, _, held := g.pool.Holding(incarnation("w1"), g.now)
+		_, _, held := g.pool.NextHeartbeat(incarnation("w1"), g.now)
 		assert.Assert(t, held)
 		g.report("w1", []gauge.RunReport{unknownRun()})
 		assert.Equal(t, len(g.planStops()), 1)
@@ -212,7 +212,7 @@
 		g := newHarness(t, withPredecessor("w1"))
 		g.listWorkers("w1")
 		row := &gauge.JobRow{State: gauge.JobCancelled, Pool: poolName}
-		g.pool.Adopt(sched.Accepted{ID: jobID(9), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 50, Inherited: true}, g.now)
+		g.pool.Adopt(sched.AcceptedJob{ID: jobID(9), Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{newStep(1)}}, Row: row, Version: 50, Inherited: true}, g.now)
 		g.report("w1", []gauge.RunReport{unknownRun()})
 		assert.Equal(t, len(g.planStops()), 1)
 	})
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -26,7 +26,7 @@
 		}
 		worst := w.worstTail()
 		for r := range w.runs {
-			if !r.task.stage.spec.Fills || r.toStop || r.paceInFlight || r.phase != phaseLive {
+			if !r.task.stage.spec.BestEffort || r.toStop || r.paceInFlight || r.phase != phaseLive {
 				continue
 			}
 			want := nextPace(r.pace, worst)
@@ -51,7 +51,7 @@
 	worst := 0.0
 	for r := range w.runs {
 		spec := r.task.stage.spec
-		if spec.Fills || spec.TailTarget <= 0 || r.phase != phaseLive {
+		if spec.BestEffort || spec.TailTarget <= 0 || r.phase != phaseLive {
 			continue
 		}
 		worst = max(worst, float64(r.load)/float64(spec.TailTarget/time.Millisecond))
--- a/internal/sched/perworker_test.go
+++ b/internal/sched/perworker_test.go
@@ -15,7 +15,7 @@
 func TestSuspectsKeepToThePerWorkerLimit(t *testing.T) {
 	for _, crashes := range []int{1, 2} { // after the second crash their reserved room waits for a write to the table
 		g := newHarness(t)
-		limited := gauge.Step{Count: 3, Needs: gauge.Resources{MilliCPU: 500, MemoryMB: 10}, Lasts: true, PerWorker: 2}
+		limited := gauge.Step{Count: 3, Needs: gauge.Resources{MilliCPU: 500, MemoryMB: 10}, LongRunning: true, PerWorker: 2}
 		job := g.adopt(1, false, limited)
 		for n := range crashes {
 			g.crashWorkersAfterStarts(n)
@@ -58,9 +58,9 @@
 		g.answerHeartbeat(incarnationAt(id, born), born, time.Hour+g.now, runReportsOn(runs, id))
 		g.failHeartbeatOf(incarnationAt(id, born))
 	}
-	g.pool.Workers(nil)
+	g.pool.UpdateWorkers(nil)
 	for _, id := range []string{"w1", "w2"} {
-		g.pool.HoldFailed(incarnationAt(id, born), gauge.Fail(gauge.KindReplaced, "another worker answers"), g.now)
+		g.pool.HeartbeatFailed(incarnationAt(id, born), gauge.Errorf(gauge.KindReplaced, "another worker answers"), g.now)
 	}
 	for range 15 {
 		g.advance(100 * time.Millisecond)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -9,14 +9,14 @@
 // placementRound holds the workers that take starts, for one round of starts.
 type placementRound struct {
 	workers         []*worker
-	disabled        gauge.Without
+	disabled        gauge.Disabled
 	maxFree         gauge.Resources             // no worker has more of any resource free
 	promised        map[*worker]gauge.Resources // for tasks that are to move here from other workers
 	longRunningOnly map[*worker]bool            // only for long-running tasks
 }
 
 func (p *Pool) newRound(now time.Duration) *placementRound {
-	r := &placementRound{workers: p.roundBuf[:0], disabled: p.conf.Without}
+	r := &placementRound{workers: p.roundBuf[:0], disabled: p.conf.Disabled}
 	for _, w := range p.workersByID() {
 		if !w.takesStarts(now) || w.isSetAside(now) {
 			continue
@@ -57,9 +57,9 @@
 func (r *placementRound) place(st *stage, perWorker workerCounts, taken map[*worker]gauge.Resources, allowed func(*worker) bool) *worker {
 	var best *worker
 	var bestScore float64
-	need := st.spec.Room()
+	need := st.spec.Reservation()
 	for _, w := range r.workers {
-		if !st.fits(w, need, taken[w], perWorker[w]) || !allowed(w) || r.longRunningOnly[w] && !st.spec.Lasts {
+		if !st.fits(w, need, taken[w], perWorker[w]) || !allowed(w) || r.longRunningOnly[w] && !st.spec.LongRunning {
 			continue
 		}
 		if s := w.score(st, perWorker[w], r.disabled); best == nil || s > bestScore {
@@ -73,7 +73,7 @@
 // there: room, the label, and no more tasks of the stage than the bound per worker allows.
 func (st *stage) fits(w *worker, need, taken gauge.Resources, onWorker int) bool {
 	// The cheap checks that exclude most workers come first.
-	return w.free().Holds(need) && w.info.HasLabel(st.spec.Label) && w.free().Minus(taken).Holds(need) &&
+	return w.free().Contains(need) && w.info.HasLabel(st.spec.Label) && w.free().Minus(taken).Contains(need) &&
 		(st.spec.PerWorker == 0 || onWorker < st.spec.PerWorker)
 }
 
@@ -100,7 +100,7 @@
 // countByWorker counts the stage's runs by worker, including reservations of its suspects; nil if
 // their distribution doesn't matter.
 func (st *stage) countByWorker() workerCounts {
-	if st.spec.PerWorker == 0 && !st.spec.Lasts {
+	if st.spec.PerWorker == 0 && !st.spec.LongRunning {
 		return nil
 	}
 	counts := make(workerCounts)
@@ -136,7 +136,7 @@
 
 // score rates how well a worker suits; larger is better. The fullest worker with room is the best,
 // so that others stay empty and can move to another pool.
-func (w *worker) score(st *stage, onWorker int, disabled gauge.Without) float64 {
+func (w *worker) score(st *stage, onWorker int, disabled gauge.Disabled) float64 {
 	score := 0.0
 	if w.info.Capacity.MilliCPU > 0 && !disabled.Has(gauge.MechanismPack) {
 		score = -float64(w.free().MilliCPU) / float64(w.info.Capacity.MilliCPU)
@@ -144,11 +144,11 @@
 	if st.spec.DataRack != "" && w.info.HasLabel(st.spec.DataRack) {
 		score += scoreRack
 	}
-	if st.spec.Lasts {
+	if st.spec.LongRunning {
 		if !disabled.Has(gauge.MechanismScatter) {
 			score -= scoreSpread * float64(onWorker)
 		}
-		score -= scoreInterference * float64(w.interfering(st.spec.Fills))
+		score -= scoreInterference * float64(w.interfering(st.spec.BestEffort))
 		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
 			score -= scoreSoon
 		}
--- a/internal/sched/place_test.go
+++ b/internal/sched/place_test.go
@@ -20,7 +20,7 @@
 	starts := g.planStarts()
 	assert.Equal(t, len(starts), 4)
 	for _, o := range starts {
-		g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+		g.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	}
 	g.advance(100 * time.Millisecond)
 	g.report("w1", nil)
@@ -46,11 +46,11 @@
 		{"worker drains by itself", []gauge.Step{newStep(8)}, func(g *harness) {
 			w := newWorker("w1")
 			w.Draining = true
-			g.pool.Workers([]gauge.Worker{w, newWorker("w2")})
+			g.pool.UpdateWorkers([]gauge.Worker{w, newWorker("w2")})
 		}, 4},
 		{"worker is not listed", []gauge.Step{newStep(8)}, func(g *harness) { g.listWorkers("w2") }, 4},
 		{"worker has sent no report", []gauge.Step{newStep(12)}, func(g *harness) { g.listWorkers("w1", "w2", "w3") }, 8},
-		{"worker is being drained", []gauge.Step{newStep(8)}, func(g *harness) { g.pool.Empty("w1", false, g.now) }, 4},
+		{"worker is being drained", []gauge.Step{newStep(8)}, func(g *harness) { g.pool.DrainWorker("w1", false, g.now) }, 4},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness(t)
@@ -68,11 +68,11 @@
 // wouldn't know that it has to ask that worker.
 func TestNoStartBeforeTheLeaseRowNamesTheWorker(t *testing.T) {
 	g := newHarness(t)
-	g.pool.Workers([]gauge.Worker{newWorker("w1")})
+	g.pool.UpdateWorkers([]gauge.Worker{newWorker("w1")})
 	g.report("w1", nil)
 	g.adopt(1, false, newStep(1))
 	assert.Equal(t, len(g.planStarts()), 0)
-	g.pool.Noted(incarnations("w1"), fence)
+	g.pool.LeaseRowWritten(incarnations("w1"), fence)
 	assert.Equal(t, len(g.planStarts()), 1)
 }
 
@@ -81,7 +81,7 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	g.adopt(1, false, newStep(1))
-	g.pool.Limit(g.now)
+	g.pool.SetGrantLimit(g.now)
 	assert.Equal(t, len(g.pool.Plan(g.now)), 0)
 }
 
@@ -104,9 +104,9 @@
 	g.confirm(starts)
 	g.advance(time.Second)
 	g.report(starts[0].Worker.ID, nil, g.endReport(starts[0].Worker.ID, starts[0].Start.Task, 1, gauge.EndDone))
-	state, _ := g.pool.State(queueName, jobID(1))
+	state, _ := g.pool.JobState(queueName, jobID(1))
 	assert.Equal(t, state, gauge.JobRunning, "the end is not reported before the table has it")
-	b, err := g.pool.Batch(10, 1, skipNone)
+	b, err := g.pool.NextBatch(10, 1, skipNone)
 	assert.NilError(t, err)
 	row, err := gauge.DecodeJobRow(b.Changes[0].Row)
 	assert.NilError(t, err)
@@ -122,7 +122,7 @@
 		g.report(id, nil)
 	}
 	longRunning := newStep(3)
-	longRunning.Lasts, longRunning.MaxAway, longRunning.PerWorker = true, 1, 2
+	longRunning.LongRunning, longRunning.MaxUnplaced, longRunning.PerWorker = true, 1, 2
 	g.adopt(1, false, longRunning)
 	starts := g.planStarts()
 	assert.Equal(t, len(starts), 3)
@@ -133,8 +133,8 @@
 		r.Progress = 100
 		g.report(o.Worker.ID, []gauge.RunReport{r})
 	}
-	g.pool.Empty("w1", false, g.now)
-	g.pool.Empty("w2", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
+	g.pool.DrainWorker("w2", false, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 1)
 }
 
@@ -147,7 +147,7 @@
 	g.report("w1", nil)
 	g.report("w2", nil)
 	longRunning := newStep(2)
-	longRunning.Lasts, longRunning.MaxAway, longRunning.PerWorker = true, 1, 1
+	longRunning.LongRunning, longRunning.MaxUnplaced, longRunning.PerWorker = true, 1, 1
 	g.adopt(1, false, longRunning)
 	starts := g.planStarts()
 	g.confirm(starts)
@@ -160,9 +160,9 @@
 	}
 	g.advance(5 * time.Second)
 	reportAll()
-	g.pool.Empty("w1", false, g.now)
+	g.pool.DrainWorker("w1", false, g.now)
 	assert.Equal(t, len(ofKind(g.plan(), sched.OrderStop)), 0)
-	assert.Equal(t, g.pool.Load(g.now).Spread, 2, "the fleet lease holder learns that more workers are needed")
+	assert.Equal(t, g.pool.Load(g.now).MinWorkers, 2, "the fleet lease holder learns that more workers are needed")
 
 	g.listWorkers("w1", "w2", "w3")
 	g.report("w3", nil)
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -81,15 +81,15 @@
 	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
 		return false // the start would prove nothing
 	}
-	if !st.Lasts {
-		return w.forceDrain || st.Checkpoints && (p.conf.Without.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
+	if !st.LongRunning {
+		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
 	}
 	target := round.place(r.task.stage, r.task.stage.countByWorker(), round.promised, anyWorker)
 	if target == nil {
 		p.keepRoom(r, round, now)
 		return false
 	}
-	if !w.info.Draining && st.MaxAway > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxAway {
+	if !w.info.Draining && st.MaxUnplaced > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxUnplaced {
 		p.probeStarting(r.task.stage, now)
 		return false
 	}
@@ -113,7 +113,7 @@
 		switch {
 		case now < w.longRunningOnlyUntil:
 			return // one at a time
-		case !w.info.Capacity.Minus(w.longRunningRoom()).Holds(need) || !w.info.HasLabel(st.spec.Label):
+		case !w.info.Capacity.Minus(w.longRunningRoom()).Contains(need) || !w.info.HasLabel(st.spec.Label):
 		case st.spec.PerWorker > 0 && perWorker[w] >= st.spec.PerWorker:
 		case best == nil || w.free().MilliCPU > best.free().MilliCPU:
 			best = w
@@ -210,9 +210,9 @@
 	}
 	candidates := p.candidates(round.maxFree, now)
 	// Free room only shrinks within a plan: once the smallest task doesn't fit, none does.
-	for len(candidates) > 0 && round.maxFree.Holds(p.index.minNeed) && !p.isWindowFull() {
+	for len(candidates) > 0 && round.maxFree.Contains(p.index.minNeed) && !p.isWindowFull() {
 		c := candidates.next()
-		if !round.maxFree.Holds(c.stage.spec.Room()) {
+		if !round.maxFree.Contains(c.stage.spec.Reservation()) {
 			continue
 		}
 		if c.stage.spec.Gang {
@@ -268,7 +268,7 @@
 			return
 		}
 		perWorker.add(w)
-		taken[w] = taken[w].Plus(c.stage.spec.Room())
+		taken[w] = taken[w].Plus(c.stage.spec.Reservation())
 		places = append(places, w)
 	}
 	for i, t := range c.stage.tasks {
@@ -286,14 +286,14 @@
 
 // orderStart orders a run; nil if the worker can't be given a deadline.
 func (p *Pool) orderStart(c *candidate, t *task, w *worker, number int, now time.Duration) *run {
-	until := w.grant(now, min(p.conf.Start, p.limit-now))
+	until := w.grant(now, min(p.conf.StartTimeout, p.limit-now))
 	if until == 0 {
 		return nil
 	}
 	ticketText, _ := c.ticketFor(w, now)
 	t.lastRun = number
 	r := &run{
-		task: t, worker: w, number: number, phase: phaseSent, resources: t.stage.spec.Room(),
+		task: t, worker: w, number: number, phase: phaseSent, resources: t.stage.spec.Reservation(),
 		orderedAt: now, startDeadline: until, pace: fullSpeed,
 	}
 	t.attach(r)
@@ -314,7 +314,7 @@
 	p.orders = append(p.orders, Order{
 		Kind: OrderStart, Worker: w.info, run: r,
 		Start: gauge.StartCall{
-			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Saved: t.checkpoint, Ticket: ticketText,
+			Fence: p.fence(w), Task: t.id, Run: number, Payload: t.job.spec.Payload, Until: until, Checkpoint: t.checkpoint, Ticket: ticketText,
 		},
 	})
 	return r
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -17,10 +17,10 @@
 // presumeCrash counts a crash that previous owners may have failed to record.
 func (t *task) presumeCrash() {
 	key := t.leadTask().key()
-	if t.job.row.Guessed[key] >= maxPresumed {
+	if t.job.row.Presumed[key] >= maxPresumed {
 		return
 	}
-	t.job.row.Guessed = increment(t.job.row.Guessed, key)
+	t.job.row.Presumed = increment(t.job.row.Presumed, key)
 	t.countUnattributed()
 }
 
@@ -35,7 +35,7 @@
 	if !t.job.inherited {
 		return
 	}
-	unrecorded := p.conf.Unnoted
+	unrecorded := p.conf.UnrecordedOwners
 	if !lead.recordedBefore {
 		unrecorded += boolToInt(p.lostUnreported)
 	}
@@ -48,20 +48,20 @@
 // which nothing is known. From then on its starts are recorded. Otherwise owners that are replaced
 // one after the other, each before it notices a crash, would start the task again without limit.
 func (p *Pool) mayHaveCrashed(t *task) bool {
-	return t.job.inherited && !t.leadTask().isSuspect && p.conf.Unnoted > 0
+	return t.job.inherited && !t.leadTask().isSuspect && p.conf.UnrecordedOwners > 0
 }
 
 // recordRoutineRun records a run that is about to start, for the successor only.
 func (p *Pool) recordRoutineRun(r *run) {
-	record := gauge.Trial{Run: r.number, Worker: r.worker.info.ID, Born: r.worker.info.Born, Routine: true}
+	record := gauge.SuspectRun{Run: r.number, Worker: r.worker.info.ID, StartedAt: r.worker.info.StartedAt, Routine: true}
 	r.task.setSuspectRuns(append(slices.Clone(r.task.suspectRuns()), record), false)
 	r.onProbation = true
 }
 
 // inheritSuspectRuns takes over what previous owners recorded of a job's runs.
 func (p *Pool) inheritSuspectRuns(j *job, now time.Duration) {
-	for _, key := range j.row.Tried() {
-		records := j.row.Trials[key]
+	for _, key := range j.row.SuspectTasks() {
+		records := j.row.SuspectRuns[key]
 		id, err := gauge.ParseTaskID(j.id + "." + key)
 		if err != nil {
 			p.conf.Logs.Error(err, "invalid task ID of suspect run", "job", j.id, "task", key)
@@ -78,7 +78,7 @@
 			if !record.Crashed {
 				t.hasUnsettledRuns = true
 				if !record.Routine {
-					p.isolatedBefore[record.Life()] = true
+					p.isolatedBefore[record.Incarnation()] = true
 				}
 			}
 		}
@@ -100,37 +100,37 @@
 		}
 		w := p.workers[record.Worker]
 		switch {
-		case w == nil || w.dead || record.Life().Before(w.info.Life()):
+		case w == nil || w.dead || record.Incarnation().IsBefore(w.info.Incarnation()):
 			p.recordPriorCrash(t, record, now)
 		case w.reported && !w.silent:
 			p.dropUnconfirmed(t, record.Run) // it is alive and doesn't have the run
 		default:
-			w.addLost(lostRun{task: t, number: record.Run, lived: record.Lived, reported: true})
+			w.addLost(lostRun{task: t, number: record.Run, lived: record.RunTime, reported: true})
 		}
 	}
 }
 
 // recordPriorCrash records that a worker was dead before it reported to this owner.
-func (p *Pool) recordPriorCrash(t *task, record gauge.Trial, now time.Duration) {
-	if others := p.unreportedWith(p.lossOf(record.Life(), now)) > 1; others {
+func (p *Pool) recordPriorCrash(t *task, record gauge.SuspectRun, now time.Duration) {
+	if others := p.unreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
 		// Why these were lost isn't known. That excuses no task that has already lost two workers,
 		// but it proves nothing, either.
-		if !t.evidence().Strong() {
-			p.excuse(t, record.Run, record.Lived)
+		if !t.evidence().HasRepeatedCrashes() {
+			p.excuse(t, record.Run, record.RunTime)
 			return
 		}
-		record.Alone, record.Apart = false, false
+		record.SoleJob, record.Isolated = false, false
 	}
 	record.Crashed = true
-	p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", record.Worker, "born", record.Born, "job", t.job.id, "task", t.id.String(), "run", record.Run,
-		"alone", record.Alone, "lived", record.Lived, "seen", "by a previous owner")
+	p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", record.Worker, "born", record.StartedAt, "job", t.job.id, "task", t.id.String(), "run", record.Run,
+		"alone", record.SoleJob, "lived", record.RunTime, "seen", "by a previous owner")
 	p.recordSuspectRun(t, record)
 	p.failIfCause(t)
 }
 
-// Unnoted reports whether crashes are known that the table doesn't have: a successor has to know
-// that there may be more than it reads.
-func (p *Pool) Unnoted() bool {
+// HasUnrecordedCrashes reports whether crashes are known that the table doesn't have: a successor
+// has to know that there may be more than it reads.
+func (p *Pool) HasUnrecordedCrashes() bool {
 	for t := range p.suspects {
 		if !t.isRecorded() {
 			return true
@@ -139,6 +139,6 @@
 	return false
 }
 
-// LostBefore reports whether workers were lost before they reported to this owner: previous owners
-// may have failed to record why.
-func (p *Pool) LostBefore() bool { return p.lostUnreported }
+// HasUnreportedLosses reports whether workers were lost before they reported to this owner:
+// previous owners may have failed to record why.
+func (p *Pool) HasUnreportedLosses() bool { return p.lostUnreported }
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -12,13 +12,13 @@
 
 // probation is how long a run of the task has to live, given what is known of its other runs.
 func (t *task) probation(run int) time.Duration {
-	return proof.Case{Trials: t.suspectRuns().Without(run)}.Probation()
+	return proof.Evidence{SuspectRuns: t.suspectRuns().WithoutRun(run)}.Probation()
 }
 
 // checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
 // it has lived long enough.
 func (p *Pool) checkProbation(r *run) {
-	if r.onProbation && !r.survivalRecorded && r.lived() >= proof.Soon {
+	if r.onProbation && !r.survivalRecorded && r.lived() >= proof.StartPhase {
 		// If it is lost from now on, the start wasn't the cause, for the successor either.
 		r.survivalRecorded = true
 		p.recordLived(r)
@@ -30,7 +30,7 @@
 		r.task.forgetUnattributed()
 		p.dropUnconfirmed(r.task, r.number)
 	}
-	if r.lived() >= proof.Calm {
+	if r.lived() >= proof.ClearAfter {
 		p.clearSuspicion(r.task)
 	}
 }
@@ -39,12 +39,12 @@
 func (p *Pool) inheritProbation(r *run) {
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
 	// while, and most runs of other tasks have lived for as long.
-	r.livedBefore = proof.Soon
+	r.livedBefore = proof.StartPhase
 	for _, record := range r.task.suspectRuns() {
 		if record.Run != r.number || record.Crashed {
 			continue
 		}
-		r.onProbation, r.livedBefore = true, record.Lived
+		r.onProbation, r.livedBefore = true, record.RunTime
 		if r.task.isolatedOnly() {
 			r.closeWorker(r.task.leadTask())
 		}
@@ -77,7 +77,7 @@
 	records := slices.Clone(r.task.suspectRuns())
 	for i := range records {
 		if records[i].Run == r.number && !records[i].Crashed {
-			records[i].Lived = r.lived()
+			records[i].RunTime = r.lived()
 		}
 	}
 	r.task.setSuspectRuns(records, false)
--- a/internal/sched/probation_test.go
+++ b/internal/sched/probation_test.go
@@ -16,7 +16,7 @@
 	g.listWorkers("w1")
 	g.report("w1", nil)
 	id := g.inheritJob(longRunningStep(1), &gauge.JobRow{
-		Trials: map[string]gauge.Trials{firstTaskKey: {{Run: 1, Worker: "w0", Crashed: true, Lived: 100 * time.Millisecond}}},
+		SuspectRuns: map[string]gauge.SuspectRuns{firstTaskKey: {{Run: 1, Worker: "w0", Crashed: true, RunTime: 100 * time.Millisecond}}},
 	})
 	starts := g.startsAfterWrites()
 	assert.Equal(t, len(starts), 1)
@@ -25,5 +25,5 @@
 		g.advance(100 * time.Millisecond)
 		g.report("w1", []gauge.RunReport{runReport(starts[0])})
 	}
-	assert.Equal(t, len(g.unwrittenRow(id).Trials[firstTaskKey]), 1, "the run must have passed its probation")
+	assert.Equal(t, len(g.unwrittenRow(id).SuspectRuns[firstTaskKey]), 1, "the run must have passed its probation")
 }
--- a/internal/sched/queue_depth_test.go
+++ b/internal/sched/queue_depth_test.go
@@ -19,15 +19,15 @@
 	}
 	orders := g.planStarts()
 	assert.Equal(t, len(orders), 3)
-	assert.Equal(t, g.pool.Depths()[queueName], 3, "not sent yet")
-	g.pool.Answered(orders[0], g.workerClock(), gauge.Fail(gauge.KindNoRoom, "no room"), g.now)
-	assert.Equal(t, g.pool.Depths()[queueName], 3, "refused")
-	g.pool.Answered(orders[1], g.workerClock(), nil, g.now)
-	assert.Equal(t, g.pool.Depths()[queueName], 2, "answered")
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 3, "not sent yet")
+	g.pool.OrderAnswered(orders[0], g.workerClock(), gauge.Errorf(gauge.KindNoRoom, "no room"), g.now)
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 3, "refused")
+	g.pool.OrderAnswered(orders[1], g.workerClock(), nil, g.now)
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 2, "answered")
 	g.report("w1", []gauge.RunReport{runReport(orders[1]), runReport(orders[2])})
-	assert.Equal(t, g.pool.Depths()[queueName], 1, "listed by the worker")
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 1, "listed by the worker")
 	g.report("w1", []gauge.RunReport{runReport(orders[2])}, g.endReport("w1", orders[1].Start.Task, 1, gauge.EndFailed))
-	assert.Equal(t, g.pool.Depths()[queueName], 1, "ended, to be retried")
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 1, "ended, to be retried")
 }
 
 // Guards against a job that counts as waiting though a task of it has ended: its start got no
@@ -39,5 +39,5 @@
 	g.adopt(1, false, newStep(2))
 	orders := g.planStarts()
 	g.report("w1", nil, g.endReport("w1", orders[0].Start.Task, 1, gauge.EndDone))
-	assert.Equal(t, g.pool.Depths()[queueName], 0)
+	assert.Equal(t, g.pool.QueueDepths()[queueName], 0)
 }
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -6,10 +6,10 @@
 	gauge "sapphiregauge"
 )
 
-// Report handles the answer to a heartbeat to an incarnation of a worker; false if the incarnation
-// no longer counts.
-func (p *Pool) Report(incarnation gauge.Life, call gauge.HoldCall, rep *gauge.WorkerReport, now time.Duration) bool {
-	w := p.answering(incarnation, rep.Born, now)
+// HandleReport handles the answer to a heartbeat to an incarnation of a worker; false if the
+// incarnation no longer counts.
+func (p *Pool) HandleReport(incarnation gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport, now time.Duration) bool {
+	w := p.answering(incarnation, rep.StartedAt, now)
 	if w == nil {
 		return false
 	}
@@ -18,15 +18,15 @@
 		// From now on no call that was meant for the previous incarnation is carried out. Until now
 		// one may have extended the lease.
 		w.restarted = false
-		w.leaseExpiry = max(w.leaseExpiry, now+p.conf.Longest)
+		w.leaseExpiry = max(w.leaseExpiry, now+p.conf.MaxWorkerLease)
 	}
 	if w.silent {
 		p.clearAtRisk(w)
-		p.conf.Logs.Info("worker back", "pool", p.conf.Name, "worker", id, "born", rep.Born, "runs", len(w.runs),
+		p.conf.Logs.Info("worker back", "pool", p.conf.Name, "worker", id, "born", rep.StartedAt, "runs", len(w.runs),
 			"running", len(rep.Running), "clock", rep.Clock, "before", w.clock, "kept", w.lastStoredEnd)
 	}
 	if !w.reported {
-		p.conf.Logs.Info("first report of worker", "pool", p.conf.Name, "worker", id, "born", rep.Born, "running", len(rep.Running), "ended", len(rep.Ended))
+		p.conf.Logs.Info("first report of worker", "pool", p.conf.Name, "worker", id, "born", rep.StartedAt, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
 	w.silent, w.startUnanswered, w.reported, w.answeredAt = false, false, true, now
 	// It is compared only with earlier reports: answers to orders overtake reports all the time at
@@ -45,7 +45,7 @@
 		}
 	}
 	if !newest {
-		p.conf.Logs.Info("report overtaken", "pool", p.conf.Name, "worker", id, "born", rep.Born, "clock", rep.Clock, "newest", w.reportClock,
+		p.conf.Logs.Info("report overtaken", "pool", p.conf.Name, "worker", id, "born", rep.StartedAt, "clock", rep.Clock, "newest", w.reportClock,
 			"running", len(rep.Running))
 	}
 	if newest {
@@ -83,8 +83,8 @@
 			r.phase = phaseLive
 		}
 		r.confirmedAt = max(r.confirmedAt, rep.Clock)
-		if rr.Saved != "" {
-			r.task.checkpoint = rr.Saved
+		if rr.Checkpoint != "" {
+			r.task.checkpoint = rr.Checkpoint
 		}
 		p.checkProbation(r)
 	}
@@ -98,7 +98,7 @@
 		}
 		if !listed && !endsPending && r.overBy(rep.Clock) {
 			if r.phase == phaseLive {
-				p.conf.Count(EventVanished)
+				p.conf.CountEvent(EventVanished)
 				p.conf.Logs.Info("run vanished", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", w.info.ID)
 			}
 			p.endRun(r, now)
@@ -134,7 +134,7 @@
 		return r
 	}
 	r := &run{
-		task: t, worker: w, number: rr.Run, phase: phaseLive, resources: t.stage.spec.Room(),
+		task: t, worker: w, number: rr.Run, phase: phaseLive, resources: t.stage.spec.Reservation(),
 		orderedAt: now, inherited: true, confirmedAt: clock, progress: rr.Progress, pace: fullSpeed,
 	}
 	p.conf.Logs.Info("run found", "job", j.id, "task", rr.Task.String(), "run", rr.Run, "worker", w.info.ID, "others", len(t.runs))
@@ -143,7 +143,7 @@
 	w.addRun(r)
 	p.inheritProbation(r)
 	if surplus {
-		p.conf.Count(EventSurplus)
+		p.conf.CountEvent(EventSurplus)
 		p.requestStop(r)
 	}
 	j.startOrdered = true
@@ -169,23 +169,23 @@
 		p.markNotLost(r)
 		p.endRun(r, now)
 	}
-	p.conf.Count("run " + string(e.How))
+	p.conf.CountEvent("run " + string(e.Ending))
 	p.conf.Logs.Info("run ended", "job", j.id, "task", e.Task.String(), "run", e.Run, "worker", w.info.ID,
-		"end", e.How, "number", e.Number, "known", r != nil, "took", took)
-	if e.Saved != "" && t.stage.spec.Checkpoints && !t.done {
-		t.checkpoint = e.Saved
-		j.saveCheckpoint(t, e.Saved)
+		"end", e.Ending, "number", e.Number, "known", r != nil, "took", took)
+	if e.Checkpoint != "" && t.stage.spec.Checkpoints && !t.done {
+		t.checkpoint = e.Checkpoint
+		j.saveCheckpoint(t, e.Checkpoint)
 	}
-	if r != nil && r.onProbation && t == t.leadTask() && (e.How == gauge.EndStopped || e.How == gauge.EndAlone) && t.fewLeft() {
+	if r != nil && r.onProbation && t == t.leadTask() && (e.Ending == gauge.EndStopped || e.Ending == gauge.EndGangIncomplete) && t.fewLeft() {
 		p.countStart(t, e.Run, true)
 		p.failIfCause(t)
 	}
-	p.recordOutcome(w, j.id, e.How, now)
+	p.recordOutcome(w, j.id, e.Ending, now)
 	switch {
-	case t.stage.spec.Lasts || t.done:
-	case e.How == gauge.EndDone:
+	case t.stage.spec.LongRunning || t.done:
+	case e.Ending == gauge.EndDone:
 		p.handleDone(j, t, now)
-	case e.How == gauge.EndFailed:
+	case e.Ending == gauge.EndFailed:
 		p.handleFailure(j, t, e.Run)
 	}
 	if t.stage.spec.Gang {
@@ -195,10 +195,10 @@
 
 // saveCheckpoint keeps the checkpoint of a task that isn't running.
 func (j *job) saveCheckpoint(t *task, saved string) {
-	if j.row.Saved == nil {
-		j.row.Saved = make(map[string]string)
+	if j.row.Checkpoints == nil {
+		j.row.Checkpoints = make(map[string]string)
 	}
-	j.row.Saved[t.key()] = saved
+	j.row.Checkpoints[t.key()] = saved
 	j.touch(false)
 }
 
@@ -217,7 +217,7 @@
 		p.requestStop(r)
 	}
 	if j.row.State == gauge.JobCompleted {
-		p.conf.Count(EventDone)
+		p.conf.CountEvent(EventCompleted)
 		p.policy(j)
 		took := now - j.arrived
 		p.conf.Logs.Info("job completed", "job", j.id, "pool", p.conf.Name, "took", took, "objective", j.objective, "late", took > j.objective)
@@ -236,7 +236,7 @@
 	j.row.Failures[t.key()] = append(j.row.Failures[t.key()], run)
 	j.touch(false)
 	if t.failureCount() >= p.maxAttempts(j) {
-		p.conf.Count(EventFailed)
+		p.conf.CountEvent(EventFailed)
 		p.conf.Logs.Info("job failed", "job", j.id, "task", t.id.String(), "failures", t.failureCount(), "bound", p.maxAttempts(j))
 		j.fail()
 		p.requestJobStop(j)
@@ -252,10 +252,10 @@
 			}
 		}
 	}
-	if e.Saved == "" {
+	if e.Checkpoint == "" {
 		return
 	}
 	for _, m := range t.stage.tasks {
-		m.checkpoint = e.Saved
+		m.checkpoint = e.Checkpoint
 	}
 }
--- a/internal/sched/reread_test.go
+++ b/internal/sched/reread_test.go
@@ -15,7 +15,7 @@
 // ignored; then the job is adopted. A report from before that must not count for this job.
 func TestTaskOfAJobReadLateWaitsForFreshReports(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1", "w2"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1", "w2")
 	left := []gauge.RunReport{unknownRun()}
 	g.report("w1", left)
@@ -23,12 +23,12 @@
 	g.advance(7 * time.Second)
 	g.report("w1", left)
 	g.report("w2", nil)
-	g.pool.Rehear()
+	g.pool.RequireFreshReports()
 	g.advance(100 * time.Millisecond) // the owner is reading the queue
 	g.report("w1", left)
 	g.report("w2", nil)
 	g.adopt(9, true, newStep(1))
-	g.pool.Partial(false)
+	g.pool.SetJobsMissing(false)
 	assert.Equal(t, len(g.planStarts()), 0, "it runs on w1")
 	g.advance(100 * time.Millisecond)
 	g.report("w2", nil)
@@ -36,9 +36,9 @@
 	assert.Equal(t, len(g.planStarts()), 0)
 }
 
-// Guards against a failed task that isn't started again for a while. The answer to a probe overtakes
-// an earlier answer to a heartbeat: the newer one reports the run's end, the older one lists it as
-// running.
+// Guards against a failed task that isn't started again for a while. The answer to a probe
+// overtakes an earlier answer to a heartbeat: the newer one reports the run's end, the older one
+// lists it as running.
 func TestOlderReportDoesNotReviveAnEndedRun(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -60,7 +60,7 @@
 // be processed, and must not count as the worker's complete report either.
 func TestOldReportDoesNotCountAsAFreshOne(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1", "w2"))
-	g.pool.Partial(true)
+	g.pool.SetJobsMissing(true)
 	g.listWorkers("w1", "w2")
 	stopped := g.adopt(2, true, newStep(1))
 	unread := gauge.RunReport{Task: gauge.TaskID{Job: jobID(9)}, Run: 7}
@@ -69,8 +69,8 @@
 	g.report("w2", nil)
 	g.pool.Cancel(stopped, 900)
 	stops := ofKind(g.plan(), sched.OrderStop)
-	g.pool.Rehear()
-	g.pool.Partial(false)
+	g.pool.RequireFreshReports()
+	g.pool.SetJobsMissing(false)
 	g.adopt(9, true, newStep(1))
 	madeAt := g.workerClock()
 	g.advance(20 * time.Millisecond)
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -17,7 +17,7 @@
 	}
 	var best *worker
 	for _, w := range p.workersByID() {
-		if !w.takesStarts(now) || w.isSetAside(now) || w.longRunning > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Holds(t.stage.spec.Room()) {
+		if !w.takesStarts(now) || w.isSetAside(now) || w.longRunning > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Contains(t.stage.spec.Reservation()) {
 			continue
 		}
 		if best == nil || w.busyFor(now) < best.busyFor(now) {
@@ -102,7 +102,7 @@
 	var sum gauge.Resources
 	for t, n := range w.reservations {
 		for range n {
-			sum = sum.Plus(t.stage.spec.Room())
+			sum = sum.Plus(t.stage.spec.Reservation())
 		}
 	}
 	return sum
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -20,34 +20,35 @@
 
 // Config sets up a Pool.
 type Config struct {
-	Name  string
-	Fence gauge.Fence   // this owner's fencing token
-	Term  int           // number of previous owners
-	Hold  time.Duration // how far a heartbeat extends a worker's lease
-	Start time.Duration // a start that arrives later than this is refused
-	Wait  time.Duration // how long a worker may delay its answer to a heartbeat
-	// Window bounds the starts without an answer; 0: no bound.
-	Window int
-	Lane   int // the same for each worker; gangs are exempt
-	Logs   logr.Logger
-	// Without names the mechanisms that are switched off.
-	Without gauge.Without
-	Count   func(event string) // counts events for operators; nil: they aren't counted
+	Name           string
+	Fence          gauge.FencingToken // this owner's fencing token
+	Term           int                // number of previous owners
+	LeaseExtension time.Duration      // how far a heartbeat extends a worker's lease
+	StartTimeout   time.Duration      // a start that arrives later than this is refused
+	HeartbeatWait  time.Duration      // how long a worker may delay its answer to a heartbeat
+	// StartWindow bounds the starts without an answer; 0: no bound.
+	StartWindow       int
+	WorkerStartWindow int // the same for each worker; gangs are exempt
+	Logs              logr.Logger
+	// Disabled names the mechanisms that are switched off.
+	Disabled   gauge.Disabled
+	CountEvent func(event string) // counts events for operators; nil: they aren't counted
 
-	// Earlier are the workers to which the previous owner may have given orders. Doubt is when
-	// everything that it ordered has certainly ended.
-	Earlier []gauge.Life
-	Doubt   time.Duration
-	// Over is that time for each worker that didn't answer the previous owner. Without it each
-	// owner would wait a full term again for the same silent workers.
-	Over map[gauge.Life]time.Duration
-	// Unnoted is how many recent owners may have lost workers whose crashes aren't in the table.
-	Unnoted int
-	// Emptied are the workers, by id, that the previous owner was draining, and until when.
-	Emptied map[string]time.Duration
-	// Longest is the longest lease that a worker grants. A worker that has restarted may hold a
-	// lease that was meant for its previous incarnation, measured by another clock.
-	Longest time.Duration
+	// PreviousWorkers are the workers to which the previous owner may have given orders.
+	// PreviousRunsEnd is when everything that it ordered has certainly ended.
+	PreviousWorkers []gauge.Incarnation
+	PreviousRunsEnd time.Duration
+	// WorkerRunsEnd is that time for each worker that didn't answer the previous owner. Without it
+	// each owner would wait a full term again for the same silent workers.
+	WorkerRunsEnd map[gauge.Incarnation]time.Duration
+	// UnrecordedOwners is how many recent owners may have lost workers whose crashes aren't in the
+	// table.
+	UnrecordedOwners int
+	// DrainedUntil are the workers, by id, that the previous owner was draining, and until when.
+	DrainedUntil map[string]time.Duration
+	// MaxWorkerLease is the longest lease that a worker grants. A worker that has restarted may
+	// hold a lease that was meant for its previous incarnation, measured by another clock.
+	MaxWorkerLease time.Duration
 }
 
 // Pool is the owner's state of one pool. It is not safe for concurrent use.
@@ -56,11 +57,11 @@
 	site            *gauge.Site
 	limit           time.Duration // no grant reaches beyond this
 	jobs            map[string]*job
-	endedJobs       map[string]endedJob   // jobs that have ended here
-	workers         map[string]*worker    // by id: there is one incarnation at a time
-	unreported      map[string]gauge.Life // workers of the previous owner that haven't reported yet
-	newIncarnations []gauge.Worker        // incarnations without heartbeats yet
-	leaseRowVersion gauge.Fence           // version of the newest write of the lease row
+	endedJobs       map[string]endedJob          // jobs that have ended here
+	workers         map[string]*worker           // by id: there is one incarnation at a time
+	unreported      map[string]gauge.Incarnation // workers of the previous owner that haven't reported yet
+	newIncarnations []gauge.Worker               // incarnations without heartbeats yet
+	leaseRowVersion gauge.FencingToken           // version of the newest write of the lease row
 	// barriers are the open report barriers; newestBarrier is the latest of them.
 	barriers           []*reportBarrier
 	newestBarrier      *reportBarrier
@@ -68,17 +69,17 @@
 	orders             []Order
 	toStop             map[*run]bool // runs that are to end
 	orphans            map[*orphanRun]bool
-	suspects           map[*task]bool         // tasks that may crash their workers
-	losses             []*loss                // workers lost recently
-	replacedUnreported []gauge.Life           // ended before they reported to this owner, and not among the losses yet
-	isolatedBefore     map[gauge.Life]bool    // workers on which previous owners isolated suspects
-	earlyCancels       map[string]earlyCancel // cancellations of unknown jobs
-	lastTick           time.Duration          // time of the last tick
-	resumedAt          time.Duration          // time of the last tick that followed a pause of this process
-	adoptedWork        float64                // core-seconds of all jobs adopted so far
-	adoptedJobs        int                    // number of jobs adopted so far
-	inheritedWait      bool                   // inherited tasks have to wait for reports, in this round of starts
-	startsInFlight     int                    // starts that have no answer yet
+	suspects           map[*task]bool             // tasks that may crash their workers
+	losses             []*loss                    // workers lost recently
+	replacedUnreported []gauge.Incarnation        // ended before they reported to this owner, and not among the losses yet
+	isolatedBefore     map[gauge.Incarnation]bool // workers on which previous owners isolated suspects
+	earlyCancels       map[string]earlyCancel     // cancellations of unknown jobs
+	lastTick           time.Duration              // time of the last tick
+	resumedAt          time.Duration              // time of the last tick that followed a pause of this process
+	adoptedWork        float64                    // core-seconds of all jobs adopted so far
+	adoptedJobs        int                        // number of jobs adopted so far
+	inheritedWait      bool                       // inherited tasks have to wait for reports, in this round of starts
+	startsInFlight     int                        // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
 
@@ -91,16 +92,16 @@
 
 // New returns a Pool without jobs and workers.
 func New(c Config) *Pool {
-	if c.Count == nil {
-		c.Count = func(string) {}
+	if c.CountEvent == nil {
+		c.CountEvent = func(string) {}
 	}
 	p := &Pool{
 		conf: c, jobs: make(map[string]*job), endedJobs: make(map[string]endedJob), toStop: make(map[*run]bool), workers: make(map[string]*worker),
-		unreported: make(map[string]gauge.Life), site: &gauge.Site{}, index: newPoolIndex(), orphans: make(map[*orphanRun]bool), earlyCancels: make(map[string]earlyCancel),
-		suspects: make(map[*task]bool), isolatedBefore: make(map[gauge.Life]bool),
+		unreported: make(map[string]gauge.Incarnation), site: &gauge.Site{}, index: newPoolIndex(), orphans: make(map[*orphanRun]bool), earlyCancels: make(map[string]earlyCancel),
+		suspects: make(map[*task]bool), isolatedBefore: make(map[gauge.Incarnation]bool),
 	}
-	for _, l := range c.Earlier {
-		if !l.Before(p.unreported[l.Worker]) {
+	for _, l := range c.PreviousWorkers {
+		if !l.IsBefore(p.unreported[l.Worker]) {
 			p.unreported[l.Worker] = l
 		}
 	}
@@ -110,12 +111,12 @@
 // Configure sets the site configuration.
 func (p *Pool) Configure(s *gauge.Site) { p.site = s }
 
-// Limit sets the time beyond which no grant may reach. No other owner can have taken over before
-// it.
-func (p *Pool) Limit(t time.Duration) { p.limit = t }
+// SetGrantLimit sets the time beyond which no grant may reach. No other owner can have taken over
+// before it.
+func (p *Pool) SetGrantLimit(t time.Duration) { p.limit = t }
 
-// Workers updates the workers from the platform's list.
-func (p *Pool) Workers(list []gauge.Worker) {
+// UpdateWorkers updates the workers from the platform's list.
+func (p *Pool) UpdateWorkers(list []gauge.Worker) {
 	seen := make(map[string]bool, len(list))
 	for _, info := range list {
 		if info.Pool != p.conf.Name {
@@ -128,11 +129,11 @@
 		}
 		seen[info.ID] = true
 		if !w.listed {
-			p.conf.Logs.Info("worker listed", "pool", p.conf.Name, "worker", info.ID, "born", info.Born, "addr", info.Addr)
+			p.conf.Logs.Info("worker listed", "pool", p.conf.Name, "worker", info.ID, "born", info.StartedAt, "addr", info.Addr)
 		}
 		if info.Draining && !w.info.Draining {
-			p.conf.Logs.Info("worker draining", "pool", p.conf.Name, "worker", info.ID, "leaves", info.Leaves)
-			w.leavesAt = p.lastTick + info.Leaves
+			p.conf.Logs.Info("worker draining", "pool", p.conf.Name, "worker", info.ID, "leaves", info.MinDrainTime)
+			w.leavesAt = p.lastTick + info.MinDrainTime
 		}
 		w.info = info
 		w.listed, w.listedHere = true, true
@@ -140,7 +141,7 @@
 	for id, w := range p.workers {
 		if w.listed && !seen[id] {
 			w.listed = false
-			p.conf.Logs.Info("worker unlisted", "pool", p.conf.Name, "worker", id, "born", w.info.Born, "runs", len(w.runs))
+			p.conf.Logs.Info("worker unlisted", "pool", p.conf.Name, "worker", id, "born", w.info.StartedAt, "runs", len(w.runs))
 		}
 	}
 }
@@ -148,7 +149,7 @@
 // inheritedExpiry is when all grants of previous owners to a worker have certainly expired. A
 // worker has a single lease for all its runs, which never gets shorter, so their grants also cover
 // what this owner starts.
-func (p *Pool) inheritedExpiry(l gauge.Life) time.Duration {
+func (p *Pool) inheritedExpiry(l gauge.Incarnation) time.Duration {
 	if p.conf.Term == 0 {
 		return 0
 	}
@@ -156,44 +157,44 @@
 }
 
 // previousRunsEnd is when everything that previous owners ordered on a worker has certainly ended.
-func (p *Pool) previousRunsEnd(l gauge.Life) time.Duration {
-	if end, ok := p.conf.Over[l]; ok {
-		return min(end, p.conf.Doubt)
+func (p *Pool) previousRunsEnd(l gauge.Incarnation) time.Duration {
+	if end, ok := p.conf.WorkerRunsEnd[l]; ok {
+		return min(end, p.conf.PreviousRunsEnd)
 	}
-	return p.conf.Doubt
+	return p.conf.PreviousRunsEnd
 }
 
-// Left returns how much longer anything may run on each worker that doesn't answer.
-func (p *Pool) Left(now time.Duration) map[gauge.Life]time.Duration {
-	left := make(map[gauge.Life]time.Duration)
+// RemainingLeases returns how much longer anything may run on each worker that doesn't answer.
+func (p *Pool) RemainingLeases(now time.Duration) map[gauge.Incarnation]time.Duration {
+	left := make(map[gauge.Incarnation]time.Duration)
 	for _, l := range p.unreported {
 		left[l] = max(0, p.previousRunsEnd(l)-now)
 	}
 	for _, w := range p.workers {
-		if l := w.info.Life(); w.silent && !w.dead {
+		if l := w.info.Incarnation(); w.silent && !w.dead {
 			left[l] = max(0, w.leaseExpiry-now, left[l])
 		}
 	}
 	return left
 }
 
-// Name returns the workers for the lease row: those to which this owner, or a previous one whose
-// runs aren't all known yet, may have given orders. A successor asks all of them before it restarts
-// anything that it inherits.
+// LeaseRowWorkers returns the workers for the lease row: those to which this owner, or a previous
+// one whose runs aren't all known yet, may have given orders. A successor asks all of them before
+// it restarts anything that it inherits.
 //
 // Workers that run nothing, take no starts and have all their end reports in the table are left
 // out, and get no start before they are named again. Machines change pools several times a minute.
 // If workers of machines that have left stayed listed until their leases expire, a successor would
 // wait seconds for them, with the whole pool's work.
-func (p *Pool) Name() []gauge.Life {
-	incarnations := make([]gauge.Life, 0, len(p.workers))
+func (p *Pool) LeaseRowWorkers() []gauge.Incarnation {
+	incarnations := make([]gauge.Incarnation, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
 	for _, w := range p.workersByID() {
 		if w.omittable() && !awaited[w.info.ID] {
 			w.inLeaseRow = false
 			continue
 		}
-		incarnations = append(incarnations, w.info.Life())
+		incarnations = append(incarnations, w.info.Incarnation())
 	}
 	for id := range awaited {
 		if p.workers[id] == nil {
@@ -204,17 +205,17 @@
 }
 
 // earlierIncarnation is the incarnation of an unlisted worker as previous owners knew it.
-func (p *Pool) earlierIncarnation(id string) gauge.Life {
+func (p *Pool) earlierIncarnation(id string) gauge.Incarnation {
 	if l, ok := p.unreported[id]; ok {
 		return l
 	}
-	return gauge.Life{Worker: id}
+	return gauge.Incarnation{Worker: id}
 }
 
-// Noted records that the lease row in the table names these incarnations, as of a version of the
-// row.
-func (p *Pool) Noted(incarnations []gauge.Life, version int64) {
-	p.leaseRowVersion = max(p.leaseRowVersion, gauge.Fence(version))
+// LeaseRowWritten records that the lease row in the table names these incarnations, as of a version
+// of the row.
+func (p *Pool) LeaseRowWritten(incarnations []gauge.Incarnation, version int64) {
+	p.leaseRowVersion = max(p.leaseRowVersion, gauge.FencingToken(version))
 	for _, w := range p.workers {
 		if w.fencePending {
 			p.raiseFence(w)
@@ -228,37 +229,37 @@
 	}
 }
 
-// Holding returns the next heartbeat for an incarnation of a worker; false if it is dead.
-func (p *Pool) Holding(l gauge.Life, now time.Duration) (gauge.Worker, gauge.HoldCall, bool) {
+// NextHeartbeat returns the next heartbeat for an incarnation of a worker; false if it is dead.
+func (p *Pool) NextHeartbeat(l gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
 	w := p.current(l)
 	if w == nil || w.dead {
-		return gauge.Worker{}, gauge.HoldCall{}, false
+		return gauge.Worker{}, gauge.Heartbeat{}, false
 	}
-	c := gauge.HoldCall{Fence: p.fence(w)}
+	c := gauge.Heartbeat{Fence: p.fence(w)}
 	if !w.silent && w.reported {
 		// A worker that doesn't answer may have restarted. It would discard its own end reports by
 		// the numbers of its previous incarnation.
-		c.LastSeen = w.lastStoredEnd
+		c.LastSeenEnd = w.lastStoredEnd
 		// A worker that doesn't answer gets no extension: its runs have to expire some time, so
 		// that their tasks can start elsewhere.
-		c.Until = w.grant(now, min(p.conf.Hold, p.limit-now))
-		c.Wait = p.conf.Wait
+		c.Until = w.grant(now, min(p.conf.LeaseExtension, p.limit-now))
+		c.Wait = p.conf.HeartbeatWait
 	}
 	return w.info, c, true
 }
 
-// HoldFailed records that a heartbeat to an incarnation of a worker got no answer.
-func (p *Pool) HoldFailed(l gauge.Life, err error, now time.Duration) {
+// HeartbeatFailed records that a heartbeat to an incarnation of a worker got no answer.
+func (p *Pool) HeartbeatFailed(l gauge.Incarnation, err error, now time.Duration) {
 	w := p.current(l)
 	if w == nil {
 		return
 	}
-	if gauge.Is(err, gauge.KindReplaced) {
+	if gauge.IsKind(err, gauge.KindReplaced) {
 		p.retireWorker(w, "another incarnation answers at its address", now)
 		return
 	}
 	if !w.silent {
-		p.conf.Logs.Info("worker silent", "pool", p.conf.Name, "worker", l.Worker, "born", l.Born, "runs", len(w.runs),
+		p.conf.Logs.Info("worker silent", "pool", p.conf.Name, "worker", l.Worker, "born", l.StartedAt, "runs", len(w.runs),
 			"expires", w.leaseExpiry-now, "error", err.Error())
 		w.silentSince = now
 	} else {
@@ -271,9 +272,9 @@
 	}
 }
 
-// Silent reports whether the last heartbeat to an incarnation got no answer, or the incarnation is
-// dead.
-func (p *Pool) Silent(l gauge.Life) bool {
+// IsSilent reports whether the last heartbeat to an incarnation got no answer, or the incarnation
+// is dead.
+func (p *Pool) IsSilent(l gauge.Incarnation) bool {
 	w := p.current(l)
 	return w == nil || w.silent
 }
@@ -294,7 +295,7 @@
 		return
 	}
 	w.dead = true
-	p.conf.Logs.Info("worker over", "pool", p.conf.Name, "worker", w.info.ID, "born", w.info.Born, "runs", len(w.runs), "reason", reason)
+	p.conf.Logs.Info("worker over", "pool", p.conf.Name, "worker", w.info.ID, "born", w.info.StartedAt, "runs", len(w.runs), "reason", reason)
 	lost := len(w.runs)
 	for r := range w.runs {
 		p.lose(r, reason, lost-1, now)
@@ -327,7 +328,7 @@
 	p.lastTick = now
 	p.forgetCancels(now)
 	for id, w := range p.workers {
-		if w.silent && now > max(w.leaseExpiry, p.conf.Doubt) {
+		if w.silent && now > max(w.leaseExpiry, p.conf.PreviousRunsEnd) {
 			p.forgetOrphans(w) // whoever ordered them, their leases have expired
 		}
 		if now > w.leaseExpiry && (w.silent || !w.listed) {
@@ -375,7 +376,7 @@
 
 // createDue creates the occurrences that are due.
 func (j *job) createDue(wall time.Time, now time.Duration) {
-	if !j.spec.Timed() || !j.isOpen() {
+	if !j.spec.IsScheduled() || !j.isOpen() {
 		return
 	}
 	for j.nextOccurrence < j.spec.Occurrences() && !wall.Before(j.spec.DueAt(j.nextOccurrence)) {
