--- a/internal/sched/simulation_events_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -20,28 +20,28 @@
 	i := rapid.IntRange(0, len(w.orders)-1).Draw(w.t, "order")
 	o := w.orders[i]
 	w.orders = append(w.orders[:i:i], w.orders[i+1:]...)
-	if w.pool.Void(o, w.now) && rapid.IntRange(0, 3).Draw(w.t, "suspended after the check") > 0 {
-		w.pool.Answered(o, 0, gauge.Fail(gauge.KindLate, "not sent"), w.now)
+	if w.pool.IsObsolete(o, w.now) && rapid.IntRange(0, 3).Draw(w.t, "suspended after the check") > 0 {
+		w.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindPastDeadline, "not sent"), w.now)
 		w.plan()
 		return
 	}
-	lost := gauge.Fail(gauge.KindUnknown, "no answer")
+	lost := gauge.Errorf(gauge.KindUnknown, "no answer")
 	switch rapid.IntRange(0, 4).Draw(w.t, "fate") {
 	case 0: // never arrives
-		w.pool.Answered(o, 0, lost, w.now)
+		w.pool.OrderAnswered(o, 0, lost, w.now)
 	case 1: // executed, answer lost
 		_ = w.executeOrder(o)
-		w.pool.Answered(o, 0, lost, w.now)
+		w.pool.OrderAnswered(o, 0, lost, w.now)
 	case 2: // executed later
 		w.delayedOrders = append(w.delayedOrders, o)
-		w.pool.Answered(o, 0, lost, w.now)
+		w.pool.OrderAnswered(o, 0, lost, w.now)
 	default:
 		err := w.executeOrder(o)
 		clock := time.Duration(0)
 		if m := w.workers[o.Worker.ID]; m != nil {
 			clock = w.workerClock(m)
 		}
-		w.pool.Answered(o, clock, err, w.now)
+		w.pool.OrderAnswered(o, clock, err, w.now)
 	}
 	w.plan()
 }
@@ -55,12 +55,12 @@
 
 func (w *simulation) heartbeat(m *simWorker) {
 	asked := w.heartbeatsTo[m.id]
-	_, call, ok := w.pool.Holding(asked, w.now)
+	_, call, ok := w.pool.NextHeartbeat(asked, w.now)
 	if !ok {
 		return
 	}
 	if call.Fence < m.fence {
-		assert.Assert(w.t, w.pool.Outdated(asked, call.Fence), "the owner's own token is taken for another owner's")
+		assert.Assert(w.t, w.pool.IsOutdated(asked, call.Fence), "the owner's own token is taken for another owner's")
 		return
 	}
 	if !w.faultFree && rapid.IntRange(0, 5).Draw(w.t, "late heartbeat") == 0 {
@@ -69,7 +69,7 @@
 	}
 	w.applyHeartbeat(m, w.withAck(m, w.connectedTo[m.id], call))
 	w.connectedTo[m.id] = m.born
-	r := &gauge.WorkerReport{Born: m.born, Clock: w.workerClock(m), Ended: append([]gauge.EndReport(nil), m.ends...)}
+	r := &gauge.WorkerReport{StartedAt: m.born, Clock: w.workerClock(m), Ended: append([]gauge.EndReport(nil), m.ends...)}
 	for task, run := range m.runs {
 		r.Running = append(r.Running, gauge.RunReport{Task: task, Run: run})
 	}
@@ -78,21 +78,21 @@
 
 // withAck is a heartbeat as an incarnation receives it: ends are acknowledged only on a connection
 // on which the same incarnation has answered.
-func (w *simulation) withAck(m *simWorker, born int64, call gauge.HoldCall) gauge.HoldCall {
+func (w *simulation) withAck(m *simWorker, born int64, call gauge.Heartbeat) gauge.Heartbeat {
 	if born != m.born {
-		call.LastSeen = 0
+		call.LastSeenEnd = 0
 	}
 	return call
 }
 
 // applyHeartbeat has a worker do what a heartbeat says.
-func (w *simulation) applyHeartbeat(m *simWorker, call gauge.HoldCall) {
+func (w *simulation) applyHeartbeat(m *simWorker, call gauge.Heartbeat) {
 	if call.Fence < m.fence {
 		return
 	}
 	m.fence = call.Fence
 	m.leaseEnd = max(m.leaseEnd, min(call.Until, w.workerClock(m)+maxLease))
-	for len(m.ends) > 0 && m.ends[0].Number <= call.LastSeen {
+	for len(m.ends) > 0 && m.ends[0].Number <= call.LastSeenEnd {
 		m.ends = m.ends[1:]
 	}
 }
@@ -105,7 +105,7 @@
 			continue
 		}
 		delete(w.reports, id)
-		w.pool.Report(r.asked, r.call, r.rep, w.now)
+		w.pool.HandleReport(r.asked, r.call, r.rep, w.now)
 		w.startHeartbeats()
 	}
 	w.plan()
@@ -133,16 +133,16 @@
 // writeBatch writes a batch to the table, which may refuse it because a caller has cancelled the
 // job, or whose answer may be lost.
 func (w *simulation) writeBatch() {
-	b, err := w.pool.Batch(5, w.now.Milliseconds(), skipNone)
+	b, err := w.pool.NextBatch(5, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
 	if !w.storeBatch(b) {
 		return
 	}
-	names := w.pool.Name()
+	names := w.pool.LeaseRowWorkers()
 	w.leaseWorkers = names
 	if rapid.IntRange(0, 4).Draw(w.t, "lost") > 0 || len(b.Changes) == 0 {
-		w.pool.Written(b, w.lastVersion, w.now)
-		w.pool.Noted(names, w.lastVersion)
+		w.pool.BatchWritten(b, w.lastVersion, w.now)
+		w.pool.LeaseRowWritten(names, w.lastVersion)
 		return
 	}
 	for _, c := range b.Changes {
@@ -158,10 +158,10 @@
 		return
 	}
 	steps := []gauge.Step{newStep(rapid.IntRange(1, 4).Draw(w.t, "count"))}
-	steps[0].Lasts = rapid.IntRange(0, 3).Draw(w.t, "lasts") == 0
-	steps[0].Gang = !steps[0].Lasts && rapid.IntRange(0, 3).Draw(w.t, "gang") == 0
+	steps[0].LongRunning = rapid.IntRange(0, 3).Draw(w.t, "lasts") == 0
+	steps[0].Gang = !steps[0].LongRunning && rapid.IntRange(0, 3).Draw(w.t, "gang") == 0
 	steps[0].PerWorker = rapid.IntRange(0, 2).Draw(w.t, "most on a worker")
-	if !steps[0].Lasts {
+	if !steps[0].LongRunning {
 		second := newStep(2)
 		second.After = []int{0}
 		steps = append(steps, second)
@@ -173,7 +173,7 @@
 	assert.NilError(w.t, err)
 	w.lastVersion++
 	w.rows[id], w.versions[id] = value, w.lastVersion
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
+	w.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.lastVersion, Arrived: w.now}, w.now)
 	w.plan()
 }
 
@@ -185,7 +185,7 @@
 		}
 		row, err := gauge.DecodeJobRow(w.rows[id])
 		assert.NilError(w.t, err)
-		if row.State.Final() {
+		if row.State.IsFinal() {
 			continue
 		}
 		row.State = gauge.JobCancelled
@@ -240,13 +240,13 @@
 		id: m.id, born: m.born + 1, previousBorn: m.born, alive: true, startedAt: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
 		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int), capacity: taskCapacity{tasks: fullCapacity},
 	}
-	w.pool.HoldFailed(w.heartbeatsTo[m.id], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+	w.pool.HeartbeatFailed(w.heartbeatsTo[m.id], gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
 	w.workers[m.id] = next
 	previous, pending := w.reports[m.id]
-	if _, call, ok := w.pool.Holding(w.heartbeatsTo[m.id], w.now); ok {
+	if _, call, ok := w.pool.NextHeartbeat(w.heartbeatsTo[m.id], w.now); ok {
 		w.applyHeartbeat(next, w.withAck(next, w.connectedTo[m.id], call))
 		w.connectedTo[m.id] = next.born
-		w.reports[m.id] = heartbeatAnswer{w.heartbeatsTo[m.id], call, &gauge.WorkerReport{Born: next.born, Clock: w.workerClock(next)}}
+		w.reports[m.id] = heartbeatAnswer{w.heartbeatsTo[m.id], call, &gauge.WorkerReport{StartedAt: next.born, Clock: w.workerClock(next)}}
 	}
 	if pending && rapid.Bool().Draw(w.t, "answer of the previous incarnation") {
 		w.reports[m.id] = previous
@@ -265,9 +265,9 @@
 // reportDead reports to the owner, in one of two ways, that a worker's incarnation has ended.
 func (w *simulation) reportDead(m *simWorker) {
 	if rapid.Bool().Draw(w.t, "replaced") {
-		w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindReplaced, "another incarnation"), w.now)
+		w.pool.HeartbeatFailed(m.incarnation(), gauge.Errorf(gauge.KindReplaced, "another incarnation"), w.now)
 	} else {
-		w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+		w.pool.HeartbeatFailed(m.incarnation(), gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
 	}
 	w.addWorker()
 }
@@ -282,7 +282,7 @@
 	w.endRunOn(m)
 	w.heartbeat(m)
 	w.deliverReports()
-	if !w.pool.Empty(m.id, rapid.Bool().Draw(w.t, "force"), w.now) {
+	if !w.pool.DrainWorker(m.id, rapid.Bool().Draw(w.t, "force"), w.now) {
 		return
 	}
 	assert.Equal(w.t, len(m.runs), 0, "%s isn't drained", m.id)
@@ -346,13 +346,13 @@
 				case 6, 7:
 					w.handOver()
 				case 2:
-					w.pool.Empty(fmt.Sprintf("w%d", w.joined), true, w.now)
+					w.pool.DrainWorker(fmt.Sprintf("w%d", w.joined), true, w.now)
 				case 4, 5:
 					w.readHiddenJobs()
 				case 8, 9:
 					w.resizeWorker()
 				case 3:
-					w.pool.HoldFailed(w.heartbeatsTo[fmt.Sprintf("w%d", w.joined)], gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+					w.pool.HeartbeatFailed(w.heartbeatsTo[fmt.Sprintf("w%d", w.joined)], gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
 				}
 			case 15:
 				w.resolveOrder()
--- a/internal/sched/simulation_recovery_test.go
+++ b/internal/sched/simulation_recovery_test.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// faultFreeStep times faultFreeSteps covers the users' cancel_ms and stopTimeoutMs: if no message
-	// is lost for that long, no run of a cancelled job may be left.
+	// faultFreeStep times faultFreeSteps covers the users' cancel_ms and stopTimeoutMs: if no
+	// message is lost for that long, no run of a cancelled job may be left.
 	faultFreeStep  = 100 * time.Millisecond
 	faultFreeSteps = 34
 	// scanInterval is the number of steps between scans that find the cancels in the table.
@@ -32,7 +32,7 @@
 			w.unread[id] = true
 		}
 	}
-	w.pool.Partial(len(w.unread) > 0)
+	w.pool.SetJobsMissing(len(w.unread) > 0)
 }
 
 // readHiddenJobs has the owner begin to read the jobs that it missed, and with the next call adopt
@@ -43,7 +43,7 @@
 	}
 	if !w.rereading {
 		w.rereading = true
-		w.pool.Rehear()
+		w.pool.RequireFreshReports()
 		return
 	}
 	for i := range len(w.specs) {
@@ -52,7 +52,7 @@
 		}
 	}
 	w.unread = make(map[string]bool)
-	w.pool.Partial(false)
+	w.pool.SetJobsMissing(false)
 	w.plan()
 }
 
@@ -63,7 +63,7 @@
 	}
 	row, err := gauge.DecodeJobRow(w.rows[id])
 	assert.NilError(w.t, err)
-	w.pool.Adopt(sched.Accepted{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.versions[id], Arrived: w.now, Inherited: true}, w.now)
+	w.pool.Adopt(sched.AcceptedJob{ID: id, Queue: queueName, Spec: w.specs[id], Row: row, Version: w.versions[id], Arrived: w.now, Inherited: true}, w.now)
 }
 
 // runWithoutFaults lets time pass with nothing lost, late or refused.
@@ -104,12 +104,12 @@
 		switch {
 		case m == nil:
 		case !m.alive:
-			w.pool.HoldFailed(m.incarnation(), gauge.Fail(gauge.KindUnknown, "no answer"), w.now)
+			w.pool.HeartbeatFailed(m.incarnation(), gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
 		default:
 			w.heartbeat(m)
 			if r, some := w.reports[m.id]; some {
 				delete(w.reports, m.id)
-				w.pool.Report(r.asked, r.call, r.rep, w.now)
+				w.pool.HandleReport(r.asked, r.call, r.rep, w.now)
 				w.startHeartbeats()
 			}
 		}
@@ -125,26 +125,26 @@
 		if m := w.workers[o.Worker.ID]; m != nil {
 			clock = w.workerClock(m)
 		}
-		w.pool.Answered(o, clock, err, w.now)
+		w.pool.OrderAnswered(o, clock, err, w.now)
 	}
 	w.plan()
 }
 
 // writeAll has the table take as many changes as it takes at once.
 func (w *simulation) writeAll() {
-	b, err := w.pool.Batch(100, w.now.Milliseconds(), skipNone)
+	b, err := w.pool.NextBatch(100, w.now.Milliseconds(), skipNone)
 	assert.NilError(w.t, err)
 	if !w.storeBatch(b) {
 		return
 	}
-	w.pool.Written(b, w.lastVersion, w.now)
+	w.pool.BatchWritten(b, w.lastVersion, w.now)
 	w.renewLease()
 }
 
 func (w *simulation) reportConflict(id string) {
 	row, err := gauge.DecodeJobRow(w.rows[id])
 	assert.NilError(w.t, err)
-	w.pool.Conflicted(id, row, w.versions[id])
+	w.pool.RowConflicted(id, row, w.versions[id])
 }
 
 // checkCancelledStopped fails the test if a cancelled job's task runs on a worker that is alive.
--- a/internal/sched/simulation_test.go
+++ b/internal/sched/simulation_test.go
@@ -22,7 +22,7 @@
 	previousBorn int64         // start time of the previous incarnation; 0: there is none
 	startedAt    time.Duration // when its clock showed zero
 	alive        bool
-	fence        gauge.Fence
+	fence        gauge.FencingToken
 	leaseEnd     time.Duration // end of its lease, on its clock
 	runs         map[gauge.TaskID]int
 	stopped      map[gauge.TaskID]int
@@ -59,18 +59,18 @@
 	pool              *sched.Pool
 	now               time.Duration
 	term              int
-	fence             gauge.Fence
+	fence             gauge.FencingToken
 	workers           map[string]*simWorker
 	joined            int
 	orders            []sched.Order      // sent and not answered yet
 	delayedOrders     []sched.Order      // reported as lost, but executed later
 	delayedHeartbeats []delayedHeartbeat // the same for heartbeats
 	reports           map[string]heartbeatAnswer
-	heartbeatsTo      map[string]gauge.Life // incarnations that the owner sends heartbeats to
-	connectedTo       map[string]int64      // by worker: incarnation that answered last on the open connection
-	leaseWorkers      []gauge.Life          // workers in the stored lease row
-	faultFree         bool                  // no faults are injected any more
-	rows              map[string][]byte     // stored job rows
+	heartbeatsTo      map[string]gauge.Incarnation // incarnations that the owner sends heartbeats to
+	connectedTo       map[string]int64             // by worker: incarnation that answered last on the open connection
+	leaseWorkers      []gauge.Incarnation          // workers in the stored lease row
+	faultFree         bool                         // no faults are injected any more
+	rows              map[string][]byte            // stored job rows
 	versions          map[string]int64
 	specs             map[string]*gauge.JobSpec
 	lastVersion       int64
@@ -83,28 +83,30 @@
 	unread    map[string]bool // jobs that the owner hasn't been able to read yet
 	rereading bool            // the owner has begun to read them
 
-	runsEndBy map[gauge.Life]time.Duration // when the runs of silent workers have ended, as reported by the owner that hands the pool over
+	runsEndBy map[gauge.Incarnation]time.Duration // when the runs of silent workers have ended, as reported by the owner that hands the pool over
 }
 
 // delayedHeartbeat is a heartbeat that got no answer and is executed later.
 type delayedHeartbeat struct {
 	id   string
 	born int64 // incarnation that answered last on the connection
-	call gauge.HoldCall
+	call gauge.Heartbeat
 }
 
 // heartbeatAnswer is a worker's report, and the heartbeat that it answers.
 type heartbeatAnswer struct {
-	asked gauge.Life
-	call  gauge.HoldCall
+	asked gauge.Incarnation
+	call  gauge.Heartbeat
 	rep   *gauge.WorkerReport
 }
 
-func (m *simWorker) incarnation() gauge.Life { return gauge.Life{Worker: m.id, Born: m.born} }
+func (m *simWorker) incarnation() gauge.Incarnation {
+	return gauge.Incarnation{Worker: m.id, StartedAt: m.born}
+}
 
 func newSimulation(t *rapid.T) *simulation {
 	w := &simulation{
-		t: t, workers: make(map[string]*simWorker), reports: make(map[string]heartbeatAnswer), heartbeatsTo: make(map[string]gauge.Life), connectedTo: make(map[string]int64),
+		t: t, workers: make(map[string]*simWorker), reports: make(map[string]heartbeatAnswer), heartbeatsTo: make(map[string]gauge.Incarnation), connectedTo: make(map[string]int64),
 		rows: make(map[string][]byte), versions: make(map[string]int64), specs: make(map[string]*gauge.JobSpec),
 		runCount: make(map[gauge.TaskID]int), done: make(map[gauge.TaskID]bool), lastVersion: 10,
 		cancelled: make(map[string]bool),
@@ -118,25 +120,25 @@
 
 // handOver has the owner hand the pool over, and report what it knows of silent workers.
 func (w *simulation) handOver() {
-	w.runsEndBy = make(map[gauge.Life]time.Duration)
-	for l, left := range w.pool.Left(w.now) {
+	w.runsEndBy = make(map[gauge.Incarnation]time.Duration)
+	for l, left := range w.pool.RemainingLeases(w.now) {
 		w.runsEndBy[l] = w.now + left
 	}
-	w.startOwner(w.pool.Name())
+	w.startOwner(w.pool.LeaseRowWorkers())
 }
 
 // startOwner starts an owner from what the table has.
-func (w *simulation) startOwner(earlier []gauge.Life) {
+func (w *simulation) startOwner(earlier []gauge.Incarnation) {
 	w.lastVersion++
-	w.fence = gauge.Fence(w.lastVersion)
+	w.fence = gauge.FencingToken(w.lastVersion)
 	w.orders, w.reports = nil, make(map[string]heartbeatAnswer)
 	clear(w.heartbeatsTo)
 	clear(w.connectedTo)
 	w.pool = sched.New(sched.Config{
-		Name: poolName, Fence: w.fence, Term: w.term, Hold: 5 * time.Second, Start: time.Second, Wait: time.Second,
-		Logs: logr.Discard(), Earlier: earlier, Doubt: w.now + 6*time.Second,
-		Over: w.runsEndBy, Longest: maxLease,
-		Window: w.term % 2 * 3, Lane: w.term % 2 * 2, // every other owner limits its unanswered starts
+		Name: poolName, Fence: w.fence, Term: w.term, LeaseExtension: 5 * time.Second, StartTimeout: time.Second, HeartbeatWait: time.Second,
+		Logs: logr.Discard(), PreviousWorkers: earlier, PreviousRunsEnd: w.now + 6*time.Second,
+		WorkerRunsEnd: w.runsEndBy, MaxWorkerLease: maxLease,
+		StartWindow: w.term % 2 * 3, WorkerStartWindow: w.term % 2 * 2, // every other owner limits its unanswered starts
 	})
 	w.term++
 	w.runsEndBy = nil
@@ -157,7 +159,7 @@
 			ws = append(ws, w.workerRow(m))
 		}
 	}
-	w.pool.Workers(ws)
+	w.pool.UpdateWorkers(ws)
 	w.startHeartbeats()
 	w.renewLease()
 }
@@ -165,26 +167,26 @@
 // workerRow is a worker's row, sometimes still that of its previous incarnation.
 func (w *simulation) workerRow(m *simWorker) gauge.Worker {
 	row := newWorker(m.id)
-	row.Born = m.born
+	row.StartedAt = m.born
 	row.Capacity.MilliCPU = m.capacity.tasks * newStep(1).Needs.MilliCPU
 	if !w.faultFree && m.previousBorn > 0 && rapid.IntRange(0, 3).Draw(w.t, "stale row") == 0 {
-		row.Born = m.previousBorn
+		row.StartedAt = m.previousBorn
 	}
 	return row
 }
 
 // startHeartbeats has the owner send heartbeats to the incarnations that it has learned of.
 func (w *simulation) startHeartbeats() {
-	for _, info := range w.pool.Unheld() {
-		w.heartbeatsTo[info.ID] = info.Life()
+	for _, info := range w.pool.NewIncarnations() {
+		w.heartbeatsTo[info.ID] = info.Incarnation()
 	}
 }
 
 // renewLease writes the lease row.
 func (w *simulation) renewLease() {
 	w.lastVersion++
-	w.leaseWorkers = w.pool.Name()
-	w.pool.Noted(w.leaseWorkers, w.lastVersion)
+	w.leaseWorkers = w.pool.LeaseRowWorkers()
+	w.pool.LeaseRowWritten(w.leaseWorkers, w.lastVersion)
 }
 
 func (w *simulation) addWorker() {
@@ -214,11 +216,11 @@
 
 func (w *simulation) endRun(m *simWorker, task gauge.TaskID, how gauge.Ending) {
 	m.lastEnd++
-	m.ends = append(m.ends, gauge.EndReport{Number: m.lastEnd, Task: task, Run: m.runs[task], How: how})
+	m.ends = append(m.ends, gauge.EndReport{Number: m.lastEnd, Task: task, Run: m.runs[task], Ending: how})
 	m.stopped[task] = max(m.stopped[task], m.runs[task])
 	delete(m.runs, task)
 	w.runCount[task]--
-	if st := &w.specs[task.Job].Steps[task.Step]; how == gauge.EndDone && !st.Lasts && !st.Gang {
+	if st := &w.specs[task.Job].Steps[task.Step]; how == gauge.EndDone && !st.LongRunning && !st.Gang {
 		w.done[task] = true
 	}
 }
@@ -233,7 +235,7 @@
 			continue
 		}
 		for task := range m.runs {
-			w.endRun(m, task, gauge.EndLapsed)
+			w.endRun(m, task, gauge.EndLeaseExpired)
 		}
 		w.discardEnds(m)
 	}
@@ -250,12 +252,12 @@
 func (w *simulation) executeOrder(o sched.Order) error {
 	m := w.workers[o.Worker.ID]
 	if m == nil || !m.alive {
-		return gauge.Fail(gauge.KindUnknown, "worker is dead")
+		return gauge.Errorf(gauge.KindUnknown, "worker is dead")
 	}
-	fence := max(o.Start.Fence, o.Stop.Fence, o.Look.Fence)
+	fence := max(o.Start.Fence, o.Stop.Fence, o.Probe.Fence)
 	if fence < m.fence {
-		assert.Assert(w.t, fence < w.fence || w.pool.Outdated(o.Worker.Life(), fence), "the owner's own token is taken for another owner's")
-		return gauge.Fail(gauge.KindFenced, "lower fencing token")
+		assert.Assert(w.t, fence < w.fence || w.pool.IsOutdated(o.Worker.Incarnation(), fence), "the owner's own token is taken for another owner's")
+		return gauge.Errorf(gauge.KindFenced, "lower fencing token")
 	}
 	m.fence = fence
 	switch o.Kind {
@@ -273,9 +275,9 @@
 func (w *simulation) executeStart(m *simWorker, c gauge.StartCall) error {
 	switch {
 	case c.Until < w.workerClock(m):
-		return gauge.Fail(gauge.KindLate, "deadline has passed")
+		return gauge.Errorf(gauge.KindPastDeadline, "deadline has passed")
 	case c.Run <= m.stopped[c.Task]:
-		return gauge.Fail(gauge.KindStale, "run was stopped")
+		return gauge.Errorf(gauge.KindStale, "run was stopped")
 	case m.runs[c.Task] == c.Run:
 		return nil
 	}
@@ -305,6 +307,6 @@
 }
 
 func (w *simulation) plan() {
-	w.pool.Limit(w.now + 6*time.Second)
+	w.pool.SetGrantLimit(w.now + 6*time.Second)
 	w.orders = append(w.orders, w.pool.Plan(w.now)...)
 }
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -37,7 +37,7 @@
 	return func(w *crashHarness) {
 		if w.crashes > seen {
 			seen = w.crashes
-			if w.pool.LostBefore() {
+			if w.pool.HasUnreportedLosses() {
 				w.unrecorded++
 			}
 			w.replaceOwner()
@@ -80,11 +80,11 @@
 
 // storedCrashes is a row with crashes of a task, some of them beside a likelier cause.
 func storedCrashes(crashes, withLikelierCause, unattributed int) *gauge.JobRow {
-	var trials gauge.Trials
+	var suspectRuns gauge.SuspectRuns
 	for run := range crashes {
-		trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run < withLikelierCause})
+		suspectRuns = append(suspectRuns, gauge.SuspectRun{Run: run + 1, Worker: "w0", Crashed: true, LikelierCause: run < withLikelierCause})
 	}
-	return &gauge.JobRow{Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: unattributed}}
+	return &gauge.JobRow{SuspectRuns: map[string]gauge.SuspectRuns{firstTaskKey: suspectRuns}, Unattributed: map[string]int{firstTaskKey: unattributed}}
 }
 
 // Guards against a task that is started again after its fifth start crashed its worker with nothing
@@ -111,14 +111,14 @@
 			assert.Equal(t, len(starts), 1)
 			g.confirm(starts)
 			g.advance(50 * time.Millisecond)
-			l := starts[0].Worker.Life()
+			l := starts[0].Worker.Incarnation()
 			g.failHeartbeatOf(l)
 			g.answerHeartbeat(l, 2, time.Second, nil)
 			for range 15 {
 				g.advance(100 * time.Millisecond)
 			}
 			g.writeAll(400)
-			state, _ := g.pool.State(queueName, id)
+			state, _ := g.pool.JobState(queueName, id)
 			assert.Equal(t, state, tt.want)
 		})
 	}
@@ -127,7 +127,7 @@
 // Guards against starts that get no answer, reach their worker's next incarnation, are stopped
 // there and never count.
 func TestStartsThatReachTheNextIncarnationAreCounted(t *testing.T) {
-	g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+	g := newHarness(t, func(c *sched.Config) { c.MaxWorkerLease = maxLease })
 	g.listRows(210, workerRow("w1", 1))
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
 	id := g.inheritJob(newStep(1), storedCrashes(3, 0, 0))
@@ -136,7 +136,7 @@
 		orders := g.startsAfterWrites()
 		starts += len(orders)
 		for _, o := range orders {
-			g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+			g.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 			g.failHeartbeatOf(incarnationAt("w1", born))
 			g.answerHeartbeat(incarnationAt("w1", born), born+1, time.Second, []gauge.RunReport{runReport(o)})
 			g.listRows(300+born, workerRow("w1", born+1))
@@ -151,7 +151,7 @@
 		}
 	}
 	g.writeAll(900)
-	state, _ := g.pool.State(queueName, id)
+	state, _ := g.pool.JobState(queueName, id)
 	assert.Equal(t, state, gauge.JobFailed)
 	assert.Equal(t, starts, 2)
 }
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -25,32 +25,32 @@
 }
 
 // suspectRuns are the task's runs that may have crashed their workers.
-func (t *task) suspectRuns() gauge.Trials {
-	if len(t.job.row.Trials) == 0 {
+func (t *task) suspectRuns() gauge.SuspectRuns {
+	if len(t.job.row.SuspectRuns) == 0 {
 		return nil
 	}
-	return t.job.row.Trials[t.leadTask().key()]
+	return t.job.row.SuspectRuns[t.leadTask().key()]
 }
 
-func (t *task) setSuspectRuns(records gauge.Trials, urgent bool) {
+func (t *task) setSuspectRuns(records gauge.SuspectRuns, urgent bool) {
 	j := t.job
-	if j.row.Trials == nil {
-		j.row.Trials = make(map[string]gauge.Trials)
+	if j.row.SuspectRuns == nil {
+		j.row.SuspectRuns = make(map[string]gauge.SuspectRuns)
 	}
 	if len(records) == 0 {
-		delete(j.row.Trials, t.leadTask().key())
+		delete(j.row.SuspectRuns, t.leadTask().key())
 	} else {
-		j.row.Trials[t.leadTask().key()] = records
+		j.row.SuspectRuns[t.leadTask().key()] = records
 	}
 	j.touch(urgent)
 	t.leadTask().requiredChange = j.changes
 }
 
 // evidence is what is known against the task.
-func (t *task) evidence() proof.Case {
-	c := proof.Case{Trials: t.suspectRuns(), Excused: t.unattributed(), Lasts: t.stage.spec.Lasts}
-	if c.Excused > 0 {
-		c.Lone = t.job.row.Lone[t.leadTask().key()]
+func (t *task) evidence() proof.Evidence {
+	c := proof.Evidence{SuspectRuns: t.suspectRuns(), Unattributed: t.unattributed(), LongRunning: t.stage.spec.LongRunning}
+	if c.Unattributed > 0 {
+		c.UnattributedIsolated = t.job.row.UnattributedIsolated[t.leadTask().key()]
 	}
 	return c
 }
@@ -58,15 +58,15 @@
 // unattributed counts the starts of the task that ended before it had shown that it survives, and
 // aren't held against it.
 func (t *task) unattributed() int {
-	if len(t.job.row.Excused) == 0 {
+	if len(t.job.row.Unattributed) == 0 {
 		return 0
 	}
-	return t.job.row.Excused[t.leadTask().key()]
+	return t.job.row.Unattributed[t.leadTask().key()]
 }
 
 // countUnattributed counts one more start that proved nothing.
 func (t *task) countUnattributed() {
-	t.job.row.Excused = increment(t.job.row.Excused, t.leadTask().key())
+	t.job.row.Unattributed = increment(t.job.row.Unattributed, t.leadTask().key())
 	t.job.touch(true)
 	t.leadTask().requiredChange = t.job.changes
 }
@@ -85,17 +85,17 @@
 		return
 	}
 	key := t.leadTask().key()
-	delete(t.job.row.Excused, key)
-	delete(t.job.row.Guessed, key)
-	delete(t.job.row.Lone, key)
+	delete(t.job.row.Unattributed, key)
+	delete(t.job.row.Presumed, key)
+	delete(t.job.row.UnattributedIsolated, key)
 	t.job.touch(false)
 }
 
 // excuse records that a run was lost with its worker for another reason, as far as that can be
 // known.
 func (p *Pool) excuse(t *task, run int, lived time.Duration) {
-	isolated := t.suspectRuns().Tried(run)
-	if lived < proof.Soon || isolated && lived < t.probation(run) {
+	isolated := t.suspectRuns().HasOpenIsolatedRun(run)
+	if lived < proof.StartPhase || isolated && lived < t.probation(run) {
 		p.countStart(t, run, isolated)
 	}
 	p.dropUnconfirmed(t, run)
@@ -111,22 +111,22 @@
 	}
 	lead.countedRun = run
 	if isolated {
-		t.job.row.Lone = increment(t.job.row.Lone, lead.key())
+		t.job.row.UnattributedIsolated = increment(t.job.row.UnattributedIsolated, lead.key())
 	}
 	t.countUnattributed()
 	p.updateSuspect(t)
-	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.evidence().Starts(), "excused", t.unattributed())
+	p.conf.Logs.Info("start counted", "job", t.job.id, "task", t.id.String(), "run", run, "starts", t.evidence().UnprovenStarts(), "excused", t.unattributed())
 }
 
 // recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
-func (p *Pool) recordSuspectRun(t *task, record gauge.Trial) {
+func (p *Pool) recordSuspectRun(t *task, record gauge.SuspectRun) {
 	p.allowForUnrecorded(t)
 	records := slices.Clone(t.suspectRuns())
-	i := slices.IndexFunc(records, func(o gauge.Trial) bool { return o.Run == record.Run && o.Life() == record.Life() })
+	i := slices.IndexFunc(records, func(o gauge.SuspectRun) bool { return o.Run == record.Run && o.Incarnation() == record.Incarnation() })
 	if i < 0 {
 		records = append(records, record)
 	} else {
-		record.Apart = record.Apart || !record.Crashed && records[i].Apart
+		record.Isolated = record.Isolated || !record.Crashed && records[i].Isolated
 		records[i] = record
 	}
 	t.setSuspectRuns(records, true)
@@ -137,7 +137,7 @@
 // stay.
 func (p *Pool) dropUnconfirmed(t *task, run int) {
 	records := t.suspectRuns()
-	remaining := slices.DeleteFunc(slices.Clone(records), func(o gauge.Trial) bool { return o.Run == run && !o.Crashed })
+	remaining := slices.DeleteFunc(slices.Clone(records), func(o gauge.SuspectRun) bool { return o.Run == run && !o.Crashed })
 	if len(remaining) == len(records) {
 		return
 	}
@@ -161,11 +161,11 @@
 // updateSuspect updates whether a task is a suspect.
 func (p *Pool) updateSuspect(t *task) {
 	lead := t.leadTask()
-	suspect := lead.evidence().Suspect()
+	suspect := lead.evidence().IsSuspect()
 	if suspect && !lead.isSuspect {
 		records := lead.suspectRuns()
-		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", lead.unattributed(),
-			"lived", records.Longest())
+		p.conf.Logs.Info("task suspected", "job", lead.job.id, "task", lead.id.String(), "crashes", records.CrashCount(), "alone", records.SoleJobCrashCount(), "excused", lead.unattributed(),
+			"lived", records.LongestRunTime())
 	}
 	lead.isSuspect = suspect
 	if suspect {
@@ -179,12 +179,12 @@
 // failIfCause fails the job of a task that crashes its workers.
 func (p *Pool) failIfCause(t *task) {
 	records := t.suspectRuns()
-	if !t.evidence().Cause() || !t.job.isOpen() {
+	if !t.evidence().IsCause() || !t.job.isOpen() {
 		return
 	}
-	p.conf.Count(EventGivenUp)
-	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", records.Crashes(), "alone", records.Alone(), "excused", t.unattributed(),
-		"lived", records.Longest(), "reason", "the task crashes its workers")
+	p.conf.CountEvent(EventGivenUp)
+	p.conf.Logs.Info("job given up", "job", t.job.id, "task", t.id.String(), "crashes", records.CrashCount(), "alone", records.SoleJobCrashCount(), "excused", t.unattributed(),
+		"lived", records.LongestRunTime(), "reason", "the task crashes its workers")
 	t.job.fail()
 	p.requestJobStop(t.job)
 }
@@ -210,7 +210,7 @@
 	if lost == 0 {
 		return false
 	}
-	if evidence := t.evidence(); lost+evidence.Trials.Crashes() < attributionThreshold && !evidence.FewLeft(lost) {
+	if evidence := t.evidence(); lost+evidence.SuspectRuns.CrashCount() < attributionThreshold && !evidence.HasFewStartsLeft(lost) {
 		return false
 	}
 	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -17,7 +17,7 @@
 func (g *harness) inheritJob(s gauge.Step, row *gauge.JobRow) string {
 	id := jobID(1)
 	row.State, row.Pool = gauge.JobRunning, poolName
-	g.pool.Adopt(sched.Accepted{
+	g.pool.Adopt(sched.AcceptedJob{
 		ID: id, Queue: queueName, Spec: &gauge.JobSpec{Steps: []gauge.Step{s}}, Row: row, Version: 2, Inherited: true,
 	}, g.now)
 	return id
@@ -41,16 +41,16 @@
 		{"four crashes", 4, 0, 0, gauge.JobFailed},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var trials gauge.Trials
+			var suspectRuns gauge.SuspectRuns
 			for run := range tt.crashes + tt.withLikelierCause {
-				trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Beside: run >= tt.crashes})
+				suspectRuns = append(suspectRuns, gauge.SuspectRun{Run: run + 1, Worker: "w0", Crashed: true, LikelierCause: run >= tt.crashes})
 			}
 			g := newHarness(t)
 			id := g.inheritJob(newStep(1), &gauge.JobRow{
-				Trials: map[string]gauge.Trials{firstTaskKey: trials}, Excused: map[string]int{firstTaskKey: tt.unattributed},
+				SuspectRuns: map[string]gauge.SuspectRuns{firstTaskKey: suspectRuns}, Unattributed: map[string]int{firstTaskKey: tt.unattributed},
 			})
 			g.writeAll(300)
-			state, _ := g.pool.State(queueName, id)
+			state, _ := g.pool.JobState(queueName, id)
 			assert.Equal(t, state, tt.want)
 		})
 	}
@@ -77,15 +77,15 @@
 			g.advance(100 * time.Millisecond)
 		}
 		row := g.unwrittenRow(start.Start.Task.Job)
-		assert.Equal(t, len(row.Trials), 0)
-		assert.Equal(t, row.Excused[firstTaskKey], tt.want)
+		assert.Equal(t, len(row.SuspectRuns), 0)
+		assert.Equal(t, row.Unattributed[firstTaskKey], tt.want)
 	}
 }
 
 // unwrittenRow is a job's row that waits to be written.
 func (g *harness) unwrittenRow(id string) *gauge.JobRow {
 	g.t.Helper()
-	b, err := g.pool.Batch(100, 1, skipNone)
+	b, err := g.pool.NextBatch(100, 1, skipNone)
 	assert.NilError(g.t, err)
 	for _, c := range b.Changes {
 		if c.Job == id {
@@ -112,7 +112,9 @@
 		{"two owners in a row could not write", 2, 1, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newHarness(t, withPredecessor("w1"), func(c *sched.Config) { c.Earlier, c.Unnoted = []gauge.Life{incarnationAt("w1", 1)}, tt.unrecorded })
+			g := newHarness(t, withPredecessor("w1"), func(c *sched.Config) {
+				c.PreviousWorkers, c.UnrecordedOwners = []gauge.Incarnation{incarnationAt("w1", 1)}, tt.unrecorded
+			})
 			g.listRows(300, workerRow("w1", tt.born))
 			id := g.inheritJob(longRunningStep(1), &gauge.JobRow{})
 			g.answerHeartbeat(incarnationAt("w1", tt.born), tt.born, time.Hour, nil)
@@ -123,8 +125,8 @@
 			g.failHeartbeatOf(incarnationAt("w1", tt.born))
 			g.answerHeartbeat(incarnationAt("w1", tt.born), tt.born+1, time.Second, nil)
 			row := g.unwrittenRow(id)
-			assert.Equal(t, len(row.Trials[firstTaskKey]), 1)
-			assert.Equal(t, row.Excused[firstTaskKey], tt.want)
+			assert.Equal(t, len(row.SuspectRuns[firstTaskKey]), 1)
+			assert.Equal(t, row.Unattributed[firstTaskKey], tt.want)
 		})
 	}
 }
@@ -133,12 +135,12 @@
 func TestOwnerReportsUnwrittenCrashes(t *testing.T) {
 	g, _ := newHarnessWithRunOf(t, time.Millisecond)
 	g.writeAll(300)
-	assert.Assert(t, !g.pool.Unnoted())
+	assert.Assert(t, !g.pool.HasUnrecordedCrashes())
 	g.failHeartbeatOf(incarnationAt("w1", 1))
 	g.answerHeartbeat(incarnationAt("w1", 1), 2, time.Second, nil)
-	assert.Assert(t, g.pool.Unnoted())
+	assert.Assert(t, g.pool.HasUnrecordedCrashes())
 	g.writeAll(400)
-	assert.Assert(t, !g.pool.Unnoted())
+	assert.Assert(t, !g.pool.HasUnrecordedCrashes())
 }
 
 // Guards against a task whose job fails for crashes from before the task has proved sound.
@@ -146,20 +148,20 @@
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
-	id := g.inheritJob(longRunningStep(1), &gauge.JobRow{Excused: map[string]int{firstTaskKey: 2}})
+	id := g.inheritJob(longRunningStep(1), &gauge.JobRow{Unattributed: map[string]int{firstTaskKey: 2}})
 	starts := g.planStarts()
 	g.confirm(starts)
 	for range 40 {
 		g.advance(time.Second)
 		g.report("w1", []gauge.RunReport{runReport(starts[0])})
 	}
-	assert.Equal(t, g.unwrittenRow(id).Excused[firstTaskKey], 0)
+	assert.Equal(t, g.unwrittenRow(id).Unattributed[firstTaskKey], 0)
 }
 
 // Guards against a long-running task that has served for long, and whose crash right after a
 // takeover counts as one right after its start.
 func TestInheritedRunIsNotTakenForNew(t *testing.T) {
-	g := newHarness(t, withPredecessor("w1"), func(c *sched.Config) { c.Earlier = []gauge.Life{incarnationAt("w1", 1)} })
+	g := newHarness(t, withPredecessor("w1"), func(c *sched.Config) { c.PreviousWorkers = []gauge.Incarnation{incarnationAt("w1", 1)} })
 	g.listRows(300, workerRow("w1", 1))
 	id := g.inheritJob(longRunningStep(1), &gauge.JobRow{})
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, []gauge.RunReport{{Task: gauge.TaskID{Job: id}, Run: 1, Progress: 100}})
@@ -169,9 +171,9 @@
 	for range 15 {
 		g.advance(100 * time.Millisecond)
 	}
-	trials := g.unwrittenRow(id).Trials[firstTaskKey]
-	assert.Equal(t, trials.Crashes(), 1)
-	assert.Assert(t, !trials.Soon(time.Second))
+	suspectRuns := g.unwrittenRow(id).SuspectRuns[firstTaskKey]
+	assert.Equal(t, suspectRuns.CrashCount(), 1)
+	assert.Assert(t, !suspectRuns.AnyEndedWithin(time.Second))
 }
 
 // Guards against a sound long-running job that is stopped as a whole because one of its tasks was
@@ -192,18 +194,18 @@
 		{"not long-running, two crashes and others unattributed", newStep(2), false, 2, gauge.JobRunning},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			var trials gauge.Trials
+			var suspectRuns gauge.SuspectRuns
 			for run := range tt.count {
-				trials = append(trials, gauge.Trial{Run: run + 1, Worker: "w0", Crashed: true, Alone: tt.alone})
+				suspectRuns = append(suspectRuns, gauge.SuspectRun{Run: run + 1, Worker: "w0", Crashed: true, SoleJob: tt.alone})
 			}
 			g := newHarness(t)
-			row := &gauge.JobRow{Trials: map[string]gauge.Trials{firstTaskKey: trials}}
+			row := &gauge.JobRow{SuspectRuns: map[string]gauge.SuspectRuns{firstTaskKey: suspectRuns}}
 			if !tt.alone {
-				row.Excused = map[string]int{firstTaskKey: 3}
+				row.Unattributed = map[string]int{firstTaskKey: 3}
 			}
 			id := g.inheritJob(tt.step, row)
 			g.writeAll(300)
-			state, _ := g.pool.State(queueName, id)
+			state, _ := g.pool.JobState(queueName, id)
 			assert.Equal(t, state, tt.want)
 		})
 	}
--- a/internal/sched/unanswered_test.go
+++ b/internal/sched/unanswered_test.go
@@ -19,7 +19,7 @@
 		order := ofKind(g.plan(), sched.OrderStart)[0]
 		g.listRows(300, workerRow("w1", 2), workerRow("w2", 1))
 		g.answerHeartbeat(incarnationAt("w2", 1), 1, time.Hour, nil)
-		g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+		g.pool.OrderAnswered(order, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 		orders := g.plan()
 		assert.Assert(t, !hasStart(orders, id), "it may run in the next incarnation of the worker")
 		if reached {
@@ -28,8 +28,8 @@
 			continue
 		}
 		for _, o := range ofKind(orders, sched.OrderStop) {
-			assert.Equal(t, o.Worker.Born, int64(2))
-			g.pool.Answered(o, time.Second, nil, g.now)
+			assert.Equal(t, o.Worker.StartedAt, int64(2))
+			g.pool.OrderAnswered(o, time.Second, nil, g.now)
 		}
 		g.answerHeartbeat(incarnationAt("w1", 2), 2, 2*time.Second, nil)
 		for range 15 { // the cause of the worker's loss is decided first
@@ -61,12 +61,12 @@
 		want int
 	}{{"the next incarnation runs it", 2, true, 0}, {"no incarnation answers", 0, false, 1}} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newHarness(t, func(c *sched.Config) { c.Longest = maxLease })
+			g := newHarness(t, func(c *sched.Config) { c.MaxWorkerLease = maxLease })
 			g.listRows(200, workerRow("w1", 1))
 			g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
 			g.adopt(1, false, newStep(1))
 			order := g.planStarts()[0]
-			g.pool.Answered(order, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+			g.pool.OrderAnswered(order, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 			g.failHeartbeatOf(incarnationAt("w1", 1))
 			g.listRows(201, workerRow("w1", 1), workerRow("w2", 1))
 			g.advance(2 * time.Second) // the start's deadline has passed, on the clock of the known incarnation
@@ -88,7 +88,7 @@
 	g, _ := newHarnessWithRun(t)
 	g.adopt(2, false, newStep(1))
 	order := g.planStarts()[0]
-	g.pool.Answered(order, 0, nil, g.now)
+	g.pool.OrderAnswered(order, 0, nil, g.now)
 	// This report was made before the next incarnation began, and arrives late.
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+2*time.Second+time.Millisecond, nil)
 	for _, o := range g.startsAfterWrites() {
--- a/internal/sched/waittime_test.go
+++ b/internal/sched/waittime_test.go
@@ -23,7 +23,7 @@
 	g.confirm(starts)
 	g.advance(3 * time.Second)
 	g.report("w1", nil, g.endReport("w1", starts[0].Start.Task, 1, gauge.EndDone))
-	assert.Equal(t, g.pool.Load(g.now).Oldest, time.Duration(0))
+	assert.Equal(t, g.pool.Load(g.now).LongestWait, time.Duration(0))
 	g.advance(time.Second)
-	assert.Equal(t, g.pool.Load(g.now).Oldest, time.Second)
+	assert.Equal(t, g.pool.Load(g.now).LongestWait, time.Second)
 }
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -6,14 +6,16 @@
 // few unreachable workers would hold up the starts on all others.
 
 // isWindowFull reports whether no more starts may be in flight.
-func (p *Pool) isWindowFull() bool { return p.conf.Window > 0 && p.startsInFlight >= p.conf.Window }
+func (p *Pool) isWindowFull() bool {
+	return p.conf.StartWindow > 0 && p.startsInFlight >= p.conf.StartWindow
+}
 
 // withinWorkerWindow excludes workers that have as many starts in flight as one may have.
 func (p *Pool) withinWorkerWindow(allowed func(*worker) bool) func(*worker) bool {
-	if p.conf.Lane == 0 {
+	if p.conf.WorkerStartWindow == 0 {
 		return allowed
 	}
-	return func(w *worker) bool { return w.startsInFlight < p.conf.Lane && allowed(w) }
+	return func(w *worker) bool { return w.startsInFlight < p.conf.WorkerStartWindow && allowed(w) }
 }
 
 // addInFlight counts a start that is sent.
--- a/internal/sched/window_test.go
+++ b/internal/sched/window_test.go
@@ -12,7 +12,7 @@
 
 // withStartLimit limits the starts without an answer in the whole pool.
 func withStartLimit(starts int) option {
-	return func(c *sched.Config) { c.Window = starts }
+	return func(c *sched.Config) { c.StartWindow = starts }
 }
 
 // Guards against an owner on a host with a slow link that gets no answer to most of its orders,
@@ -35,8 +35,8 @@
 	second := g.planStarts()
 	assert.Equal(t, len(second), 2, "as many starts as were answered")
 
-	g.pool.Answered(first[2], 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
-	g.pool.Answered(first[3], 0, gauge.Fail(gauge.KindOutage, "not sent"), g.now)
+	g.pool.OrderAnswered(first[2], 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(first[3], 0, gauge.Errorf(gauge.KindOutage, "not sent"), g.now)
 	assert.Equal(t, len(g.planStarts()), 2, "a start that failed makes room as well")
 }
 
@@ -61,18 +61,18 @@
 	g.adopt(1, false, newStep(4))
 	first := g.planStarts()
 	assert.Equal(t, len(first), 2)
-	g.pool.HoldFailed(incarnation("a"), gauge.Fail(gauge.KindReplaced, "another incarnation"), g.now)
+	g.pool.HeartbeatFailed(incarnation("a"), gauge.Errorf(gauge.KindReplaced, "another incarnation"), g.now)
 	g.listWorkers("b")
 	g.report("b", nil)
 	for _, o := range first {
-		g.pool.Answered(o, 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now+300*time.Millisecond)
+		g.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now+300*time.Millisecond)
 	}
 	assert.Equal(t, len(g.planStarts()), 2)
 }
 
 // withWorkerStartLimit limits the starts without an answer on one worker.
 func withWorkerStartLimit(starts int) option {
-	return func(c *sched.Config) { c.Lane = starts }
+	return func(c *sched.Config) { c.WorkerStartWindow = starts }
 }
 
 // Guards against a pool that starts no task for two seconds though most workers have room. Two
@@ -107,7 +107,7 @@
 		g.adopt(1, false, newStep(8))
 		first := g.planStarts()
 		assert.Equal(t, len(first), 2)
-		g.pool.HoldFailed(incarnation("a"), gauge.Fail(kind, "no answer"), g.now)
+		g.pool.HeartbeatFailed(incarnation("a"), gauge.Errorf(kind, "no answer"), g.now)
 		g.listWorkers("b")
 		g.report("b", nil)
 		second := g.planStarts()
@@ -126,7 +126,7 @@
 	g.report("a", nil)
 	g.adopt(1, false, newStep(1))
 	first := g.planStarts()
-	g.pool.Answered(first[0], 0, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.pool.OrderAnswered(first[0], 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.adopt(2, false, newStep(1))
 	assert.Equal(t, len(g.planStarts()), 0)
 	g.now += time.Millisecond
@@ -143,8 +143,8 @@
 	g.report("a", nil)
 	id := g.adopt(1, false, newStep(1))
 	late := g.planStarts()[0]
-	assert.Assert(t, !g.pool.Void(late, g.now))
-	assert.Assert(t, g.pool.Void(late, g.now+2*time.Second))
+	assert.Assert(t, !g.pool.IsObsolete(late, g.now))
+	assert.Assert(t, g.pool.IsObsolete(late, g.now+2*time.Second))
 	g.pool.Cancel(id, fence+9)
-	assert.Assert(t, g.pool.Void(late, g.now))
+	assert.Assert(t, g.pool.IsObsolete(late, g.now))
 }
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -42,7 +42,7 @@
 	paceInFlight     bool          // a change of pace is in flight
 	lastReport       int           // number of the last report that listed it
 	onProbation      bool          // it is a run of a suspect, and still on probation
-	survivalRecorded bool          // the row has that it has lived for proof.Soon
+	survivalRecorded bool          // the row has that it has lived for proof.StartPhase
 	isolatedFor      *task         // the suspect that it is a run of, while its worker is closed to other jobs
 	lost             bool          // it ended with its worker's incarnation or lease
 	notLost          bool          // it was taken for lost, and wasn't
@@ -51,18 +51,18 @@
 // worker is one incarnation of a worker as this owner sees it.
 type worker struct {
 	info            gauge.Worker
-	listed          bool          // it is on the platform's list
-	listedHere      bool          // it has been listed in this pool
-	knownSince      time.Duration // when this owner first learnt of it
-	inLeaseRow      bool          // the lease row names it: a successor asks it first
-	fence           gauge.Fence   // for this worker, see Pool.fence
-	fencePending    bool          // earlier calls may still be carried out: its token has to rise
-	restarted       bool          // its worker had orders in an earlier incarnation
-	reported        bool          // it has answered a call with this owner's fencing token
-	startUnanswered bool          // a start got no answer, and no report has come since
-	startsInFlight  int           // starts that have no answer yet
-	silent          bool          // its last heartbeat got no answer
-	dead            bool          // it is certainly over
+	listed          bool               // it is on the platform's list
+	listedHere      bool               // it has been listed in this pool
+	knownSince      time.Duration      // when this owner first learnt of it
+	inLeaseRow      bool               // the lease row names it: a successor asks it first
+	fence           gauge.FencingToken // for this worker, see Pool.fence
+	fencePending    bool               // earlier calls may still be carried out: its token has to rise
+	restarted       bool               // its worker had orders in an earlier incarnation
+	reported        bool               // it has answered a call with this owner's fencing token
+	startUnanswered bool               // a start got no answer, and no report has come since
+	startsInFlight  int                // starts that have no answer yet
+	silent          bool               // its last heartbeat got no answer
+	dead            bool               // it is certainly over
 
 	runs map[*run]bool
 	used gauge.Resources
@@ -146,13 +146,13 @@
 // countRun adds n to the counts by kind of run.
 func (w *worker) countRun(r *run, n int) {
 	spec := r.task.stage.spec
-	if spec.Lasts {
+	if spec.LongRunning {
 		w.longRunning += n
 	}
-	if spec.Fills {
+	if spec.BestEffort {
 		w.bestEffort += n
 	}
-	if spec.Lasts && spec.Fills {
+	if spec.LongRunning && spec.BestEffort {
 		w.longRunningBestEffort += n
 	}
 }
@@ -163,7 +163,7 @@
 func (w *worker) longRunningRoom() gauge.Resources {
 	var sum gauge.Resources
 	for r := range w.runs {
-		if r.task.stage.spec.Lasts {
+		if r.task.stage.spec.LongRunning {
 			sum = sum.Plus(r.resources)
 		}
 	}
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -19,17 +19,17 @@
 func decodePoolV1(unmarshal func(any) error, r *gauge.Record) error {
 	var v struct {
 		head    `yaml:",inline"`
-		Hosts   int          `yaml:"hosts"`
-		Prefer  gauge.Prefer `yaml:"prefer"`
-		Zones   []string     `yaml:"zones"`
-		Reserve int          `yaml:"reserve"`
-		Floor   int          `yaml:"floor"`
+		Hosts   int              `yaml:"hosts"`
+		Prefer  gauge.Preference `yaml:"prefer"`
+		Zones   []string         `yaml:"zones"`
+		Reserve int              `yaml:"reserve"`
+		Floor   int              `yaml:"floor"`
 	}
 	if err := unmarshal(&v); err != nil {
 		return err
 	}
 	r.Pool = &gauge.Pool{Hosts: v.Hosts, Prefer: v.Prefer, Zones: v.Zones, Reserve: v.Reserve, Floor: v.Floor}
-	r.Pool.Defaults()
+	r.Pool.SetDefaults()
 	return nil
 }
 
@@ -39,15 +39,15 @@
 	var v struct {
 		head    `yaml:",inline"`
 		Promise struct {
-			Hosts     int          `yaml:"hosts"`
-			Objective float64      `yaml:"objective"`
-			Domain    gauge.Domain `yaml:"domain"`
+			Hosts     int                 `yaml:"hosts"`
+			Objective float64             `yaml:"objective"`
+			Domain    gauge.FailureDomain `yaml:"domain"`
 		} `yaml:"promise"`
-		Prefer  gauge.Prefer `yaml:"prefer"`
-		Zones   []string     `yaml:"zones"`
-		Reserve int          `yaml:"reserve"`
-		Floor   int          `yaml:"floor"`
-		Needs   needs        `yaml:"needs"`
+		Prefer  gauge.Preference `yaml:"prefer"`
+		Zones   []string         `yaml:"zones"`
+		Reserve int              `yaml:"reserve"`
+		Floor   int              `yaml:"floor"`
+		Needs   needs            `yaml:"needs"`
 	}
 	if err := unmarshal(&v); err != nil {
 		return err
@@ -57,7 +57,7 @@
 		Prefer: v.Prefer, Zones: v.Zones, Reserve: v.Reserve, Floor: v.Floor,
 		Cores: v.Needs.Cores, Memory: v.Needs.Memory, Accels: v.Needs.Accels,
 	}
-	r.Pool.Defaults()
+	r.Pool.SetDefaults()
 	return nil
 }
 
@@ -75,9 +75,9 @@
 		return err
 	}
 	r.Service = &gauge.Service{
-		Pool: v.Pool, Quick: v.Quick, Limit: v.Limit, Queue: v.Queue, Body: v.Body, Tries: v.Tries,
+		Pool: v.Pool, QuickLimit: v.Quick, MaxTimeout: v.Limit, MaxQueued: v.Queue, MaxBody: v.Body, MaxTries: v.Tries,
 	}
-	r.Service.Defaults()
+	r.Service.SetDefaults()
 	return nil
 }
 
@@ -108,7 +108,7 @@
 		Pool: v.Pool, Copies: v.Copies, Checkpoint: v.Checkpoint,
 		Cores: v.Needs.Cores, Memory: v.Needs.Memory, Accels: v.Needs.Accels,
 	}
-	r.Job.Defaults()
+	r.Job.SetDefaults()
 	return nil
 }
 
--- a/internal/send/send.go
+++ b/internal/send/send.go
@@ -45,14 +45,14 @@
 
 // New returns a Sender.
 func New(c Config) *Sender {
-	return &Sender{conf: c, pool: exch.New(exch.Config{Answer: c.MaxAnswer, Idle: c.MaxIdle, Clock: c.Clock})}
+	return &Sender{conf: c, pool: exch.New(exch.Config{MaxBody: c.MaxAnswer, IdleTimeout: c.MaxIdle, Clock: c.Clock})}
 }
 
 // Close closes the idle connections.
 func (s *Sender) Close() { s.pool.Close() }
 
 // Drop closes the idle connections to a worker that left or stopped answering.
-func (s *Sender) Drop(addr string) { s.pool.Drop(addr) }
+func (s *Sender) Drop(addr string) { s.pool.CloseIdle(addr) }
 
 // Dispatch sends r to t. A request that is not repeatable gets a new connection: the worker may
 // have closed an idle one, and then it is unknown whether it read the request. The error's kind
@@ -65,7 +65,7 @@
 	if err != nil {
 		s.dropIdle(t.Addr, sent)
 		a.Kind = kindOf(ctx, sent)
-		return gauge.Response{}, a, gauge.Fail(a.Kind, "worker %s gave no whole answer", t.Host).Because(err)
+		return gauge.Response{}, a, gauge.Errorf(a.Kind, "worker %s gave no whole answer", t.Host).WithCause(err)
 	}
 	return s.readAnswer(t, r, resp, a)
 }
@@ -90,14 +90,14 @@
 func (s *Sender) readAnswer(t gauge.Target, r *gauge.Request, resp *fasthttp.Response, a gauge.Attempt) (gauge.Response, gauge.Attempt, error) {
 	if id := string(resp.Header.Peek(headerID)); id != r.ID {
 		// The answer to another request: requests and answers on the connection don't match.
-		s.pool.Drop(t.Addr)
+		s.pool.CloseIdle(t.Addr)
 		a.Kind = gauge.KindUnknown
-		return gauge.Response{}, a, gauge.Fail(a.Kind, "worker %s answered for request %q", t.Host, id)
+		return gauge.Response{}, a, gauge.Errorf(a.Kind, "worker %s answered for request %q", t.Host, id)
 	}
 	if string(resp.Header.Peek(headerRan)) == ranNo {
 		a.Refused = true
-		a.Kind = gauge.KindFull
-		return gauge.Response{}, a, gauge.Fail(a.Kind, "worker %s refused the request", t.Host)
+		a.Kind = gauge.KindNoSlot
+		return gauge.Response{}, a, gauge.Errorf(a.Kind, "worker %s refused the request", t.Host)
 	}
 	out := gauge.Response{
 		Status: resp.StatusCode(),
@@ -106,13 +106,13 @@
 		Body:   resp.Body(), // not copied, as resp is not reused
 	}
 	if out.Status < http.StatusOK || out.Status > maxStatus {
-		s.pool.Drop(t.Addr)
+		s.pool.CloseIdle(t.Addr)
 		a.Kind = gauge.KindUnknown
-		return gauge.Response{}, a, gauge.Fail(a.Kind, "worker %s answered with status %d, which is none", t.Host, out.Status)
+		return gauge.Response{}, a, gauge.Errorf(a.Kind, "worker %s answered with status %d, which is none", t.Host, out.Status)
 	}
 	if out.Status >= http.StatusInternalServerError {
 		a.Kind = gauge.KindFailed
-		return out, a, gauge.Fail(a.Kind, "worker %s answered with status %d", t.Host, out.Status)
+		return out, a, gauge.Errorf(a.Kind, "worker %s answered with status %d", t.Host, out.Status)
 	}
 	return out, a, nil
 }
@@ -136,6 +136,6 @@
 // All of them are closed, at the cost of connecting again.
 func (s *Sender) dropIdle(addr string, sent bool) {
 	if sent {
-		s.pool.Drop(addr)
+		s.pool.CloseIdle(addr)
 	}
 }
--- a/internal/send/send_test.go
+++ b/internal/send/send_test.go
@@ -53,7 +53,7 @@
 			w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 			w.Header().Set("X-Ran", "no")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, gauge.KindFull, false},
+		}, gauge.KindNoSlot, false},
 		{"refusal of another request", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Request-Id", "other")
 			w.Header().Set("X-Ran", "no")
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -32,11 +32,11 @@
 	if err != nil {
 		return gauge.ClaimKey{}, err
 	}
-	key, err := gauge.Key(s.conf.Clock(), r.Team, r.ID)
+	key, err := gauge.ParseIdempotencyKey(s.conf.Clock(), r.Team, r.ID)
 	if err != nil {
 		return key, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.Accepted{
+	held, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.AcceptedRequest{
 		Service: r.Service, Path: r.Path, Type: r.Type, Class: c.declared, Repeatable: r.Repeatable,
 		Timeout: r.Deadline.Sub(c.began), Body: r.Body,
 	})
@@ -50,20 +50,20 @@
 	return key, nil
 }
 
-// checkReuse returns an error of KindReused if the claim belongs to a request with another hash.
-func (s *Server) checkReuse(h claim.Held, hash uint64) error {
+// checkReuse returns an error of KindKeyReused if the claim belongs to a request with another hash.
+func (s *Server) checkReuse(h claim.Row, hash uint64) error {
 	if h.Claim.Hash != hash {
-		return gauge.Refuse(nil, gauge.KindReused, "the idempotency key belongs to another request", 0)
+		return gauge.Refuse(nil, gauge.KindKeyReused, "the idempotency key belongs to another request", 0)
 	}
 	return nil
 }
 
 // runAccepted runs an accepted request to its end. Before anything is dispatched it moves
 // the claim to the state running; if another entry has taken the claim over, it does nothing.
-func (s *Server) runAccepted(c *call, held claim.Held) {
+func (s *Server) runAccepted(c *call, held claim.Row) {
 	ctx, cancel := context.WithDeadline(context.Background(), c.req.Deadline)
 	defer cancel()
-	moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+	moved, owned, err := s.conf.Claims.Transition(ctx, held, gauge.ClaimRunning)
 	if err != nil || !owned {
 		// The claim stays in the state accepted; the search for orphaned claims finds it.
 		s.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
@@ -73,7 +73,7 @@
 	s.recordEnd(c, resp, err)
 	store, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
-	if err := s.conf.Claims.Finish(store, moved, outcomeOf(resp, err)); err != nil {
+	if err := s.conf.Claims.StoreOutcome(store, moved, outcomeOf(resp, err)); err != nil {
 		s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 	}
 }
@@ -96,12 +96,12 @@
 		return nil
 	}
 	if held.Claim.State == gauge.ClaimRunning && !a.Repeatable {
-		moved, owned, err := s.conf.Claims.Move(ctx, held, gauge.ClaimRunning)
+		moved, owned, err := s.conf.Claims.Transition(ctx, held, gauge.ClaimRunning)
 		if err != nil || !owned {
 			return err
 		}
-		lost := gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
-		return s.conf.Claims.Finish(ctx, moved, outcomeOf(gauge.Response{}, lost))
+		lost := gauge.Errorf(gauge.KindUnknown, "the entry that ran the request is gone")
+		return s.conf.Claims.StoreOutcome(ctx, moved, outcomeOf(gauge.Response{}, lost))
 	}
 	c, err := s.restore(ctx, key, a)
 	if err != nil {
@@ -113,8 +113,8 @@
 }
 
 // restore rebuilds the request from its claim, with its whole timeout before it again.
-func (s *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.Accepted) (*call, error) {
-	body, err := s.conf.Claims.Body(ctx, a)
+func (s *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.AcceptedRequest) (*call, error) {
+	body, err := s.conf.Claims.FetchBody(ctx, a)
 	if err != nil {
 		return nil, err
 	}
@@ -126,24 +126,24 @@
 }
 
 // Lookup returns the stored answer or error of a claimed request, an error of
-// KindProgress while it runs, and one of KindMissing if the key is unknown.
+// KindInProgress while it runs, and one of KindNotFound if the key is unknown.
 func (s *Server) Lookup(ctx context.Context, team, id string) (gauge.Response, error) {
-	key, err := gauge.Key(s.conf.Clock(), team, id)
+	key, err := gauge.ParseIdempotencyKey(s.conf.Clock(), team, id)
 	if err != nil {
 		return gauge.Response{}, err
 	}
 	held, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
-		return gauge.Response{}, gauge.Fail(gauge.KindOutage, "the platform's table does not answer").Because(err).After(time.Second)
+		return gauge.Response{}, gauge.Errorf(gauge.KindOutage, "the platform's table does not answer").WithCause(err).WithRetryAfter(time.Second)
 	}
 	if held.Claim.State == "" {
-		return gauge.Response{}, gauge.Fail(gauge.KindMissing, "no request is known by that key")
+		return gauge.Response{}, gauge.Errorf(gauge.KindNotFound, "no request is known by that key")
 	}
 	return s.answerFromClaim(ctx, held, held.Claim.Hash)
 }
 
 // answerFromClaim answers a request from a claim that another request or entry inserted.
-func (s *Server) answerFromClaim(ctx context.Context, h claim.Held, hash uint64) (gauge.Response, error) {
+func (s *Server) answerFromClaim(ctx context.Context, h claim.Row, hash uint64) (gauge.Response, error) {
 	if err := s.checkReuse(h, hash); err != nil {
 		return gauge.Response{}, err
 	}
@@ -151,9 +151,9 @@
 		return s.storedAnswer(ctx, h.Claim.Result)
 	}
 	if h.Claim.Accept == nil && !s.conf.MayBeAlive(h.Claim.Entry) {
-		return gauge.Response{}, gauge.Fail(gauge.KindUnknown, "the entry that ran the request is gone")
+		return gauge.Response{}, gauge.Errorf(gauge.KindUnknown, "the entry that ran the request is gone")
 	}
-	return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the request is running").After(time.Second)
+	return gauge.Response{}, gauge.Errorf(gauge.KindInProgress, "the request is running").WithRetryAfter(time.Second)
 }
 
 // storedAnswer returns the answer or the error that a finished claim holds.
@@ -161,9 +161,9 @@
 	if err := o.Err(); err != nil {
 		return gauge.Response{}, err
 	}
-	body, err := s.conf.Claims.Answer(ctx, o)
+	body, err := s.conf.Claims.FetchAnswer(ctx, o)
 	if err != nil {
-		return gauge.Response{}, gauge.Fail(gauge.KindProgress, "the stored answer can't be read now").Because(err).After(time.Second)
+		return gauge.Response{}, gauge.Errorf(gauge.KindInProgress, "the stored answer can't be read now").WithCause(err).WithRetryAfter(time.Second)
 	}
 	return gauge.Response{Status: o.Status, Type: o.Type, Host: o.Host, Body: body}, nil
 }
--- a/internal/serve/current_test.go
+++ b/internal/serve/current_test.go
@@ -22,7 +22,7 @@
 		want    gauge.Kind
 	}{
 		{"a service, not known to be missing", "added", "t", false, gauge.KindUnready},
-		{"a service, known to be missing", "added", "t", true, gauge.KindMissing},
+		{"a service, known to be missing", "added", "t", true, gauge.KindNotFound},
 		{"a team, not known to be missing", "s", "added", false, gauge.KindUnready},
 		{"a team, known to be missing", "s", "added", true, gauge.KindDenied},
 	} {
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -71,7 +71,7 @@
 	case outcomeNoConnection:
 		a.Kind = gauge.KindOutage
 	case outcomeRefused:
-		a.Kind = gauge.KindFull
+		a.Kind = gauge.KindNoSlot
 	case outcomeAnswerLost:
 		a.Kind = gauge.KindUnknown
 	case outcomeError:
@@ -82,7 +82,7 @@
 	default:
 		return gauge.Response{Status: 200, Host: t.Host, Body: r.Body}, a, nil
 	}
-	return gauge.Response{}, a, gauge.Fail(a.Kind, "as configured")
+	return gauge.Response{}, a, gauge.Errorf(a.Kind, "as configured")
 }
 
 // harness holds entries that share one table and one fake worker.
@@ -116,9 +116,9 @@
 }
 
 func state() gauge.State {
-	svc, pool := &gauge.Service{Pool: "p", Tries: 3}, &gauge.Pool{Hosts: 1}
-	svc.Defaults()
-	pool.Defaults()
+	svc, pool := &gauge.Service{Pool: "p", MaxTries: 3}, &gauge.Pool{Hosts: 1}
+	svc.SetDefaults()
+	pool.SetDefaults()
 	return gauge.State{Revision: 1, Records: map[gauge.RecordID]gauge.Record{
 		{Kind: gauge.RecordPool, Name: "p"}:    {Kind: gauge.RecordPool, Name: "p", Pool: pool},
 		{Kind: gauge.RecordService, Name: "s"}: {Kind: gauge.RecordService, Name: "s", Service: svc},
@@ -126,19 +126,19 @@
 }
 
 // newDesk returns a desk with slots leased for an hour.
-func newDesk(name string) *desk.Desk {
+func newDesk(name string) *desk.Allocator {
 	d := desk.New(desk.Config{
-		Pool: "p", Name: name, Length: 100, Clock: time.Now,
-		Random: rand.New(rand.NewPCG(1, 1)), Kick: func() {},
+		Pool: "p", Holder: name, MaxWaiting: 100, Clock: time.Now,
+		Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 	})
 	var hosts gauge.Hosts
-	lease := slots.Grant{Pool: "p", Seq: 1, Full: true, Term: time.Hour, Free: 100}
+	lease := slots.Grant{Pool: "p", Seq: 1, Full: true, LeaseDuration: time.Hour, MaxIdle: 100}
 	for i := range 4 {
 		id := fmt.Sprintf("w%d", i)
 		hosts = append(hosts, gauge.Host{ID: id, Rack: id, State: gauge.HostServing})
-		lease.Lots = append(lease.Lots, slots.Lot{Host: id, Quick: 8, Long: 8})
+		lease.Slots = append(lease.Slots, slots.HostSlots{Host: id, Quick: 8, Long: 8})
 	}
-	d.Set(hosts, 1)
+	d.SetHosts(hosts, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, _ = d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil) // refused: nothing is leased yet
@@ -146,7 +146,7 @@
 }
 
 // grantLease makes the desk ask for a full lease and grants it.
-func grantLease(d *desk.Desk, lease slots.Grant) *desk.Desk {
+func grantLease(d *desk.Allocator, lease slots.Grant) *desk.Allocator {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
@@ -156,8 +156,8 @@
 		}
 	}()
 	synctest.Wait()
-	d.Renew()
-	d.Grant(lease)
+	d.RenewRequest()
+	d.ApplyGrant(lease)
 	<-done
 	cancel()
 	return d
@@ -171,7 +171,7 @@
 	}
 	return serve.New(serve.Config{
 		Clock: time.Now, Logs: logr.Discard(), State: func() gauge.State { return s },
-		Desk: func(pool string) *desk.Desk {
+		Desk: func(pool string) *desk.Allocator {
 			if pool != "p" {
 				return nil
 			}
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -39,40 +39,40 @@
 }
 
 // acquireQuota takes a slot of the team's quota.
-func (s *Server) acquireQuota(ctx context.Context, c *call) (*gauge.Place, error) {
+func (s *Server) acquireQuota(ctx context.Context, c *call) (*gauge.Slot, error) {
 	if !c.req.Async { // an accepted request waits until its deadline
 		quotaCtx, cancel := context.WithTimeout(ctx, quotaTimeout)
 		defer cancel()
 		ctx = quotaCtx
 	}
 	slot, err := c.team.Acquire(ctx, gauge.ClassQuick, c.req.Deadline, nil)
-	if gauge.Is(err, gauge.KindFull) {
-		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+c.req.Team+" uses all of its quota", gauge.AsError(err).Retry)
+	if gauge.IsKind(err, gauge.KindNoSlot) {
+		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+c.req.Team+" uses all of its quota", gauge.AsError(err).RetryAfter)
 	}
 	return slot, err
 }
 
 // dispatch sends the request once. While it runs, a quick request that exceeds the service's
 // bound for quick requests is reclassified as long.
-func (s *Server) dispatch(ctx context.Context, c *call, slot *gauge.Place) (gauge.Response, gauge.Attempt, error) {
+func (s *Server) dispatch(ctx context.Context, c *call, slot *gauge.Slot) (gauge.Response, gauge.Attempt, error) {
 	defer c.desk.Release(slot)
 	if slot.Class == gauge.ClassQuick {
-		reclassify := time.AfterFunc(c.svc.Quick, func() { c.desk.Turn(slot) })
+		reclassify := time.AfterFunc(c.svc.QuickLimit, func() { c.desk.CountAsLong(slot) })
 		defer reclassify.Stop()
 	}
 	began := s.conf.Clock()
 	resp, a, err := s.conf.Send.Dispatch(ctx, slot.Target, c.req)
 	if c.declared == gauge.ClassQuick && a.MayHaveRun() {
 		s.sizeMu.Lock()
-		s.sizes.Ended(c.req.Service, c.req.Team, s.conf.Clock().Sub(began) > c.svc.Quick)
+		s.sizes.Ended(c.req.Service, c.req.Team, s.conf.Clock().Sub(began) > c.svc.QuickLimit)
 		s.sizeMu.Unlock()
 	}
-	s.conf.Meter.Attempt(c.svc.Pool, err)
+	s.conf.Meter.CountAttempt(c.svc.Pool, err)
 	if err == nil {
-		s.conf.Holds.Work(holds.Whole, "the last answer was whole and bore its request's id")
+		s.conf.Holds.RecordEvent(holds.WholeAnswers, "the last answer was whole and bore its request's id")
 	}
-	if counted, failed := workerOutcome(a, err); counted && c.desk.Outcome(slot.Target.Host, failed) {
-		s.conf.Meter.Ejected(c.svc.Pool)
+	if counted, failed := workerOutcome(a, err); counted && c.desk.RecordOutcome(slot.Target.Host, failed) {
+		s.conf.Meter.CountEjection(c.svc.Pool)
 		s.conf.Logs.Info("worker ejected", "target", slot.Target.Host, "pool", c.svc.Pool)
 	}
 	return resp, a, err
@@ -102,10 +102,10 @@
 	if attempts.MayHaveRun() && !c.req.Repeatable {
 		return finalError(attempts, err)
 	}
-	if len(attempts) >= c.svc.Tries || !c.desk.Untried(attempts) {
+	if len(attempts) >= c.svc.MaxTries || !c.desk.HasUntriedHost(attempts) {
 		return exhaustedError(attempts, err)
 	}
-	pause, ok := c.desk.Repeat(len(attempts))
+	pause, ok := c.desk.SpendRetry(len(attempts))
 	if !ok {
 		return finalError(attempts, err)
 	}
@@ -129,7 +129,7 @@
 		}
 	}
 	if ran == len(attempts) && attempts.Hosts() > 1 {
-		return gauge.Fail(gauge.KindPoison, "the request failed on %d workers", attempts.Hosts()).Because(err)
+		return gauge.Errorf(gauge.KindPoison, "the request failed on %d workers", attempts.Hosts()).WithCause(err)
 	}
 	return finalError(attempts, err)
 }
@@ -142,11 +142,11 @@
 	}
 	kind := gauge.KindOf(err)
 	switch kind {
-	case gauge.KindCancelled, gauge.KindFull:
+	case gauge.KindCancelled, gauge.KindNoSlot:
 	case gauge.KindExpired:
-		kind = gauge.KindFull
+		kind = gauge.KindNoSlot
 	default:
-		kind = gauge.KindEmpty
+		kind = gauge.KindNoWorker
 	}
 	return gauge.Refuse(attempts, kind, gauge.AsError(err).Reason, time.Second)
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -27,12 +27,12 @@
 	// IsStateCurrent reports whether State was recently confirmed to be the newest; nil means
 	// that it always is.
 	IsStateCurrent func() bool
-	Desk           func(name string) *desk.Desk
+	Desk           func(name string) *desk.Allocator
 	Send           gauge.Dispatcher
 	Claims         *claim.Claims
 	Meter          *meter.Meter
-	Burn           *burn.Book
-	Holds          *holds.Book
+	Burn           *burn.Recorder
+	Holds          *holds.Recorder
 	// MayBeAlive reports whether an entry (id/run) may still be running requests.
 	MayBeAlive func(entry string) bool
 }
@@ -67,7 +67,7 @@
 	case <-done:
 		return nil
 	case <-ctx.Done():
-		return gauge.Fail(gauge.KindDraining, "requests are still running").Because(ctx.Err())
+		return gauge.Errorf(gauge.KindDraining, "requests are still running").WithCause(ctx.Err())
 	}
 }
 
@@ -86,8 +86,8 @@
 type call struct {
 	req      *gauge.Request
 	svc      *gauge.Service
-	desk     *desk.Desk
-	team     *desk.Desk // nil: the team has no quota
+	desk     *desk.Allocator
+	team     *desk.Allocator // nil: the team has no quota
 	declared gauge.Class
 	began    time.Time
 }
@@ -113,10 +113,10 @@
 func (s *Server) recordEnd(c *call, resp gauge.Response, err error) {
 	s.conf.Logs.V(1).Info("request ended", "request", c.req.ID, "service", c.req.Service, "team", c.req.Team,
 		"class", string(c.req.Class), "kind", string(kindOf(err)), "target", resp.Host, "revision", s.conf.State().Revision)
-	s.conf.Meter.Request(c.req.Service, c.req.Class, s.conf.Clock().Sub(c.began), err)
-	s.conf.Burn.Note(c.req.Service, err)
+	s.conf.Meter.ObserveRequest(c.req.Service, c.req.Class, s.conf.Clock().Sub(c.began), err)
+	s.conf.Burn.RecordResponse(c.req.Service, err)
 	if err != nil && gauge.AsError(err).Ran() == gauge.RanNo {
-		s.conf.Holds.Work(holds.NotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
+		s.conf.Holds.RecordEvent(holds.TrueNotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
 	}
 }
 
@@ -137,21 +137,21 @@
 	}
 	svc := state.Service(r.Service)
 	if svc == nil {
-		return nil, s.refuseUndeclared(gauge.KindMissing, "there is no service "+r.Service)
+		return nil, s.refuseUndeclared(gauge.KindNotFound, "there is no service "+r.Service)
 	}
-	if len(r.Body) > svc.Body {
-		return nil, gauge.Refuse(nil, gauge.KindLarge, "the body is over the service's bound", 0)
+	if len(r.Body) > svc.MaxBody {
+		return nil, gauge.Refuse(nil, gauge.KindTooLarge, "the body is over the service's bound", 0)
 	}
 	now := s.conf.Clock()
-	if latest := now.Add(svc.Limit); r.Deadline.IsZero() || r.Deadline.After(latest) {
+	if latest := now.Add(svc.MaxTimeout); r.Deadline.IsZero() || r.Deadline.After(latest) {
 		r.Deadline = latest
 	}
 	c := &call{req: r, svc: svc, desk: s.conf.Desk(svc.Pool), declared: r.Class, began: now}
 	if c.desk == nil {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "pool "+svc.Pool+" is not in force here yet", time.Second)
 	}
-	teams := len(state.Names(gauge.RecordTeam))
-	c.team = s.conf.Desk(broker.Quota(r.Team))
+	teams := len(state.RecordNames(gauge.RecordTeam))
+	c.team = s.conf.Desk(broker.QuotaName(r.Team))
 	if teams > 0 && state.Team(r.Team) == nil {
 		return nil, s.refuseUndeclared(gauge.KindDenied, "team "+r.Team+" is not declared")
 	}
@@ -177,7 +177,7 @@
 		resp, _, err := s.run(ctx, c)
 		return resp, err
 	}
-	key, err := gauge.Key(s.conf.Clock(), c.req.Team, c.req.ID)
+	key, err := gauge.ParseIdempotencyKey(s.conf.Clock(), c.req.Team, c.req.ID)
 	if err != nil {
 		return gauge.Response{}, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
@@ -193,10 +193,10 @@
 
 // claim inserts the claim of a request and reports whether it did; otherwise it returns the
 // claim that was there. On an error nothing was dispatched.
-func (s *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.Accepted) (claim.Held, bool, error) {
-	held, inserted, err := s.conf.Claims.Claim(ctx, key, state, requestHash(r), a)
+func (s *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.AcceptedRequest) (claim.Row, bool, error) {
+	held, inserted, err := s.conf.Claims.Insert(ctx, key, state, requestHash(r), a)
 	if err == nil {
-		s.conf.Holds.Work(holds.Once, "the last claim was confirmed before anything was sent")
+		s.conf.Holds.RecordEvent(holds.AtMostOnce, "the last claim was confirmed before anything was sent")
 		return held, inserted, nil
 	}
 	if held.Claim.Token != "" {
@@ -207,14 +207,14 @@
 }
 
 // runClaimed runs a claimed request and stores its outcome.
-func (s *Server) runClaimed(ctx context.Context, c *call, held claim.Held) (gauge.Response, error) {
+func (s *Server) runClaimed(ctx context.Context, c *call, held claim.Row) (gauge.Response, error) {
 	resp, attempts, err := s.run(ctx, c)
 	if err != nil && !attempts.MayHaveRun() {
-		s.inBackground(func(ctx context.Context) { _ = s.conf.Claims.Drop(ctx, held) })
+		s.inBackground(func(ctx context.Context) { _ = s.conf.Claims.Delete(ctx, held) })
 		return resp, err
 	}
 	s.inBackground(func(ctx context.Context) {
-		if err := s.conf.Claims.Finish(ctx, held, outcomeOf(resp, err)); err != nil {
+		if err := s.conf.Claims.StoreOutcome(ctx, held, outcomeOf(resp, err)); err != nil {
 			s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
 		}
 	})
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -22,7 +22,7 @@
 		runsBefore := h.worker.runCount(key)
 		resp, err := s.Serve(context.Background(), request(key, false))
 		check(t, h, key, runsBefore, resp, err)
-		if err == nil || !gauge.KindOf(err).Answer().Again {
+		if err == nil || !gauge.KindOf(err).Answer().Retryable {
 			return resp, err
 		}
 		time.Sleep(5 * time.Second)
@@ -56,7 +56,7 @@
 	for _, fault := range flaky.Faults() {
 		for at := range steps {
 			for _, outcome := range []string{outcomeOK, outcomeNoConnection, outcomeRefused, outcomeAnswerLost, outcomeError, outcomeSlow} {
-				for _, pause := range []time.Duration{0, 2 * flaky.LateBy} {
+				for _, pause := range []time.Duration{0, 2 * flaky.DoneLaterDelay} {
 					t.Run(fmt.Sprintf("%s/%d/%s/%s", fault, at, outcome, pause), func(t *testing.T) {
 						synctest.Test(t, func(t *testing.T) { atMostOnce(t, fault, at, outcome, pause) })
 					})
@@ -68,7 +68,7 @@
 
 func atMostOnce(t *testing.T, fault flaky.Fault, at int, outcome string, pause time.Duration) {
 	h := newHarness(outcome)
-	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, At: at, Fault: fault, Clock: time.Now}))
+	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, FailAt: at, Fault: fault, Clock: time.Now}))
 	second := h.entry("b/1", h.db)
 	key := newKey()
 	resp, err := first.Serve(context.Background(), request(key, false))
@@ -87,7 +87,7 @@
 		assert.NilError(t, s.Drain(ctx))
 		cancel()
 	}
-	time.Sleep(2 * flaky.FrozenFor) // calls that were frozen in a shared commit continue
+	time.Sleep(2 * flaky.PauseDuration) // calls that were frozen in a shared commit continue
 }
 
 // Guards against an accepted request that never ends, or runs twice. One entry accepts it and
@@ -111,7 +111,7 @@
 
 func takeover(t *testing.T, repeatable bool, fault flaky.Fault, at int, diesAfter time.Duration) {
 	h := newHarness()
-	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, At: at, Fault: fault, Clock: time.Now}))
+	first := h.entry("a/1", flaky.New(flaky.Config{Table: h.db, FailAt: at, Fault: fault, Clock: time.Now}))
 	second := h.entry("b/1", h.db)
 	key := newKey()
 	r := request(key, repeatable)
@@ -128,7 +128,7 @@
 	var final error
 	for range 60 {
 		time.Sleep(5 * time.Second)
-		entries, err := reader.Entries(context.Background())
+		entries, err := reader.UnfinishedByEntry(context.Background())
 		assert.NilError(t, err)
 		if !h.isAlive("a/1") && len(entries["a/1"]) > 0 {
 			assert.DeepEqual(t, entries["a/1"], []gauge.ClaimKey{claimKey})
@@ -139,12 +139,12 @@
 		if final == nil {
 			assert.Equal(t, string(resp.Body), "of "+key)
 		}
-		if final == nil || !gauge.KindOf(final).Answer().Again {
+		if final == nil || !gauge.KindOf(final).Answer().Retryable {
 			break
 		}
 	}
 	drain(t, first, second)
-	entries, err := reader.Entries(context.Background())
+	entries, err := reader.UnfinishedByEntry(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, len(entries), 0, "a finished request is still listed")
 	runs := h.worker.runCount(key)
@@ -154,7 +154,7 @@
 	if repeatable {
 		assert.NilError(t, final)
 	}
-	assert.Assert(t, final == nil || gauge.Is(final, gauge.KindUnknown), "%v", final)
+	assert.Assert(t, final == nil || gauge.IsKind(final, gauge.KindUnknown), "%v", final)
 }
 
 // Guards against a repeatable request whose caller is told to wait, or gets an error that
@@ -172,7 +172,7 @@
 		{"first worker's answer is lost", []string{outcomeAnswerLost}, "", "", 2},
 		{"two workers fail", []string{outcomeError, outcomeError}, "", "", 3},
 		{"all workers fail", []string{outcomeError, outcomeError, outcomeError}, gauge.KindPoison, gauge.RanUnknown, 3},
-		{"no worker can be reached", []string{outcomeNoConnection, outcomeNoConnection, outcomeNoConnection}, gauge.KindEmpty, gauge.RanNo, 0},
+		{"no worker can be reached", []string{outcomeNoConnection, outcomeNoConnection, outcomeNoConnection}, gauge.KindNoWorker, gauge.RanNo, 0},
 		{"too slow", []string{outcomeSlow}, gauge.KindExpired, gauge.RanUnknown, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -205,7 +205,7 @@
 		other := request(key, false)
 		other.Body = []byte("something else")
 		_, err = s.Serve(context.Background(), other)
-		assert.Equal(t, gauge.KindOf(err), gauge.KindReused)
+		assert.Equal(t, gauge.KindOf(err), gauge.KindKeyReused)
 		assert.Equal(t, h.worker.runCount(key), 1)
 	})
 }
--- a/internal/sizing/bench_test.go
+++ b/internal/sizing/bench_test.go
@@ -17,7 +17,7 @@
 			}
 			g := newHarness(counts)
 			for i := range size.pools {
-				g.load(gauge.PoolLoad{Pool: fmt.Sprintf("p%03d", i), Timely: gauge.Demand{Busy: 50}}, 0)
+				g.load(gauge.PoolLoad{Pool: fmt.Sprintf("p%03d", i), Timely: gauge.Demand{RunningCores: 50}}, 0)
 			}
 			for b.Loop() {
 				g.next()
--- a/internal/sizing/move.go
+++ b/internal/sizing/move.go
@@ -27,7 +27,7 @@
 			s.move(m, pool, now)
 		}
 	}
-	if len(s.standbyPools) == 0 || s.conf.Without.Has(gauge.MechanismStandby) {
+	if len(s.standbyPools) == 0 || s.conf.Disabled.Has(gauge.MechanismStandby) {
 		return
 	}
 	for _, pool := range pools {
@@ -55,14 +55,14 @@
 	}
 	s.index.assigned[m.Pool]--
 	s.index.assigned[to]++
-	s.moves[m.ID] = &Move{Machine: m.ID, From: m.Pool, To: to, Worker: m.Worker, Empty: standby, chosenAt: now}
+	s.moves[m.ID] = &Move{Machine: m.ID, From: m.Pool, To: to, Worker: m.Worker, Drained: standby, chosenAt: now}
 	s.conf.Logs.Info("move chosen", "machine", m.ID, "from", m.Pool, "to", to)
 }
 
 // redirect sends a machine that is bound for standby, and not yet ordered to move, to a pool that
 // needs it: by way of standby it would move twice.
 func (s *Sizer) redirect(pool string) bool {
-	if s.conf.Without.Has(gauge.MechanismRedirect) {
+	if s.conf.Disabled.Has(gauge.MechanismRedirect) {
 		return false
 	}
 	var best *Move
@@ -116,7 +116,7 @@
 			continue
 		}
 		w := runs[m.Worker]
-		if w.Lasting > 0 {
+		if w.LongRunning > 0 {
 			continue
 		}
 		if !found || lessDisruptive(m, w, best, runs[best.Worker], later) {
@@ -132,5 +132,5 @@
 	if later(a.ID) != later(b.ID) {
 		return later(b.ID)
 	}
-	return cmp.Or(cmp.Compare(onA.Busy, onB.Busy), cmp.Compare(onA.Runs, onB.Runs), cmp.Compare(a.ID, b.ID)) < 0
+	return cmp.Or(cmp.Compare(onA.RemainingTime, onB.RemainingTime), cmp.Compare(onA.Runs, onB.Runs), cmp.Compare(a.ID, b.ID)) < 0
 }
--- a/internal/sizing/rise_test.go
+++ b/internal/sizing/rise_test.go
@@ -13,11 +13,11 @@
 
 // peakDelay lets jobs come to pool "a" at a rate that rises twentyfold after a calm time, and
 // returns how long after the rise the pool is given most of the machines that it needs.
-func peakDelay(t *testing.T, without gauge.Without, perSecond, coreSeconds float64) time.Duration {
+func peakDelay(t *testing.T, disabled gauge.Disabled, perSecond, coreSeconds float64) time.Duration {
 	t.Helper()
 	const sampleInterval = 100 * time.Millisecond
 	g := newHarness(map[string]int{"a": 20, "spare": 400})
-	g.sizer = sizing.New(sizing.Config{Logs: logr.Discard(), Without: without})
+	g.sizer = sizing.New(sizing.Config{Logs: logr.Discard(), Disabled: disabled})
 	g.list()
 	full := int(0.8 * perSecond * coreSeconds * 1.25 / 16)
 	due, arrived, jobs := 0.0, 0.0, 0
@@ -32,7 +32,7 @@
 			jobs++
 			arrived += coreSeconds
 		}
-		g.load(gauge.PoolLoad{Pool: "a", Arrived: arrived, Jobs: jobs}, 0)
+		g.load(gauge.PoolLoad{Pool: "a", ArrivedCoreSeconds: arrived, ArrivedJobs: jobs}, 0)
 		if countTo(g.next(), "a") >= full-20 {
 			return at + sampleInterval - calmTime
 		}
@@ -57,7 +57,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			took := peakDelay(t, nil, tt.perSecond, 4800/tt.perSecond)
 			assert.Assert(t, took <= tt.within, "%s", took)
-			before := peakDelay(t, gauge.Without{gauge.MechanismRise}, tt.perSecond, 4800/tt.perSecond)
+			before := peakDelay(t, gauge.Disabled{gauge.MechanismRise}, tt.perSecond, 4800/tt.perSecond)
 			assert.Assert(t, took < before, "%s, %s", took, before)
 		})
 	}
@@ -68,6 +68,6 @@
 	g := newHarness(map[string]int{"a": 3, "spare": 40})
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
 	g.now += 100 * time.Millisecond
-	g.load(gauge.PoolLoad{Pool: "a", Arrived: 600, Jobs: 5}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", ArrivedCoreSeconds: 600, ArrivedJobs: 5}, 0)
 	assert.Assert(t, countTo(g.next(), "a") <= 15, "600 core-seconds over three seconds, with headroom")
 }
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -20,8 +20,8 @@
 
 // Config sets up a Sizer.
 type Config struct {
-	Without gauge.Without // mechanisms that are switched off
-	Logs    logr.Logger
+	Disabled gauge.Disabled // mechanisms that are switched off
+	Logs     logr.Logger
 }
 
 // Move is a machine on its way to another pool.
@@ -30,7 +30,7 @@
 	From       string
 	To         string
 	Worker     string
-	Empty      bool // nothing runs there any more: the move can be ordered
+	Drained    bool // nothing runs there any more: the move can be ordered
 	chosenAt   time.Duration
 	inFlight   bool // a call for it is in flight: it must not change until the call has ended
 	unanswered bool // an order got no answer: it is repeated until one does
@@ -118,25 +118,25 @@
 	listDelay = 400 * time.Millisecond
 )
 
-// Kept returns how long surplus machines are kept in their pool, to be passed on to the next
+// Retention returns how long surplus machines are kept in their pool, to be passed on to the next
 // holder.
-func (s *Sizer) Kept(now time.Duration) time.Duration { return s.retention.current(now) }
+func (s *Sizer) Retention(now time.Duration) time.Duration { return s.retention.current(now) }
 
-// Learnt sets the retention that the previous holder had learnt; 0: unknown.
-func (s *Sizer) Learnt(span, now time.Duration) {
+// SetRetention sets the retention that the previous holder had learnt; 0: unknown.
+func (s *Sizer) SetRetention(span, now time.Duration) {
 	s.retention = retention{period: min(max(span, minRetention), maxRetention), lastChanged: now}
 }
 
-// Load records a load report of a pool's owner.
-func (s *Sizer) Load(l gauge.PoolLoad, now time.Duration) {
+// RecordLoad records a load report of a pool's owner.
+func (s *Sizer) RecordLoad(l gauge.PoolLoad, now time.Duration) {
 	old, ok := s.loads[l.Pool]
-	if ok && l.Arrived >= old.Arrived {
-		s.arrivals[l.Pool] = s.arrivals[l.Pool].add(arrival{at: now, previous: old.receivedAt, coreSeconds: l.Arrived - old.Arrived, jobs: l.Jobs - old.Jobs})
+	if ok && l.ArrivedCoreSeconds >= old.ArrivedCoreSeconds {
+		s.arrivals[l.Pool] = s.arrivals[l.Pool].add(arrival{at: now, previous: old.receivedAt, coreSeconds: l.ArrivedCoreSeconds - old.ArrivedCoreSeconds, jobs: l.ArrivedJobs - old.ArrivedJobs})
 	}
 	runs := make(map[string]gauge.WorkerLoad, len(l.Workers))
 	for _, w := range l.Workers {
 		runs[w.ID] = w
-		s.longRunning[w.ID] = w.Lasting
+		s.longRunning[w.ID] = w.LongRunning
 	}
 	for id := range old.workers {
 		if _, there := runs[id]; !there {
@@ -146,9 +146,9 @@
 	s.loads[l.Pool] = load{PoolLoad: l, receivedAt: now, workers: runs}
 }
 
-// Machines replaces the list of machines and the standby pools. Asked is when the list was
+// SetMachines replaces the list of machines and the standby pools. Asked is when the list was
 // requested.
-func (s *Sizer) Machines(list []gauge.Machine, standby []string, asked time.Duration) {
+func (s *Sizer) SetMachines(list []gauge.Machine, standby []string, asked time.Duration) {
 	clear(s.machines)
 	for _, m := range list {
 		s.machines[m.ID] = m
@@ -166,39 +166,40 @@
 	}
 }
 
-// Moving reports whether the machine is on its way to another pool.
-func (s *Sizer) Moving(machine string) bool { return s.moves[machine] != nil }
+// IsMoving reports whether the machine is on its way to another pool.
+func (s *Sizer) IsMoving(machine string) bool { return s.moves[machine] != nil }
 
-// Lasting returns how many long-running tasks run on the worker, according to the latest loads.
-func (s *Sizer) Lasting(worker string) int { return s.longRunning[worker] }
+// LongRunningTasks returns how many long-running tasks run on the worker, according to the latest
+// loads.
+func (s *Sizer) LongRunningTasks(worker string) int { return s.longRunning[worker] }
 
-// Pressed reports whether the pool is short of machines for its current work.
-func (s *Sizer) Pressed(pool string) bool {
-	return s.loads[pool].Timely.Waiting > 0 || s.shortfall(pool) > 0
+// IsShort reports whether the pool is short of machines for its current work.
+func (s *Sizer) IsShort(pool string) bool {
+	return s.loads[pool].Timely.WaitingCores > 0 || s.shortfall(pool) > 0
 }
 
-// Begun records that a machine's owner is being asked to drain it, followed by the order to move it
-// if it is drained.
-func (s *Sizer) Begun(machine string) {
+// MarkInFlight records that a machine's owner is being asked to drain it, followed by the order to
+// move it if it is drained.
+func (s *Sizer) MarkInFlight(machine string) {
 	if v := s.moves[machine]; v != nil {
 		v.inFlight = true
 	}
 }
 
-// Emptied records whether nothing runs on a machine, as its pool's owner reported.
-func (s *Sizer) Emptied(machine string, empty bool) {
+// SetDrained records whether nothing runs on a machine, as its pool's owner reported.
+func (s *Sizer) SetDrained(machine string, empty bool) {
 	if v := s.moves[machine]; v != nil {
-		v.Empty, v.inFlight = empty, false
+		v.Drained, v.inFlight = empty, false
 	}
 }
 
-// Ordered records the result of an order.
-func (s *Sizer) Ordered(machine string, err error, now time.Duration) {
+// RecordOrder records the result of an order.
+func (s *Sizer) RecordOrder(machine string, err error, now time.Duration) {
 	v := s.moves[machine]
 	if v == nil {
 		return
 	}
-	v.unanswered = gauge.Is(err, gauge.KindUnknown)
+	v.unanswered = gauge.IsKind(err, gauge.KindUnknown)
 	v.orderedAt = now
 	if err != nil && !v.unanswered {
 		delete(s.moves, machine)
@@ -286,7 +287,7 @@
 	s.loggedCounts[pool] = count
 	l := s.loads[pool]
 	s.conf.Logs.Info("pool wants", "pool", pool, "machines", count, "has", s.assigned(pool), "base", n.base, "timely", n.timely,
-		"late", n.late, "lasting", l.Lasting, "busy", l.Timely.Busy, "waiting", l.Timely.Waiting,
+		"late", n.late, "lasting", l.LongRunningCores, "busy", l.Timely.RunningCores, "waiting", l.Timely.WaitingCores,
 		"rate", s.rate(pool, now), "age", now-l.receivedAt)
 }
 
@@ -294,14 +295,14 @@
 func (s *Sizer) poolNeed(pool string, now time.Duration) need {
 	l, cores := s.loads[pool], s.cores(pool)
 	timely := l.Timely.Cores()
-	if !s.conf.Without.Has(gauge.MechanismRate) {
+	if !s.conf.Disabled.Has(gauge.MechanismRate) {
 		timely = max(timely, s.rate(pool, now))
 	}
 	// One machine more than long-running tasks need, so that any of them can be drained, and more
 	// while some of the tasks have no worker.
-	n := need{base: max(minPoolMachines, ceil(l.Lasting*headroom/cores)+1, l.Spread+1) + min(l.Away, maxUnplacedMachines)}
-	n.timely = max(0, ceil((l.Lasting+timely*headroom)/cores)-n.base)
-	if !s.conf.Without.Has(gauge.MechanismOverdue) {
+	n := need{base: max(minPoolMachines, ceil(l.LongRunningCores*headroom/cores)+1, l.MinWorkers+1) + min(l.Unplaced, maxUnplacedMachines)}
+	n.timely = max(0, ceil((l.LongRunningCores+timely*headroom)/cores)-n.base)
+	if !s.conf.Disabled.Has(gauge.MechanismOverdue) {
 		n.late = ceil(l.Late.Cores() / cores)
 	}
 	return n
@@ -311,10 +312,10 @@
 func (s *Sizer) rate(pool string, now time.Duration) float64 {
 	arrivals := s.arrivals[pool]
 	rate := arrivals.rate(now)
-	if !s.conf.Without.Has(gauge.MechanismRise) {
+	if !s.conf.Disabled.Has(gauge.MechanismRise) {
 		rate = max(rate, arrivals.riseRate(now))
 	}
-	if !s.conf.Without.Has(gauge.MechanismAhead) {
+	if !s.conf.Disabled.Has(gauge.MechanismAhead) {
 		rate += arrivals.forecast(now)
 	}
 	return rate
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -36,7 +36,7 @@
 	return g
 }
 
-func (g *harness) list() { g.sizer.Machines(g.machines, []string{"spare"}, g.now) }
+func (g *harness) list() { g.sizer.SetMachines(g.machines, []string{"spare"}, g.now) }
 
 // load reports a load of a pool whose machines all run something, the given number of them
 // long-running tasks.
@@ -45,13 +45,13 @@
 		if m.Pool == l.Pool {
 			w := gauge.WorkerLoad{ID: m.Worker, Runs: 1 + i%3}
 			if longRunning > 0 {
-				w.Lasting = 1
+				w.LongRunning = 1
 				longRunning--
 			}
 			l.Workers = append(l.Workers, w)
 		}
 	}
-	g.sizer.Load(l, g.now)
+	g.sizer.RecordLoad(l, g.now)
 }
 
 func (g *harness) next() []sizing.Move { return g.sizer.Next(g.now, never, never) }
@@ -70,19 +70,19 @@
 // idle; a fixed split would leave it short of half its demand.
 func TestMachinesGoToThePoolAtItsPeak(t *testing.T) {
 	g := newHarness(map[string]int{"a": 9, "b": 9, "spare": 8})
-	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 140, Waiting: 210}}, 0)
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Busy: 5}}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{RunningCores: 140, WaitingCores: 210}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{RunningCores: 5}}, 0)
 	moves := g.next()
 	assert.Equal(t, countTo(moves, "a"), 8+6, "all from standby, and what b has above its base")
 	for _, m := range moves {
-		assert.Equal(t, m.Empty, m.From == "spare", "a machine in use is emptied first")
+		assert.Equal(t, m.Drained, m.From == "spare", "a machine in use is emptied first")
 	}
 }
 
 func TestMachinesWithLongRunningTasksStay(t *testing.T) {
 	g := newHarness(map[string]int{"a": 4, "b": 9})
-	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 300}}, 0)
-	g.load(gauge.PoolLoad{Pool: "b", Lasting: 10}, 9)
+	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{WaitingCores: 300}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", LongRunningCores: 10}, 9)
 	assert.Equal(t, countTo(g.next(), "a"), 0)
 }
 
@@ -90,7 +90,7 @@
 func TestPoolsThatAreBothShortShareTheMachines(t *testing.T) {
 	g := newHarness(map[string]int{"a": 3, "b": 3, "spare": 20})
 	for _, pool := range []string{"a", "b"} {
-		g.load(gauge.PoolLoad{Pool: pool, Timely: gauge.Demand{Waiting: 400}}, 0)
+		g.load(gauge.PoolLoad{Pool: pool, Timely: gauge.Demand{WaitingCores: 400}}, 0)
 	}
 	moves := g.next()
 	assert.Equal(t, countTo(moves, "a"), 10)
@@ -99,8 +99,8 @@
 
 func TestLateWorkComesAfterTimelyWork(t *testing.T) {
 	g := newHarness(map[string]int{"a": 3, "b": 3, "spare": 10})
-	g.load(gauge.PoolLoad{Pool: "a", Late: gauge.Demand{Waiting: 400}}, 0)
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 96}}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", Late: gauge.Demand{WaitingCores: 400}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{WaitingCores: 96}}, 0)
 	assert.Equal(t, countTo(g.next(), "b"), 5, "96 cores with headroom are eight machines, three are there")
 }
 
@@ -108,12 +108,12 @@
 func TestSurplusIsKeptForAWhile(t *testing.T) {
 	g := newHarness(map[string]int{"a": 9, "spare": 1})
 	for range 35 {
-		g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 5}}, 0)
+		g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{RunningCores: 5}}, 0)
 		assert.Equal(t, len(g.next()), 0)
 		g.now += 100 * time.Millisecond
 	}
 	g.now += time.Second
-	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Busy: 5}}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{RunningCores: 5}}, 0)
 	assert.Equal(t, countTo(g.next(), "spare"), 6)
 }
 
@@ -121,7 +121,7 @@
 // returns how long that took.
 func (g *harness) roundTrip(t *testing.T) time.Duration {
 	t.Helper()
-	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 100}}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{WaitingCores: 100}}, 0)
 	moves := g.next()
 	assert.Assert(t, len(moves) > 0, "machines come from standby")
 	g.carryOut(moves)
@@ -138,8 +138,8 @@
 // carryOut completes the moves: the machines arrive in their new pools.
 func (g *harness) carryOut(moves []sizing.Move) {
 	for _, v := range moves {
-		g.sizer.Emptied(v.Machine, true)
-		g.sizer.Ordered(v.Machine, nil, g.now)
+		g.sizer.SetDrained(v.Machine, true)
+		g.sizer.RecordOrder(v.Machine, nil, g.now)
 		for i := range g.machines {
 			if g.machines[i].ID == v.Machine {
 				g.machines[i].Pool = v.To
@@ -174,13 +174,13 @@
 
 func TestNextHolderTakesOverTheRetention(t *testing.T) {
 	g := newHarness(map[string]int{"a": 9, "spare": 1})
-	g.sizer.Learnt(16*time.Second, g.now)
-	assert.Equal(t, g.sizer.Kept(g.now), 16*time.Second)
-	assert.Equal(t, g.sizer.Kept(g.now+longAfter), 8*time.Second, "nothing was taken back for long")
-	g.sizer.Learnt(time.Hour, g.now)
-	assert.Equal(t, g.sizer.Kept(g.now), 30*time.Second)
-	g.sizer.Learnt(0, g.now)
-	assert.Equal(t, g.sizer.Kept(g.now), 4*time.Second)
+	g.sizer.SetRetention(16*time.Second, g.now)
+	assert.Equal(t, g.sizer.Retention(g.now), 16*time.Second)
+	assert.Equal(t, g.sizer.Retention(g.now+longAfter), 8*time.Second, "nothing was taken back for long")
+	g.sizer.SetRetention(time.Hour, g.now)
+	assert.Equal(t, g.sizer.Retention(g.now), 30*time.Second)
+	g.sizer.SetRetention(0, g.now)
+	assert.Equal(t, g.sizer.Retention(g.now), 4*time.Second)
 }
 
 // longAfter is longer than the learnt retention lasts without a machine being taken back.
@@ -191,7 +191,7 @@
 	g := newHarness(map[string]int{"a": 9, "b": 9})
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
 	g.now += 10 * time.Second
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 400}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{WaitingCores: 400}}, 0)
 	assert.Equal(t, len(g.next()), 0)
 }
 
@@ -199,10 +199,10 @@
 // shows the machine in its old pool; the move was forgotten before its result was known.
 func TestUnansweredMoveIsOrderedAgainUnchanged(t *testing.T) {
 	g := newHarness(map[string]int{"a": 3, "spare": 1})
-	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{Waiting: 100}}, 0)
+	g.load(gauge.PoolLoad{Pool: "a", Timely: gauge.Demand{WaitingCores: 100}}, 0)
 	first := g.next()
 	assert.Equal(t, len(first), 1)
-	g.sizer.Ordered(first[0].Machine, gauge.Fail(gauge.KindUnknown, "no answer"), g.now)
+	g.sizer.RecordOrder(first[0].Machine, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 	g.now += time.Second
 	g.list()
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
@@ -228,7 +228,7 @@
 func TestSurplusOnItsWayToStandbyIsRedirected(t *testing.T) {
 	g := newHarness(map[string]int{"a": 9, "b": 3, "spare": 0})
 	assert.Equal(t, countTo(g.idleUntilSurplus(), "spare"), 6)
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 200}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{WaitingCores: 200}}, 0)
 	moves := g.next()
 	assert.Equal(t, countTo(moves, "b"), 6)
 	assert.Equal(t, countTo(moves, "spare"), 0)
@@ -241,14 +241,14 @@
 	moves := g.idleUntilSurplus()
 	assert.Equal(t, countTo(moves, "spare"), 6)
 	for _, m := range moves {
-		g.sizer.Begun(m.Machine)
+		g.sizer.MarkInFlight(m.Machine)
 	}
 	g.now += 5 * time.Second
 	g.load(gauge.PoolLoad{Pool: "a"}, 0)
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 200}}, 0)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{WaitingCores: 200}}, 0)
 	assert.Equal(t, countTo(g.next(), "spare"), 6, "neither redirected nor given up")
 	for _, m := range moves {
-		g.sizer.Emptied(m.Machine, false)
+		g.sizer.SetDrained(m.Machine, false)
 	}
 	assert.Equal(t, countTo(g.next(), "spare"), 0)
 }
@@ -271,7 +271,7 @@
 	for i := range 20 {
 		g.now += 100 * time.Millisecond
 		arrived += 60 - 2*float64(i)
-		g.load(gauge.PoolLoad{Pool: "a", Arrived: arrived}, 0)
+		g.load(gauge.PoolLoad{Pool: "a", ArrivedCoreSeconds: arrived}, 0)
 		g.next()
 	}
 	assert.Assert(t, wanted > 20, "%d machines", wanted)
@@ -285,11 +285,11 @@
 	l := gauge.PoolLoad{Pool: "a"}
 	for i := range 9 {
 		l.Workers = append(l.Workers, gauge.WorkerLoad{
-			ID: fmt.Sprintf("i-a-%02d", i), Runs: 1 + i%3, Busy: time.Duration(9-i) * 100 * time.Millisecond,
+			ID: fmt.Sprintf("i-a-%02d", i), Runs: 1 + i%3, RemainingTime: time.Duration(9-i) * 100 * time.Millisecond,
 		})
 	}
-	g.sizer.Load(l, g.now)
-	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{Waiting: 70}}, 0)
+	g.sizer.RecordLoad(l, g.now)
+	g.load(gauge.PoolLoad{Pool: "b", Timely: gauge.Demand{WaitingCores: 70}}, 0)
 	var moved []string
 	for _, m := range g.next() {
 		moved = append(moved, m.Machine)
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -89,7 +89,7 @@
 	class     gauge.Class
 	arrivedAt time.Duration
 	duration  time.Duration
-	place     *gauge.Place
+	place     *gauge.Slot
 
 	paused bool // its entry was paused when it arrived, so its waiting time is no result of the way of sharing
 }
@@ -102,15 +102,15 @@
 		running: make(map[string]int), waits: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
 	}
 	targets := make(map[string]gauge.Target)
-	f := slots.Fleet{Reserve: 2, Floor: 1, Same: 1, Known: 1}
+	f := slots.Fleet{Reserve: 2, Floor: 1, SameViewCount: 1, KnownCount: 1}
 	for i := range workers {
 		h := gauge.Host{ID: fmt.Sprintf("w%03d", i), Slots: slotsPerWorker, State: gauge.HostServing, Rack: fmt.Sprint(i / 4)}
 		w.workers = append(w.workers, h)
 		targets[h.ID] = h.Target()
-		f.Hosts = append(f.Hosts, slots.Room{Host: h.ID, Slots: slotsPerWorker})
+		f.Hosts = append(f.Hosts, slots.HostCapacity{Host: h.ID, Slots: slotsPerWorker})
 	}
-	w.owner = slots.New(slots.Config{Pool: "p", Term: leaseDuration, Limit: maxRunTime, Start: base().Add(-time.Hour)})
-	w.owner.Set(f)
+	w.owner = slots.New(slots.Config{Pool: "p", LeaseDuration: leaseDuration, MaxRunTime: maxRunTime, OwnerSince: base().Add(-time.Hour)})
+	w.owner.SetFleet(f)
 	for i := range entries {
 		e := &simEntry{queues: make(map[gauge.Class][]*simRequest)}
 		if sharing == sharingLease {
@@ -148,9 +148,9 @@
 	}
 	if w.sharing == sharingLease {
 		// Skips the first lease duration and reports all workers idle.
-		w.owner.Ask(base(), slots.Ask{Holder: "first", Seq: 1, Full: true})
+		w.owner.HandleRequest(base(), slots.LeaseRequest{Holder: "first", Seq: 1, Full: true})
 		for _, h := range w.workers {
-			w.owner.Seen(h.ID, 0, base().Add(time.Second))
+			w.owner.ObserveUsage(h.ID, 0, base().Add(time.Second))
 		}
 	}
 	for len(w.queue) > 0 {
@@ -222,7 +222,7 @@
 		}
 		r := w.ticketQueue[0]
 		w.ticketQueue = w.ticketQueue[1:]
-		r.place = &gauge.Place{Target: gauge.Target{Host: best}}
+		r.place = &gauge.Slot{Target: gauge.Target{Host: best}}
 		w.running[best]++ // occupied from now on
 		w.total++
 		w.schedule(networkDelay, func() {
@@ -247,7 +247,7 @@
 	e := w.entries[i]
 	for _, c := range []gauge.Class{gauge.ClassQuick, gauge.ClassLong} {
 		for len(e.queues[c]) > 0 {
-			p, ok := e.slots.Take(base().Add(w.now), c, nil, nil)
+			p, ok := e.slots.Acquire(base().Add(w.now), c, nil, nil)
 			if !ok {
 				break
 			}
@@ -258,7 +258,7 @@
 	}
 }
 
-func (w *simulation) start(i int, r *simRequest, p *gauge.Place) {
+func (w *simulation) start(i int, r *simRequest, p *gauge.Slot) {
 	w.recordStart(r)
 	w.running[p.Target.Host]++
 	w.total++
@@ -267,7 +267,7 @@
 		w.total--
 		w.atEntry(i, func() {
 			e := w.entries[i]
-			e.slots.Done(p)
+			e.slots.Release(p)
 			w.startQueued(i)
 			if e.holder != nil && e.holder.IsScarce() {
 				w.sendRequestSoon(i)
@@ -305,7 +305,7 @@
 	}
 	w.countBytes(a)
 	w.schedule(networkDelay, func() {
-		g, pushes := w.owner.Ask(base().Add(w.now), a)
+		g, pushes := w.owner.HandleRequest(base().Add(w.now), a)
 		w.deliver(i, g)
 		for _, p := range pushes {
 			w.deliver(holderIndex("e"+p.Holder), p.Grant)
--- a/internal/slots/doubt.go
+++ b/internal/slots/doubt.go
@@ -19,7 +19,7 @@
 // lease duration: an entry that held slots under the previous owner and is gone, often that owner
 // itself, may still have requests running.
 func (o *Owner) markUnreported(now time.Time) {
-	end := o.conf.Start.Add(o.conf.Term)
+	end := o.conf.OwnerSince.Add(o.conf.LeaseDuration)
 	if o.firstTermOver || now.Before(end) {
 		return
 	}
@@ -27,7 +27,7 @@
 	for _, r := range o.fleet.Hosts {
 		if n := r.Slots - o.leased[r.Host].total(); n > 0 {
 			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
-				host: r.Host, slots: n, expiredAt: end, until: end.Add(o.conf.Limit),
+				host: r.Host, slots: n, expiredAt: end, until: end.Add(o.conf.MaxRunTime),
 			})
 		}
 	}
@@ -44,7 +44,7 @@
 		for host, t := range h.byHost {
 			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
 				host: host, holder: name, slots: t.total(),
-				expiredAt: now, until: now.Add(o.conf.Limit),
+				expiredAt: now, until: now.Add(o.conf.MaxRunTime),
 			})
 		}
 		o.clearLeases(h)
@@ -59,9 +59,9 @@
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.holder == holder })
 }
 
-// Seen takes in how many slots of a host the platform saw in use at a time. The slots that
+// ObserveUsage takes in how many slots of a host the platform saw in use at a time. The slots that
 // became unconfirmed before that time can't be more.
-func (o *Owner) Seen(host string, used int, at time.Time) {
+func (o *Owner) ObserveUsage(host string, used int, at time.Time) {
 	for i := range o.unconfirmed {
 		d := &o.unconfirmed[i]
 		if d.host != host || !d.expiredAt.Before(at) {
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -17,24 +17,24 @@
 
 // Config sets up an Owner.
 type Config struct {
-	Pool  string
-	Term  time.Duration // of a lease
-	Limit time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
-	Start time.Time     // when this entry became the owner
+	Pool          string
+	LeaseDuration time.Duration // of a lease
+	MaxRunTime    time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
+	OwnerSince    time.Time     // when this entry became the owner
 }
 
-// Fleet is the capacity that an owner may lease out. Its share of each worker's slots is the fraction
-// of the known entries that have the same view of the live entries as the owner.
+// Fleet is the capacity that an owner may lease out. Its share of each worker's slots is the
+// fraction of the known entries that have the same view of the live entries as the owner.
 type Fleet struct {
-	Hosts   []Room
-	Reserve int // slots of each worker that long requests may not use
-	Floor   int // slots of each worker that quick requests may not use
-	Same    int // entries with the same view, the owner included
-	Known   int
+	Hosts         []HostCapacity
+	Reserve       int // slots of each worker that long requests may not use
+	Floor         int // slots of each worker that quick requests may not use
+	SameViewCount int // entries with the same view, the owner included
+	KnownCount    int
 }
 
-// Room is a worker that may be given requests, with all its slots.
-type Room struct {
+// HostCapacity is a worker that may be given requests, with all its slots.
+type HostCapacity struct {
 	Host  string
 	Slots int
 }
@@ -69,8 +69,8 @@
 	return &Owner{conf: c, leased: make(map[string]classCounts), holders: make(map[string]*holderState)}
 }
 
-// Set sets the capacity that may be leased out from now on.
-func (o *Owner) Set(f Fleet) {
+// SetFleet sets the capacity that may be leased out from now on.
+func (o *Owner) SetFleet(f Fleet) {
 	o.fleet = f
 	o.capacity = 0
 	for _, r := range f.Hosts {
@@ -78,21 +78,21 @@
 	}
 }
 
-// Ask records what a holder has, gives back and wants. It returns the answer, and the grants that
-// this makes possible for other holders. A request whose sequence number isn't above the last one
-// seen was overtaken on the way: it changes nothing and is rejected.
-func (o *Owner) Ask(now time.Time, req Ask) (Grant, []Push) {
+// HandleRequest records what a holder has, gives back and wants. It returns the answer, and the
+// grants that this makes possible for other holders. A request whose sequence number isn't above
+// the last one seen was overtaken on the way: it changes nothing and is rejected.
+func (o *Owner) HandleRequest(now time.Time, req LeaseRequest) (Grant, []Push) {
 	o.expireLeases(now)
 	h := o.holders[req.Holder]
 	if h == nil && !req.Full {
-		return Grant{Pool: req.Pool, Seq: req.Seq, Not: true}, nil
+		return Grant{Pool: req.Pool, Seq: req.Seq, Rejected: true}, nil
 	}
 	if h == nil {
 		h = &holderState{}
 		o.holders[req.Holder] = h
 	}
 	if req.Seq <= h.lastSeq {
-		return Grant{Pool: req.Pool, Seq: req.Seq, Not: true}, nil
+		return Grant{Pool: req.Pool, Seq: req.Seq, Rejected: true}, nil
 	}
 	h.lastSeq = req.Seq
 	if req.Full {
@@ -108,7 +108,7 @@
 		maxUsed = fair
 	}
 	g := o.grantFor(h, granted[req.Holder], maxUsed)
-	g.Full, g.Term = req.Full, o.conf.Term
+	g.Full, g.LeaseDuration = req.Full, o.conf.LeaseDuration
 	delete(granted, req.Holder)
 	var pushes []Push
 	for name, granted := range granted {
@@ -118,31 +118,31 @@
 }
 
 // applyFull applies a full request: slots that the holder had and doesn't name are given back.
-func (o *Owner) applyFull(now time.Time, h *holderState, req Ask) {
-	h.expires = now.Add(o.conf.Term)
+func (o *Owner) applyFull(now time.Time, h *holderState, req LeaseRequest) {
+	h.expires = now.Add(o.conf.LeaseDuration)
 	o.clearLeases(h)
-	for _, l := range req.Have {
+	for _, l := range req.Slots {
 		// A holder only ever names slots that this owner or the previous one granted.
 		o.addLease(h, l.Host, classCounts{max(0, l.Quick), max(0, l.Long)})
 	}
 	o.clearUnconfirmed(req.Holder)
-	h.wanted = classCounts{max(0, req.Quick), max(0, req.Long)}
+	h.wanted = classCounts{max(0, req.WantedQuick), max(0, req.WantedLong)}
 }
 
 // applyDelta applies a request that names only what changed since the one before it.
-func (o *Owner) applyDelta(h *holderState, req Ask) {
-	for _, l := range req.Have {
+func (o *Owner) applyDelta(h *holderState, req LeaseRequest) {
+	for _, l := range req.Slots {
 		had := h.byHost[l.Host]
 		back := classCounts{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
 		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
 	}
-	h.wanted = classCounts{max(0, h.wanted.quick+req.Quick), max(0, h.wanted.long+req.Long)}
+	h.wanted = classCounts{max(0, h.wanted.quick+req.WantedQuick), max(0, h.wanted.long+req.WantedLong)}
 }
 
 func (o *Owner) grantFor(h *holderState, granted map[string]classCounts, limit int) Grant {
-	g := Grant{Pool: o.conf.Pool, Seq: h.lastSeq, Lots: sortedSlots(granted), Free: o.maxIdle()}
+	g := Grant{Pool: o.conf.Pool, Seq: h.lastSeq, Slots: sortedSlots(granted), MaxIdle: o.maxIdle()}
 	if h.total > limit {
-		g.Cap = limit
+		g.MaxUsed = limit
 	}
 	return g
 }
@@ -228,10 +228,10 @@
 
 // share returns how many of a worker's slots are this owner's to lease out.
 func (o *Owner) share(slots int) int {
-	if o.fleet.Known <= 0 {
+	if o.fleet.KnownCount <= 0 {
 		return 0
 	}
-	return slots * o.fleet.Same / o.fleet.Known
+	return slots * o.fleet.SameViewCount / o.fleet.KnownCount
 }
 
 // classLimit is the limit of one class: the total less the slots kept for the other class, but at
@@ -333,11 +333,11 @@
 	return max(0, (o.capacity-o.leasedCount)/(idleDivisor*max(1, len(o.holders))))
 }
 
-func sortedSlots(byHost map[string]classCounts) []Lot {
-	out := make([]Lot, 0, len(byHost))
+func sortedSlots(byHost map[string]classCounts) []HostSlots {
+	out := make([]HostSlots, 0, len(byHost))
 	for host, t := range byHost {
-		out = append(out, Lot{Host: host, Quick: t.quick, Long: t.long})
+		out = append(out, HostSlots{Host: host, Quick: t.quick, Long: t.long})
 	}
-	slices.SortFunc(out, func(a, b Lot) int { return strings.Compare(a.Host, b.Host) })
+	slices.SortFunc(out, func(a, b HostSlots) int { return strings.Compare(a.Host, b.Host) })
 	return out
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -22,11 +22,11 @@
 	slotsPerWorker = 8
 )
 
-func TestMain(m *testing.M) { fixed.Run{Checks: "5000", Steps: "60"}.Main(m) }
+func TestMain(m *testing.M) { fixed.Flags{Checks: "5000", Steps: "60"}.Main(m) }
 
 // request runs on a worker, whatever becomes of its holder.
 type request struct {
-	place   *gauge.Place
+	place   *gauge.Slot
 	holder  int
 	ends    time.Time
 	endSeen bool // its holder has seen its end
@@ -38,7 +38,7 @@
 	now      time.Time
 	owner    *slots.Owner
 	holders  []*hold.Holder
-	requests []slots.Ask
+	requests []slots.LeaseRequest
 	grants   []addressedGrant
 	running  []*request
 	hosts    int
@@ -71,14 +71,14 @@
 
 // changeOwner makes another entry the owner, which knows of no lease.
 func (w *world) changeOwner() {
-	w.owner = slots.New(slots.Config{Pool: "p", Term: leaseDuration, Limit: maxRunTime, Start: w.now})
+	w.owner = slots.New(slots.Config{Pool: "p", LeaseDuration: leaseDuration, MaxRunTime: maxRunTime, OwnerSince: w.now})
 	w.requests = nil // they were sent to the previous owner
 }
 
 func (w *world) fleet() slots.Fleet {
-	f := slots.Fleet{Reserve: 2 * w.keptLong, Floor: w.keptLong, Same: 1, Known: 1}
+	f := slots.Fleet{Reserve: 2 * w.keptLong, Floor: w.keptLong, SameViewCount: 1, KnownCount: 1}
 	for i := range w.hosts {
-		f.Hosts = append(f.Hosts, slots.Room{Host: fmt.Sprintf("w%d", i), Slots: w.size})
+		f.Hosts = append(f.Hosts, slots.HostCapacity{Host: fmt.Sprintf("w%d", i), Slots: w.size})
 	}
 	return f
 }
@@ -95,8 +95,8 @@
 
 func (w *world) deliverRequest(i int) {
 	a := w.requests[i]
-	w.owner.Set(w.fleet())
-	g, pushes := w.owner.Ask(w.now, a)
+	w.owner.SetFleet(w.fleet())
+	g, pushes := w.owner.HandleRequest(w.now, a)
 	w.grants = append(w.grants, addressedGrant{holderIndex(a.Holder), g})
 	for _, p := range pushes {
 		w.grants = append(w.grants, addressedGrant{holderIndex(p.Holder), p.Grant})
@@ -127,7 +127,7 @@
 }
 
 func (w *world) take(i int, class gauge.Class, runs time.Duration) bool {
-	p, ok := w.holders[i].Take(w.now, class, nil, nil)
+	p, ok := w.holders[i].Acquire(w.now, class, nil, nil)
 	if ok {
 		w.running = append(w.running, &request{place: p, holder: i, ends: w.now.Add(runs)})
 	}
@@ -144,7 +144,7 @@
 				used++
 			}
 		}
-		w.owner.Seen(host, used, w.now)
+		w.owner.ObserveUsage(host, used, w.now)
 	}
 }
 
@@ -152,7 +152,7 @@
 func (w *world) finish(i int) {
 	for _, r := range w.running {
 		if r.holder == i && !r.endSeen && !w.now.Before(r.ends) {
-			w.holders[i].Done(r.place)
+			w.holders[i].Release(r.place)
 			r.endSeen = true
 		}
 	}
@@ -216,7 +216,7 @@
 				if len(w.running) > 0 {
 					r := w.running[pick(len(w.running))]
 					if !r.endSeen {
-						w.holders[r.holder].Turn(r.place)
+						w.holders[r.holder].CountAsLong(r.place)
 					}
 				}
 			},
@@ -332,9 +332,9 @@
 	w.sendFull(1, 0, 0)
 	w.deliverAll()
 	assert.Assert(t, w.owner.InUse("w0") > 0)
-	w.owner.Seen("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
+	w.owner.ObserveUsage("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
 	assert.Assert(t, w.owner.InUse("w0") > 0)
-	w.owner.Seen("w0", 0, w.now.Add(time.Second))
+	w.owner.ObserveUsage("w0", 0, w.now.Add(time.Second))
 	assert.Equal(t, w.owner.InUse("w0"), 0)
 }
 
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -1,5 +1,5 @@
-// Package stand is a fake of the platform for tests and trials: it serves the platform's HTTP protocol
-// (table, object store and host list) from memory, with faults that a test can switch on.
+// Package stand is a fake of the platform for tests and trials: it serves the platform's HTTP
+// protocol (table, object store and host list) from memory, with faults that a test can switch on.
 package stand
 
 import (
@@ -120,7 +120,7 @@
 }
 
 func (s *Server) reportHost(c fiber.Ctx) error {
-	var seen gauge.Sighting
+	var seen gauge.ListedHost
 	if err := json.Unmarshal(c.Body(), &seen); err != nil {
 		return c.Status(http.StatusBadRequest).SendString(err.Error())
 	}
--- a/internal/stand/wire.go
+++ b/internal/stand/wire.go
@@ -9,7 +9,7 @@
 
 // hostsBody is the response to a read of the host list.
 type hostsBody struct {
-	Hosts gauge.Sightings `json:"hosts"`
+	Hosts gauge.HostList `json:"hosts"`
 }
 
 // rebootBody is the request of a reboot; the token makes it idempotent.
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -12,32 +12,32 @@
 
 // Config holds the settings and dependencies of a Tenure.
 type Config struct {
-	Key     gauge.RowKey  // key of the lease row
-	Holder  string        // name of this entry and of its start
-	Addr    string        // address for calls from other entries
-	Term    int           // number of holders before this one
-	Version int64         // version of the lease row after the claim
-	Taken   time.Duration // when the transaction that claimed the lease was sent
-	Lasts   time.Duration // how long the lease lasts after a renewal was sent
-	Store   gauge.Parted
-	Now     func() time.Duration
-	Clock   func() int64 // the table's clock in milliseconds, approximately
+	Key           gauge.RowKey  // key of the lease row
+	Holder        string        // name of this entry and of its start
+	Addr          string        // address for calls from other entries
+	Term          int           // number of holders before this one
+	Version       int64         // version of the lease row after the claim
+	ClaimedAt     time.Duration // when the transaction that claimed the lease was sent
+	LeaseDuration time.Duration // how long the lease lasts after a renewal was sent
+	Store         gauge.PartitionedTable
+	Now           func() time.Duration
+	TableClock    func() int64 // the table's clock in milliseconds, approximately
 }
 
 // Tenure is one holder's period of holding a lease.
 type Tenure struct {
 	conf Config
 
-	mu           sync.Mutex
-	version      int64
-	until        time.Duration
-	lost         bool
-	storedGrants *gauge.GrantRow // the grant row that is known to be in the table; nil: unknown
+	mu             sync.Mutex
+	version        int64
+	until          time.Duration
+	lost           bool
+	storedHandover *gauge.HandoverRow // the handover row that is known to be in the table; nil: unknown
 }
 
 // New returns a Tenure of a lease that was just claimed.
 func New(c Config) *Tenure {
-	return &Tenure{conf: c, version: c.Version, until: c.Taken + c.Lasts}
+	return &Tenure{conf: c, version: c.Version, until: c.ClaimedAt + c.LeaseDuration}
 }
 
 // Until returns when the lease ends unless it is renewed; no other entry can have claimed it
@@ -55,15 +55,15 @@
 	return t.version
 }
 
-// Lost reports whether the lease was given up, or another holder is known to have it.
-func (t *Tenure) Lost() bool {
+// IsLost reports whether the lease was given up, or another holder is known to have it.
+func (t *Tenure) IsLost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost
 }
 
-// Lose records that another holder has the lease.
-func (t *Tenure) Lose() {
+// MarkLost records that another holder has the lease.
+func (t *Tenure) MarkLost() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lost = true
@@ -71,98 +71,98 @@
 
 // Commit carries out a transaction that also renews the lease. With an error of KindConflict it
 // returns the other rows as the table has them. KindFenced means that another holder has the lease.
-func (t *Tenure) Commit(ctx context.Context, row gauge.LeaseRow, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
-	txn, grants, err := t.withLease(row, txn)
+func (t *Tenure) Commit(ctx context.Context, row gauge.LeaseRow, txn gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
+	txn, handover, err := t.withLease(row, txn)
 	if err != nil {
-		return gauge.Stamp{}, nil, err
+		return gauge.TablePosition{}, nil, err
 	}
 	sent := t.conf.Now()
-	stamp, rows, err := t.conf.Store.Commit(ctx, txn)
+	position, rows, err := t.conf.Store.Commit(ctx, txn)
 	if err == nil {
 		t.mu.Lock()
-		t.version, t.until, t.storedGrants = stamp.Version, sent+t.conf.Lasts, grants
+		t.version, t.until, t.storedHandover = position.Version, sent+t.conf.LeaseDuration, handover
 		t.mu.Unlock()
-		return stamp, nil, nil
+		return position, nil, nil
 	}
 	t.mu.Lock()
-	t.storedGrants = nil // the transaction may still be carried out
+	t.storedHandover = nil // the transaction may still be carried out
 	t.mu.Unlock()
-	if !gauge.Is(err, gauge.KindConflict) {
-		return stamp, nil, err
+	if !gauge.IsKind(err, gauge.KindConflict) {
+		return position, nil, err
 	}
 	others, ok := t.splitConflict(rows)
 	if !ok {
-		t.Lose()
-		return stamp, nil, gauge.Fail(gauge.KindFenced, "the table names another holder").Because(err)
+		t.MarkLost()
+		return position, nil, gauge.Errorf(gauge.KindFenced, "the table names another holder").WithCause(err)
 	}
-	return stamp, others, err
+	return position, others, err
 }
 
-// withLease adds the lease row to a transaction, and the grant row, which the next holder needs,
+// withLease adds the lease row to a transaction, and the handover row, which the next holder needs,
 // unless the same one is known to be stored.
-func (t *Tenure) withLease(row gauge.LeaseRow, txn gauge.PartTxn) (gauge.PartTxn, *gauge.GrantRow, error) {
+func (t *Tenure) withLease(row gauge.LeaseRow, txn gauge.PartitionTxn) (gauge.PartitionTxn, *gauge.HandoverRow, error) {
 	row.Holder, row.Addr, row.Term = t.conf.Holder, t.conf.Addr, t.conf.Term
-	row.Renewed = t.conf.Clock()
+	row.RenewedAt = t.conf.TableClock()
 	t.mu.Lock()
 	check := gauge.RowCheck{RowKey: t.conf.Key, Version: t.version}
-	storedGrants := t.storedGrants
+	storedHandover := t.storedHandover
 	t.mu.Unlock()
-	writes, err := Writes(t.conf.Key, &row)
+	writes, err := RowWrites(t.conf.Key, &row)
 	if err != nil {
 		return txn, nil, err
 	}
-	_, grants := row.Split()
-	if storedGrants != nil && storedGrants.Equal(&grants) {
+	_, handover := row.Split()
+	if storedHandover != nil && storedHandover.Equal(&handover) {
 		writes = writes[:1]
 	}
 	txn.Checks = append([]gauge.RowCheck{check}, txn.Checks...)
 	txn.Writes = append(writes, txn.Writes...)
-	return txn, &grants, nil
+	return txn, &handover, nil
 }
 
-// Writes returns the writes that store a lease: first the lease row, which all entries read, then
-// the grant row, which only the next holder reads.
-func Writes(key gauge.RowKey, row *gauge.LeaseRow) ([]gauge.RowWrite, error) {
-	all, grants := row.Split()
+// RowWrites returns the writes that store a lease: first the lease row, which all entries read,
+// then the handover row, which only the next holder reads.
+func RowWrites(key gauge.RowKey, row *gauge.LeaseRow) ([]gauge.RowWrite, error) {
+	all, handover := row.Split()
 	value, err := all.Encode()
 	if err != nil {
 		return nil, err
 	}
-	grantsValue, err := grants.Encode()
+	handoverValue, err := handover.Encode()
 	if err != nil {
 		return nil, err
 	}
-	return []gauge.RowWrite{{RowKey: key, Value: value}, {RowKey: grantsKey(key), Value: grantsValue}}, nil
+	return []gauge.RowWrite{{RowKey: key, Value: value}, {RowKey: handoverRowKey(key), Value: handoverValue}}, nil
 }
 
-func grantsKey(key gauge.RowKey) gauge.RowKey {
-	return gauge.RowKey{Table: gauge.TableGrants, Part: key.Part, Key: key.Key}
+func handoverRowKey(key gauge.RowKey) gauge.RowKey {
+	return gauge.RowKey{Table: gauge.TableHandovers, Partition: key.Partition, Key: key.Key}
 }
 
-// Read adds the contents of the grant row to a lease row. They are consistent if the lease is then
-// claimed at the version with which the lease row was read.
-func Read(ctx context.Context, store gauge.Parted, key gauge.RowKey, row *gauge.LeaseRow) error {
-	grantsAt := grantsKey(key)
-	rows, _, err := store.Range(ctx, grantsAt.Table, grantsAt.Part, grantsAt.Key, grantsAt.Key+"\x00")
+// ReadHandoverRow adds the contents of the handover row to a lease row. They are consistent if the
+// lease is then claimed at the version with which the lease row was read.
+func ReadHandoverRow(ctx context.Context, store gauge.PartitionedTable, key gauge.RowKey, row *gauge.LeaseRow) error {
+	rowKey := handoverRowKey(key)
+	rows, _, err := store.Range(ctx, rowKey.Table, rowKey.Partition, rowKey.Key, rowKey.Key+"\x00")
 	if err != nil {
 		return err
 	}
 	if len(rows) == 0 {
 		return nil // the lease row is from an older version, which stored everything in it
 	}
-	grants, err := gauge.DecodeGrantRow(rows[0].Value)
+	handover, err := gauge.DecodeHandoverRow(rows[0].Value)
 	if err != nil {
 		return err
 	}
-	row.Join(grants)
+	row.Join(handover)
 	return nil
 }
 
 // splitConflict removes the lease row from the rows returned with a refused transaction. If it is
 // this holder's with another version, an earlier transaction that got no answer has been carried
 // out. It reports false if the row is another holder's.
-func (t *Tenure) splitConflict(rows []gauge.PartRow) ([]gauge.PartRow, bool) {
-	var others []gauge.PartRow
+func (t *Tenure) splitConflict(rows []gauge.PartitionRow) ([]gauge.PartitionRow, bool) {
+	var others []gauge.PartitionRow
 	for _, r := range rows {
 		if r.RowKey != t.conf.Key {
 			others = append(others, r)
@@ -191,17 +191,17 @@
 		return nil
 	}
 	row.Holder, row.Addr, row.Term = "", "", t.conf.Term
-	writes, err := Writes(t.conf.Key, &row)
+	writes, err := RowWrites(t.conf.Key, &row)
 	if err != nil {
 		return err
 	}
 	for range maxGiveUpTries {
-		var rows []gauge.PartRow
-		_, rows, err = t.conf.Store.Commit(ctx, gauge.PartTxn{
+		var rows []gauge.PartitionRow
+		_, rows, err = t.conf.Store.Commit(ctx, gauge.PartitionTxn{
 			Checks: []gauge.RowCheck{{RowKey: t.conf.Key, Version: version}},
 			Writes: writes,
 		})
-		if !gauge.Is(err, gauge.KindConflict) {
+		if !gauge.IsKind(err, gauge.KindConflict) {
 			return err
 		}
 		// A renewal that was in progress when this call began has been carried out.
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -11,42 +11,42 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// fakeTable has one lease row and one grant row.
+// fakeTable has one lease row and one handover row.
 type fakeTable struct {
-	gauge.Parted
-	row       gauge.PartRow
+	gauge.PartitionedTable
+	row       gauge.PartitionRow
 	before    func() // called before each transaction
 	commitErr error  // returned after the transaction was carried out
 
-	grants      gauge.PartRow
-	grantWrites int // how often the grant row was written
+	handover       gauge.PartitionRow
+	handoverWrites int // how often the handover row was written
 }
 
-func (t *fakeTable) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
-	if t.grantWrites == 0 || t.grants.RowKey != (gauge.RowKey{Table: name, Part: part, Key: from}) {
-		return nil, gauge.Stamp{}, nil
+func (t *fakeTable) Range(_ context.Context, name, part, from, _ string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
+	if t.handoverWrites == 0 || t.handover.RowKey != (gauge.RowKey{Table: name, Partition: part, Key: from}) {
+		return nil, gauge.TablePosition{}, nil
 	}
-	return []gauge.PartRow{t.grants}, gauge.Stamp{}, nil
+	return []gauge.PartitionRow{t.handover}, gauge.TablePosition{}, nil
 }
 
 //nolint:gochecknoglobals // a constant; Go has no constant structs
-var leaseKey = gauge.RowKey{Table: gauge.TableLeases, Part: "p", Key: gauge.KeyOwner}
+var leaseKey = gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}
 
-func (t *fakeTable) Commit(_ context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (t *fakeTable) Commit(_ context.Context, txn gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	if t.before != nil {
 		t.before()
 	}
 	if txn.Checks[0].Version != t.row.Version {
-		return gauge.Stamp{}, []gauge.PartRow{t.row, {RowKey: gauge.RowKey{Table: gauge.TableJobs}}}, gauge.Fail(gauge.KindConflict, "changed")
+		return gauge.TablePosition{}, []gauge.PartitionRow{t.row, {RowKey: gauge.RowKey{Table: gauge.TableJobs}}}, gauge.Errorf(gauge.KindConflict, "changed")
 	}
-	t.row = gauge.PartRow{RowKey: leaseKey, Value: txn.Writes[0].Value, Version: t.row.Version + 1}
+	t.row = gauge.PartitionRow{RowKey: leaseKey, Value: txn.Writes[0].Value, Version: t.row.Version + 1}
 	if len(txn.Writes) > 1 {
-		t.grants, t.grantWrites = gauge.PartRow{RowKey: txn.Writes[1].RowKey, Value: txn.Writes[1].Value}, t.grantWrites+1
+		t.handover, t.handoverWrites = gauge.PartitionRow{RowKey: txn.Writes[1].RowKey, Value: txn.Writes[1].Value}, t.handoverWrites+1
 	}
 	if t.commitErr != nil {
-		return gauge.Stamp{}, nil, t.commitErr
+		return gauge.TablePosition{}, nil, t.commitErr
 	}
-	return gauge.Stamp{Version: t.row.Version}, nil, nil
+	return gauge.TablePosition{Version: t.row.Version}, nil, nil
 }
 
 type fixture struct {
@@ -56,16 +56,16 @@
 }
 
 func newFixture() *fixture {
-	g := &fixture{table: &fakeTable{row: gauge.PartRow{RowKey: leaseKey, Version: 7}}}
+	g := &fixture{table: &fakeTable{row: gauge.PartitionRow{RowKey: leaseKey, Version: 7}}}
 	g.lease = tenure.New(tenure.Config{
-		Key: leaseKey, Holder: "me", Addr: "a", Term: 3, Version: 7, Taken: 0, Lasts: 2 * time.Second,
-		Store: g.table, Now: func() time.Duration { return g.now }, Clock: func() int64 { return 1 },
+		Key: leaseKey, Holder: "me", Addr: "a", Term: 3, Version: 7, ClaimedAt: 0, LeaseDuration: 2 * time.Second,
+		Store: g.table, Now: func() time.Duration { return g.now }, TableClock: func() int64 { return 1 },
 	})
 	return g
 }
 
 func (g *fixture) commit() error {
-	_, _, err := g.lease.Commit(context.Background(), gauge.LeaseRow{}, gauge.PartTxn{})
+	_, _, err := g.lease.Commit(context.Background(), gauge.LeaseRow{}, gauge.PartitionTxn{})
 	return err
 }
 
@@ -83,12 +83,12 @@
 // be taken for another holder's.
 func TestOwnUnansweredRenewalIsNoLoss(t *testing.T) {
 	g := newFixture()
-	g.table.commitErr = gauge.Fail(gauge.KindUnknown, "no answer")
+	g.table.commitErr = gauge.Errorf(gauge.KindUnknown, "no answer")
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindUnknown)
 	assert.Equal(t, g.lease.Until(), 2*time.Second, "an unanswered renewal renews nothing")
 	g.table.commitErr = nil
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindConflict)
-	assert.Assert(t, !g.lease.Lost())
+	assert.Assert(t, !g.lease.IsLost())
 	assert.NilError(t, g.commit())
 }
 
@@ -96,9 +96,9 @@
 	g := newFixture()
 	other, err := (&gauge.LeaseRow{Holder: "other", Term: 4}).Encode()
 	assert.NilError(t, err)
-	g.table.row = gauge.PartRow{RowKey: leaseKey, Value: other, Version: 9}
+	g.table.row = gauge.PartitionRow{RowKey: leaseKey, Value: other, Version: 9}
 	assert.Equal(t, gauge.KindOf(g.commit()), gauge.KindFenced)
-	assert.Assert(t, g.lease.Lost())
+	assert.Assert(t, g.lease.IsLost())
 }
 
 // Guards against a pool without an owner for a whole term after SIGTERM: the lease is given up
@@ -115,7 +115,7 @@
 		raced = true
 		value, err := (&gauge.LeaseRow{Holder: "me", Term: 3}).Encode()
 		assert.NilError(t, err)
-		g.table.row = gauge.PartRow{RowKey: leaseKey, Value: value, Version: g.table.row.Version + 1}
+		g.table.row = gauge.PartitionRow{RowKey: leaseKey, Value: value, Version: g.table.row.Version + 1}
 	}
 	assert.NilError(t, g.lease.GiveUp(context.Background(), gauge.LeaseRow{}))
 	row, err := gauge.DecodeLeaseRow(g.table.row.Value)
@@ -129,7 +129,7 @@
 	g := newFixture()
 	commit := func(workers ...string) {
 		t.Helper()
-		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers, Depths: map[string]int{"q": 1}}, gauge.PartTxn{})
+		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers, Depths: map[string]int{"q": 1}}, gauge.PartitionTxn{})
 		assert.NilError(t, err)
 	}
 	read := func() []string {
@@ -138,14 +138,14 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(row.Workers), 0)
 		assert.Equal(t, row.Depths["q"], 1)
-		assert.NilError(t, tenure.Read(t.Context(), g.table, leaseKey, row))
+		assert.NilError(t, tenure.ReadHandoverRow(t.Context(), g.table, leaseKey, row))
 		return row.Workers
 	}
 	commit("a")
 	commit("a")
-	assert.Equal(t, g.table.grantWrites, 1)
+	assert.Equal(t, g.table.handoverWrites, 1)
 	commit("a", "b")
-	assert.Equal(t, g.table.grantWrites, 2)
+	assert.Equal(t, g.table.handoverWrites, 2)
 	assert.DeepEqual(t, read(), []string{"a", "b"})
 	assert.NilError(t, g.lease.GiveUp(t.Context(), gauge.LeaseRow{Workers: []string{"c"}, Depths: map[string]int{"q": 1}}))
 	assert.DeepEqual(t, read(), []string{"c"})
@@ -157,22 +157,22 @@
 func TestWhatIsForTheNextHolderIsWrittenAgainAfterAWriteWithoutAnAnswer(t *testing.T) {
 	g := newFixture()
 	commit := func(workers ...string) error {
-		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers}, gauge.PartTxn{})
+		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers}, gauge.PartitionTxn{})
 		return err
 	}
 	assert.NilError(t, commit("a", "b"))
-	g.table.commitErr = gauge.Fail(gauge.KindUnknown, "no answer")
+	g.table.commitErr = gauge.Errorf(gauge.KindUnknown, "no answer")
 	assert.Equal(t, gauge.KindOf(commit("a")), gauge.KindUnknown)
 	g.table.commitErr = nil
 	assert.Equal(t, gauge.KindOf(commit("a", "b")), gauge.KindConflict, "the version is its own")
 	assert.NilError(t, commit("a", "b"))
 	var row gauge.LeaseRow
-	assert.NilError(t, tenure.Read(t.Context(), g.table, leaseKey, &row))
+	assert.NilError(t, tenure.ReadHandoverRow(t.Context(), g.table, leaseKey, &row))
 	assert.DeepEqual(t, row.Workers, []string{"a", "b"})
 }
 
 func TestRowOfAnOlderProgramHasWhatIsForTheNextHolder(t *testing.T) {
 	row := gauge.LeaseRow{Workers: []string{"a"}}
-	assert.NilError(t, tenure.Read(t.Context(), &fakeTable{}, leaseKey, &row))
+	assert.NilError(t, tenure.ReadHandoverRow(t.Context(), &fakeTable{}, leaseKey, &row))
 	assert.DeepEqual(t, row.Workers, []string{"a"})
 }
--- a/internal/terms/burden.go
+++ b/internal/terms/burden.go
@@ -11,39 +11,41 @@
 	gauge "sapphiregauge"
 )
 
-// FullCapacity is the capacity assumed for a host of which nothing is known, in cores. Where hosts
-// differ, those that can run busy pools have this capacity, and the others an eighth of it.
-const FullCapacity = 0.8
-
-// maxSmallHostDelay bounds how long a host waits for larger ones to claim a pool, which do so within
-// Config.Spread plus Config.Held for each lease that they have. If they are all dead, a pool without
-// an owner loses that much time. It is a quarter of the lease duration, for which a pool whose owner
-// died may be without one anyway.
+// DefaultCapacity is the capacity assumed for a host of which nothing is known, in cores. Where
+// hosts differ, those that can run busy pools have this capacity, and the others an eighth of it.
+const DefaultCapacity = 0.8
+
+// maxSmallHostDelay bounds how long a host waits for larger ones to claim a pool, which do so
+// within Config.ClaimSpread plus Config.DelayPerLease for each lease that they have. If they are
+// all dead, a pool without an owner loses that much time. It is a quarter of the lease duration,
+// for which a pool whose owner died may be without one anyway.
 const maxSmallHostDelay = 500 * time.Millisecond
 
-// Burden is the load of a host: how many leases it has, and its capacity for them.
-type Burden struct {
-	Held     int     // number of leases
+// HostLoad is the load of a host: how many leases it has, and its capacity for them.
+type HostLoad struct {
+	Leases   int
 	Capacity float64 // in cores of normal speed
 }
 
-// Next returns the load per core with one more lease.
-func (b Burden) Next() float64 { return float64(b.Held+1) / b.Capacity }
+// LoadWithOneMore returns the load per core with one more lease.
+func (b HostLoad) LoadWithOneMore() float64 { return float64(b.Leases+1) / b.Capacity }
 
-// Moves reports whether a lease should move from this host to another one: the load of each core
-// here is at least twice what it would be there. Of two leases on one host and none on an equal
-// one, each host gets one. After a move the opposite isn't true, so that no lease moves back and
-// forth.
-func (b Burden) Moves(to Burden) bool { return float64(b.Held)/b.Capacity >= 2*to.Next() }
+// ShouldMoveTo reports whether a lease should move from this host to another one: the load of each
+// core here is at least twice what it would be there. Of two leases on one host and none on an
+// equal one, each host gets one. After a move the opposite isn't true, so that no lease moves back
+// and forth.
+func (b HostLoad) ShouldMoveTo(to HostLoad) bool {
+	return float64(b.Leases)/b.Capacity >= 2*to.LoadWithOneMore()
+}
 
 // Peer is another entry process that may own pools.
 type Peer struct {
 	Addr string // host:port at which it listens for other entries
-	Burden
+	HostLoad
 }
 
-// Entry records the row of an entry and reports whether it has changed.
-func (b *Board) Entry(name string, row gauge.EntryRow) bool {
+// SetEntry records the row of an entry and reports whether it has changed.
+func (b *LeaseView) SetEntry(name string, row gauge.EntryRow) bool {
 	if b.entries[name] == row {
 		return false
 	}
@@ -51,11 +53,11 @@
 	return true
 }
 
-// Held returns the number of leases that name this entry as their holder.
-func (b *Board) Held() int {
+// LeaseCount returns the number of leases that name this entry as their holder.
+func (b *LeaseView) LeaseCount() int {
 	n := 0
 	for _, s := range b.rows {
-		if s.row.Holder == b.conf.Self {
+		if s.row.Holder == b.conf.Holder {
 			n++
 		}
 	}
@@ -65,10 +67,10 @@
 // Peers lists the other entries by their load with one more lease, the least loaded first. Entries
 // of equal load come in an order that differs by pool: otherwise several owners that leave at once
 // would all choose the same entry.
-func (b *Board) Peers(pool string) []Peer {
+func (b *LeaseView) Peers(pool string) []Peer {
 	peers := make(map[string]Peer)
 	for _, e := range b.entries {
-		peers[e.Addr] = Peer{Addr: e.Addr, Burden: Burden{Capacity: e.Capacity}}
+		peers[e.Addr] = Peer{Addr: e.Addr, HostLoad: HostLoad{Capacity: e.Capacity}}
 	}
 	for _, s := range b.rows {
 		if s.row.Holder == "" {
@@ -76,27 +78,27 @@
 		}
 		p, known := peers[s.row.Addr]
 		if !known { // the entry's own row hasn't arrived yet: assume a host like this one
-			p = Peer{Addr: s.row.Addr, Burden: Burden{Capacity: b.conf.Capacity}}
+			p = Peer{Addr: s.row.Addr, HostLoad: HostLoad{Capacity: b.conf.Capacity}}
 		}
-		p.Held++
+		p.Leases++
 		peers[p.Addr] = p
 	}
 	delete(peers, b.conf.Addr)
 	return slices.SortedFunc(maps.Values(peers), func(x, y Peer) int {
-		return cmp.Or(cmp.Compare(x.Next(), y.Next()), cmp.Compare(xxhash.Sum64String(pool+x.Addr), xxhash.Sum64String(pool+y.Addr)))
+		return cmp.Or(cmp.Compare(x.LoadWithOneMore(), y.LoadWithOneMore()), cmp.Compare(xxhash.Sum64String(pool+x.Addr), xxhash.Sum64String(pool+y.Addr)))
 	})
 }
 
-// Weak reports whether this host is small: it has less than half of the capacity of the largest
-// known one.
-func (b *Board) Weak() bool { return b.relativeCapacity() < smallHostShare }
+// IsSmallHost reports whether this host is small: it has less than half of the capacity of the
+// largest known one.
+func (b *LeaseView) IsSmallHost() bool { return b.relativeCapacity() < smallHostShare }
 
 // smallHostShare is the share of the largest host's capacity below which a host is small.
 const smallHostShare = 0.5
 
 // relativeCapacity returns this host's capacity as a share of the largest one's. Known hosts may be
 // dead by now. While no other host is known, there may be one of full capacity.
-func (b *Board) relativeCapacity() float64 {
+func (b *LeaseView) relativeCapacity() float64 {
 	largest := 0.0
 	for _, e := range b.entries {
 		if e.Addr != b.conf.Addr {
@@ -104,14 +106,14 @@
 		}
 	}
 	if largest == 0 {
-		largest = FullCapacity
+		largest = DefaultCapacity
 	}
 	return min(1, b.conf.Capacity/largest)
 }
 
 // smallHostDelay returns how much longer than the largest host this one waits before it claims a
 // pool, if it has a number of leases.
-func (b *Board) smallHostDelay(held int) time.Duration {
-	wait := float64(held+1) * (1/b.relativeCapacity() - 1) * float64(b.conf.Held)
+func (b *LeaseView) smallHostDelay(held int) time.Duration {
+	wait := float64(held+1) * (1/b.relativeCapacity() - 1) * float64(b.conf.DelayPerLease)
 	return time.Duration(min(wait, float64(maxSmallHostDelay)))
 }
--- a/internal/terms/burden_test.go
+++ b/internal/terms/burden_test.go
@@ -18,22 +18,22 @@
 // otherHosts has the capacities of other hosts by the addresses of their entries.
 type otherHosts map[string]float64
 
-func newBoardWith(self string, capacity float64, known otherHosts) *terms.Board {
+func newBoardWith(self string, capacity float64, known otherHosts) *terms.LeaseView {
 	b := terms.New(terms.Config{
-		Self: self, Addr: "10.0.0.9:1", Capacity: capacity, Term: term, Spread: spread, Held: held, Regain: regain,
+		Holder: self, Addr: "10.0.0.9:1", Capacity: capacity, LeaseDuration: term, ClaimSpread: spread, DelayPerLease: held, GracePeriod: regain,
 	})
 	for addr, c := range known {
-		b.Entry("at "+addr, gauge.EntryRow{Addr: addr, Capacity: c})
+		b.SetEntry("at "+addr, gauge.EntryRow{Addr: addr, Capacity: c})
 	}
-	b.Read()
+	b.MarkTableRead()
 	return b
 }
 
 // claimDelay is how long after it sees a pool without an owner an entry with a number of leases
 // claims it.
-func claimDelay(b *terms.Board, leases int) time.Duration {
+func claimDelay(b *terms.LeaseView, leases int) time.Duration {
 	now := time.Duration(0)
-	for len(b.Due([]string{"p"}, leases, now)) == 0 {
+	for len(b.DueClaims([]string{"p"}, leases, now)) == 0 {
 		now += time.Millisecond
 	}
 	return now
@@ -75,7 +75,7 @@
 // The entry's own row, also that of an earlier start, says nothing about other hosts.
 func TestEntryIsNotComparedWithItself(t *testing.T) {
 	b := newBoardWith("me", small, nil)
-	b.Entry("me", gauge.EntryRow{Addr: "10.0.0.9:1", Capacity: small})
+	b.SetEntry("me", gauge.EntryRow{Addr: "10.0.0.9:1", Capacity: small})
 	assert.Assert(t, claimDelay(b, 0) >= 500*time.Millisecond)
 	assert.Equal(t, len(b.Peers("p")), 0)
 }
@@ -89,9 +89,9 @@
 }
 
 // holdLeases has an address named by the leases of pools.
-func holdLeases(b *terms.Board, addr string, pools ...string) {
+func holdLeases(b *terms.LeaseView, addr string, pools ...string) {
 	for _, pool := range pools {
-		b.Tell(pool, gauge.LeaseRow{Holder: addr + "/1", Addr: addr}, 5, 0, 0)
+		b.SetLease(pool, gauge.LeaseRow{Holder: addr + "/1", Addr: addr}, 5, 0, 0)
 	}
 }
 
@@ -143,12 +143,12 @@
 		{"no leases", small, 0, large, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			here, there := terms.Burden{Held: tt.held, Capacity: tt.capacity}, terms.Burden{Held: tt.otherHeld, Capacity: tt.otherCapacity}
-			assert.Equal(t, here.Moves(there), tt.want)
+			here, there := terms.HostLoad{Leases: tt.held, Capacity: tt.capacity}, terms.HostLoad{Leases: tt.otherHeld, Capacity: tt.otherCapacity}
+			assert.Equal(t, here.ShouldMoveTo(there), tt.want)
 			if tt.want {
-				here.Held--
-				there.Held++
-				assert.Assert(t, !there.Moves(here), "the lease must not move back")
+				here.Leases--
+				there.Leases++
+				assert.Assert(t, !there.ShouldMoveTo(here), "the lease must not move back")
 			}
 		})
 	}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -16,19 +16,19 @@
 	gauge "sapphiregauge"
 )
 
-// Config is the configuration of a Board.
+// Config is the configuration of a LeaseView.
 type Config struct {
-	Self string        // name of this entry as a lease holder
-	Addr string        // host:port at which this entry listens for others
-	Term time.Duration // duration of a lease
-	// Capacity is the capacity of this host in cores of normal speed; 0: FullCapacity.
-	Capacity float64
-	Spread   time.Duration // upper bound of the delay of a claim that differs by entry and pool
-	Held     time.Duration // additional delay for each pool that this entry has already
-	// Suspect is how long a lease's row must be unchanged before its holder is probed; 0: holders
-	// aren't probed, and each lease must run out.
-	Suspect time.Duration
-	Regain  time.Duration // grace period after a table outage in which live holders can renew their leases
+	Holder        string // name of this entry as a lease holder
+	Addr          string // host:port at which this entry listens for others
+	LeaseDuration time.Duration
+	// Capacity is the capacity of this host in cores of normal speed; 0: DefaultCapacity.
+	Capacity      float64
+	ClaimSpread   time.Duration // upper bound of the delay of a claim that differs by entry and pool
+	DelayPerLease time.Duration // additional delay for each pool that this entry has already
+	// ProbeAfter is how long a lease's row must be unchanged before its holder is probed; 0:
+	// holders aren't probed, and each lease must run out.
+	ProbeAfter  time.Duration
+	GracePeriod time.Duration // grace period after a table outage in which live holders can renew their leases
 }
 
 // leaseState is a lease row as last read.
@@ -41,14 +41,14 @@
 
 // Claim is an attempt to take a pool's lease.
 type Claim struct {
-	Pool    string
-	Version int64 // of the lease row as read; 0: there is no row
-	Row     gauge.LeaseRow
-	Early   time.Duration // how much of the lease hasn't run out; above 0 if the holder didn't answer a probe
+	Pool              string
+	Version           int64 // of the lease row as read; 0: there is no row
+	Row               gauge.LeaseRow
+	PreviousLeaseLeft time.Duration // how much of the lease hasn't run out; above 0 if the holder didn't answer a probe
 }
 
-// Board is this entry's view of the lease table. It is not safe for concurrent use.
-type Board struct {
+// LeaseView is this entry's view of the lease table. It is not safe for concurrent use.
+type LeaseView struct {
 	conf             Config
 	rows             map[string]leaseState
 	entries          map[string]gauge.EntryRow // by name, including this one
@@ -64,51 +64,51 @@
 // clockMargin covers the drift between two entries' steady clocks over one term.
 const clockMargin = 100 * time.Millisecond
 
-// tableClockMargin covers the errors with which a holder and this entry know the table's clock: each
-// takes readings only from answers that took less than a tenth of a second.
+// tableClockMargin covers the errors with which a holder and this entry know the table's clock:
+// each takes readings only from answers that took less than a tenth of a second.
 const tableClockMargin = 300 * time.Millisecond
 
-// New returns a Board that has read no rows.
-func New(c Config) *Board {
+// New returns a LeaseView that has read no rows.
+func New(c Config) *LeaseView {
 	if c.Capacity == 0 {
-		c.Capacity = FullCapacity
+		c.Capacity = DefaultCapacity
 	}
-	return &Board{conf: c, rows: make(map[string]leaseState), entries: make(map[string]gauge.EntryRow), freeSince: make(map[string]time.Duration), unansweredClaims: make(map[string]bool), exited: make(map[string]bool), answeredAt: make(map[string]time.Duration), unansweredAt: make(map[string]time.Duration)}
+	return &LeaseView{conf: c, rows: make(map[string]leaseState), entries: make(map[string]gauge.EntryRow), freeSince: make(map[string]time.Duration), unansweredClaims: make(map[string]bool), exited: make(map[string]bool), answeredAt: make(map[string]time.Duration), unansweredAt: make(map[string]time.Duration)}
 }
 
-// Tell records a lease row that was read at a time. Clock is an upper bound of the table's clock at
-// that time, in milliseconds; 0: not known.
-func (b *Board) Tell(pool string, row gauge.LeaseRow, version int64, now time.Duration, clock int64) {
+// SetLease records a lease row that was read at a time. Clock is an upper bound of the table's
+// clock at that time, in milliseconds; 0: not known.
+func (b *LeaseView) SetLease(pool string, row gauge.LeaseRow, version int64, now time.Duration, clock int64) {
 	old, known := b.rows[pool]
 	if known && version <= old.version {
 		return
 	}
 	s := leaseState{row: row, version: version, readAt: now}
-	if clock > 0 && row.Renewed > 0 {
-		s.renewalAge = time.Duration(clock-row.Renewed) * time.Millisecond
+	if clock > 0 && row.RenewedAt > 0 {
+		s.renewalAge = time.Duration(clock-row.RenewedAt) * time.Millisecond
 	}
 	b.rows[pool] = s
 }
 
-// Unsure records that this entry's claim of a pool got no answer. If the claim was executed, the
-// row names this entry, which doesn't run the pool, and the other entries would wait a whole term
-// for a holder that does nothing.
-func (b *Board) Unsure(pool string) { b.unansweredClaims[pool] = true }
+// MarkClaimUnanswered records that this entry's claim of a pool got no answer. If the claim was
+// executed, the row names this entry, which doesn't run the pool, and the other entries would wait
+// a whole term for a holder that does nothing.
+func (b *LeaseView) MarkClaimUnanswered(pool string) { b.unansweredClaims[pool] = true }
 
-// Alive records that a holder has answered this entry during a table outage.
-func (b *Board) Alive(holder string, now time.Duration) { b.answeredAt[holder] = now }
+// MarkAlive records that a holder has answered this entry during a table outage.
+func (b *LeaseView) MarkAlive(holder string, now time.Duration) { b.answeredAt[holder] = now }
 
-// Regained records that the table is reachable again after an outage. Holders could not renew their
-// leases meanwhile, but continued to work: if their pools were taken over at once, these would
-// stand still until their new owners have the reports of all workers.
-func (b *Board) Regained(now time.Duration) { b.graceEnd = now + b.conf.Regain }
+// StartGracePeriod records that the table is reachable again after an outage. Holders could not
+// renew their leases meanwhile, but continued to work: if their pools were taken over at once,
+// these would stand still until their new owners have the reports of all workers.
+func (b *LeaseView) StartGracePeriod(now time.Duration) { b.graceEnd = now + b.conf.GracePeriod }
 
-// Gone records that a holder's process has exited, so that its leases needn't run out.
-func (b *Board) Gone(holder string) { b.exited[holder] = true }
+// MarkExited records that a holder's process has exited, so that its leases needn't run out.
+func (b *LeaseView) MarkExited(holder string) { b.exited[holder] = true }
 
-// Suspects returns the addresses of holders that should have renewed a lease by now: a holder
+// OverdueAddrs returns the addresses of holders that should have renewed a lease by now: a holder
 // renews four times in a term, and two of these renewals are overdue.
-func (b *Board) Suspects(now time.Duration) []string {
+func (b *LeaseView) OverdueAddrs(now time.Duration) []string {
 	var addrs []string
 	for _, s := range b.rows {
 		if b.isOverdue(&s, now) && s.row.Addr != b.conf.Addr && !slices.Contains(addrs, s.row.Addr) {
@@ -118,25 +118,26 @@
 	return addrs
 }
 
-func (b *Board) isOverdue(s *leaseState, now time.Duration) bool {
-	return b.conf.Suspect > 0 && s.row.Holder != "" && now-s.readAt > b.conf.Suspect && now >= b.graceEnd
+func (b *LeaseView) isOverdue(s *leaseState, now time.Duration) bool {
+	return b.conf.ProbeAfter > 0 && s.row.Holder != "" && now-s.readAt > b.conf.ProbeAfter && now >= b.graceEnd
 }
 
-// Unanswered records that the holder at an address didn't answer a probe that was sent at a time.
-func (b *Board) Unanswered(addr string, asked time.Duration) { b.unansweredAt[addr] = asked }
+// MarkUnanswered records that the holder at an address didn't answer a probe that was sent at a
+// time.
+func (b *LeaseView) MarkUnanswered(addr string, asked time.Duration) { b.unansweredAt[addr] = asked }
 
 // isDead reports whether a holder neither renews its lease nor answers. A host that lost power
 // doesn't refuse connections, so that nothing else shows its failure; its pools would stand still
 // until their leases ran out, and no machine would move if it held the fleet lease. A holder that
 // is taken for dead by mistake can't give orders any more once the workers have been called by its
 // successor.
-func (b *Board) isDead(s *leaseState, now time.Duration) bool {
+func (b *LeaseView) isDead(s *leaseState, now time.Duration) bool {
 	probedAt, ok := b.unansweredAt[s.row.Addr]
 	return ok && probedAt > s.readAt && b.isOverdue(s, now)
 }
 
 // HoldersAt returns the holders whose lease rows have an address.
-func (b *Board) HoldersAt(addr string) []string {
+func (b *LeaseView) HoldersAt(addr string) []string {
 	var names []string
 	for _, s := range b.rows {
 		if s.row.Addr == addr && s.row.Holder != "" && !slices.Contains(names, s.row.Holder) {
@@ -146,20 +147,20 @@
 	return names
 }
 
-// Read records that the table has been read completely: a pool without a row has no owner.
-func (b *Board) Read() { b.tableRead = true }
+// MarkTableRead records that the table has been read completely: a pool without a row has no owner.
+func (b *LeaseView) MarkTableRead() { b.tableRead = true }
 
-// Holder returns the lease row of a pool; false if no entry holds the lease.
-func (b *Board) Holder(pool string) (gauge.LeaseRow, bool) {
+// Lease returns the lease row of a pool; false if no entry holds the lease.
+func (b *LeaseView) Lease(pool string) (gauge.LeaseRow, bool) {
 	s, ok := b.rows[pool]
 	return s.row, ok && s.row.Holder != ""
 }
 
-// Version returns the version of a pool's lease row as last read; 0: there is no row.
-func (b *Board) Version(pool string) int64 { return b.rows[pool].version }
+// LeaseVersion returns the version of a pool's lease row as last read; 0: there is no row.
+func (b *LeaseView) LeaseVersion(pool string) int64 { return b.rows[pool].version }
 
 // Pools returns the pools that have a lease row.
-func (b *Board) Pools() []string {
+func (b *LeaseView) Pools() []string {
 	names := make([]string, 0, len(b.rows))
 	for n := range b.rows {
 		names = append(names, n)
@@ -167,9 +168,9 @@
 	return names
 }
 
-// Due returns the claims to make now, of pools that this entry doesn't have. Held is the number of
-// pools that it has.
-func (b *Board) Due(pools []string, held int, now time.Duration) []Claim {
+// DueClaims returns the claims to make now, of pools that this entry doesn't have. Held is the
+// number of pools that it has.
+func (b *LeaseView) DueClaims(pools []string, held int, now time.Duration) []Claim {
 	if !b.tableRead {
 		return nil
 	}
@@ -188,51 +189,51 @@
 			continue
 		}
 		s := b.rows[pool]
-		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, Early: b.remainingTerm(pool, now)})
+		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, PreviousLeaseLeft: b.remainingTerm(pool, now)})
 		delete(b.freeSince, pool) // if the claim fails, the next one is delayed again
 		delete(b.unansweredClaims, pool)
 	}
 	return claims
 }
 
-func (b *Board) isFree(pool string, now time.Duration) bool {
+func (b *LeaseView) isFree(pool string, now time.Duration) bool {
 	s, ok := b.rows[pool]
-	if !ok || s.row.Holder == "" || b.isOwnPrevious(pool) || b.unansweredClaims[pool] && s.row.Holder == b.conf.Self || b.exited[s.row.Holder] {
+	if !ok || s.row.Holder == "" || b.isOwnPrevious(pool) || b.unansweredClaims[pool] && s.row.Holder == b.conf.Holder || b.exited[s.row.Holder] {
 		return true
 	}
-	if answered, ok := b.answeredAt[s.row.Holder]; ok && now < b.graceEnd && now-answered < b.conf.Term {
+	if answered, ok := b.answeredAt[s.row.Holder]; ok && now < b.graceEnd && now-answered < b.conf.LeaseDuration {
 		return false
 	}
 	if b.isDead(&s, now) {
 		return true
 	}
 	unchanged := now - s.readAt
-	return unchanged > b.conf.Term+clockMargin || unchanged+s.renewalAge > b.conf.Term+clockMargin+tableClockMargin
+	return unchanged > b.conf.LeaseDuration+clockMargin || unchanged+s.renewalAge > b.conf.LeaseDuration+clockMargin+tableClockMargin
 }
 
 // remainingTerm returns how much of the lease of a holder that didn't answer a probe may not have
 // run out yet; 0 for other holders.
-func (b *Board) remainingTerm(pool string, now time.Duration) time.Duration {
+func (b *LeaseView) remainingTerm(pool string, now time.Duration) time.Duration {
 	s := b.rows[pool]
 	if !b.isDead(&s, now) {
 		return 0
 	}
-	return max(0, b.conf.Term-(now-s.readAt))
+	return max(0, b.conf.LeaseDuration-(now-s.readAt))
 }
 
 // isOwnPrevious reports whether a pool's holder is an earlier start of this entry. That process has
 // exited, as this one listens at its address.
-func (b *Board) isOwnPrevious(pool string) bool {
+func (b *LeaseView) isOwnPrevious(pool string) bool {
 	row := b.rows[pool].row
-	return row.Holder != "" && row.Holder != b.conf.Self && row.Addr == b.conf.Addr
+	return row.Holder != "" && row.Holder != b.conf.Holder && row.Addr == b.conf.Addr
 }
 
 // claimDelay returns how long this entry waits before it claims a free pool. The time differs by
 // entry and pool, so that entries that see a pool free at the same time don't all write. It grows
 // with the number of leases of this entry, and more so the smaller its host is, so that pools are
 // distributed by the capacity of hosts.
-func (b *Board) claimDelay(pool string, held int) time.Duration {
+func (b *LeaseView) claimDelay(pool string, held int) time.Duration {
 	const steps = 1 << 10
-	share := xxhash.Sum64String(b.conf.Self+"/"+pool) % steps
-	return time.Duration(share)*b.conf.Spread/steps + time.Duration(held)*b.conf.Held + b.smallHostDelay(held)
+	share := xxhash.Sum64String(b.conf.Holder+"/"+pool) % steps
+	return time.Duration(share)*b.conf.ClaimSpread/steps + time.Duration(held)*b.conf.DelayPerLease + b.smallHostDelay(held)
 }
--- a/internal/terms/terms_test.go
+++ b/internal/terms/terms_test.go
@@ -17,20 +17,20 @@
 	regain = 800 * time.Millisecond
 )
 
-func newBoard(self string) *terms.Board {
-	b := terms.New(terms.Config{Self: self, Addr: "10.0.0.9:1", Term: term, Spread: spread, Held: held, Regain: regain})
-	b.Read()
+func newBoard(self string) *terms.LeaseView {
+	b := terms.New(terms.Config{Holder: self, Addr: "10.0.0.9:1", LeaseDuration: term, ClaimSpread: spread, DelayPerLease: held, GracePeriod: regain})
+	b.MarkTableRead()
 	return b
 }
 
 func rowOf(holder string) gauge.LeaseRow { return gauge.LeaseRow{Holder: holder, Addr: "10.0.0.1:1"} }
 
 // dueClaims asks for claims until the longest delay has passed.
-func dueClaims(b *terms.Board, now time.Duration, pools ...string) []terms.Claim {
-	if c := b.Due(pools, 0, now); len(c) > 0 {
+func dueClaims(b *terms.LeaseView, now time.Duration, pools ...string) []terms.Claim {
+	if c := b.DueClaims(pools, 0, now); len(c) > 0 {
 		return c
 	}
-	return b.Due(pools, 0, now+spread+held)
+	return b.DueClaims(pools, 0, now+spread+held)
 }
 
 // Guards against a pool that stands still, or a fleet in which no machine moves, for two seconds
@@ -41,32 +41,32 @@
 	addr := rowOf("other").Addr
 	for _, tt := range []struct {
 		name    string
-		prepare func(b *terms.Board)
+		prepare func(b *terms.LeaseView)
 		want    bool
 	}{
-		{"holder was not probed", func(*terms.Board) {}, false},
-		{"holder didn't answer", func(b *terms.Board) { b.Unanswered(addr, 1050*time.Millisecond) }, true},
-		{"another holder didn't answer", func(b *terms.Board) { b.Unanswered("10.0.0.2:1", 1050*time.Millisecond) }, false},
-		{"holder has renewed since", func(b *terms.Board) {
-			b.Unanswered(addr, 1050*time.Millisecond)
-			b.Tell("p", rowOf("other"), 6, 1100*time.Millisecond, 0)
+		{"holder was not probed", func(*terms.LeaseView) {}, false},
+		{"holder didn't answer", func(b *terms.LeaseView) { b.MarkUnanswered(addr, 1050*time.Millisecond) }, true},
+		{"another holder didn't answer", func(b *terms.LeaseView) { b.MarkUnanswered("10.0.0.2:1", 1050*time.Millisecond) }, false},
+		{"holder has renewed since", func(b *terms.LeaseView) {
+			b.MarkUnanswered(addr, 1050*time.Millisecond)
+			b.SetLease("p", rowOf("other"), 6, 1100*time.Millisecond, 0)
 		}, false},
-		{"the table is just reachable again", func(b *terms.Board) {
-			b.Unanswered(addr, 1050*time.Millisecond)
-			b.Regained(1300 * time.Millisecond)
+		{"the table is just reachable again", func(b *terms.LeaseView) {
+			b.MarkUnanswered(addr, 1050*time.Millisecond)
+			b.StartGracePeriod(1300 * time.Millisecond)
 		}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := terms.New(terms.Config{Self: "self", Addr: "10.0.0.9:1", Term: term, Spread: spread, Held: held, Regain: regain, Suspect: suspect})
-			b.Read()
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			assert.Equal(t, len(b.Suspects(suspect)), 0)
-			assert.DeepEqual(t, b.Suspects(1050*time.Millisecond), []string{addr})
+			b := terms.New(terms.Config{Holder: "self", Addr: "10.0.0.9:1", LeaseDuration: term, ClaimSpread: spread, DelayPerLease: held, GracePeriod: regain, ProbeAfter: suspect})
+			b.MarkTableRead()
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			assert.Equal(t, len(b.OverdueAddrs(suspect)), 0)
+			assert.DeepEqual(t, b.OverdueAddrs(1050*time.Millisecond), []string{addr})
 			tt.prepare(b)
 			claims := dueClaims(b, 1400*time.Millisecond, "p")
 			assert.Equal(t, len(claims) > 0, tt.want)
 			if tt.want {
-				assert.Assert(t, claims[0].Early > 0, "the holder may continue for this long")
+				assert.Assert(t, claims[0].PreviousLeaseLeft > 0, "the holder may continue for this long")
 			}
 		})
 	}
@@ -75,73 +75,73 @@
 func TestLeaseClaims(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		tell func(b *terms.Board)
+		tell func(b *terms.LeaseView)
 		now  time.Duration
 		want bool
 	}{
-		{"no row", func(*terms.Board) {}, 0, true},
-		{"given up", func(b *terms.Board) { b.Tell("p", rowOf(""), 5, 0, 0) }, 0, true},
-		{"held by another entry", func(b *terms.Board) { b.Tell("p", rowOf("other"), 5, 0, 0) }, time.Second, false},
-		{"not renewed for a term", func(b *terms.Board) { b.Tell("p", rowOf("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
-		{"renewed meanwhile", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Tell("p", rowOf("other"), 6, time.Second, 0)
+		{"no row", func(*terms.LeaseView) {}, 0, true},
+		{"given up", func(b *terms.LeaseView) { b.SetLease("p", rowOf(""), 5, 0, 0) }, 0, true},
+		{"held by another entry", func(b *terms.LeaseView) { b.SetLease("p", rowOf("other"), 5, 0, 0) }, time.Second, false},
+		{"not renewed for a term", func(b *terms.LeaseView) { b.SetLease("p", rowOf("other"), 5, 0, 0) }, term + 200*time.Millisecond, true},
+		{"renewed meanwhile", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.SetLease("p", rowOf("other"), 6, time.Second, 0)
 		}, term + 200*time.Millisecond, false},
 		// A row version that is read again is no renewal.
-		{"the same row again", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Tell("p", rowOf("other"), 5, time.Second, 0)
+		{"the same row again", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.SetLease("p", rowOf("other"), 5, time.Second, 0)
 		}, term + 200*time.Millisecond, true},
-		{"renewed long ago by the table's clock", func(b *terms.Board) {
+		{"renewed long ago by the table's clock", func(b *terms.LeaseView) {
 			r := rowOf("other")
-			r.Renewed = 1000
-			b.Tell("p", r, 5, 0, 1000+2500)
+			r.RenewedAt = 1000
+			b.SetLease("p", r, 5, 0, 1000+2500)
 		}, 0, true},
-		{"renewed lately by the table's clock", func(b *terms.Board) {
+		{"renewed lately by the table's clock", func(b *terms.LeaseView) {
 			r := rowOf("other")
-			r.Renewed = 1000
-			b.Tell("p", r, 5, 0, 1000+1800)
+			r.RenewedAt = 1000
+			b.SetLease("p", r, 5, 0, 1000+1800)
 		}, 100 * time.Millisecond, false},
-		{"held by an earlier start of this entry", func(b *terms.Board) {
-			b.Tell("p", gauge.LeaseRow{Holder: "me/1", Addr: "10.0.0.9:1"}, 5, 0, 0)
+		{"held by an earlier start of this entry", func(b *terms.LeaseView) {
+			b.SetLease("p", gauge.LeaseRow{Holder: "me/1", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, true},
-		{"not renewed during a table outage, holder silent", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Regained(term + time.Second)
+		{"not renewed during a table outage, holder silent", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.StartGracePeriod(term + time.Second)
 		}, term + time.Second, true},
-		{"not renewed during a table outage, holder answered", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Alive("other", term)
-			b.Regained(term + time.Second)
+		{"not renewed during a table outage, holder answered", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.MarkAlive("other", term)
+			b.StartGracePeriod(term + time.Second)
 		}, term + time.Second, false},
-		{"not renewed within the grace period after an outage", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Alive("other", term)
-			b.Regained(term + time.Second)
+		{"not renewed within the grace period after an outage", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.MarkAlive("other", term)
+			b.StartGracePeriod(term + time.Second)
 		}, term + time.Second + regain, true},
-		{"held by a process that has exited", func(b *terms.Board) {
-			b.Tell("p", rowOf("other"), 5, 0, 0)
-			b.Gone("other")
+		{"held by a process that has exited", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
+			b.MarkExited("other")
 		}, 0, true},
-		{"held by the next start of a process that has exited", func(b *terms.Board) {
-			b.Tell("p", rowOf("other/2"), 5, 0, 0)
-			b.Gone("other/1")
+		{"held by the next start of a process that has exited", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf("other/2"), 5, 0, 0)
+			b.MarkExited("other/1")
 		}, 0, false},
-		{"given up before a table outage", func(b *terms.Board) {
-			b.Tell("p", rowOf(""), 5, 0, 0)
-			b.Regained(term)
+		{"given up before a table outage", func(b *terms.LeaseView) {
+			b.SetLease("p", rowOf(""), 5, 0, 0)
+			b.StartGracePeriod(term)
 		}, term, true},
 		// The claim got no answer but was executed: no process runs the pool.
-		{"held by this entry after an unanswered claim", func(b *terms.Board) {
-			b.Unsure("p")
-			b.Tell("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
+		{"held by this entry after an unanswered claim", func(b *terms.LeaseView) {
+			b.MarkClaimUnanswered("p")
+			b.SetLease("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, true},
-		{"held by another entry after an unanswered claim", func(b *terms.Board) {
-			b.Unsure("p")
-			b.Tell("p", rowOf("other"), 5, 0, 0)
+		{"held by another entry after an unanswered claim", func(b *terms.LeaseView) {
+			b.MarkClaimUnanswered("p")
+			b.SetLease("p", rowOf("other"), 5, 0, 0)
 		}, 0, false},
-		{"held by this entry", func(b *terms.Board) {
-			b.Tell("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
+		{"held by this entry", func(b *terms.LeaseView) {
+			b.SetLease("p", gauge.LeaseRow{Holder: "me", Addr: "10.0.0.9:1"}, 5, 0, 0)
 		}, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -153,7 +153,7 @@
 }
 
 func TestNoClaimsBeforeTheTableWasRead(t *testing.T) {
-	b := terms.New(terms.Config{Self: "me", Term: term})
+	b := terms.New(terms.Config{Holder: "me", LeaseDuration: term})
 	assert.Equal(t, len(dueClaims(b, time.Hour, "p")), 0)
 }
 
@@ -164,7 +164,7 @@
 	for _, self := range []string{"a", "b", "c", "d", "e", "f", "g"} {
 		b := newBoard(self)
 		for now := time.Duration(0); ; now += time.Millisecond {
-			if len(b.Due([]string{"p"}, 0, now)) > 0 {
+			if len(b.DueClaims([]string{"p"}, 0, now)) > 0 {
 				first[now] = true
 				break
 			}
@@ -173,6 +173,6 @@
 	assert.Assert(t, len(first) >= 5, "%v", first)
 
 	b := newBoard("a")
-	assert.Equal(t, len(b.Due([]string{"p"}, 3, 0)), 0)
-	assert.Equal(t, len(b.Due([]string{"p"}, 3, 3*held-time.Millisecond)), 0)
+	assert.Equal(t, len(b.DueClaims([]string{"p"}, 3, 0)), 0)
+	assert.Equal(t, len(b.DueClaims([]string{"p"}, 3, 3*held-time.Millisecond)), 0)
 }
--- a/internal/timely/timely.go
+++ b/internal/timely/timely.go
@@ -17,43 +17,43 @@
 
 // Config sets up a Table.
 type Config struct {
-	Store gauge.Parted
-	Late  time.Duration // after this long without an answer the cause is checked by a read
-	Fast  time.Duration // a read that takes no longer shows that the table isn't slow
-	Away  time.Duration // timeout of the read; after it the table counts as unreachable
-	Most  time.Duration // timeout of a transaction on a slow table
-	Now   func() time.Duration
+	Store         gauge.PartitionedTable
+	CheckDelay    time.Duration // after this long without an answer the cause is checked by a read
+	MaxFastRead   time.Duration // a read that takes no longer shows that the table isn't slow
+	ReadTimeout   time.Duration // timeout of the read; after it the table counts as unreachable
+	CommitTimeout time.Duration // timeout of a transaction on a slow table
+	Now           func() time.Duration
 }
 
-// Table is a gauge.Parted whose Commit stops waiting for an answer that won't come. Reads are
-// passed through unchanged.
+// Table is a gauge.PartitionedTable whose Commit stops waiting for an answer that won't come. Reads
+// are passed through unchanged.
 type Table struct {
-	gauge.Parted
+	gauge.PartitionedTable
 	conf Config
 }
 
 // New makes a Table.
-func New(c Config) *Table { return &Table{Parted: c.Store, conf: c} }
+func New(c Config) *Table { return &Table{PartitionedTable: c.Store, conf: c} }
 
-// Commit implements gauge.Parted. When it stops waiting for the answer, the error is of
+// Commit implements gauge.PartitionedTable. When it stops waiting for the answer, the error is of
 // KindUnknown: the transaction may or may not be stored.
-func (t *Table) Commit(ctx context.Context, txn gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.conf.Most)
+func (t *Table) Commit(ctx context.Context, txn gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.conf.CommitTimeout)
 	defer cancel()
-	check := time.AfterFunc(t.conf.Late, func() {
+	check := time.AfterFunc(t.conf.CheckDelay, func() {
 		if len(txn.Checks) > 0 && !t.isSlow(ctx, txn.Checks[0].RowKey) {
 			cancel()
 		}
 	})
 	defer check.Stop()
-	return t.Parted.Commit(ctx, txn)
+	return t.PartitionedTable.Commit(ctx, txn)
 }
 
 // isSlow reports whether the partition that holds a row answers a read, but slowly.
 func (t *Table) isSlow(ctx context.Context, row gauge.RowKey) bool {
-	ctx, cancel := context.WithTimeout(ctx, t.conf.Away)
+	ctx, cancel := context.WithTimeout(ctx, t.conf.ReadTimeout)
 	defer cancel()
 	sent := t.conf.Now()
-	_, _, err := t.Range(ctx, row.Table, row.Part, row.Key, row.Key+"\x00")
-	return err == nil && t.conf.Now()-sent > t.conf.Fast
+	_, _, err := t.Range(ctx, row.Table, row.Partition, row.Key, row.Key+"\x00")
+	return err == nil && t.conf.Now()-sent > t.conf.MaxFastRead
 }
--- a/internal/timely/timely_test.go
+++ b/internal/timely/timely_test.go
@@ -14,7 +14,7 @@
 // table answers a transaction after a read has been made, if at all; each read takes some
 // time on the test's clock.
 type table struct {
-	gauge.Parted
+	gauge.PartitionedTable
 	now           time.Duration
 	readTime      time.Duration // of a read
 	unreachable   bool
@@ -22,23 +22,23 @@
 	reads         chan gauge.RowKey
 }
 
-func (t *table) Range(ctx context.Context, name, part, from, _ string) ([]gauge.PartRow, gauge.Stamp, error) {
-	defer func() { t.reads <- gauge.RowKey{Table: name, Part: part, Key: from} }()
+func (t *table) Range(ctx context.Context, name, part, from, _ string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
+	defer func() { t.reads <- gauge.RowKey{Table: name, Partition: part, Key: from} }()
 	if t.unreachable {
 		<-ctx.Done()
-		return nil, gauge.Stamp{}, gauge.Fail(gauge.KindOutage, "no answer")
+		return nil, gauge.TablePosition{}, gauge.Errorf(gauge.KindOutage, "no answer")
 	}
 	t.now += t.readTime
-	return nil, gauge.Stamp{}, nil
+	return nil, gauge.TablePosition{}, nil
 }
 
-func (t *table) Commit(ctx context.Context, _ gauge.PartTxn) (gauge.Stamp, []gauge.PartRow, error) {
+func (t *table) Commit(ctx context.Context, _ gauge.PartitionTxn) (gauge.TablePosition, []gauge.PartitionRow, error) {
 	row := <-t.reads
 	if t.answersCommit {
-		return gauge.Stamp{Version: int64(len(row.Key))}, nil, nil
+		return gauge.TablePosition{Version: int64(len(row.Key))}, nil, nil
 	}
 	<-ctx.Done()
-	return gauge.Stamp{}, nil, gauge.Fail(gauge.KindUnknown, "no answer")
+	return gauge.TablePosition{}, nil, gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
 const (
@@ -66,10 +66,10 @@
 		t.Run(tt.name, func(t *testing.T) {
 			store := &table{readTime: tt.readTime, unreachable: tt.unreachable, answersCommit: tt.want == "", reads: make(chan gauge.RowKey, 1)}
 			timed := timely.New(timely.Config{
-				Store: store, Late: checkDelay, Fast: fastRead, Away: readTimeout, Most: maxWait, Now: func() time.Duration { return store.now },
+				Store: store, CheckDelay: checkDelay, MaxFastRead: fastRead, ReadTimeout: readTimeout, CommitTimeout: maxWait, Now: func() time.Duration { return store.now },
 			})
-			row := gauge.RowKey{Table: "jobs", Part: "sheets", Key: "0000007"}
-			stamp, _, err := timed.Commit(context.Background(), gauge.PartTxn{Checks: []gauge.RowCheck{{RowKey: row}}})
+			row := gauge.RowKey{Table: "jobs", Partition: "sheets", Key: "0000007"}
+			stamp, _, err := timed.Commit(context.Background(), gauge.PartitionTxn{Checks: []gauge.RowCheck{{RowKey: row}}})
 			if tt.want == "" {
 				assert.NilError(t, err)
 				assert.Equal(t, stamp.Version, int64(7))
--- a/internal/turns/turns_test.go
+++ b/internal/turns/turns_test.go
@@ -12,13 +12,13 @@
 const minInterval = 3 * time.Second
 
 // announceAndOrder announces and orders a machine.
-func announceAndOrder(t *testing.T, x *turns.Turns, machine string, clock int64) {
+func announceAndOrder(t *testing.T, x *turns.OrderGuard, machine string, clock int64) {
 	t.Helper()
 	x.Announce(map[string]bool{machine: true})
-	assert.Assert(t, x.Order(machine, clock, time.Hour))
+	assert.Assert(t, x.TryOrder(machine, clock, time.Hour))
 }
 
-func newFirst() *turns.Turns { return turns.New(minInterval, turns.Lists{}, false, 0, 0) }
+func newFirst() *turns.OrderGuard { return turns.New(minInterval, turns.RecentOrders{}, false, 0, 0) }
 
 // Guards against two holders of the fleet lease ordering one machine within the minimum interval,
 // and against a handover after which no machine moves for that long. A holder moves some machines
@@ -28,25 +28,25 @@
 	f := newFirst()
 	announceAndOrder(t, f, "a", 1000)
 	announceAndOrder(t, f, "b", 3500)
-	handed := f.Lately(5000)
+	handed := f.Recent(5000)
 	assert.DeepEqual(t, handed.Own, map[string]int64{"b": 3500})
 
 	next := turns.New(minInterval, handed, false, 5200, 100*time.Second)
-	assert.Assert(t, !next.Waits("a", 100*time.Second))
-	assert.Assert(t, next.Waits("b", 100*time.Second))
-	assert.Assert(t, next.Waits("b", 101200*time.Millisecond))
-	assert.Assert(t, !next.Waits("b", 101400*time.Millisecond))
+	assert.Assert(t, !next.IsBlocked("a", 100*time.Second))
+	assert.Assert(t, next.IsBlocked("b", 100*time.Second))
+	assert.Assert(t, next.IsBlocked("b", 101200*time.Millisecond))
+	assert.Assert(t, !next.IsBlocked("b", 101400*time.Millisecond))
 }
 
 // Guards against the first and the third holder ordering one machine within the minimum interval.
 // The lease is handed over twice in a second, and a holder passed on only its own orders, not those
 // that it was handed.
-func TestOrdersOfEarlierHoldersAreHandedOn(t *testing.T) {
+func TestOrdersOfPreviousHoldersAreInherited(t *testing.T) {
 	f := newFirst()
 	announceAndOrder(t, f, "a", 1000)
-	second := turns.New(minInterval, f.Lately(1100), false, 1200, time.Second)
-	third := turns.New(minInterval, second.Lately(1300), false, 1400, time.Second)
-	assert.Assert(t, third.Waits("a", time.Second))
+	second := turns.New(minInterval, f.Recent(1100), false, 1200, time.Second)
+	third := turns.New(minInterval, second.Recent(1300), false, 1400, time.Second)
+	assert.Assert(t, third.IsBlocked("a", time.Second))
 }
 
 // Guards against a queue at its peak waiting three seconds for idle machines of another pool after
@@ -55,23 +55,23 @@
 func TestHolderIsBlockedByItsOwnEarlierOrdersOnlyUntilTheyTakeEffect(t *testing.T) {
 	f := newFirst()
 	announceAndOrder(t, f, "a", 1000)
-	again := turns.New(minInterval, f.Lately(1100), true, 1200, time.Second)
-	assert.Assert(t, again.Waits("a", time.Second), "it may be carried out still")
-	assert.Assert(t, !again.Waits("a", 1400*time.Millisecond))
-	assert.Assert(t, again.Before("a", 1400), "the table may not know it")
+	again := turns.New(minInterval, f.Recent(1100), true, 1200, time.Second)
+	assert.Assert(t, again.IsBlocked("a", time.Second), "it may be carried out still")
+	assert.Assert(t, !again.IsBlocked("a", 1400*time.Millisecond))
+	assert.Assert(t, again.WasOrderedBefore("a", 1400), "the table may not know it")
 
-	other := turns.New(minInterval, again.Lately(1500), false, 1500, 2*time.Second)
-	assert.Assert(t, other.Waits("a", 2*time.Second))
+	other := turns.New(minInterval, again.Recent(1500), false, 1500, 2*time.Second)
+	assert.Assert(t, other.IsBlocked("a", 2*time.Second))
 }
 
 // The interval to the orders of another entry holds across a restart.
 func TestRestartDoesNotShortenTheIntervalToOtherHolders(t *testing.T) {
 	f := newFirst()
 	announceAndOrder(t, f, "a", 1000)
-	second := turns.New(minInterval, f.Lately(1100), false, 1200, time.Second)
-	again := turns.New(minInterval, second.Lately(1300), true, 1400, time.Second)
-	assert.Assert(t, again.Waits("a", 3*time.Second))
-	assert.Assert(t, !again.Waits("a", 3700*time.Millisecond))
+	second := turns.New(minInterval, f.Recent(1100), false, 1200, time.Second)
+	again := turns.New(minInterval, second.Recent(1300), true, 1400, time.Second)
+	assert.Assert(t, again.IsBlocked("a", 3*time.Second))
+	assert.Assert(t, !again.IsBlocked("a", 3700*time.Millisecond))
 }
 
 // Guards against a pool whose peak has begun getting no machine for five seconds. The fleet lease
@@ -79,22 +79,22 @@
 // until all of its orders were older than the minimum interval.
 func TestSuccessorOfACrashedHolderIsBlockedOnlyForAnnouncedMachines(t *testing.T) {
 	f := newFirst()
-	row := f.Ahead(map[string]bool{"a": true}, time.Second, 1000)
+	row := f.RecentAndPlanned(map[string]bool{"a": true}, time.Second, 1000)
 	next := turns.New(minInterval, row, false, 3000, time.Minute)
-	assert.Assert(t, next.Waits("a", time.Minute), "it may have been ordered at 2000")
-	assert.Assert(t, next.Waits("a", time.Minute+1900*time.Millisecond))
-	assert.Assert(t, !next.Waits("a", time.Minute+2100*time.Millisecond))
-	assert.Assert(t, !next.Waits("b", time.Minute))
+	assert.Assert(t, next.IsBlocked("a", time.Minute), "it may have been ordered at 2000")
+	assert.Assert(t, next.IsBlocked("a", time.Minute+1900*time.Millisecond))
+	assert.Assert(t, !next.IsBlocked("a", time.Minute+2100*time.Millisecond))
+	assert.Assert(t, !next.IsBlocked("b", time.Minute))
 }
 
 func TestOnlyAnnouncedMachinesAreOrdered(t *testing.T) {
 	f := newFirst()
-	assert.Assert(t, !f.Order("a", 1000, time.Second))
-	assert.Assert(t, f.Narrow(map[string]bool{"a": true, "b": true}))
+	assert.Assert(t, !f.TryOrder("a", 1000, time.Second))
+	assert.Assert(t, f.RetainAnnounced(map[string]bool{"a": true, "b": true}))
 	f.Announce(map[string]bool{"a": true, "b": true})
-	assert.Assert(t, f.Order("a", 1000, time.Second))
-	assert.Assert(t, !f.Narrow(map[string]bool{"a": true}), "nothing new has to be written")
-	assert.Assert(t, !f.Order("b", 1000, time.Second), "the next row doesn't name it")
+	assert.Assert(t, f.TryOrder("a", 1000, time.Second))
+	assert.Assert(t, !f.RetainAnnounced(map[string]bool{"a": true}), "nothing new has to be written")
+	assert.Assert(t, !f.TryOrder("b", 1000, time.Second), "the next row doesn't name it")
 	assert.DeepEqual(t, f.Announced(), map[string]bool{"a": true})
 }
 
@@ -102,7 +102,7 @@
 // The second one ends after its claim and before its first renewal, and the row of its claim had
 // none of the orders before.
 func TestClaimPassesOnEarlierOrders(t *testing.T) {
-	before := turns.Lists{Own: map[string]int64{"a": 2000}, Earlier: map[string]int64{"a": 1000, "b": 1500}}
-	assert.DeepEqual(t, before.HandedOn(false), turns.Lists{Earlier: map[string]int64{"a": 2000, "b": 1500}})
-	assert.DeepEqual(t, before.HandedOn(true), before)
+	before := turns.RecentOrders{Own: map[string]int64{"a": 2000}, Previous: map[string]int64{"a": 1000, "b": 1500}}
+	assert.DeepEqual(t, before.Inherited(false), turns.RecentOrders{Previous: map[string]int64{"a": 2000, "b": 1500}})
+	assert.DeepEqual(t, before.Inherited(true), before)
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -17,22 +17,22 @@
 
 // Config sets up a Table.
 type Config struct {
-	Name   string
-	Parted bool // the rows are in many partitions; otherwise all are in the unnamed one
-	Store  gauge.Parted
-	Wait   time.Duration        // how long a feed call waits for a change; 0: it returns at once
-	Renew  bool                 // confirms every Wait that all rows are known, also while rows change
-	Pause  func() time.Duration // returns the delay between two calls
-	Logs   logr.Logger
-	Now    func() time.Duration
-	// Tell receives all rows (whole), or those that have changed.
-	Tell func(rows []gauge.PartRow, whole bool)
-	// Stamp receives each reading of the table's clock and the time at which the call
+	Name            string
+	Partitioned     bool // the rows are in many partitions; otherwise all are in the unnamed one
+	Store           gauge.PartitionedTable
+	FeedWait        time.Duration        // how long a feed call waits for a change; 0: it returns at once
+	ConfirmEachWait bool                 // confirms every Wait that all rows are known, also while rows change
+	PollDelay       func() time.Duration // returns the delay between two calls
+	Logs            logr.Logger
+	Now             func() time.Duration
+	// OnRows receives all rows (whole), or those that have changed.
+	OnRows func(rows []gauge.PartitionRow, whole bool)
+	// OnTablePosition receives each reading of the table's clock and the time at which the call
 	// was sent, by Now.
-	Stamp func(s gauge.Stamp, sent time.Duration)
-	// Seen receives, after each successful call, a time by Now: all that the table held then
+	OnTablePosition func(s gauge.TablePosition, sent time.Duration)
+	// OnKnownAsOf receives, after each successful call, a time by Now: all that the table held then
 	// has been delivered. It may be nil.
-	Seen func(asOf time.Duration)
+	OnKnownAsOf func(asOf time.Duration)
 }
 
 // Table follows one table.
@@ -68,7 +68,7 @@
 		if err == nil {
 			t.lastAnswer = t.conf.Now()
 		}
-		pause := t.conf.Pause()
+		pause := t.conf.PollDelay()
 		if err != nil && ctx.Err() == nil {
 			pause = t.recordFailure(err)
 		} else if t.unreachable {
@@ -81,7 +81,7 @@
 
 // recordFailure records a failed call and returns the delay before the next one.
 func (t *Table) recordFailure(err error) time.Duration {
-	if gauge.Is(err, gauge.KindCompacted) {
+	if gauge.IsKind(err, gauge.KindCompacted) {
 		t.conf.Logs.Info("table history compacted; reading the whole table", "table", t.conf.Name, "version", t.version)
 		t.hasRows = false
 		return 0
@@ -132,10 +132,10 @@
 	if err != nil {
 		return err
 	}
-	t.conf.Stamp(stamp, sent)
+	t.conf.OnTablePosition(stamp, sent)
 	t.version = max(t.version, stamp.Version)
 	if len(rows) > 0 {
-		t.conf.Tell(rows, false)
+		t.conf.OnRows(rows, false)
 	}
 	t.reportAsOf(t.coveredUntil(sent, wait, len(rows)))
 	return nil
@@ -148,11 +148,11 @@
 	if t.unreachable {
 		return 0
 	}
-	if t.conf.Renew {
+	if t.conf.ConfirmEachWait {
 		// The table counts whole milliseconds.
-		return min(max(0, t.knownAsOf+t.conf.Wait-now), t.conf.Wait).Truncate(time.Millisecond)
+		return min(max(0, t.knownAsOf+t.conf.FeedWait-now), t.conf.FeedWait).Truncate(time.Millisecond)
 	}
-	return t.conf.Wait
+	return t.conf.FeedWait
 }
 
 // coveredUntil returns the time up to which a feed's answer covers all changes. The table answers
@@ -168,8 +168,8 @@
 // reportAsOf records and reports that the rows as of a time have been delivered.
 func (t *Table) reportAsOf(asOf time.Duration) {
 	t.knownAsOf = asOf
-	if t.conf.Seen != nil {
-		t.conf.Seen(asOf)
+	if t.conf.OnKnownAsOf != nil {
+		t.conf.OnKnownAsOf(asOf)
 	}
 }
 
@@ -180,8 +180,8 @@
 	if err != nil {
 		return err
 	}
-	if t.conf.Parted {
-		parts, err := t.conf.Store.Parts(ctx, t.conf.Name)
+	if t.conf.Partitioned {
+		parts, err := t.conf.Store.Partitions(ctx, t.conf.Name)
 		if err != nil {
 			return err
 		}
@@ -192,9 +192,9 @@
 		rows = append(rows, more...)
 	}
 	t.version, t.hasRows = stamp.Version, true
-	t.conf.Tell(rows, true)
+	t.conf.OnRows(rows, true)
 	// Only after Tell: the receiver of the stamp counts the rows as read at that time.
-	t.conf.Stamp(stamp, sent)
+	t.conf.OnTablePosition(stamp, sent)
 	t.reportAsOf(sent)
 	return nil
 }
@@ -204,13 +204,13 @@
 const maxConcurrentReads = 8
 
 // readPartitions reads the named partitions.
-func (t *Table) readPartitions(ctx context.Context, parts []string) ([]gauge.PartRow, error) {
-	reads := pool.NewWithResults[[]gauge.PartRow]().WithContext(ctx).WithMaxGoroutines(maxConcurrentReads).WithCancelOnError()
+func (t *Table) readPartitions(ctx context.Context, parts []string) ([]gauge.PartitionRow, error) {
+	reads := pool.NewWithResults[[]gauge.PartitionRow]().WithContext(ctx).WithMaxGoroutines(maxConcurrentReads).WithCancelOnError()
 	for _, part := range parts {
 		if part == "" {
 			continue
 		}
-		reads.Go(func(ctx context.Context) ([]gauge.PartRow, error) {
+		reads.Go(func(ctx context.Context) ([]gauge.PartitionRow, error) {
 			rows, _, err := t.conf.Store.Range(ctx, t.conf.Name, part, "", "")
 			return rows, err
 		})
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -14,21 +14,21 @@
 
 // table answers every read; each test sets what a feed call does.
 type table struct {
-	gauge.Parted
+	gauge.PartitionedTable
 	feeds int
 	feed  func(ctx context.Context, n int) error
 }
 
-func (t *table) Range(context.Context, string, string, string, string) ([]gauge.PartRow, gauge.Stamp, error) {
-	return nil, gauge.Stamp{Version: 1}, nil
+func (t *table) Range(context.Context, string, string, string, string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
+	return nil, gauge.TablePosition{Version: 1}, nil
 }
 
-func (t *table) Feed(ctx context.Context, _ string, _ int64, _ time.Duration) ([]gauge.PartRow, gauge.Stamp, error) {
+func (t *table) Feed(ctx context.Context, _ string, _ int64, _ time.Duration) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	t.feeds++
 	if err := t.feed(ctx, t.feeds); err != nil {
-		return nil, gauge.Stamp{}, err
+		return nil, gauge.TablePosition{}, err
 	}
-	return []gauge.PartRow{{Version: 2}}, gauge.Stamp{Version: 2}, nil
+	return []gauge.PartitionRow{{Version: 2}}, gauge.TablePosition{Version: 2}, nil
 }
 
 // Guards against an entry that notices new workers and leases up to two seconds after the end
@@ -38,10 +38,10 @@
 	store := &table{feed: func(ctx context.Context, n int) error {
 		switch n {
 		case 1:
-			return gauge.Fail(gauge.KindOutage, "no answer")
+			return gauge.Errorf(gauge.KindOutage, "no answer")
 		case 2:
 			<-ctx.Done() // never answers
-			return gauge.Fail(gauge.KindOutage, "no answer")
+			return gauge.Errorf(gauge.KindOutage, "no answer")
 		default:
 			return nil
 		}
@@ -50,9 +50,9 @@
 	defer stop()
 	delivered := make(chan bool, 10)
 	go watch.New(watch.Config{
-		Name: "workers", Store: store, Wait: time.Hour, Pause: func() time.Duration { return 0 }, Logs: logr.Discard(),
-		Now: func() time.Duration { return 0 }, Stamp: func(gauge.Stamp, time.Duration) {},
-		Tell: func(_ []gauge.PartRow, whole bool) {
+		Name: "workers", Store: store, FeedWait: time.Hour, PollDelay: func() time.Duration { return 0 }, Logs: logr.Discard(),
+		Now: func() time.Duration { return 0 }, OnTablePosition: func(gauge.TablePosition, time.Duration) {},
+		OnRows: func(_ []gauge.PartitionRow, whole bool) {
 			if !whole {
 				delivered <- true
 			}
@@ -74,18 +74,18 @@
 	store := &table{feed: func(ctx context.Context, n int) error {
 		now += time.Second
 		if n <= 3 {
-			return gauge.Fail(gauge.KindOutage, "refused")
+			return gauge.Errorf(gauge.KindOutage, "refused")
 		}
 		<-ctx.Done() // more than arrives within the call's timeout
-		return gauge.Fail(gauge.KindOutage, "no answer in time")
+		return gauge.Errorf(gauge.KindOutage, "no answer in time")
 	}}
 	ctx, stop := context.WithTimeout(t.Context(), time.Minute)
 	defer stop()
 	whole := make(chan bool, 10)
 	go watch.New(watch.Config{
-		Name: "leases", Store: store, Pause: func() time.Duration { return 0 }, Logs: logr.Discard(),
-		Now: func() time.Duration { return now }, Stamp: func(gauge.Stamp, time.Duration) {},
-		Tell: func(_ []gauge.PartRow, all bool) { whole <- all },
+		Name: "leases", Store: store, PollDelay: func() time.Duration { return 0 }, Logs: logr.Discard(),
+		Now: func() time.Duration { return now }, OnTablePosition: func(gauge.TablePosition, time.Duration) {},
+		OnRows: func(_ []gauge.PartitionRow, all bool) { whole <- all },
 	}).Run(ctx)
 	for range 2 {
 		select {
@@ -103,12 +103,12 @@
 	onPartitionRead func() // called at the read of a named partition
 }
 
-func (*partialTable) Parts(context.Context, string) ([]string, error) { return []string{"p"}, nil }
+func (*partialTable) Partitions(context.Context, string) ([]string, error) { return []string{"p"}, nil }
 
-func (p *partialTable) Range(ctx context.Context, name, part, from, to string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (p *partialTable) Range(ctx context.Context, name, part, from, to string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	if part != "" {
 		p.onPartitionRead()
-		return nil, gauge.Stamp{}, gauge.Fail(gauge.KindOutage, "no answer")
+		return nil, gauge.TablePosition{}, gauge.Errorf(gauge.KindOutage, "no answer")
 	}
 	return p.table.Range(ctx, name, part, from, to)
 }
@@ -123,9 +123,9 @@
 	store := &partialTable{}
 	store.onPartitionRead = func() { stop() }
 	watch.New(watch.Config{
-		Name: "leases", Parted: true, Store: store, Logs: logr.Discard(), Now: func() time.Duration { return 0 },
-		Pause: func() time.Duration { return 0 }, Tell: func([]gauge.PartRow, bool) { rounds++ },
-		Stamp: func(gauge.Stamp, time.Duration) { stamps++ },
+		Name: "leases", Partitioned: true, Store: store, Logs: logr.Discard(), Now: func() time.Duration { return 0 },
+		PollDelay: func() time.Duration { return 0 }, OnRows: func([]gauge.PartitionRow, bool) { rounds++ },
+		OnTablePosition: func(gauge.TablePosition, time.Duration) { stamps++ },
 	}).Run(ctx)
 	assert.Equal(t, rounds, 0)
 	assert.Equal(t, stamps, 0)
@@ -155,13 +155,13 @@
 			var sent time.Duration
 			store := &timedTable{took: c.took, now: &now, sent: &sent}
 			if c.changes {
-				store.rows = []gauge.PartRow{{Version: 2}}
+				store.rows = []gauge.PartitionRow{{Version: 2}}
 			}
 			var reported []time.Duration
 			watch.New(watch.Config{
-				Name: "rows", Store: store, Wait: wait, Pause: func() time.Duration { return 0 }, Logs: logr.Discard(),
-				Now: func() time.Duration { return now }, Tell: func([]gauge.PartRow, bool) {}, Stamp: func(gauge.Stamp, time.Duration) {},
-				Seen: func(asOf time.Duration) {
+				Name: "rows", Store: store, FeedWait: wait, PollDelay: func() time.Duration { return 0 }, Logs: logr.Discard(),
+				Now: func() time.Duration { return now }, OnRows: func([]gauge.PartitionRow, bool) {}, OnTablePosition: func(gauge.TablePosition, time.Duration) {},
+				OnKnownAsOf: func(asOf time.Duration) {
 					if reported = append(reported, asOf); len(reported) == 2 {
 						stop()
 					}
@@ -190,12 +190,12 @@
 			defer stop()
 			now := time.Minute
 			var sent time.Duration
-			store := &timedTable{took: took, now: &now, sent: &sent, rows: []gauge.PartRow{{Version: 2}}}
+			store := &timedTable{took: took, now: &now, sent: &sent, rows: []gauge.PartitionRow{{Version: 2}}}
 			rounds := 0
 			watch.New(watch.Config{
-				Name: "rows", Store: store, Wait: wait, Renew: c.renew, Pause: func() time.Duration { return 0 }, Logs: logr.Discard(),
-				Now: func() time.Duration { return now }, Tell: func([]gauge.PartRow, bool) {}, Stamp: func(gauge.Stamp, time.Duration) {},
-				Seen: func(time.Duration) {
+				Name: "rows", Store: store, FeedWait: wait, ConfirmEachWait: c.renew, PollDelay: func() time.Duration { return 0 }, Logs: logr.Discard(),
+				Now: func() time.Duration { return now }, OnRows: func([]gauge.PartitionRow, bool) {}, OnTablePosition: func(gauge.TablePosition, time.Duration) {},
+				OnKnownAsOf: func(time.Duration) {
 					if rounds++; rounds == 3 {
 						stop()
 					}
@@ -210,21 +210,21 @@
 type timedTable struct {
 	table
 	took  time.Duration
-	rows  []gauge.PartRow
+	rows  []gauge.PartitionRow
 	now   *time.Duration
 	sent  *time.Duration
 	waits []time.Duration
 }
 
-func (a *timedTable) Range(ctx context.Context, name, part, from, to string) ([]gauge.PartRow, gauge.Stamp, error) {
+func (a *timedTable) Range(ctx context.Context, name, part, from, to string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	rows, stamp, err := a.table.Range(ctx, name, part, from, to)
 	*a.now += 4 * time.Millisecond
 	return rows, stamp, err
 }
 
-func (a *timedTable) Feed(_ context.Context, _ string, _ int64, wait time.Duration) ([]gauge.PartRow, gauge.Stamp, error) {
+func (a *timedTable) Feed(_ context.Context, _ string, _ int64, wait time.Duration) ([]gauge.PartitionRow, gauge.TablePosition, error) {
 	a.waits = append(a.waits, wait)
 	*a.sent = *a.now
 	*a.now += a.took
-	return a.rows, gauge.Stamp{Version: 2}, nil
+	return a.rows, gauge.TablePosition{Version: 2}, nil
 }
--- a/internal/waves/bench_test.go
+++ b/internal/waves/bench_test.go
@@ -13,12 +13,12 @@
 	for _, count := range []int{49, 540, 5900} {
 		b.Run(fmt.Sprintf("machines=%d", count), func(b *testing.B) {
 			lasting := func(string) int { return 1 }
-			sight := waves.Sight{Moving: never, Ordered: never, Pressed: never, Lasting: lasting}
+			view := waves.View{IsMoving: never, WasOrdered: never, IsShort: never, LongRunningTasks: lasting}
 			for b.Loop() {
 				b.StopTimer()
 				f := newFleet(nil, count, count/2, count/6)
 				b.StartTimer()
-				f.keeper.Next(time.Second, sight)
+				f.scheduler.Next(time.Second, view)
 			}
 		})
 	}
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -40,15 +40,15 @@
 
 // selectMachines picks the machines to drain, from the pools with the smallest unavailable share
 // first.
-func (k *Keeper) selectMachines(w *wave, left []gauge.Machine, force bool) {
-	budget := max(1, w.order.AtOnce) - len(w.selected)
-	if !k.conf.Without.Has(gauge.MechanismEarly) {
-		budget = int(float64(max(1, w.order.AtOnce))*drainAheadFactor) - len(w.selected)
+func (k *Scheduler) selectMachines(w *wave, left []gauge.Machine, force bool) {
+	budget := max(1, w.order.MaxConcurrent) - len(w.selected)
+	if !k.conf.Disabled.Has(gauge.MechanismEarly) {
+		budget = int(float64(max(1, w.order.MaxConcurrent))*drainAheadFactor) - len(w.selected)
 	}
 	if budget <= 0 {
 		return
 	}
-	sparing := !force && !k.conf.Without.Has(gauge.MechanismSpared)
+	sparing := !force && !k.conf.Disabled.Has(gauge.MechanismSpared)
 	pools := k.poolStates(w, left)
 	for ; budget > 0; budget-- {
 		p := nextPool(pools, sparing)
@@ -61,12 +61,12 @@
 
 // poolStates groups the machines that may be selected by pool, those with the most long-running
 // tasks first.
-func (k *Keeper) poolStates(w *wave, left []gauge.Machine) []*poolState {
+func (k *Scheduler) poolStates(w *wave, left []gauge.Machine) []*poolState {
 	byName := make(map[string]*poolState)
 	stateOf := func(pool string) *poolState {
 		p := byName[pool]
 		if p == nil {
-			p = &poolState{standby: k.standbyPools[pool], short: k.view.Pressed(pool)}
+			p = &poolState{standby: k.standbyPools[pool], short: k.view.IsShort(pool)}
 			byName[pool] = p
 		}
 		return p
@@ -82,11 +82,11 @@
 		}
 	}
 	for _, m := range left {
-		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.Moving(m.ID) || k.view.Ordered(m.ID) {
+		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.IsMoving(m.ID) || k.view.WasOrdered(m.ID) {
 			continue
 		}
 		p := stateOf(m.Pool)
-		if k.longRunningTasks(m) > 0 && !k.conf.Without.Has(gauge.MechanismChains) {
+		if k.longRunningTasks(m) > 0 && !k.conf.Disabled.Has(gauge.MechanismChains) {
 			p.slow = append(p.slow, m)
 		} else {
 			p.fast = append(p.fast, m)
@@ -105,11 +105,11 @@
 	return list
 }
 
-func (k *Keeper) longRunningTasks(m gauge.Machine) int {
-	if k.view.Lasting == nil || m.Worker == "" {
+func (k *Scheduler) longRunningTasks(m gauge.Machine) int {
+	if k.view.LongRunningTasks == nil || m.Worker == "" {
 		return 0
 	}
-	return k.view.Lasting(m.Worker)
+	return k.view.LongRunningTasks(m.Worker)
 }
 
 // nextPool returns the pool with the smallest unavailable share among those that can give up a
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -14,17 +14,17 @@
 
 // fleet is a pool of machines that are all in one wave; the last ones have long-running tasks.
 type fleet struct {
-	keeper      *waves.Keeper
+	scheduler   *waves.Scheduler
 	longRunning map[string]int // by worker
 	machine     map[string]string
 }
 
-func newFleet(without gauge.Without, count, longRunning, atOnce int) *fleet {
+func newFleet(disabled gauge.Disabled, count, longRunning, atOnce int) *fleet {
 	f := &fleet{
-		keeper:      waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard(), Without: without}),
+		scheduler:   waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard(), Disabled: disabled}),
 		longRunning: make(map[string]int), machine: make(map[string]string),
 	}
-	order := gauge.UpkeepOrder{Wave: 1, Within: time.Minute, AtOnce: atOnce}
+	order := gauge.MaintenanceOrder{Wave: 1, Within: time.Minute, MaxConcurrent: atOnce}
 	var list []gauge.Machine
 	for i := range count {
 		id := fmt.Sprintf("m-%03d", i)
@@ -36,23 +36,23 @@
 		order.Machines = append(order.Machines, id)
 		list = append(list, m)
 	}
-	f.keeper.Order(order, waves.Past{}, 0)
-	f.keeper.Machines(list, time.Millisecond)
+	f.scheduler.AddWave(order, waves.StoredProgress{}, 0)
+	f.scheduler.SetMachines(list, time.Millisecond)
 	return f
 }
 
 // selected counts the machines that are to be drained, and those of them with long-running tasks.
 func (f *fleet) selected(short bool) (all, slow int) {
-	s := f.keeper.Next(time.Millisecond, waves.Sight{
-		Moving: never, Ordered: never, Pressed: func(string) bool { return short },
-		Lasting: func(worker string) int { return f.longRunning[worker] },
+	s := f.scheduler.Next(time.Millisecond, waves.View{
+		IsMoving: never, WasOrdered: never, IsShort: func(string) bool { return short },
+		LongRunningTasks: func(worker string) int { return f.longRunning[worker] },
 	})
-	for _, a := range s.Asks {
+	for _, a := range s.Drains {
 		if f.longRunning[a.Worker] > 0 {
 			slow++
 		}
 	}
-	return len(s.Asks), slow
+	return len(s.Drains), slow
 }
 
 // Guards against a wave in which 140 of 250 machines start within eight seconds and the last forty
@@ -63,7 +63,7 @@
 	all, chained := newFleet(nil, 100, 30, 40).selected(false)
 	assert.Equal(t, all, 34, "a third of the pool")
 	assert.Equal(t, chained, 17, "half of these")
-	_, chained = newFleet(gauge.Without{gauge.MechanismChains}, 100, 30, 40).selected(false)
+	_, chained = newFleet(gauge.Disabled{gauge.MechanismChains}, 100, 30, 40).selected(false)
 	assert.Equal(t, chained, 0)
 }
 
@@ -85,10 +85,10 @@
 
 func TestPendingWorkersOfAWave(t *testing.T) {
 	f := newFleet(nil, 4, 0, 2)
-	assert.Equal(t, len(f.keeper.Workers("p")), 4)
-	assert.Equal(t, len(f.keeper.Workers("other")), 0)
-	f.keeper.Begun(waves.Begin{Wave: 1, Machine: "m-000"}, nil, time.Second)
-	assert.Equal(t, len(f.keeper.Workers("p")), 3)
-	f.keeper.Completed(1)
-	assert.Equal(t, len(f.keeper.Workers("p")), 0)
+	assert.Equal(t, len(f.scheduler.PendingWorkers("p")), 4)
+	assert.Equal(t, len(f.scheduler.PendingWorkers("other")), 0)
+	f.scheduler.RecordStart(waves.MaintenanceStart{Wave: 1, Machine: "m-000"}, nil, time.Second)
+	assert.Equal(t, len(f.scheduler.PendingWorkers("p")), 3)
+	f.scheduler.MarkCompleted(1)
+	assert.Equal(t, len(f.scheduler.PendingWorkers("p")), 0)
 }
--- a/internal/waves/drained_test.go
+++ b/internal/waves/drained_test.go
@@ -35,13 +35,13 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness("p", 1, 1)
-			ask := g.next().Asks[0]
-			g.keeper.SetDrained(ask.Machine, true)
+			ask := g.next().Drains[0]
+			g.scheduler.SetDrained(ask.Machine, true)
 			tt.between(g, g.machines[ask.Machine])
 			s := g.next()
-			assert.Equal(t, len(s.Begins), 0)
-			assert.Equal(t, len(s.Asks), 1)
-			assert.Equal(t, s.Asks[0].Worker, "i-new")
+			assert.Equal(t, len(s.Starts), 0)
+			assert.Equal(t, len(s.Drains), 1)
+			assert.Equal(t, s.Drains[0].Worker, "i-new")
 		})
 	}
 }
@@ -49,22 +49,22 @@
 // The same fault, with the answer in flight while the machine gets another worker.
 func TestLateAnswerOfAnEarlierWorkerStartsNoMaintenance(t *testing.T) {
 	g := newHarness("p", 1, 1)
-	ask := g.next().Asks[0]
+	ask := g.next().Drains[0]
 	g.machines[ask.Machine].Worker = "i-new"
 	g.advance(time.Second)
-	g.keeper.Answered(ask, true)
-	assert.Equal(t, len(g.next().Begins), 0)
-	g.keeper.Answered(g.next().Asks[0], true)
-	assert.Equal(t, len(g.next().Begins), 1)
+	g.scheduler.RecordDrainAnswer(ask, true)
+	assert.Equal(t, len(g.next().Starts), 0)
+	g.scheduler.RecordDrainAnswer(g.next().Drains[0], true)
+	assert.Equal(t, len(g.next().Starts), 1)
 }
 
 // Guards against maintenance that kills long-running tasks on a machine that has left standby for a
 // pool, while the list of machines is from before the move.
 func TestMachineMovingFromStandbyGetsNoMaintenance(t *testing.T) {
 	g := newHarness("spare", 1, 1)
-	g.keeper.Standby([]string{"spare"})
-	assert.Equal(t, len(g.next().Begins), 1)
+	g.scheduler.SetStandbyPools([]string{"spare"})
+	assert.Equal(t, len(g.next().Starts), 1)
 	always := func(string) bool { return true }
-	s := g.keeper.Next(g.now, waves.Sight{Moving: always, Ordered: never, Pressed: never})
-	assert.Equal(t, len(s.Begins), 0)
+	s := g.scheduler.Next(g.now, waves.View{IsMoving: always, WasOrdered: never, IsShort: never})
+	assert.Equal(t, len(s.Starts), 0)
 }
