--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -15,25 +15,25 @@
 	gauge "sapphiregauge"
 )
 
-// Config sets up a Keeper.
+// Config sets up a Scheduler.
 type Config struct {
-	Upkeep  time.Duration // duration of a machine's maintenance
-	Without gauge.Without // mechanisms that are switched off
-	Logs    logr.Logger
+	MaintenanceDuration time.Duration  // duration of a machine's maintenance
+	Disabled            gauge.Disabled // mechanisms that are switched off
+	Logs                logr.Logger
 }
 
-// Keeper carries out waves. It is not safe for concurrent use.
-type Keeper struct {
+// Scheduler carries out waves. It is not safe for concurrent use.
+type Scheduler struct {
 	conf         Config
 	waves        map[int64]*wave
 	machines     map[string]gauge.Machine
 	listedAt     time.Duration // when the list of machines was requested
 	standbyPools map[string]bool
-	view         Sight
+	view         View
 }
 
 type wave struct {
-	order       gauge.UpkeepOrder
+	order       gauge.MaintenanceOrder
 	seenAt      time.Duration            // by this lease holder
 	firstSeenAt time.Duration            // by the first lease holder
 	started     map[string]bool          // as recorded in the table
@@ -44,42 +44,42 @@
 	completed   bool
 }
 
-// Ask is a request to a pool's owner to drain a machine.
-type Ask struct {
+// DrainRequest is a request to a pool's owner to drain a machine.
+type DrainRequest struct {
 	Machine string
 	Pool    string
 	Worker  string
 	Force   bool // stop what doesn't end by itself
 }
 
-// Begin is an order to start maintenance of a machine.
-type Begin struct {
+// MaintenanceStart is an order to start maintenance of a machine.
+type MaintenanceStart struct {
 	Wave    int64
 	Machine string
 }
 
 // Steps are the actions to take next.
 type Steps struct {
-	Asks     []Ask
-	Begins   []Begin
-	Complete []int64
+	Drains         []DrainRequest
+	Starts         []MaintenanceStart
+	CompletedWaves []int64
 }
 
-// New returns a Keeper without waves.
-func New(c Config) *Keeper {
-	return &Keeper{conf: c, waves: make(map[int64]*wave), machines: make(map[string]gauge.Machine), standbyPools: make(map[string]bool)}
+// New returns a Scheduler without waves.
+func New(c Config) *Scheduler {
+	return &Scheduler{conf: c, waves: make(map[int64]*wave), machines: make(map[string]gauge.Machine), standbyPools: make(map[string]bool)}
 }
 
-// Past is what the table has recorded of a wave.
-type Past struct {
-	Begun []string      // machines whose order was carried out
-	Done  bool          // the wave is completed
-	Age   time.Duration // time since a lease holder first saw the wave
+// StoredProgress is what the table has recorded of a wave.
+type StoredProgress struct {
+	Started []string      // machines whose order was carried out
+	Done    bool          // the wave is completed
+	Age     time.Duration // time since a lease holder first saw the wave
 }
 
-// Order adds a wave; a wave that is known already stays as it is. Past is the progress recorded in
-// the table.
-func (k *Keeper) Order(o gauge.UpkeepOrder, past Past, now time.Duration) {
+// AddWave adds a wave; a wave that is known already stays as it is. Past is the progress recorded
+// in the table.
+func (k *Scheduler) AddWave(o gauge.MaintenanceOrder, past StoredProgress, now time.Duration) {
 	if k.waves[o.Wave] != nil {
 		return
 	}
@@ -87,7 +87,7 @@
 		order: o, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
 		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: past.Done,
 	}
-	for _, m := range past.Begun {
+	for _, m := range past.Started {
 		w.started[m] = true
 		// The machine may still be down: an earlier holder sent the order.
 		w.downSince[m] = now
@@ -95,24 +95,24 @@
 	k.waves[o.Wave] = w
 }
 
-// Age returns how long the wave has been known, to this lease holder or an earlier one.
-func (k *Keeper) Age(number int64, now time.Duration) time.Duration {
+// WaveAge returns how long the wave has been known, to this lease holder or an earlier one.
+func (k *Scheduler) WaveAge(number int64, now time.Duration) time.Duration {
 	return now - k.waves[number].firstSeenAt
 }
 
-// Knows reports whether the wave has been added.
-func (k *Keeper) Knows(number int64) bool { return k.waves[number] != nil }
+// HasWave reports whether the wave has been added.
+func (k *Scheduler) HasWave(number int64) bool { return k.waves[number] != nil }
 
-// Standby sets the pools whose machines run nothing.
-func (k *Keeper) Standby(pools []string) {
+// SetStandbyPools sets the pools whose machines run nothing.
+func (k *Scheduler) SetStandbyPools(pools []string) {
 	clear(k.standbyPools)
 	for _, p := range pools {
 		k.standbyPools[p] = true
 	}
 }
 
-// Busy reports whether any wave is not completed.
-func (k *Keeper) Busy() bool {
+// HasOpenWaves reports whether any wave is not completed.
+func (k *Scheduler) HasOpenWaves() bool {
 	for _, w := range k.waves {
 		if !w.completed {
 			return true
@@ -121,8 +121,8 @@
 	return false
 }
 
-// Machines replaces the list of machines. Asked is when the list was requested.
-func (k *Keeper) Machines(list []gauge.Machine, asked time.Duration) {
+// SetMachines replaces the list of machines. Asked is when the list was requested.
+func (k *Scheduler) SetMachines(list []gauge.Machine, asked time.Duration) {
 	k.listedAt = asked
 	k.dropStaleAnswers(list)
 	clear(k.machines)
@@ -132,7 +132,7 @@
 	for _, w := range k.waves {
 		for id, since := range w.downSince {
 			m, listed := k.machines[id]
-			if asked > since+k.conf.Upkeep && (!listed || m.State == gauge.MachineUp) {
+			if asked > since+k.conf.MaintenanceDuration && (!listed || m.State == gauge.MachineUp) {
 				delete(w.downSince, id)
 			}
 		}
@@ -140,7 +140,7 @@
 }
 
 // dropStaleAnswers drops the answers about machines that have another pool or worker by now.
-func (k *Keeper) dropStaleAnswers(list []gauge.Machine) {
+func (k *Scheduler) dropStaleAnswers(list []gauge.Machine) {
 	for _, m := range list {
 		if before, listed := k.machines[m.ID]; listed && before.Pool == m.Pool && before.Worker == m.Worker {
 			continue
@@ -151,8 +151,8 @@
 	}
 }
 
-// Takes reports whether a wave has selected the machine, or the machine is down for one.
-func (k *Keeper) Takes(machine string) bool {
+// IsReserved reports whether a wave has selected the machine, or the machine is down for one.
+func (k *Scheduler) IsReserved(machine string) bool {
 	for _, w := range k.waves {
 		if _, down := w.downSince[machine]; down || w.selected[machine] && !w.completed {
 			return true
@@ -161,8 +161,8 @@
 	return false
 }
 
-// Waits reports whether the machine has yet to start the maintenance of a wave.
-func (k *Keeper) Waits(machine string) bool {
+// IsPending reports whether the machine has yet to start the maintenance of a wave.
+func (k *Scheduler) IsPending(machine string) bool {
 	for _, w := range k.waves {
 		if !w.completed && !w.started[machine] && slices.Contains(w.order.Machines, machine) {
 			return true
@@ -171,15 +171,15 @@
 	return false
 }
 
-// Answered records an owner's answer to a request. The answer doesn't count for a worker that has
-// started on the machine since.
-func (k *Keeper) Answered(a Ask, empty bool) {
+// RecordDrainAnswer records an owner's answer to a request. The answer doesn't count for a worker
+// that has started on the machine since.
+func (k *Scheduler) RecordDrainAnswer(a DrainRequest, empty bool) {
 	m := k.machines[a.Machine]
 	k.SetDrained(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
 }
 
 // SetDrained records whether nothing runs on a machine, as its pool's owner reported.
-func (k *Keeper) SetDrained(machine string, empty bool) {
+func (k *Scheduler) SetDrained(machine string, empty bool) {
 	for _, w := range k.waves {
 		if w.selected[machine] {
 			w.drained[machine] = empty
@@ -187,8 +187,8 @@
 	}
 }
 
-// Begun records the result of an order.
-func (k *Keeper) Begun(b Begin, err error, now time.Duration) {
+// RecordStart records the result of an order.
+func (k *Scheduler) RecordStart(b MaintenanceStart, err error, now time.Duration) {
 	w := k.waves[b.Wave]
 	if w == nil {
 		return
@@ -199,7 +199,7 @@
 		w.started[b.Machine] = true
 		w.downSince[b.Machine] = now
 		delete(w.selected, b.Machine)
-	case gauge.Is(err, gauge.KindUnknown):
+	case gauge.IsKind(err, gauge.KindUnknown):
 		// The order may still be carried out, so the machine counts as down. Sending it again is
 		// safe: the platform answers "done" if it was carried out.
 		w.downSince[b.Machine] = now
@@ -216,8 +216,9 @@
 	return gauge.KindOf(err)
 }
 
-// Lists returns the sorted machines whose order was carried out, to be recorded in the table.
-func (k *Keeper) Lists(number int64) []string {
+// StartedMachines returns the sorted machines whose order was carried out, to be recorded in the
+// table.
+func (k *Scheduler) StartedMachines(number int64) []string {
 	w := k.waves[number]
 	var started []string
 	for m := range w.started {
@@ -227,23 +228,23 @@
 	return started
 }
 
-// Completed records that the table has the wave as completed.
-func (k *Keeper) Completed(number int64) {
+// MarkCompleted records that the table has the wave as completed.
+func (k *Scheduler) MarkCompleted(number int64) {
 	k.waves[number].completed = true
 	k.conf.Logs.Info("wave completed", "wave", number, "begun", len(k.waves[number].started))
 }
 
-// Sight is the state outside of the Keeper on which its decisions depend.
-type Sight struct {
-	Moving  func(machine string) bool // reports whether the machine is moving to another pool
-	Ordered func(machine string) bool // reports whether the previous holder may have ordered it just now
-	Pressed func(pool string) bool    // reports whether the pool is short of machines
-	Lasting func(worker string) int   // number of long-running tasks on the worker; nil: unknown
+// View is the state outside of the Scheduler on which its decisions depend.
+type View struct {
+	IsMoving         func(machine string) bool // reports whether the machine is moving to another pool
+	WasOrdered       func(machine string) bool // reports whether the previous holder may have ordered it just now
+	IsShort          func(pool string) bool    // reports whether the pool is short of machines
+	LongRunningTasks func(worker string) int   // number of long-running tasks on the worker; nil: unknown
 }
 
 // Next returns what to do now.
-func (k *Keeper) Next(now time.Duration, sight Sight) Steps {
-	k.view = sight
+func (k *Scheduler) Next(now time.Duration, view View) Steps {
+	k.view = view
 	var s Steps
 	numbers := make([]int64, 0, len(k.waves))
 	for n, w := range k.waves {
@@ -258,11 +259,11 @@
 	return s
 }
 
-func (k *Keeper) appendSteps(w *wave, now time.Duration, s *Steps) {
+func (k *Scheduler) appendSteps(w *wave, now time.Duration, s *Steps) {
 	left := k.remaining(w)
 	if len(left) == 0 {
 		if k.listedAt > w.seenAt {
-			s.Complete = append(s.Complete, w.order.Wave)
+			s.CompletedWaves = append(s.CompletedWaves, w.order.Wave)
 		}
 		return
 	}
@@ -274,13 +275,13 @@
 		}
 	}
 	k.selectMachines(w, left, force)
-	room := max(1, w.order.AtOnce) - len(w.downSince) - k.unrecorded(w)
+	room := max(1, w.order.MaxConcurrent) - len(w.downSince) - k.unrecorded(w)
 	for _, m := range left {
 		if !w.selected[m.ID] {
 			continue
 		}
 		_, ordered := w.downSince[m.ID]
-		if k.view.Moving(m.ID) {
+		if k.view.IsMoving(m.ID) {
 			continue // it may be in another pool by now, and running tasks
 		}
 		if (w.drained[m.ID] || k.standbyPools[m.Pool]) && (room > 0 || ordered) {
@@ -288,24 +289,24 @@
 				room--
 				w.downSince[m.ID] = now
 			}
-			s.Begins = append(s.Begins, Begin{Wave: w.order.Wave, Machine: m.ID})
+			s.Starts = append(s.Starts, MaintenanceStart{Wave: w.order.Wave, Machine: m.ID})
 			continue
 		}
 		if !k.standbyPools[m.Pool] {
-			s.Asks = append(s.Asks, Ask{Machine: m.ID, Pool: m.Pool, Worker: m.Worker, Force: force})
+			s.Drains = append(s.Drains, DrainRequest{Machine: m.ID, Pool: m.Pool, Worker: m.Worker, Force: force})
 		}
 	}
 }
 
 // unrecorded counts the machines of a wave that may be down by an order that isn't in the table: a
 // previous holder sent it and could no longer write it down.
-func (k *Keeper) unrecorded(w *wave) int {
+func (k *Scheduler) unrecorded(w *wave) int {
 	n := 0
 	for _, id := range w.order.Machines {
 		if _, known := w.downSince[id]; known {
 			continue
 		}
-		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineUpkeep || k.view.Ordered(id)) {
+		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineInMaintenance || k.view.WasOrdered(id)) {
 			n++
 		}
 	}
@@ -313,7 +314,7 @@
 }
 
 // remaining lists the machines that are still in the fleet and have not started, sorted by ID.
-func (k *Keeper) remaining(w *wave) []gauge.Machine {
+func (k *Scheduler) remaining(w *wave) []gauge.Machine {
 	var left []gauge.Machine
 	for _, id := range w.order.Machines {
 		m, listed := k.machines[id]
@@ -336,7 +337,7 @@
 )
 
 // isLate reports whether the wave will be late at its present rate.
-func (k *Keeper) isLate(w *wave, left int, now time.Duration) bool {
+func (k *Scheduler) isLate(w *wave, left int, now time.Duration) bool {
 	if w.order.Within <= 0 {
 		return false
 	}
@@ -348,9 +349,9 @@
 	return passed > forceShare && done < passed+(1-passed)*forceShare
 }
 
-// Workers lists the workers on those machines of a pool that have yet to start the maintenance of a
-// wave.
-func (k *Keeper) Workers(pool string) []string {
+// PendingWorkers lists the workers on those machines of a pool that have yet to start the
+// maintenance of a wave.
+func (k *Scheduler) PendingWorkers(pool string) []string {
 	var workers []string
 	for _, w := range k.waves {
 		if w.completed {
--- a/internal/waves/waves_test.go
+++ b/internal/waves/waves_test.go
@@ -15,22 +15,22 @@
 const maintenanceTime = 2 * time.Second
 
 type harness struct {
-	keeper   *waves.Keeper
-	machines map[string]*gauge.Machine
-	now      time.Duration
+	scheduler *waves.Scheduler
+	machines  map[string]*gauge.Machine
+	now       time.Duration
 }
 
 func never(string) bool { return false }
 
 func newHarness(pool string, count, atOnce int) *harness {
-	g := &harness{keeper: waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
-	order := gauge.UpkeepOrder{Wave: 1, Within: 30 * time.Second, AtOnce: atOnce}
+	g := &harness{scheduler: waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
+	order := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: atOnce}
 	for i := range count {
 		id := fmt.Sprintf("m-%d", i)
 		g.machines[id] = &gauge.Machine{ID: id, Pool: pool, State: gauge.MachineUp, Worker: "i-" + id}
 		order.Machines = append(order.Machines, id)
 	}
-	g.keeper.Order(order, waves.Past{}, g.now)
+	g.scheduler.AddWave(order, waves.StoredProgress{}, g.now)
 	g.advance(time.Millisecond)
 	return g
 }
@@ -42,95 +42,97 @@
 	for _, m := range g.machines {
 		list = append(list, *m)
 	}
-	g.keeper.Machines(list, g.now)
+	g.scheduler.SetMachines(list, g.now)
 }
 
 func (g *harness) next() waves.Steps {
-	return g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: never})
+	return g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: never})
 }
 
-func (g *harness) recordStart(b waves.Begin, err error) { g.keeper.Begun(b, err, g.now) }
+func (g *harness) recordStart(b waves.MaintenanceStart, err error) {
+	g.scheduler.RecordStart(b, err, g.now)
+}
 
 func TestMaintenanceStartsOnlyWhenTheOwnerReportsDrained(t *testing.T) {
 	g := newHarness("p", 6, 2)
 	s := g.next()
-	assert.Equal(t, len(s.Begins), 0)
-	assert.Assert(t, len(s.Asks) > 0)
-	g.keeper.SetDrained(s.Asks[0].Machine, true)
+	assert.Equal(t, len(s.Starts), 0)
+	assert.Assert(t, len(s.Drains) > 0)
+	g.scheduler.SetDrained(s.Drains[0].Machine, true)
 	s = g.next()
-	assert.Equal(t, len(s.Begins), 1)
+	assert.Equal(t, len(s.Starts), 1)
 }
 
 // Guards against more machines being down than the operator allows. An order that gets no answer
 // may still be carried out; when it didn't count as down, the next order went out.
 func TestUnansweredOrdersCountAsDown(t *testing.T) {
 	g := newHarness("spare", 5, 2)
-	g.keeper.Standby([]string{"spare"})
+	g.scheduler.SetStandbyPools([]string{"spare"})
 	s := g.next()
-	assert.Equal(t, len(s.Begins), 2)
-	for _, b := range s.Begins {
-		g.recordStart(b, gauge.Fail(gauge.KindUnknown, "no answer"))
+	assert.Equal(t, len(s.Starts), 2)
+	for _, b := range s.Starts {
+		g.recordStart(b, gauge.Errorf(gauge.KindUnknown, "no answer"))
 	}
 	s2 := g.next()
-	assert.Equal(t, len(s2.Begins), 2, "the same ones are asked again")
-	assert.DeepEqual(t, s2.Begins, s.Begins)
+	assert.Equal(t, len(s2.Starts), 2, "the same ones are asked again")
+	assert.DeepEqual(t, s2.Starts, s.Starts)
 }
 
 func TestMachinesCountAsDownUntilListedAsUp(t *testing.T) {
 	g := newHarness("spare", 3, 1)
-	g.keeper.Standby([]string{"spare"})
-	b := g.next().Begins[0]
+	g.scheduler.SetStandbyPools([]string{"spare"})
+	b := g.next().Starts[0]
 	g.recordStart(b, nil)
-	g.machines[b.Machine].State = gauge.MachineUpkeep
+	g.machines[b.Machine].State = gauge.MachineInMaintenance
 	g.advance(maintenanceTime + time.Second)
-	assert.Equal(t, len(g.next().Begins), 0)
+	assert.Equal(t, len(g.next().Starts), 0)
 	g.machines[b.Machine].State = gauge.MachineUp
 	g.advance(100 * time.Millisecond)
-	assert.Equal(t, len(g.next().Begins), 1)
+	assert.Equal(t, len(g.next().Starts), 1)
 }
 
 // A list requested before the machine went down doesn't show that it is up again.
 func TestOldListDoesNotEndMaintenance(t *testing.T) {
 	g := newHarness("spare", 2, 1)
-	g.keeper.Standby([]string{"spare"})
-	g.recordStart(g.next().Begins[0], nil)
+	g.scheduler.SetStandbyPools([]string{"spare"})
+	g.recordStart(g.next().Starts[0], nil)
 	g.advance(time.Millisecond)
-	assert.Equal(t, len(g.next().Begins), 0)
+	assert.Equal(t, len(g.next().Starts), 0)
 }
 
 func TestWaveIsCompleteOnlyWhenAllRemainingMachinesHaveStarted(t *testing.T) {
 	g := newHarness("spare", 3, 3)
-	g.keeper.Standby([]string{"spare"})
+	g.scheduler.SetStandbyPools([]string{"spare"})
 	s := g.next()
-	assert.Equal(t, len(s.Begins), 3)
-	g.recordStart(s.Begins[0], nil)
-	g.recordStart(s.Begins[1], gauge.Fail(gauge.KindBusy, "it leaves"))
-	g.recordStart(s.Begins[2], nil)
-	assert.Equal(t, len(g.next().Complete), 0)
-	delete(g.machines, s.Begins[1].Machine)
+	assert.Equal(t, len(s.Starts), 3)
+	g.recordStart(s.Starts[0], nil)
+	g.recordStart(s.Starts[1], gauge.Errorf(gauge.KindBusy, "it leaves"))
+	g.recordStart(s.Starts[2], nil)
+	assert.Equal(t, len(g.next().CompletedWaves), 0)
+	delete(g.machines, s.Starts[1].Machine)
 	g.advance(time.Second)
-	assert.Equal(t, len(g.next().Complete), 1)
+	assert.Equal(t, len(g.next().CompletedWaves), 1)
 }
 
 // A new holder learns from the table which machines have started.
 func TestWaveContinuesUnderANewHolder(t *testing.T) {
 	g := newHarness("spare", 3, 1)
-	keeper := waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()})
-	keeper.Order(gauge.UpkeepOrder{Wave: 1, Machines: []string{"m-0", "m-1", "m-2"}, Within: time.Minute, AtOnce: 1}, waves.Past{Begun: []string{"m-0"}}, g.now)
-	g.keeper = keeper
-	g.keeper.Standby([]string{"spare"})
+	scheduler := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
+	scheduler.AddWave(gauge.MaintenanceOrder{Wave: 1, Machines: []string{"m-0", "m-1", "m-2"}, Within: time.Minute, MaxConcurrent: 1}, waves.StoredProgress{Started: []string{"m-0"}}, g.now)
+	g.scheduler = scheduler
+	g.scheduler.SetStandbyPools([]string{"spare"})
 	g.advance(time.Millisecond)
-	assert.Equal(t, len(g.next().Begins), 0, "m-0 may be down still")
+	assert.Equal(t, len(g.next().Starts), 0, "m-0 may be down still")
 	g.advance(maintenanceTime + time.Second)
-	assert.Equal(t, g.next().Begins[0].Machine, "m-1")
+	assert.Equal(t, g.next().Starts[0].Machine, "m-1")
 }
 
 func TestPoolsShortOfMachinesGiveNoneUntilTheWaveIsLate(t *testing.T) {
 	g := newHarness("p", 4, 2)
 	pressed := func(string) bool { return true }
-	assert.Equal(t, len(g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: pressed}).Asks), 0)
+	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed}).Drains), 0)
 	g.advance(20 * time.Second)
-	asks := g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: never, Pressed: pressed}).Asks
+	asks := g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed}).Drains
 	assert.Assert(t, len(asks) > 0)
 	assert.Assert(t, asks[0].Force)
 }
@@ -140,11 +142,11 @@
 // counting only what is recorded in the table, orders others.
 func TestUnrecordedOrdersOfThePreviousHolderCountAsDown(t *testing.T) {
 	g := newHarness("spare", 6, 3)
-	g.keeper.Standby([]string{"spare"})
-	g.machines["m-0"].State = gauge.MachineUpkeep // as the list shows
+	g.scheduler.SetStandbyPools([]string{"spare"})
+	g.machines["m-0"].State = gauge.MachineInMaintenance // as the list shows
 	g.advance(time.Millisecond)
 	justOrdered := func(id string) bool { return id == "m-1" } // the list doesn't show it yet
-	assert.Equal(t, len(g.keeper.Next(g.now, waves.Sight{Moving: never, Ordered: justOrdered, Pressed: never}).Begins), 1)
+	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: justOrdered, IsShort: never}).Starts), 1)
 }
 
 // Guards against the last machines of a wave starting maintenance seconds after its end. The fleet
@@ -161,26 +163,26 @@
 		{"shortly before its end", 25 * time.Second, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k := waves.New(waves.Config{Upkeep: maintenanceTime, Logs: logr.Discard()})
-			order := gauge.UpkeepOrder{Wave: 1, Within: 30 * time.Second, AtOnce: 2}
-			var past waves.Past
+			k := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
+			order := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: 2}
+			var past waves.StoredProgress
 			var list []gauge.Machine
 			for i := range 20 {
 				id := fmt.Sprintf("m-%02d", i)
 				order.Machines = append(order.Machines, id)
 				list = append(list, gauge.Machine{ID: id, Pool: "p", State: gauge.MachineUp, Worker: "i-" + id})
 				if i > 0 {
-					past.Begun = append(past.Begun, id)
+					past.Started = append(past.Started, id)
 				}
 			}
 			past.Age = tt.age
 			const now = time.Minute
-			k.Order(order, past, now)
-			k.Machines(list, now+maintenanceTime+time.Millisecond)
+			k.AddWave(order, past, now)
+			k.SetMachines(list, now+maintenanceTime+time.Millisecond)
 			pressed := func(string) bool { return true }
-			s := k.Next(now+maintenanceTime+time.Millisecond, waves.Sight{Moving: never, Ordered: never, Pressed: pressed})
-			assert.Equal(t, len(s.Asks) > 0 && s.Asks[0].Force, tt.force)
-			assert.Equal(t, k.Age(1, now), tt.age)
+			s := k.Next(now+maintenanceTime+time.Millisecond, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed})
+			assert.Equal(t, len(s.Drains) > 0 && s.Drains[0].Force, tt.force)
+			assert.Equal(t, k.WaveAge(1, now), tt.age)
 		})
 	}
 }
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,7 +1,7 @@
 // Package work is a fake worker for tests and the local mode. It runs every request it receives,
-// echoes the body after the duration in the query parameter "run", and counts the runs by request ID. The
-// query parameter "fault" makes it fail: "cut" closes the connection without a response, "label"
-// returns a wrong request ID, "error" returns status 500.
+// echoes the body after the duration in the query parameter "run", and counts the runs by request
+// ID. The query parameter "fault" makes it fail: "cut" closes the connection without a response,
+// "label" returns a wrong request ID, "error" returns status 500.
 package work
 
 import (
@@ -17,11 +17,11 @@
 
 // Config sets up a Worker.
 type Config struct {
-	Self           gauge.Sighting // the host it reports; status, used slots and boots are filled in
-	BootTime       time.Duration  // how long a reboot takes
-	ReportInterval time.Duration  // interval of reports
+	Self           gauge.ListedHost // the host it reports; status, used slots and boots are filled in
+	BootTime       time.Duration    // how long a reboot takes
+	ReportInterval time.Duration    // interval of reports
 	// Report sends a report to the platform and returns whether the worker is to reboot.
-	Report func(gauge.Sighting) (reboot bool, err error)
+	Report func(gauge.ListedHost) (reboot bool, err error)
 }
 
 // Worker is the fake worker. While it reboots it refuses requests.
@@ -80,7 +80,7 @@
 	}
 }
 
-func (w *Worker) listedHost() gauge.Sighting {
+func (w *Worker) listedHost() gauge.ListedHost {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.conf.Self
@@ -105,8 +105,8 @@
 	})
 }
 
-// counts is the response of /stand/status: the runs in progress, the most at a time, and the number of
-// runs by request ID.
+// counts is the response of /stand/status: the runs in progress, the most at a time, and the number
+// of runs by request ID.
 type counts struct {
 	Running int            `json:"running"`
 	Peak    int            `json:"peak"`
--- a/job.go
+++ b/job.go
@@ -12,8 +12,8 @@
 	Checkpoint bool   `json:"checkpoint"` // it can be stopped and resume elsewhere
 }
 
-// Defaults sets the fields that an operator left out.
-func (j *Job) Defaults() { fill.Zero(&j.Copies, 1) }
+// SetDefaults sets the fields that an operator left out.
+func (j *Job) SetDefaults() { fill.Zero(&j.Copies, 1) }
 
 func (j *Job) validate(fs *Faults) {
 	if j.Pool == "" {
--- a/jobrow.go
+++ b/jobrow.go
@@ -19,8 +19,8 @@
 	JobCancelled JobState = "cancelled"
 )
 
-// Final reports whether the state never changes again.
-func (s JobState) Final() bool {
+// IsFinal reports whether the state never changes again.
+func (s JobState) IsFinal() bool {
 	return s == JobCompleted || s == JobFailed || s == JobCancelled
 }
 
@@ -32,29 +32,30 @@
 // worker crashed, and the newest checkpoint of a task that isn't running. Facts are only added, so
 // writing the same row twice does no harm.
 type JobRow struct {
-	State    JobState          `msgpack:"s"`
-	Pool     string            `msgpack:"p"` // pool that runs the job, as routed when it was accepted
-	Accepted int64             `msgpack:"a"` // by the table's clock, in milliseconds
-	Ended    int64             `msgpack:"e,omitempty"`
-	Done     map[int][][]byte  `msgpack:"d,omitempty"` // occurrence -> step -> bitmap of completed tasks
-	Over     int               `msgpack:"o,omitempty"` // occurrences below this one are completed
-	Failures map[string][]int  `msgpack:"f,omitempty"` // task -> runs that ended "failed"; an end reported twice counts once
-	Saved    map[string]string `msgpack:"c,omitempty"` // task -> checkpoint
-	Trials   map[string]Trials `msgpack:"t,omitempty"` // task -> runs that may have crashed their workers
-	// Excused counts crashes soon after a task's start that aren't attributed to it: other workers
-	// were lost at the same moment, or no owner may have recorded them.
-	Excused map[string]int `msgpack:"x,omitempty"`
-	// Guessed counts those of the excused crashes that no owner has seen.
-	Guessed map[string]int `msgpack:"g,omitempty"`
-	// Lone counts those of the excused crashes whose runs were isolated from other jobs' tasks.
-	Lone map[string]int `msgpack:"l,omitempty"`
+	State                JobState               `msgpack:"s"`
+	Pool                 string                 `msgpack:"p"` // pool that runs the job, as routed when it was accepted
+	Accepted             int64                  `msgpack:"a"` // by the table's clock, in milliseconds
+	Ended                int64                  `msgpack:"e,omitempty"`
+	Done                 map[int][][]byte       `msgpack:"d,omitempty"` // occurrence -> step -> bitmap of completed tasks
+	CompletedOccurrences int                    `msgpack:"o,omitempty"` // occurrences below this one are completed
+	Failures             map[string][]int       `msgpack:"f,omitempty"` // task -> runs that ended "failed"; an end reported twice counts once
+	Checkpoints          map[string]string      `msgpack:"c,omitempty"` // task -> checkpoint
+	SuspectRuns          map[string]SuspectRuns `msgpack:"t,omitempty"` // task -> runs that may have crashed their workers
+	// Unattributed counts crashes soon after a task's start that aren't attributed to it: other
+	// workers were lost at the same moment, or no owner may have recorded them.
+	Unattributed map[string]int `msgpack:"x,omitempty"`
+	// Presumed counts those of the unattributed crashes that no owner has seen.
+	Presumed map[string]int `msgpack:"g,omitempty"`
+	// UnattributedIsolated counts those of the unattributed crashes whose runs were isolated from
+	// other jobs' tasks.
+	UnattributedIsolated map[string]int `msgpack:"l,omitempty"`
 }
 
-// Tried lists the tasks with runs that may have crashed their workers.
-func (r *JobRow) Tried() []string {
-	keys := slices.AppendSeq(make([]string, 0, len(r.Trials)+len(r.Excused)), maps.Keys(r.Trials))
-	for key := range r.Excused {
-		if _, ok := r.Trials[key]; !ok {
+// SuspectTasks lists the tasks with runs that may have crashed their workers.
+func (r *JobRow) SuspectTasks() []string {
+	keys := slices.AppendSeq(make([]string, 0, len(r.SuspectRuns)+len(r.Unattributed)), maps.Keys(r.SuspectRuns))
+	for key := range r.Unattributed {
+		if _, ok := r.SuspectRuns[key]; !ok {
 			keys = append(keys, key)
 		}
 	}
@@ -65,7 +66,7 @@
 func (r *JobRow) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
-		return nil, Fail(KindInternal, "job row").Because(err)
+		return nil, Errorf(KindInternal, "job row").WithCause(err)
 	}
 	return b, nil
 }
@@ -74,7 +75,7 @@
 func DecodeJobRow(b []byte) (*JobRow, error) {
 	r := new(JobRow)
 	if err := msgpack.Unmarshal(b, r); err != nil {
-		return nil, Fail(KindInvalid, "job row").Because(err)
+		return nil, Errorf(KindInvalid, "job row").WithCause(err)
 	}
 	return r, nil
 }
@@ -83,7 +84,7 @@
 func EncodeJobSpec(j *JobSpec) ([]byte, error) {
 	b, err := msgpack.Marshal(j)
 	if err != nil {
-		return nil, Fail(KindInternal, "job spec").Because(err)
+		return nil, Errorf(KindInternal, "job spec").WithCause(err)
 	}
 	return b, nil
 }
@@ -92,7 +93,7 @@
 func DecodeJobSpec(b []byte) (*JobSpec, error) {
 	j := new(JobSpec)
 	if err := msgpack.Unmarshal(b, j); err != nil {
-		return nil, Fail(KindInvalid, "job spec").Because(err)
+		return nil, Errorf(KindInvalid, "job spec").WithCause(err)
 	}
 	return j, nil
 }
--- a/jobspec.go
+++ b/jobspec.go
@@ -23,8 +23,8 @@
 	return Resources{r.MilliCPU - o.MilliCPU, r.MemoryMB - o.MemoryMB, r.Accels - o.Accels}
 }
 
-// Holds reports whether o fits into r.
-func (r Resources) Holds(o Resources) bool {
+// Contains reports whether o fits into r.
+func (r Resources) Contains(o Resources) bool {
 	return o.MilliCPU <= r.MilliCPU && o.MemoryMB <= r.MemoryMB && o.Accels <= r.Accels
 }
 
@@ -40,17 +40,17 @@
 	Label       string        `msgpack:"l"` // label that the worker must have
 	DataRack    string        `msgpack:"d"` // slower on any other rack
 	PerWorker   int           `msgpack:"w"` // most tasks of an occurrence on one worker; 0: unlimited
-	Copies      bool          `msgpack:"x"` // a task may run as two speculative copies at once; the first end counts
-	Lasts       bool          `msgpack:"t"` // runs until the job is cancelled
+	Speculative bool          `msgpack:"x"` // a task may run as two speculative copies at once; the first end counts
+	LongRunning bool          `msgpack:"t"` // runs until the job is cancelled
 	Image       string        `msgpack:"i"` // image of the tasks; tasks of one image behave alike
 	TailTarget  time.Duration `msgpack:"v"` // bound on the tail latency of a long-running task; 0: none
-	Fills       bool          `msgpack:"f"` // best effort: uses processor time that others leave, and reserves none
-	MaxAway     int           `msgpack:"u"` // for a long-running step: most tasks that may be unplaced at a time by this software's own decisions
+	BestEffort  bool          `msgpack:"f"` // best effort: uses processor time that others leave, and reserves none
+	MaxUnplaced int           `msgpack:"u"` // for a long-running step: most tasks that may be unplaced at a time by this software's own decisions
 }
 
-// Room returns the part of a worker's capacity that a task of the step reserves.
-func (s *Step) Room() Resources {
-	if s.Fills {
+// Reservation returns the part of a worker's capacity that a task of the step reserves.
+func (s *Step) Reservation() Resources {
+	if s.BestEffort {
 		return Resources{MemoryMB: s.Needs.MemoryMB, Accels: s.Needs.Accels}
 	}
 	return s.Needs
@@ -58,22 +58,22 @@
 
 // JobSpec is a job as the caller submitted it.
 type JobSpec struct {
-	Payload string        `msgpack:"p"` // for the workers; not interpreted here
-	Steps   []Step        `msgpack:"s"`
-	Repeats int           `msgpack:"r"` // occurrences; 0: one, at once
-	FirstAt time.Time     `msgpack:"f"` // when occurrence 0 is due
-	Every   time.Duration `msgpack:"e"` // interval between two occurrences
+	Payload  string        `msgpack:"p"` // for the workers; not interpreted here
+	Steps    []Step        `msgpack:"s"`
+	Repeats  int           `msgpack:"r"` // occurrences; 0: one, at once
+	FirstAt  time.Time     `msgpack:"f"` // when occurrence 0 is due
+	Interval time.Duration `msgpack:"e"` // interval between two occurrences
 }
 
 // Occurrences returns how often the steps are run.
 func (j *JobSpec) Occurrences() int { return max(1, j.Repeats) }
 
-// Timed reports whether the job follows a schedule.
-func (j *JobSpec) Timed() bool { return j.Repeats > 0 }
+// IsScheduled reports whether the job follows a schedule.
+func (j *JobSpec) IsScheduled() bool { return j.Repeats > 0 }
 
 // DueAt returns when an occurrence may start.
 func (j *JobSpec) DueAt(occurrence int) time.Time {
-	return j.FirstAt.Add(time.Duration(occurrence) * j.Every)
+	return j.FirstAt.Add(time.Duration(occurrence) * j.Interval)
 }
 
 // Limits of a job, so that one request can't use up the memory of an entry. The largest step in the
@@ -100,7 +100,7 @@
 	if j.Repeats < 0 || j.Repeats > MaxOccurrences {
 		fs.Add("repetitions", "is %d, must be 0 to %d", j.Repeats, MaxOccurrences)
 	}
-	if j.Every < 0 {
+	if j.Interval < 0 {
 		fs.Add("intervalMs", "is negative")
 	}
 	for i := range j.Steps {
@@ -149,13 +149,13 @@
 func ParseTaskID(text string) (TaskID, error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != 4 {
-		return TaskID{}, Fail(KindInvalid, "task %q: want four parts", text)
+		return TaskID{}, Errorf(KindInvalid, "task %q: want four parts", text)
 	}
 	t := TaskID{Job: parts[0]}
 	for i, dest := range []*int{&t.Occurrence, &t.Step, &t.Index} {
 		n, err := strconv.Atoi(parts[i+1])
 		if err != nil || n < 0 {
-			return TaskID{}, Fail(KindInvalid, "task %q: %q is no number from 0", text, parts[i+1])
+			return TaskID{}, Errorf(KindInvalid, "task %q: %q is no number from 0", text, parts[i+1])
 		}
 		*dest = n
 	}
--- a/leaserow.go
+++ b/leaserow.go
@@ -11,39 +11,41 @@
 // lease.
 //
 // Every entry reads it several times a second, so the fields that only the next holder needs are in
-// a row of their own, see GrantRow. They are in this row while the lease is handed from a holder to
-// its successor, and in rows of older versions of this software.
+// a row of their own, see HandoverRow. They are in this row while the lease is handed from a holder
+// to its successor, and in rows of older versions of this software.
 type LeaseRow struct {
 	Holder  string   `msgpack:"h"`           // name of the entry and its start; empty: the lease was given up
 	Addr    string   `msgpack:"a"`           // ip:port for calls from other entries
 	Term    int      `msgpack:"t"`           // number of previous owners
 	Workers []string `msgpack:"w,omitempty"` // workers that may have orders of this owner or, if they haven't reported since, of an earlier one
-	// Left is how much longer at most, in milliseconds, anything may run on workers that don't
-	// answer. It is set when the lease is handed over, and only for workers for which it is known.
-	// The time between writing and reading the row makes the wait longer than necessary.
-	Left map[string]int64 `msgpack:"l,omitempty"`
-	// Emptied is for how much longer, in milliseconds, workers get no starts because they were
-	// reported as drained: their machines may be taken away meanwhile. It is set when Left is.
-	Emptied map[string]int64 `msgpack:"y,omitempty"`
-	// Unnoted is how many recent holders may not have recorded all crashes.
-	Unnoted int              `msgpack:"z,omitempty"`
-	Depths  map[string]int   `msgpack:"d"`           // by queue: jobs without a started task; a queue that isn't listed has none
-	Unread  []string         `msgpack:"u,omitempty"` // queues that the owner has not read yet: their depths are unknown
-	Counted int64            `msgpack:"k,omitempty"` // when Depths was counted, by the table's clock in milliseconds; 0: at the renewal
-	Renewed int64            `msgpack:"n"`           // when this row was sent, by the table's clock in milliseconds, up to 0.1 s early
-	Ordered map[string]int64 `msgpack:"o,omitempty"` // fleet lease only: recently ordered machines and when each was ordered, by the table's clock in milliseconds
-	Earlier map[string]int64 `msgpack:"e,omitempty"` // the same, for machines that earlier holders ordered
-	// Kept is, for the fleet lease only, the learnt retention of surplus machines in milliseconds.
-	Kept int64 `msgpack:"p,omitempty"`
-	// Announced says that Ordered also lists the machines that may be ordered before the next
-	// write, with the latest time at which that may happen.
-	Announced bool `msgpack:"b,omitempty"`
+	// RemainingLeases is how much longer at most, in milliseconds, anything may run on workers that
+	// don't answer. It is set when the lease is handed over, and only for workers for which it is
+	// known. The time between writing and reading the row makes the wait longer than necessary.
+	RemainingLeases map[string]int64 `msgpack:"l,omitempty"`
+	// DrainedFor is for how much longer, in milliseconds, workers get no starts because they were
+	// reported as drained: their machines may be taken away meanwhile. It is set when
+	// RemainingLeases is.
+	DrainedFor map[string]int64 `msgpack:"y,omitempty"`
+	// UnrecordedOwners is how many recent holders may not have recorded all crashes.
+	UnrecordedOwners int              `msgpack:"z,omitempty"`
+	Depths           map[string]int   `msgpack:"d"`           // by queue: jobs without a started task; a queue that isn't listed has none
+	UnreadQueues     []string         `msgpack:"u,omitempty"` // queues that the owner has not read yet: their depths are unknown
+	Counted          int64            `msgpack:"k,omitempty"` // when Depths was counted, by the table's clock in milliseconds; 0: at the renewal
+	RenewedAt        int64            `msgpack:"n"`           // when this row was sent, by the table's clock in milliseconds, up to 0.1 s early
+	OwnOrders        map[string]int64 `msgpack:"o,omitempty"` // fleet lease only: recently ordered machines and when each was ordered, by the table's clock in milliseconds
+	PreviousOrders   map[string]int64 `msgpack:"e,omitempty"` // the same, for machines that earlier holders ordered
+	// Retention is, for the fleet lease only, the learnt retention of surplus machines in
+	// milliseconds.
+	Retention int64 `msgpack:"p,omitempty"`
+	// OrdersAnnounced says that OwnOrders also lists the machines that may be ordered before the
+	// next write, with the latest time at which that may happen.
+	OrdersAnnounced bool `msgpack:"b,omitempty"`
 }
 
 // Depth returns how many jobs of a queue had no started task when the row's depths were counted,
 // and false if that is unknown.
 func (r *LeaseRow) Depth(queue string) (int, bool) {
-	if slices.Contains(r.Unread, queue) {
+	if slices.Contains(r.UnreadQueues, queue) {
 		return 0, false
 	}
 	return r.Depths[queue], true
@@ -52,15 +54,15 @@
 // CountedAt returns when the row's depths were counted, by the table's clock in milliseconds.
 func (r *LeaseRow) CountedAt() int64 {
 	if r.Counted == 0 {
-		return r.Renewed // an older version of this software, which counts with each renewal
+		return r.RenewedAt // an older version of this software, which counts with each renewal
 	}
 	return r.Counted
 }
 
-// CountsOf takes over the depths of the previous row together with their time: an owner that has
-// not counted yet reports them as old as they are.
-func (r *LeaseRow) CountsOf(before *LeaseRow) {
-	r.Depths, r.Unread, r.Counted = before.Depths, before.Unread, before.CountedAt()
+// InheritDepths takes over the depths of the previous row together with their time: an owner that
+// has not counted yet reports them as old as they are.
+func (r *LeaseRow) InheritDepths(before *LeaseRow) {
+	r.Depths, r.UnreadQueues, r.Counted = before.Depths, before.UnreadQueues, before.CountedAt()
 	if r.Counted == 0 {
 		r.Counted = neverCounted
 	}
@@ -73,7 +75,7 @@
 func (r *LeaseRow) Encode() ([]byte, error) {
 	b, err := msgpack.Marshal(r)
 	if err != nil {
-		return nil, Fail(KindInternal, "lease row").Because(err)
+		return nil, Errorf(KindInternal, "lease row").WithCause(err)
 	}
 	return b, nil
 }
@@ -82,7 +84,7 @@
 func DecodeLeaseRow(b []byte) (*LeaseRow, error) {
 	r := new(LeaseRow)
 	if err := msgpack.Unmarshal(b, r); err != nil {
-		return nil, Fail(KindInvalid, "lease row").Because(err)
+		return nil, Errorf(KindInvalid, "lease row").WithCause(err)
 	}
 	return r, nil
 }
@@ -90,11 +92,11 @@
 // Tables of this software. Rows of jobs are in the partition of their queue, so that an ID is
 // unique however the queue is routed; a lease's row is in the partition of its pool.
 const (
-	TableJobs   = "jobs"   // ID -> JobRow, kept for some time after the end of the job
-	TableSpecs  = "specs"  // ID -> JobSpec, until the end of the job
-	TableOpen   = "open"   // ID -> Mark: jobs with work left to do
-	TableLeases = "leases" // owner -> LeaseRow, in the partition of a pool
-	TableGrants = "grants" // owner -> GrantRow, in the partition of a pool
+	TableJobs      = "jobs"   // ID -> JobRow, kept for some time after the end of the job
+	TableSpecs     = "specs"  // ID -> JobSpec, until the end of the job
+	TableOpen      = "open"   // ID -> OpenJobMark: jobs with work left to do
+	TableLeases    = "leases" // owner -> LeaseRow, in the partition of a pool
+	TableHandovers = "grants" // owner -> HandoverRow, in the partition of a pool
 	// TableEntries has one partition, so that all entries are read with a call or two: with a
 	// partition each, some hundred entries starting at once would request each other's rows some
 	// ten thousand times, and the table refuses what exceeds its rate limit, including the retries.
@@ -102,8 +104,8 @@
 	KeyOwner     = "owner"
 )
 
-// Mark is the value of an open job's row in TableOpen.
-type Mark struct {
+// OpenJobMark is the value of an open job's row in TableOpen.
+type OpenJobMark struct {
 	Pool      string
 	Cancelled bool
 }
@@ -114,17 +116,17 @@
 )
 
 // Encode marshals the mark for the table.
-func (m Mark) Encode() []byte {
+func (m OpenJobMark) Encode() []byte {
 	if m.Cancelled {
 		return []byte(markCancelled + m.Pool)
 	}
 	return []byte(markOpen + m.Pool)
 }
 
-// DecodeMark decodes a mark written by Encode; an empty value has no pool.
-func DecodeMark(b []byte) Mark {
+// DecodeOpenJobMark decodes a mark written by Encode; an empty value has no pool.
+func DecodeOpenJobMark(b []byte) OpenJobMark {
 	if len(b) == 0 {
-		return Mark{}
+		return OpenJobMark{}
 	}
-	return Mark{Pool: string(b[1:]), Cancelled: string(b[:1]) == markCancelled}
+	return OpenJobMark{Pool: string(b[1:]), Cancelled: string(b[:1]) == markCancelled}
 }
--- a/leaserow_test.go
+++ b/leaserow_test.go
@@ -48,7 +48,7 @@
 // owner that couldn't read a queue, or by an older version; a queue that isn't in the row would
 // count as empty.
 func TestLeaseRowSaysWhichDepthsAreKnown(t *testing.T) {
-	b, err := (&gauge.LeaseRow{Depths: map[string]int{"sheets": 7}, Unread: []string{"parts"}, Renewed: 500, Counted: 400}).Encode()
+	b, err := (&gauge.LeaseRow{Depths: map[string]int{"sheets": 7}, UnreadQueues: []string{"parts"}, RenewedAt: 500, Counted: 400}).Encode()
 	assert.NilError(t, err)
 	row, err := gauge.DecodeLeaseRow(b)
 	assert.NilError(t, err)
@@ -60,23 +60,23 @@
 	_, known := row.Depth("parts")
 	assert.Assert(t, !known)
 	assert.Equal(t, row.CountedAt(), int64(400))
-	older := gauge.LeaseRow{Renewed: 500}
+	older := gauge.LeaseRow{RenewedAt: 500}
 	assert.Equal(t, older.CountedAt(), int64(500), "an older program counts with each renewal")
 }
 
 // Guards against losing a field that only the next holder needs on the way to it.
 func TestLeaseRowSplitAndJoin(t *testing.T) {
 	row := gauge.LeaseRow{
-		Holder: "e/1", Addr: "a", Term: 2, Workers: []string{"w@1"}, Left: map[string]int64{"w@1": 1}, Emptied: map[string]int64{"w": 2}, Unnoted: 2,
-		Depths: map[string]int{"sheets": 1}, Ordered: map[string]int64{"m": 3}, Earlier: map[string]int64{"n": 4}, Kept: 5, Announced: true,
+		Holder: "e/1", Addr: "a", Term: 2, Workers: []string{"w@1"}, RemainingLeases: map[string]int64{"w@1": 1}, DrainedFor: map[string]int64{"w": 2}, UnrecordedOwners: 2,
+		Depths: map[string]int{"sheets": 1}, OwnOrders: map[string]int64{"m": 3}, PreviousOrders: map[string]int64{"n": 4}, Retention: 5, OrdersAnnounced: true,
 	}
 	all, grants := row.Split()
 	value, err := grants.Encode()
 	assert.NilError(t, err)
-	read, err := gauge.DecodeGrantRow(value)
+	read, err := gauge.DecodeHandoverRow(value)
 	assert.NilError(t, err)
 	assert.Assert(t, read.Equal(&grants))
-	assert.Equal(t, len(all.Emptied), 0)
+	assert.Equal(t, len(all.DrainedFor), 0)
 	all.Join(read)
 	assert.DeepEqual(t, all, row)
 }
--- a/life_test.go
+++ b/life_test.go
@@ -11,18 +11,18 @@
 // Guards against a name in a row being read as that of another worker or another incarnation.
 func TestIncarnationNameRoundTrip(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		life gauge.Life
-		text string
+		name        string
+		incarnation gauge.Incarnation
+		text        string
 	}{
-		{"told", gauge.Life{Worker: "i-1", Born: 1700000000000}, "i-1@1700000000000"},
-		{"not told", gauge.Life{Worker: "i-1"}, "i-1"},
-		{"a mark in the id", gauge.Life{Worker: "a@b", Born: 7}, "a@b@7"},
-		{"a mark and no number", gauge.Life{Worker: "a@b"}, "a@b"},
+		{"told", gauge.Incarnation{Worker: "i-1", StartedAt: 1700000000000}, "i-1@1700000000000"},
+		{"not told", gauge.Incarnation{Worker: "i-1"}, "i-1"},
+		{"a mark in the id", gauge.Incarnation{Worker: "a@b", StartedAt: 7}, "a@b@7"},
+		{"a mark and no number", gauge.Incarnation{Worker: "a@b"}, "a@b"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.life.String(), tt.text)
-			assert.Equal(t, gauge.ParseLife(tt.text), tt.life)
+			assert.Equal(t, tt.incarnation.String(), tt.text)
+			assert.Equal(t, gauge.ParseIncarnation(tt.text), tt.incarnation)
 		})
 	}
 }
@@ -30,10 +30,10 @@
 // Guards against an incarnation being taken for dead because of another worker's, or of an earlier
 // one.
 func TestIncarnationIsOverOnceALaterOneIsKnown(t *testing.T) {
-	first, second := gauge.Life{Worker: "i-1", Born: 5}, gauge.Life{Worker: "i-1", Born: 6}
-	assert.Assert(t, first.Before(second))
-	assert.Assert(t, !second.Before(first))
-	assert.Assert(t, !first.Before(first))
-	assert.Assert(t, gauge.Life{Worker: "i-1"}.Before(first))
-	assert.Assert(t, !first.Before(gauge.Life{Worker: "i-2", Born: 6}))
+	first, second := gauge.Incarnation{Worker: "i-1", StartedAt: 5}, gauge.Incarnation{Worker: "i-1", StartedAt: 6}
+	assert.Assert(t, first.IsBefore(second))
+	assert.Assert(t, !second.IsBefore(first))
+	assert.Assert(t, !first.IsBefore(first))
+	assert.Assert(t, gauge.Incarnation{Worker: "i-1"}.IsBefore(first))
+	assert.Assert(t, !first.IsBefore(gauge.Incarnation{Worker: "i-2", StartedAt: 6}))
 }
--- a/machine.go
+++ b/machine.go
@@ -10,10 +10,10 @@
 
 // The machine states.
 const (
-	MachineUp     MachineState = "up"
-	MachineMoving MachineState = "moving" // to another pool
-	MachineUpkeep MachineState = "upkeep"
-	MachineDown   MachineState = "down"
+	MachineUp            MachineState = "up"
+	MachineMoving        MachineState = "moving" // to another pool
+	MachineInMaintenance MachineState = "upkeep"
+	MachineDown          MachineState = "down"
 )
 
 // Machine is a host as the platform lists it. A worker is one incarnation of the machine.
@@ -27,23 +27,23 @@
 	Worker   string // ID of the worker that runs on it; empty: none
 }
 
-// Duty identifies who orders something of a machine. The platform refuses a fencing token lower
-// than one that it has seen for that machine.
-type Duty struct {
+// OrderIssuer identifies who orders something of a machine. The platform refuses a fencing token
+// lower than one that it has seen for that machine.
+type OrderIssuer struct {
 	Holder string
-	Fence  Fence
+	Fence  FencingToken
 }
 
-// Machines lists machines, moves them between pools and starts their maintenance. Move and Upkeep
-// immediately stop everything that runs on the machine, and are idempotent.
+// Machines lists machines, moves them between pools and starts their maintenance. Move and
+// StartMaintenance immediately stop everything that runs on the machine, and are idempotent.
 //
 // Errors by kind: KindOutage: not done; KindUnknown: it may have been done; KindFenced: a newer
-// token was seen; KindBusy: the machine isn't up, or is leaving; KindMissing: the machine doesn't
+// token was seen; KindBusy: the machine isn't up, or is leaving; KindNotFound: the machine doesn't
 // exist or isn't part of that wave.
 type Machines interface {
 	List(ctx context.Context) ([]Machine, error)
-	Move(ctx context.Context, d Duty, machine, pool string) error
-	Upkeep(ctx context.Context, d Duty, machine string, wave int64) error
+	Move(ctx context.Context, d OrderIssuer, machine, pool string) error
+	StartMaintenance(ctx context.Context, d OrderIssuer, machine string, wave int64) error
 }
 
 // Ticket permits the tasks of one step on one worker, until that worker is restarted.
--- a/mechanism.go
+++ b/mechanism.go
@@ -47,22 +47,22 @@
 	}
 }
 
-// Without lists the mechanisms that are switched off.
-type Without []Mechanism
+// Disabled lists the mechanisms that are switched off.
+type Disabled []Mechanism
 
 // Has reports whether a mechanism is switched off.
-func (w Without) Has(m Mechanism) bool { return slices.Contains(w, m) }
+func (w Disabled) Has(m Mechanism) bool { return slices.Contains(w, m) }
 
-// ParseWithout parses mechanism names separated by commas.
-func ParseWithout(text string) (Without, error) {
-	var w Without
+// ParseDisabled parses mechanism names separated by commas.
+func ParseDisabled(text string) (Disabled, error) {
+	var w Disabled
 	for _, name := range strings.Split(text, ",") {
 		name = strings.TrimSpace(name)
 		if name == "" {
 			continue
 		}
 		if !slices.Contains(Mechanisms(), Mechanism(name)) {
-			return nil, Fail(KindInvalid, "without: %q is none of %s", name, mechanismNames())
+			return nil, Errorf(KindInvalid, "without: %q is none of %s", name, mechanismNames())
 		}
 		w = append(w, Mechanism(name))
 	}
--- a/pkg/client/client.go
+++ b/pkg/client/client.go
@@ -37,7 +37,7 @@
 // New makes a Client.
 func New(c Config) *Client {
 	fill.Zero(&c.Limit, defaultMaxResponse)
-	return &Client{conf: c, pool: exch.New(exch.Config{Answer: c.Limit})}
+	return &Client{conf: c, pool: exch.New(exch.Config{MaxBody: c.Limit})}
 }
 
 // Close closes the idle connections.
@@ -70,8 +70,8 @@
 	Ran    gauge.Ran     // whether a worker ran the request
 }
 
-// Do sends a call and returns the response, whatever its status. The error is non-nil if no response
-// was received.
+// Do sends a call and returns the response, whatever its status. The error is non-nil if no
+// response was received.
 func (c *Client) Do(ctx context.Context, call Call) (Reply, error) {
 	req := c.request(http.MethodPost, "/v1/services/"+url.PathEscape(call.Service)+call.Path, call.Body)
 	setHeader(req, "Idempotency-Key", call.Key)
@@ -96,8 +96,8 @@
 	return c.do(ctx, c.request(http.MethodGet, "/v1/requests/"+url.PathEscape(key), nil))
 }
 
-// Get reads an operators' endpoint and decodes the JSON response. If into is a *[]byte, it receives the
-// body as it is. A response of status 400 or above becomes a *gauge.Error.
+// Get reads an operators' endpoint and decodes the JSON response. If into is a *[]byte, it receives
+// the body as it is. A response of status 400 or above becomes a *gauge.Error.
 func (c *Client) Get(ctx context.Context, path string, into any) error {
 	return c.doAdmin(ctx, c.request(http.MethodGet, "/admin/v1"+path, nil), into)
 }
@@ -106,7 +106,7 @@
 func (c *Client) Post(ctx context.Context, path string, body, into any) error {
 	b, err := json.Marshal(body)
 	if err != nil {
-		return gauge.Fail(gauge.KindInternal, "client.Post").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "client.Post").WithCause(err)
 	}
 	return c.doAdmin(ctx, c.request(http.MethodPost, "/admin/v1"+path, b), into)
 }
@@ -124,7 +124,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(r.Body, into); err != nil {
-		return gauge.Fail(gauge.KindInternal, "client: decode response").Because(err)
+		return gauge.Errorf(gauge.KindInternal, "client: decode response").WithCause(err)
 	}
 	return nil
 }
@@ -137,9 +137,9 @@
 		Faults gauge.Faults `json:"faults"`
 	}
 	if json.Unmarshal(r.Body, &p) != nil || p.Kind == "" {
-		return gauge.Fail(gauge.KindInternal, "client: status %d", r.Status)
+		return gauge.Errorf(gauge.KindInternal, "client: status %d", r.Status)
 	}
-	return &gauge.Error{Kind: p.Kind, Reason: p.Detail, Faults: p.Faults, Retry: r.Again}
+	return &gauge.Error{Kind: p.Kind, Reason: p.Detail, Faults: p.Faults, RetryAfter: r.Again}
 }
 
 func (c *Client) request(method, path string, body []byte) *fasthttp.Request {
--- a/pool.go
+++ b/pool.go
@@ -2,26 +2,26 @@
 
 import "sapphiregauge/internal/fill"
 
-// Prefer is the goal that a pool's operators give priority.
-type Prefer string
+// Preference is the goal that a pool's operators give priority.
+type Preference string
 
 // The preferences.
 const (
-	PreferBuffer Prefer = "buffer" // hold back as few spare hosts as possible
-	PreferSpeed  Prefer = "speed"  // finish waves and changes as soon as possible
+	PreferBuffer Preference = "buffer" // hold back as few spare hosts as possible
+	PreferSpeed  Preference = "speed"  // finish waves and changes as soon as possible
 )
 
-// Domain is a failure domain: the group of hosts that fail together.
-type Domain string
+// FailureDomain is a failure domain: the group of hosts that fail together.
+type FailureDomain string
 
 // The failure domains.
 const (
-	DomainRack Domain = "rack"
-	DomainZone Domain = "zone"
+	DomainRack FailureDomain = "rack"
+	DomainZone FailureDomain = "zone"
 )
 
 // Of returns the name of the domain that a host is in. Racks of two zones may have the same name.
-func (d Domain) Of(h Host) string {
+func (d FailureDomain) Of(h Host) string {
 	if d == DomainZone {
 		return h.Zone
 	}
@@ -30,16 +30,16 @@
 
 // Pool is a set of hosts with a promised capacity.
 type Pool struct {
-	Hosts     int      `json:"hosts"`     // hosts that must be able to work at any moment
-	Objective float64  `json:"objective"` // share of requests answered as promised, 0 to 1
-	Prefer    Prefer   `json:"prefer"`
-	Domain    Domain   `json:"domain"`           // the promise holds through the loss of the worst one
-	Reserve   int      `json:"reserve"`          // slots of each worker that long work may not take
-	Floor     int      `json:"floor"`            // slots of each worker that quick work may not take
-	Zones     []string `json:"zones,omitempty"`  // data centres to take hosts from; empty: any
-	Cores     int      `json:"cores,omitempty"`  // least cores of a host
-	Memory    int      `json:"memory,omitempty"` // least GiB of a host
-	Accels    int      `json:"accels,omitempty"` // least accelerators of a host
+	Hosts     int           `json:"hosts"`     // hosts that must be able to work at any moment
+	Objective float64       `json:"objective"` // share of requests answered as promised, 0 to 1
+	Prefer    Preference    `json:"prefer"`
+	Domain    FailureDomain `json:"domain"`           // the promise holds through the loss of the worst one
+	Reserve   int           `json:"reserve"`          // slots of each worker that long work may not take
+	Floor     int           `json:"floor"`            // slots of each worker that quick work may not take
+	Zones     []string      `json:"zones,omitempty"`  // data centres to take hosts from; empty: any
+	Cores     int           `json:"cores,omitempty"`  // least cores of a host
+	Memory    int           `json:"memory,omitempty"` // least GiB of a host
+	Accels    int           `json:"accels,omitempty"` // least accelerators of a host
 }
 
 const (
@@ -48,8 +48,8 @@
 	defaultFloor     = 1
 )
 
-// Defaults sets the fields that an operator left out.
-func (p *Pool) Defaults() {
+// SetDefaults sets the fields that an operator left out.
+func (p *Pool) SetDefaults() {
 	fill.Zero(&p.Reserve, defaultReserve)
 	fill.Zero(&p.Floor, defaultFloor)
 	fill.Zero(&p.Objective, defaultObjective)
--- a/record.go
+++ b/record.go
@@ -28,18 +28,18 @@
 // Record is one declaration of an operator. Source is kept unchanged, in the schema version in
 // which it was submitted; exactly one of the pointers is set, according to the kind.
 type Record struct {
-	Kind     RecordKind `json:"kind"`
-	Schema   int        `json:"schema"`
-	Name     string     `json:"name"`
-	Source   string     `json:"source"`
-	Revision int64      `json:"revision"` // revision that put this version into force
-	Born     int64      `json:"born"`     // revision of the record's first version
-	Gone     bool       `json:"gone,omitempty"`
-	Pool     *Pool      `json:"pool,omitempty"`
-	Service  *Service   `json:"service,omitempty"`
-	Team     *Team      `json:"team,omitempty"`
-	Job      *Job       `json:"job,omitempty"`
-	Wave     *Wave      `json:"wave,omitempty"`
+	Kind          RecordKind `json:"kind"`
+	Schema        int        `json:"schema"`
+	Name          string     `json:"name"`
+	Source        string     `json:"source"`
+	Revision      int64      `json:"revision"` // revision that put this version into force
+	FirstRevision int64      `json:"born"`     // revision of the record's first version
+	Deleted       bool       `json:"gone,omitempty"`
+	Pool          *Pool      `json:"pool,omitempty"`
+	Service       *Service   `json:"service,omitempty"`
+	Team          *Team      `json:"team,omitempty"`
+	Job           *Job       `json:"job,omitempty"`
+	Wave          *Wave      `json:"wave,omitempty"`
 }
 
 // ID returns the record's ID.
@@ -51,7 +51,7 @@
 	var fs Faults
 	checkName(&fs, r.Name)
 	switch {
-	case r.Gone:
+	case r.Deleted:
 	case r.Pool != nil:
 		r.Pool.validate(&fs)
 	case r.Service != nil:
--- a/request.go
+++ b/request.go
@@ -87,7 +87,7 @@
 	if as.MayHaveRun() {
 		return &Error{Kind: KindUnknown, Reason: reason + " after the request was sent"}
 	}
-	return &Error{Kind: k, Reason: reason, Retry: retry, ran: RanNo}
+	return &Error{Kind: k, Reason: reason, RetryAfter: retry, ran: RanNo}
 }
 
 // Dispatcher sends one request to one worker and returns the complete answer. The attempt says what
--- a/service.go
+++ b/service.go
@@ -8,12 +8,12 @@
 
 // Service is what callers send requests to. Its requests run on the hosts of one pool.
 type Service struct {
-	Pool  string        `json:"pool"`
-	Quick time.Duration `json:"quick"` // a quick request that runs longer counts as long
-	Limit time.Duration `json:"limit"` // longest timeout that a caller may ask for
-	Queue int           `json:"queue"` // requests that may wait at one entry
-	Body  int           `json:"body"`  // maximum bytes of a request or answer body
-	Tries int           `json:"tries"` // distinct workers on which a repeatable request is tried
+	Pool       string        `json:"pool"`
+	QuickLimit time.Duration `json:"quick"` // a quick request that runs longer counts as long
+	MaxTimeout time.Duration `json:"limit"` // longest timeout that a caller may ask for
+	MaxQueued  int           `json:"queue"` // requests that may wait at one entry
+	MaxBody    int           `json:"body"`  // maximum bytes of a request or answer body
+	MaxTries   int           `json:"tries"` // distinct workers on which a repeatable request is tried
 }
 
 const (
@@ -27,29 +27,29 @@
 	maxQueue     = 1 << 16
 )
 
-// Defaults sets the fields that an operator left out.
-func (s *Service) Defaults() {
-	fill.Zero(&s.Quick, defaultQuick)
-	fill.Zero(&s.Limit, defaultLimit)
-	fill.Zero(&s.Queue, defaultQueue)
-	fill.Zero(&s.Body, defaultBody)
-	fill.Zero(&s.Tries, defaultTries)
+// SetDefaults sets the fields that an operator left out.
+func (s *Service) SetDefaults() {
+	fill.Zero(&s.QuickLimit, defaultQuick)
+	fill.Zero(&s.MaxTimeout, defaultLimit)
+	fill.Zero(&s.MaxQueued, defaultQueue)
+	fill.Zero(&s.MaxBody, defaultBody)
+	fill.Zero(&s.MaxTries, defaultTries)
 }
 
 func (s *Service) validate(fs *Faults) {
 	if s.Pool == "" {
 		fs.Add("pool", "is missing")
 	}
-	if s.Quick <= 0 {
-		fs.Add("quick", "is %s, must be above 0", s.Quick)
+	if s.QuickLimit <= 0 {
+		fs.Add("quick", "is %s, must be above 0", s.QuickLimit)
 	}
-	if s.Limit < s.Quick {
-		fs.Add("limit", "is %s, must not be below quick (%s)", s.Limit, s.Quick)
+	if s.MaxTimeout < s.QuickLimit {
+		fs.Add("limit", "is %s, must not be below quick (%s)", s.MaxTimeout, s.QuickLimit)
 	}
-	atLeast(fs, "queue", s.Queue, 1)
-	atMost(fs, "queue", s.Queue, maxQueue)
-	atLeast(fs, "body", s.Body, 1)
-	atMost(fs, "body", s.Body, maxBody)
-	atLeast(fs, "tries", s.Tries, 1)
-	atMost(fs, "tries", s.Tries, maxTries)
+	atLeast(fs, "queue", s.MaxQueued, 1)
+	atMost(fs, "queue", s.MaxQueued, maxQueue)
+	atLeast(fs, "body", s.MaxBody, 1)
+	atMost(fs, "body", s.MaxBody, maxBody)
+	atLeast(fs, "tries", s.MaxTries, 1)
+	atMost(fs, "tries", s.MaxTries, maxTries)
 }
--- a/site.go
+++ b/site.go
@@ -22,23 +22,23 @@
 // Advice is the policy of a queue whose steps may only run on the workers that the advice service
 // permits.
 type Advice struct {
-	Decision time.Duration // duration of one question
-	PerName  time.Duration // additional duration for each worker named
-	Valid    time.Duration // validity of a ticket
+	QueryDuration     time.Duration // duration of one question
+	PerWorkerDuration time.Duration // additional duration for each worker named
+	TicketValidity    time.Duration // validity of a ticket
 }
 
-// PoolConf is a pool of workers as configured by the operator.
-type PoolConf struct {
-	Name    string
-	Guarded bool // its workers refuse tasks that don't fit
-	Standby bool // its machines are off, a reserve for other pools
+// PoolConfig is a pool of workers as configured by the operator.
+type PoolConfig struct {
+	Name             string
+	EnforcesCapacity bool // its workers refuse tasks that don't fit
+	Standby          bool // its machines are off, a reserve for other pools
 }
 
 // Site is the operator's complete configuration of queues and pools. Versions only grow.
 type Site struct {
 	Version int64
 	Queues  []Queue
-	Pools   []PoolConf
+	Pools   []PoolConfig
 	MaxBody int // maximum bytes of a call's body
 
 	byName map[string]int   // positions in Queues; nil without an index
@@ -110,7 +110,7 @@
 }
 
 // PoolByName returns a pool, or nil if there is none of that name.
-func (s *Site) PoolByName(name string) *PoolConf {
+func (s *Site) PoolByName(name string) *PoolConfig {
 	for i := range s.Pools {
 		if s.Pools[i].Name == name {
 			return &s.Pools[i]
@@ -119,11 +119,11 @@
 	return nil
 }
 
-// UpkeepOrder is a wave: it asks that machines undergo maintenance within a time, with at most
-// AtOnce of them down at a time.
-type UpkeepOrder struct {
-	Wave     int64
-	Machines []string
-	Within   time.Duration
-	AtOnce   int
+// MaintenanceOrder is a wave: it asks that machines undergo maintenance within a time, with at most
+// MaxConcurrent of them down at a time.
+type MaintenanceOrder struct {
+	Wave          int64
+	Machines      []string
+	Within        time.Duration
+	MaxConcurrent int
 }
--- a/state.go
+++ b/state.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Change is the content of one revision: the new versions of records and hosts. A record with Gone
-// set is deleted.
+// Change is the content of one revision: the new versions of records and hosts. A record with
+// Deleted set is deleted.
 type Change struct {
 	Revision   int64    `json:"revision"`
 	Submission string   `json:"submission,omitempty"`
@@ -24,9 +24,9 @@
 	hostsByPool map[string]Hosts // sorted by ID; nil: no index
 }
 
-// Indexed returns the state with an index of its hosts by pool, which makes InPool cheap. Apply
+// WithIndex returns the state with an index of its hosts by pool, which makes InPool cheap. Apply
 // maintains the index.
-func (s State) Indexed() State {
+func (s State) WithIndex() State {
 	s.hostsByPool = make(map[string]Hosts)
 	for _, h := range s.Hosts() {
 		s.hostsByPool[h.Pool] = append(s.hostsByPool[h.Pool], h)
@@ -47,7 +47,7 @@
 // so that none is skipped and none is undone.
 func (s State) Apply(c Change) (State, error) {
 	if c.Revision != s.Revision+1 {
-		return s, Fail(KindConflict, "state is at revision %d, change is revision %d", s.Revision, c.Revision)
+		return s, Errorf(KindConflict, "state is at revision %d, change is revision %d", s.Revision, c.Revision)
 	}
 	next := State{Revision: c.Revision, Records: s.Records, ByHost: s.ByHost, hostsByPool: s.hostsByPool}
 	if len(c.Records) > 0 {
@@ -94,7 +94,7 @@
 	next := make(map[RecordID]Record, len(old)+len(changed))
 	maps.Copy(next, old)
 	for _, r := range changed {
-		if r.Gone {
+		if r.Deleted {
 			delete(next, r.ID())
 			continue
 		}
@@ -127,8 +127,8 @@
 	return s.Records[RecordID{RecordTeam, name}].Team
 }
 
-// Names lists the names of the records of a kind, sorted.
-func (s State) Names(k RecordKind) []string {
+// RecordNames lists the names of the records of a kind, sorted.
+func (s State) RecordNames(k RecordKind) []string {
 	var names []string
 	for id := range s.Records {
 		if id.Kind == k {
--- a/suspect.go
+++ b/suspect.go
@@ -5,58 +5,67 @@
 	"time"
 )
 
-// Trial is a run of a task that may have crashed its worker. It is written to the table before the
-// task starts again, so that the next owner also knows how often that has happened.
-type Trial struct {
-	Run    int    `msgpack:"r"`
-	Worker string `msgpack:"w"`
-	Born   int64  `msgpack:"n,omitempty"` // start of the worker's incarnation, see Life
+// SuspectRun is a run of a task that may have crashed its worker. It is written to the table before
+// the task starts again, so that the next owner also knows how often that has happened.
+type SuspectRun struct {
+	Run       int    `msgpack:"r"`
+	Worker    string `msgpack:"w"`
+	StartedAt int64  `msgpack:"n,omitempty"` // start of the worker's incarnation, see Incarnation
 	// Crashed says that the worker is dead; else its fate is still unknown.
 	Crashed bool `msgpack:"x,omitempty"`
-	// Alone says that no other job had a task on the worker, so none of those is the cause.
-	Alone bool `msgpack:"o,omitempty"`
-	// Apart says that the run was recorded before it started, on a worker that was closed to other
-	// jobs' tasks.
-	Apart bool `msgpack:"p,omitempty"`
+	// SoleJob says that no other job had a task on the worker, so none of those is the cause.
+	SoleJob bool `msgpack:"o,omitempty"`
+	// Isolated says that the run was recorded before it started, on a worker that was closed to
+	// other jobs' tasks.
+	Isolated bool `msgpack:"p,omitempty"`
 	// Routine says that the run was recorded as any run is, without a suspicion against its task.
 	Routine bool `msgpack:"u,omitempty"`
-	// Beside says that another job's task on the worker is the likelier cause.
-	Beside bool          `msgpack:"b,omitempty"`
-	Lived  time.Duration `msgpack:"l,omitempty"` // run time, at the least
+	// LikelierCause says that another job's task on the worker is the likelier cause.
+	LikelierCause bool          `msgpack:"b,omitempty"`
+	RunTime       time.Duration `msgpack:"l,omitempty"` // at the least
 }
 
-// Life returns the incarnation of the worker.
-func (t *Trial) Life() Life { return Life{Worker: t.Worker, Born: t.Born} }
+// Incarnation returns the incarnation of the worker.
+func (t *SuspectRun) Incarnation() Incarnation {
+	return Incarnation{Worker: t.Worker, StartedAt: t.StartedAt}
+}
 
-// Trials are the runs of one task that may have crashed their workers. A run of a gang on several
-// workers has one entry for each of them, all with the same run number.
-type Trials []Trial
+// SuspectRuns are the runs of one task that may have crashed their workers. A run of a gang on
+// several workers has one entry for each of them, all with the same run number.
+type SuspectRuns []SuspectRun
 
-// Crashes counts the runs whose workers crashed.
-func (t Trials) Crashes() int { return t.count(func(r Trial) bool { return r.Crashed }) }
+// CrashCount counts the runs whose workers crashed.
+func (t SuspectRuns) CrashCount() int { return t.count(func(r SuspectRun) bool { return r.Crashed }) }
 
-// Alone counts those of the crashed runs that shared their worker with no other job.
-func (t Trials) Alone() int { return t.count(func(r Trial) bool { return r.Crashed && r.Alone }) }
+// SoleJobCrashCount counts those of the crashed runs that shared their worker with no other job.
+func (t SuspectRuns) SoleJobCrashCount() int {
+	return t.count(func(r SuspectRun) bool { return r.Crashed && r.SoleJob })
+}
 
-// Apart counts those of the crashed runs that were isolated from other jobs' tasks.
-func (t Trials) Apart() int { return t.count(func(r Trial) bool { return r.Crashed && r.Apart }) }
+// IsolatedCrashCount counts those of the crashed runs that were isolated from other jobs' tasks.
+func (t SuspectRuns) IsolatedCrashCount() int {
+	return t.count(func(r SuspectRun) bool { return r.Crashed && r.Isolated })
+}
 
-// Likely counts those of the crashed runs for which nothing on the worker was a likelier cause.
-func (t Trials) Likely() int { return t.count(func(r Trial) bool { return r.Crashed && !r.Beside }) }
+// LikelyCrashCount counts those of the crashed runs for which nothing on the worker was a likelier
+// cause.
+func (t SuspectRuns) LikelyCrashCount() int {
+	return t.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause })
+}
 
-// Beside counts the crashed runs that ended within a span from their start and for which another
-// task on the worker was a likelier cause.
-func (t Trials) Beside(span time.Duration) int {
-	return t.count(func(r Trial) bool { return r.Crashed && r.Beside && r.Lived < span })
+// UnlikelyCrashCountWithin counts the crashed runs that ended within a span from their start and
+// for which another task on the worker was a likelier cause.
+func (t SuspectRuns) UnlikelyCrashCountWithin(span time.Duration) int {
+	return t.count(func(r SuspectRun) bool { return r.Crashed && r.LikelierCause && r.RunTime < span })
 }
 
-// LikelySoon counts the crashed runs that ended within a span from their start and for which
-// nothing on the worker was a likelier cause.
-func (t Trials) LikelySoon(span time.Duration) int {
-	return t.count(func(r Trial) bool { return r.Crashed && !r.Beside && r.Lived < span })
+// LikelyCrashCountWithin counts the crashed runs that ended within a span from their start and for
+// which nothing on the worker was a likelier cause.
+func (t SuspectRuns) LikelyCrashCountWithin(span time.Duration) int {
+	return t.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause && r.RunTime < span })
 }
 
-func (t Trials) count(matches func(r Trial) bool) int {
+func (t SuspectRuns) count(matches func(r SuspectRun) bool) int {
 	numbers := make(map[int]bool)
 	for _, r := range t {
 		if matches(r) {
@@ -66,29 +75,31 @@
 	return len(numbers)
 }
 
-// Tried reports whether a run was recorded as isolated and its worker's fate is unknown.
-func (t Trials) Tried(run int) bool {
-	return slices.ContainsFunc(t, func(r Trial) bool { return r.Run == run && r.Apart && !r.Crashed })
+// HasOpenIsolatedRun reports whether a run was recorded as isolated and its worker's fate is
+// unknown.
+func (t SuspectRuns) HasOpenIsolatedRun(run int) bool {
+	return slices.ContainsFunc(t, func(r SuspectRun) bool { return r.Run == run && r.Isolated && !r.Crashed })
 }
 
-// Without returns the runs except for those with one number.
-func (t Trials) Without(run int) Trials {
-	return slices.DeleteFunc(slices.Clone(t), func(r Trial) bool { return r.Run == run })
+// WithoutRun returns the runs except for those with one number.
+func (t SuspectRuns) WithoutRun(run int) SuspectRuns {
+	return slices.DeleteFunc(slices.Clone(t), func(r SuspectRun) bool { return r.Run == run })
 }
 
-// Longest returns the run time of the longest of these runs.
-func (t Trials) Longest() time.Duration {
+// LongestRunTime returns the run time of the longest of these runs.
+func (t SuspectRuns) LongestRunTime() time.Duration {
 	longest := time.Duration(0)
 	for _, r := range t {
-		longest = max(longest, r.Lived)
+		longest = max(longest, r.RunTime)
 	}
 	return longest
 }
 
-// Soon reports whether one of the runs ended, or may have ended, within a span from its start.
-func (t Trials) Soon(span time.Duration) bool {
+// AnyEndedWithin reports whether one of the runs ended, or may have ended, within a span from its
+// start.
+func (t SuspectRuns) AnyEndedWithin(span time.Duration) bool {
 	for _, r := range t {
-		if r.Lived < span {
+		if r.RunTime < span {
 			return true
 		}
 	}
--- a/test/machines/cancel_test.go
+++ b/test/machines/cancel_test.go
@@ -23,7 +23,7 @@
 	}
 	for i := range 8 {
 		assert.Assert(t, s.submit(i, longRunning))
-		s.waitFor("task started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.0", i)) == 1 })
+		s.waitFor("task started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", i)) == 1 })
 		started := s.start(fmt.Sprintf("late-%d", i))
 		s.waitFor("the new entry has a configuration", started.node.Ready)
 		status, _, _ := s.call(started, http.MethodDelete, jobPath(i), nil)
--- a/test/machines/config_test.go
+++ b/test/machines/config_test.go
@@ -65,7 +65,7 @@
 	s.waitReady()
 	assert.Equal(t, s.countLogged("configuration in force", `"entry"="e-1"`, `"behind"="0s"`), 1, "its first configuration was the newest")
 	s.cutConfig(stale, "e-1")
-	s.table.Configure(2, []fakes.Queue{sheets, charts}, spareName)
+	s.table.PutConfig(2, []fakes.Queue{sheets, charts}, spareName)
 	s.waitFor("the other entry serves the new queue", func() bool {
 		status, _, _ := s.call(s.entries[0], http.MethodGet, charts.Prefix, nil)
 		return status == http.StatusOK
@@ -101,7 +101,7 @@
 	assert.Assert(t, s.submit(1, twoSteps(20)))
 	s.waitCompleted([]int{1})
 	s.cutConfig(stale, "e-0")
-	s.table.Configure(2, []fakes.Queue{sheets, charts}, spareName)
+	s.table.PutConfig(2, []fakes.Queue{sheets, charts}, spareName)
 	s.waitFor("the other entry has the new queue", func() bool {
 		return s.countLogged("configuration in force", `"entry"="e-1"`, `"version"=2`) == 1
 	})
@@ -123,7 +123,7 @@
 func TestCountOfDroppedQueueIsRefusedByEntryWithStaleConfig(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 1)
-	s.table.Configure(2, []fakes.Queue{sheets, charts}, spareName)
+	s.table.PutConfig(2, []fakes.Queue{sheets, charts}, spareName)
 	s.startOn("e-0", s.table.Addr(), host{capacity: largeHostCores})
 	s.waitReady()
 	s.waitLeasesHeldBy("e-0")
@@ -135,7 +135,7 @@
 	}
 	s.waitFor("both counts are reported", func() bool { return count(charts.Prefix) == http.StatusOK && count(sheets.Prefix) == http.StatusOK })
 	s.cutConfig(stale, "e-1")
-	s.table.Configure(3, []fakes.Queue{sheets}, spareName)
+	s.table.PutConfig(3, []fakes.Queue{sheets}, spareName)
 	s.waitFor("the owner has dropped the queue", func() bool {
 		return s.countLogged("configuration in force", `"entry"="e-0"`, `"version"=3`) == 1
 	})
--- a/test/machines/count_test.go
+++ b/test/machines/count_test.go
@@ -84,7 +84,7 @@
 func TestCountOfUnreadableQueueIsRefused(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 0)
-	s.table.Configure(2, []fakes.Queue{
+	s.table.PutConfig(2, []fakes.Queue{
 		{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName},
 		{Name: "r-parts", Host: queueHost, Prefix: "/parts/", Pool: poolName},
 	}, spareName)
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -32,7 +32,7 @@
 func (s *site) countCrashes(n int) int {
 	total := 0
 	for i := range 3 {
-		total += s.journal.Crashes(fmt.Sprintf("%016x.0.0.%d", n, i))
+		total += s.journal.CrashesCausedBy(fmt.Sprintf("%016x.0.0.%d", n, i))
 	}
 	return total
 }
@@ -53,21 +53,21 @@
 		job     map[string]any
 		disturb func(s *site)
 	}{
-		{"at once", crashJob(fakes.Work{Millis: 300, Index: 1}, nil), nil},
-		{"while it works", crashJob(fakes.Work{Millis: 800, Index: 1, After: 400}, nil), nil},
+		{"at once", crashJob(fakes.Work{RunMillis: 300, CrashIndex: 1}, nil), nil},
+		{"while it works", crashJob(fakes.Work{RunMillis: 800, CrashIndex: 1, CrashAfterMillis: 400}, nil), nil},
 		{"a long-running task", crashJob(fakes.Work{}, map[string]any{"longRunning": true, "maxUnavailable": 1}), nil},
-		{"a gang", crashJob(fakes.Work{Millis: 300, Index: 2}, map[string]any{"gang": true}), nil},
-		{"a step with speculative copies", crashJob(fakes.Work{Millis: 300}, map[string]any{"speculative": true}), nil},
-		{"workers' answers lost", crashJob(fakes.Work{Millis: 300, Index: 1}, nil), func(s *site) {
-			s.machines.SetWorkers(randomFaults(1, 0.3, fakes.FaultLost, fakes.FaultHalf))
+		{"a gang", crashJob(fakes.Work{RunMillis: 300, CrashIndex: 2}, map[string]any{"gang": true}), nil},
+		{"a step with speculative copies", crashJob(fakes.Work{RunMillis: 300}, map[string]any{"speculative": true}), nil},
+		{"workers' answers lost", crashJob(fakes.Work{RunMillis: 300, CrashIndex: 1}, nil), func(s *site) {
+			s.machines.SetWorkerFault(randomFaults(1, 0.3, fakes.FaultResponseLost, fakes.FaultResponseCut))
 		}},
-		{"table outage", crashJob(fakes.Work{Millis: 300, Index: 1}, nil), func(s *site) {
+		{"table outage", crashJob(fakes.Work{RunMillis: 300, CrashIndex: 1}, nil), func(s *site) {
 			s.waitFor("the first crash", func() bool { return s.countCrashes(1) > 0 })
-			s.table.Set(randomFaults(1, 1, fakes.FaultRefuse))
+			s.table.SetFault(randomFaults(1, 1, fakes.FaultRefused))
 			time.Sleep(2 * time.Second) // the length of the outage
-			s.table.Set(nil)
+			s.table.SetFault(nil)
 		}},
-		{"owners replaced", crashJob(fakes.Work{Millis: 300, Index: 1}, nil), func(s *site) {
+		{"owners replaced", crashJob(fakes.Work{RunMillis: 300, CrashIndex: 1}, nil), func(s *site) {
 			for n := range 2 {
 				s.waitFor("a crash", func() bool { return s.countCrashes(1) > n })
 				s.start(fmt.Sprintf("next-%d", n))
@@ -84,8 +84,8 @@
 				tt.disturb(s)
 			}
 			last := s.entries[len(s.entries)-1]
-			s.waitFor("the job has failed", func() bool { return s.stateAt(last, 1) == "failed" || len(s.journal.Faults()) > 0 })
-			s.machines.SetWorkers(nil)
+			s.waitFor("the job has failed", func() bool { return s.stateAt(last, 1) == "failed" || len(s.journal.Violations()) > 0 })
+			s.machines.SetWorkerFault(nil)
 			s.checkNoFaults()
 			assert.Equal(t, s.stateAt(last, 1), "failed")
 			s.waitFor("other work runs", func() bool { return s.stateAt(last, 2) == "completed" || !s.submitAt(last, 2) })
@@ -114,14 +114,14 @@
 	task := func(i int) string { return fmt.Sprintf("%016x.0.0.%d", 1, i) }
 	for round := 1; round <= 5; round++ {
 		s.waitFor("both tasks run", func() bool {
-			_, running := s.journal.Tasks()
+			_, running := s.journal.StartsAndRunning()
 			return running[task(0)] == 1 && running[task(1)] == 1
 		})
 		for i := range 6 {
-			s.machines.Crash(fmt.Sprintf("m-%d", i))
+			s.machines.CrashWorker(fmt.Sprintf("m-%d", i))
 		}
 		s.waitFor("both are restarted", func() bool {
-			return s.journal.Starts(task(0)) > round && s.journal.Starts(task(1)) > round
+			return s.journal.StartCount(task(0)) > round && s.journal.StartCount(task(1)) > round
 		})
 	}
 	assert.Equal(t, s.jobState(1), "running")
@@ -139,18 +139,18 @@
 		assert.Assert(t, s.submit(n, twoSteps(400)))
 		jobs = append(jobs, n)
 	}
-	s.waitFor("work has begun", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.0", 0)) > 0 })
-	s.machines.Each(func(w *fakes.Worker) { w.Resize(1000) })
+	s.waitFor("work has begun", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", 0)) > 0 })
+	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(1000) })
 	until := time.Now().Add(6 * time.Second) // longer than the grace period for room that has shrunk
 	for n := 6; time.Now().Before(until); n++ {
 		assert.Assert(t, s.submit(n, twoSteps(100)))
 		jobs = append(jobs, n)
 		time.Sleep(150 * time.Millisecond) // interval between submissions
 	}
-	s.machines.Each(func(w *fakes.Worker) { w.Resize(0) })
+	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(0) })
 	time.Sleep(5 * time.Second) // no room at all, for longer than that grace period
 	assert.Assert(t, s.submit(1000, twoSteps(100)))
-	s.machines.Each(func(w *fakes.Worker) { w.Resize(4000) })
+	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(4000) })
 	s.waitCompleted(append(jobs, 1000))
 	s.checkNoFaults()
 }
@@ -167,16 +167,16 @@
 	}
 	assert.Assert(t, s.submit(1, longRunning))
 	task := fmt.Sprintf("%016x.0.0.0", 1)
-	s.waitFor("the task runs", func() bool { return s.journal.Starts(task) == 1 })
-	s.machines.Each(func(w *fakes.Worker) { w.Resize(0) })
+	s.waitFor("the task runs", func() bool { return s.journal.StartCount(task) == 1 })
+	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(0) })
 	s.waitFor("the worker's lease is long enough for a takeover", func() bool {
 		long := true
-		s.machines.Each(func(w *fakes.Worker) { long = long && w.Granted() > 4*time.Second })
+		s.machines.EachWorker(func(w *fakes.Worker) { long = long && w.LeaseLeft() > 4*time.Second })
 		return long
 	})
 	s.start("next")
 	s.entries[0].kill()
 	s.waitFor("the next owner has found the run", func() bool { return s.countLogged(`"msg"="run found"`, `"entry"="next"`) == 1 })
-	assert.Equal(t, s.journal.Starts(task), 1)
+	assert.Equal(t, s.journal.StartCount(task), 1)
 	s.checkNoFaults()
 }
--- a/test/machines/drain_test.go
+++ b/test/machines/drain_test.go
@@ -19,22 +19,22 @@
 	s := newSite(t, 1, 1)
 	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
-	s.table.Wave(1, []string{"m-0"}, 600, 1)
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
+	s.table.PutWave(1, []string{"m-0"}, 600, 1)
 	s.waitFor("the machine is being drained", func() bool { return s.countLogged("worker to be emptied") > 0 })
-	granted := func() gauge.GrantRow {
-		row, err := gauge.DecodeGrantRow(s.table.Value(gauge.TableGrants, fleetLease, gauge.KeyOwner))
+	granted := func() gauge.HandoverRow {
+		row, err := gauge.DecodeHandoverRow(s.table.Value(gauge.TableHandovers, fleetLease, gauge.KeyOwner))
 		assert.NilError(t, err)
 		return *row
 	}
 	lease := func() int64 {
 		row, err := gauge.DecodeLeaseRow(s.table.Value(gauge.TableLeases, fleetLease, gauge.KeyOwner))
 		assert.NilError(t, err)
-		return row.Renewed
+		return row.RenewedAt
 	}
 	for range 3 {
 		before := lease()
 		s.waitFor("the lease is renewed", func() bool { return lease() > before })
-		assert.Equal(t, len(granted().Ordered), 0)
+		assert.Equal(t, len(granted().OwnOrders), 0)
 	}
 }
--- a/test/machines/link_test.go
+++ b/test/machines/link_test.go
@@ -135,7 +135,7 @@
 	})
 	s.waitCompleted(jobs)
 	assert.Assert(t, s.submit(200, twoSteps(60_000)))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 200)) == 1 })
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 200)) == 1 })
 	status, _, _ := s.call(cutOff, http.MethodDelete, jobPath(200), nil)
 	assert.Equal(t, status, http.StatusOK)
 	status, out, _ := s.call(s.entries[0], http.MethodGet, jobPath(200), nil)
@@ -161,7 +161,7 @@
 		return s.countLogged("entry known", `"entry"="e-0"`, `"peer"="e-1"`) == 1
 	})
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
 	link.Cut(true)
 	first.node.Release(t.Context(), 0)
 	s.waitFor("the second entry has the pool by the first one's offer", func() bool {
@@ -170,7 +170,7 @@
 	s.entries = s.entries[1:]
 	// Only the worker may know that the job runs, and its report arrives after the pool is taken.
 	s.waitFor("the second entry knows that it runs", func() bool { return s.jobState(1) == "running" })
-	assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)), 1)
+	assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)), 1)
 	s.checkNoFaults()
 }
 
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -26,7 +26,7 @@
 	s.waitCompleted(jobs)
 	s.checkNoFaults()
 	for n := range 12 {
-		assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.1.1", n)), 1)
+		assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.1.1", n)), 1)
 	}
 	// The count may be two seconds old.
 	s.waitFor("empty queue", func() bool {
@@ -77,7 +77,7 @@
 func TestRequestsWithoutConfigurationAreRefusedWithRetryAfter(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 0)
-	s.table.Drop("op", "config")
+	s.table.Delete("op", "config")
 	e := s.start("e-0")
 	status, _, header := s.call(e, http.MethodPost, jobPath(1), twoSteps(1))
 	assert.Equal(t, status, http.StatusServiceUnavailable)
@@ -93,7 +93,7 @@
 		"steps": []any{map[string]any{"count": 2, "cpu": 500, "memMb": 10, "longRunning": true}},
 	}
 	assert.Assert(t, s.submit(1, longRunning))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
 	status, _, _ := s.call(s.entries[1], http.MethodDelete, jobPath(1), nil)
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, s.jobState(1), "cancelled")
@@ -156,21 +156,21 @@
 		workers float64
 		kinds   []fakes.Fault
 	}{
-		{"table refuses", 0.3, 0, []fakes.Fault{fakes.FaultRefuse}},
-		{"table's answers lost", 0.3, 0, []fakes.Fault{fakes.FaultLost, fakes.FaultHalf}},
-		{"table's calls lost", 0.3, 0, []fakes.Fault{fakes.FaultDrop}},
-		{"table's calls delayed", 0.15, 0, []fakes.Fault{fakes.FaultLate}},
-		{"workers refuse", 0, 0.3, []fakes.Fault{fakes.FaultRefuse}},
-		{"workers' answers lost", 0, 0.3, []fakes.Fault{fakes.FaultLost, fakes.FaultHalf}},
-		{"workers' calls delayed", 0, 0.2, []fakes.Fault{fakes.FaultLate}},
-		{"all at once", 0.1, 0.1, []fakes.Fault{fakes.FaultRefuse, fakes.FaultLost, fakes.FaultDrop, fakes.FaultLate, fakes.FaultHalf}},
+		{"table refuses", 0.3, 0, []fakes.Fault{fakes.FaultRefused}},
+		{"table's answers lost", 0.3, 0, []fakes.Fault{fakes.FaultResponseLost, fakes.FaultResponseCut}},
+		{"table's calls lost", 0.3, 0, []fakes.Fault{fakes.FaultRequestLost}},
+		{"table's calls delayed", 0.15, 0, []fakes.Fault{fakes.FaultRequestDelayed}},
+		{"workers refuse", 0, 0.3, []fakes.Fault{fakes.FaultRefused}},
+		{"workers' answers lost", 0, 0.3, []fakes.Fault{fakes.FaultResponseLost, fakes.FaultResponseCut}},
+		{"workers' calls delayed", 0, 0.2, []fakes.Fault{fakes.FaultRequestDelayed}},
+		{"all at once", 0.1, 0.1, []fakes.Fault{fakes.FaultRefused, fakes.FaultResponseLost, fakes.FaultRequestLost, fakes.FaultRequestDelayed, fakes.FaultResponseCut}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			s := newSite(t, 2, 3)
 			s.waitReady()
-			s.table.Set(randomFaults(1, tt.table, tt.kinds...))
-			s.machines.Each(func(w *fakes.Worker) { w.Set(randomFaults(2, tt.workers, tt.kinds...)) })
+			s.table.SetFault(randomFaults(1, tt.table, tt.kinds...))
+			s.machines.EachWorker(func(w *fakes.Worker) { w.SetFault(randomFaults(2, tt.workers, tt.kinds...)) })
 			var jobs, refused []int
 			for n := range 10 {
 				if s.submit(n, twoSteps(100)) {
@@ -180,10 +180,10 @@
 				}
 			}
 			s.waitCompleted(jobs)
-			s.table.Set(nil)
+			s.table.SetFault(nil)
 			for _, n := range refused {
 				assert.Equal(t, s.jobState(n), "410", "a refused job never runs")
-				assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.0.0", n)), 0)
+				assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", n)), 0)
 			}
 			s.checkNoFaults()
 		})
@@ -203,10 +203,10 @@
 		}},
 	}
 	assert.Assert(t, s.submit(1, longRunning))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
-	s.table.Wave(1, []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, 20, 2)
-	s.waitFor("wave completed", func() bool { return s.table.WaveDone(1) })
-	assert.Equal(t, s.machines.Begun(1), 5)
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)) == 1 })
+	s.table.PutWave(1, []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, 20, 2)
+	s.waitFor("wave completed", func() bool { return s.table.IsWaveDone(1) })
+	assert.Equal(t, s.machines.StartedMaintenance(1), 5)
 	s.checkNoFaults()
 }
 
@@ -215,16 +215,16 @@
 	t.Parallel()
 	s := newSite(t, 1, 1)
 	s.waitReady()
-	s.table.Forget()
-	s.table.Configure(7, []fakes.Queue{
+	s.table.CompactHistory()
+	s.table.PutConfig(7, []fakes.Queue{
 		{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName},
 		{Name: "r-new", Host: queueHost, Prefix: "/new/", Pool: poolName},
 	})
 	s.waitFor("configuration 7", func() bool { return s.entries[0].node.Site().Version == 7 })
-	s.table.Configure(6, nil)
-	s.table.Wave(5, nil, 20, 1)
-	s.waitFor("the row after configuration 6 is read", func() bool { return s.table.WaveDone(5) })
+	s.table.PutConfig(6, nil)
+	s.table.PutWave(5, nil, 20, 1)
+	s.waitFor("the row after configuration 6 is read", func() bool { return s.table.IsWaveDone(5) })
 	assert.Equal(t, s.entries[0].node.Site().Version, int64(7), "never back to an older one")
-	s.table.Configure(8, []fakes.Queue{{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName}})
+	s.table.PutConfig(8, []fakes.Queue{{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName}})
 	s.waitFor("configuration 8", func() bool { return s.entries[0].node.Site().Version == 8 })
 }
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -49,9 +49,9 @@
 
 // addPeers writes the rows of entries that don't run.
 func (s *site) addPeers(count int) {
-	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), Read: waitTimeout, Commit: waitTimeout, Clock: time.Now})
+	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), ReadTimeout: waitTimeout, CommitTimeout: waitTimeout, Clock: time.Now})
 	defer table.Close()
-	var txn gauge.PartTxn
+	var txn gauge.PartitionTxn
 	for n := range count {
 		value, err := (&gauge.EntryRow{Addr: fmt.Sprintf("127.0.0.2:%d", n+1), Capacity: smallHostCores}).Encode()
 		assert.NilError(s.t, err)
@@ -95,7 +95,7 @@
 	s.startOn("weak-0", proxyAddr, host{capacity: smallHostCores})
 	s.waitReady()
 	s.waitFor("the entry has followed the leases for some calls", func() bool { return calls.total(gauge.TableLeases, "rows-feed") >= 3 })
-	workers := platform.Words{}.WorkerTable()
+	workers := platform.TableCodec{}.WorkerTable()
 	assert.Equal(t, calls.total(workers, "rows-get", "rows-feed"), 0)
 
 	// The entry still serves a pool that it takes over.
@@ -119,7 +119,7 @@
 	s := newSite(t, 2, 1)
 	s.waitReady()
 	assert.Assert(t, s.submit(1, twoSteps(60_000)))
-	s.waitFor("a task has started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.0", 1)) == 1 })
+	s.waitFor("a task has started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", 1)) == 1 })
 	owner := 0
 	if s.leaseHolder(poolName) == "e-1" {
 		owner = 1
--- a/test/machines/rebalance_test.go
+++ b/test/machines/rebalance_test.go
@@ -57,7 +57,7 @@
 	s.waitReady()
 	s.waitLeasesHeldBy("weak")
 	assert.Assert(t, s.submit(0, twoSteps(60_000)))
-	s.waitFor("tasks started", func() bool { return s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 0)) == 1 })
+	s.waitFor("tasks started", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 0)) == 1 })
 	s.startOn("strong-0", s.table.Addr(), host{capacity: largeHostCores})
 	s.waitReady()
 	var jobs []int
@@ -73,7 +73,7 @@
 	})
 	s.waitCompleted(jobs)
 	assert.Equal(t, s.jobState(0), "running")
-	assert.Equal(t, s.journal.Starts(fmt.Sprintf("%016x.0.0.1", 0)), 1)
+	assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 0)), 1)
 	s.checkNoFaults()
 }
 
@@ -213,9 +213,9 @@
 	row := gauge.EntryRow{Addr: l.Addr().String(), Capacity: capacity}
 	value, err := row.Encode()
 	assert.NilError(s.t, err)
-	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), Read: waitTimeout, Commit: waitTimeout, Clock: time.Now})
+	table := platform.NewTable(platform.TableConfig{Addr: s.table.Addr(), ReadTimeout: waitTimeout, CommitTimeout: waitTimeout, Clock: time.Now})
 	defer table.Close()
-	_, _, err = table.Commit(s.t.Context(), gauge.PartTxn{Writes: []gauge.RowWrite{{
+	_, _, err = table.Commit(s.t.Context(), gauge.PartitionTxn{Writes: []gauge.RowWrite{{
 		RowKey: gauge.RowKey{Table: gauge.TableEntries, Key: name}, Value: value,
 	}}})
 	assert.NilError(s.t, err)
--- a/test/machines/restart_test.go
+++ b/test/machines/restart_test.go
@@ -29,7 +29,7 @@
 	for i := range restartHosts {
 		id := fmt.Sprintf("m-%d", i)
 		before[id] = s.machines.Worker(id)
-		s.machines.Crash(id)
+		s.machines.CrashWorker(id)
 	}
 	for id, w := range before {
 		s.waitFor(id+" is back", func() bool {
@@ -51,13 +51,13 @@
 	assert.Assert(t, s.submit(1, longRunning))
 	for range 3 {
 		s.waitFor("all tasks run", func() bool {
-			_, running := s.journal.Tasks()
+			_, running := s.journal.StartsAndRunning()
 			return len(running) == 6
 		})
 		s.crashAllWorkers()
 	}
 	s.waitFor("all tasks run", func() bool {
-		_, running := s.journal.Tasks()
+		_, running := s.journal.StartsAndRunning()
 		return len(running) == 6
 	})
 	s.checkNoFaults()
@@ -73,11 +73,11 @@
 	}{
 		{"no other disturbance", func(*site, int) {}},
 		{"orders delayed, answers lost", func(s *site, round int) {
-			s.machines.SetWorkers(randomFaults(uint64(round), 0.2, fakes.FaultLate, fakes.FaultLost, fakes.FaultHalf))
+			s.machines.SetWorkerFault(randomFaults(uint64(round), 0.2, fakes.FaultRequestDelayed, fakes.FaultResponseLost, fakes.FaultResponseCut))
 		}},
 		{"table outage", func(s *site, round int) {
-			s.table.Set(randomFaults(uint64(round), 1, fakes.FaultRefuse))
-			time.AfterFunc(time.Second, func() { s.table.Set(nil) })
+			s.table.SetFault(randomFaults(uint64(round), 1, fakes.FaultRefused))
+			time.AfterFunc(time.Second, func() { s.table.SetFault(nil) })
 		}},
 		{"owners replaced", func(s *site, round int) {
 			s.start(fmt.Sprintf("next-%d", round))
@@ -98,7 +98,7 @@
 				tt.disturb(s, round)
 				s.crashAllWorkers()
 			}
-			s.machines.SetWorkers(nil)
+			s.machines.SetWorkerFault(nil)
 			last := s.entries[len(s.entries)-1]
 			for _, job := range jobs {
 				s.waitFor(fmt.Sprintf("job %d completed", job), func() bool { return s.stateAt(last, job) == "completed" })
--- a/test/machines/site_test.go
+++ b/test/machines/site_test.go
@@ -81,7 +81,7 @@
 // entry is one entry, with its own network connections.
 type entry struct {
 	node     *node.Node
-	front    *platform.Front
+	front    *platform.Frontend
 	mesh     *mesh.Node
 	addr     string
 	peerAddr string // address for other entries
@@ -110,7 +110,7 @@
 	for i := range hosts {
 		s.machines.Add(fmt.Sprintf("m-%d", i), poolName)
 	}
-	s.table.Configure(1, []fakes.Queue{{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName}}, spareName)
+	s.table.PutConfig(1, []fakes.Queue{{Name: queueName, Host: queueHost, Prefix: queuePath, Pool: poolName}}, spareName)
 	for i := range entries {
 		s.start(fmt.Sprintf("e-%d", i))
 	}
@@ -143,19 +143,19 @@
 	e.mesh = mesh.New(mesh.Config{Closed: func(addr string) { e.node.CheckHolder(addr) }})
 	peer, front := s.listen(), s.listen()
 	e.addr, e.peerAddr = front.Addr().String(), peer.Addr().String()
-	table := platform.NewTable(platform.TableConfig{Addr: tableAddr, Read: 900 * time.Millisecond, Commit: 1500 * time.Millisecond, Clock: time.Now})
-	workers := platform.NewWorkers(platform.WorkersConfig{Hold: 800 * time.Millisecond, Order: 300 * time.Millisecond, Clock: time.Now})
+	table := platform.NewTable(platform.TableConfig{Addr: tableAddr, ReadTimeout: 900 * time.Millisecond, CommitTimeout: 1500 * time.Millisecond, Clock: time.Now})
+	workers := platform.NewWorkers(platform.WorkersConfig{HeartbeatTimeout: 800 * time.Millisecond, OrderTimeout: 300 * time.Millisecond, Clock: time.Now})
 	e.node = node.New(node.Config{
 		Store: timely.New(timely.Config{
-			Store: table, Late: 300 * time.Millisecond, Fast: 100 * time.Millisecond, Away: 500 * time.Millisecond,
-			Most: 1500 * time.Millisecond, Now: boot.Now,
+			Store: table, CheckDelay: 300 * time.Millisecond, MaxFastRead: 100 * time.Millisecond, ReadTimeout: 500 * time.Millisecond,
+			CommitTimeout: 1500 * time.Millisecond, Now: boot.Now,
 		}),
 		Name: name, Start: "1", Addr: peer.Addr().String(), Workers: workers,
 		Machines: platform.NewMachines(platform.MachinesConfig{Addr: s.machines.Addr(), Timeout: time.Second, Clock: time.Now}),
-		Words:    platform.Words{}, Mesh: e.mesh, Logs: s.log().WithValues("entry", name), Now: on.now, Wall: time.Now, Capacity: on.capacity,
-		Count: func(string, time.Duration) {}, Event: func(string) {}, Longest: 10 * time.Second, TurnGap: time.Second, Upkeep: 200 * time.Millisecond,
+		Words:    platform.TableCodec{}, Mesh: e.mesh, Logs: s.log().WithValues("entry", name), Now: on.now, WallClock: time.Now, CapacityCores: on.capacity,
+		ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {}, MaxWorkerLease: 10 * time.Second, MinOrderInterval: time.Second, MaintenanceDuration: 200 * time.Millisecond,
 	})
-	e.front = platform.NewFront(platform.FrontConfig{Jobs: e.node.Jobs(), Site: e.node.Serves, Route: e.node.Route, Ready: e.node.Ready, Logs: s.log()})
+	e.front = platform.NewFrontend(platform.FrontendConfig{Jobs: e.node.Jobs(), Site: e.node.ServingSite, Route: e.node.Route, Ready: e.node.Ready, Logs: s.log()})
 	ctx, cancel := context.WithCancel(context.Background())
 	e.kill = cancel
 	go func() { _ = e.front.Serve(front) }()
@@ -201,7 +201,7 @@
 
 // twoSteps returns a job of two steps of two tasks each, the second after the first.
 func twoSteps(millis int) map[string]any {
-	spec := fakes.Work{Millis: millis, CPU: 500}.Payload()
+	spec := fakes.Work{RunMillis: millis, CPU: 500}.Payload()
 	one := map[string]any{"count": 2, "cpu": 500, "memMb": 100, "estimateMs": millis}
 	two := map[string]any{"count": 2, "cpu": 500, "memMb": 100, "estimateMs": millis, "after": []int{0}}
 	return map[string]any{"spec": spec, "steps": []any{one, two}}
@@ -264,6 +264,6 @@
 
 func (s *site) checkNoFaults() {
 	s.t.Helper()
-	faults := s.journal.Faults()
+	faults := s.journal.Violations()
 	assert.Equal(s.t, len(faults), 0, "%v", faults)
 }
--- a/test/size/size_test.go
+++ b/test/size/size_test.go
@@ -34,7 +34,7 @@
 
 func newMember(i int) gauge.Member {
 	return gauge.Member{
-		ID: fmt.Sprintf("entry-%03d", i), Run: "00000000-0000-0000-0000-000000000000",
+		ID: fmt.Sprintf("entry-%03d", i), StartID: "00000000-0000-0000-0000-000000000000",
 		Peer: "10.0.0.1:8081", HTTP: "10.0.0.1:8080", Zone: fmt.Sprint("zone-", i/entriesPerZone),
 	}
 }
@@ -50,27 +50,27 @@
 			for i := range n {
 				rows = append(rows, newMember(i))
 			}
-			set.Rows(now, rows)
-			neighbourBeat := peers.Beat{From: newMember(1)}
+			set.UpdateRows(now, rows)
+			neighbourBeat := peers.Heartbeat{From: newMember(1)}
 			for i := 1; i < entriesPerZone; i++ {
-				neighbourBeat.Own = append(neighbourBeat.Own, newMember(i).ID)
+				neighbourBeat.ZoneLive = append(neighbourBeat.ZoneLive, newMember(i).ID)
 			}
-			neighbourBeat.Same = neighbourBeat.Own
+			neighbourBeat.ZoneSameView = neighbourBeat.ZoneLive
 			bytes, calls := 0, 0
 			for b.Loop() {
-				set.Look(now)
+				set.Refresh(now)
 				for _, to := range set.Neighbours(now) {
-					beat := set.Beat(now, 7, to.Zone)
+					beat := set.NewHeartbeat(now, 7, to.Zone)
 					body, _ := msgpack.Marshal(&beat)
 					answer := neighbourBeat
 					answer.From = to
 					if to.Zone == newMember(0).Zone {
-						answer.Own, answer.Same = nil, nil
+						answer.ZoneLive, answer.ZoneSameView = nil, nil
 					}
 					reply, _ := msgpack.Marshal(&answer)
-					var received peers.Beat
+					var received peers.Heartbeat
 					_ = frame.Decode(reply, &received)
-					set.Heard(now, received)
+					set.Receive(now, received)
 					bytes += len(body) + len(reply) + 2*frameOverhead
 					calls++
 				}
@@ -90,21 +90,21 @@
 		for _, holders := range []int{8, 128} {
 			b.Run(fmt.Sprintf("hosts=%d/entries=%d", hosts, holders), func(b *testing.B) {
 				now := time.Unix(1000, 0)
-				f := slots.Fleet{Same: 1, Known: 1, Reserve: 2, Floor: 1}
+				f := slots.Fleet{SameViewCount: 1, KnownCount: 1, Reserve: 2, Floor: 1}
 				for i := range hosts {
-					f.Hosts = append(f.Hosts, slots.Room{Host: fmt.Sprintf("host-%04d", i), Slots: 8})
+					f.Hosts = append(f.Hosts, slots.HostCapacity{Host: fmt.Sprintf("host-%04d", i), Slots: 8})
 				}
-				owner := slots.New(slots.Config{Pool: "p", Term: time.Hour, Limit: time.Minute, Start: now.Add(-2 * time.Hour)})
-				owner.Set(f)
+				owner := slots.New(slots.Config{Pool: "p", LeaseDuration: time.Hour, MaxRunTime: time.Minute, OwnerSince: now.Add(-2 * time.Hour)})
+				owner.SetFleet(f)
 				seq, bytes := uint64(0), 0
 				for b.Loop() {
 					seq++
-					a := slots.Ask{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, newMember(0).Run), Pool: "pool-001", Seq: seq, Full: true, Quick: 1}
+					a := slots.LeaseRequest{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, newMember(0).StartID), Pool: "pool-001", Seq: seq, Full: true, WantedQuick: 1}
 					share := max(1, hosts*8/holders/2)
 					for i := range min(share, hosts) {
-						a.Have = append(a.Have, slots.Lot{Host: f.Hosts[(int(seq)+i)%hosts].Host, Quick: 1})
+						a.Slots = append(a.Slots, slots.HostSlots{Host: f.Hosts[(int(seq)+i)%hosts].Host, Quick: 1})
 					}
-					g, _ := owner.Ask(now, a)
+					g, _ := owner.HandleRequest(now, a)
 					request, _ := msgpack.Marshal(&a)
 					grant, _ := msgpack.Marshal(&g)
 					bytes += len(request) + len(grant) + 2*frameOverhead
@@ -120,11 +120,11 @@
 	for i := range pools {
 		name := fmt.Sprintf("pool-%03d", i)
 		p := &gauge.Pool{Hosts: hosts / pools * 8 / 10}
-		p.Defaults()
+		p.SetDefaults()
 		source := "kind: pool\nschema: 2\nname: " + name + "\npromise:\n  hosts: 40\n  objective: 0.999\nprefer: buffer\n"
 		s.Records[gauge.RecordID{Kind: gauge.RecordPool, Name: name}] = gauge.Record{Kind: gauge.RecordPool, Name: name, Schema: 2, Source: source, Pool: p}
 		svc := &gauge.Service{Pool: name}
-		svc.Defaults()
+		svc.SetDefaults()
 		s.Records[gauge.RecordID{Kind: gauge.RecordService, Name: name}] = gauge.Record{Kind: gauge.RecordService, Name: name, Schema: 1, Source: source, Service: svc}
 	}
 	for i := range hosts {
@@ -134,13 +134,13 @@
 		}
 		s.ByHost[h.ID] = h
 	}
-	return s.Indexed()
+	return s.WithIndex()
 }
 
-func sightingsOf(s gauge.State) gauge.Sightings {
-	var out gauge.Sightings
+func sightingsOf(s gauge.State) gauge.HostList {
+	var out gauge.HostList
 	for _, h := range s.Hosts() {
-		out = append(out, gauge.Sighting{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Rack: h.Rack, Slots: 8, Status: gauge.StatusLive})
+		out = append(out, gauge.ListedHost{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Rack: h.Rack, Slots: 8, Status: gauge.StatusLive})
 	}
 	return out
 }
@@ -182,7 +182,7 @@
 	for _, n := range fleetSizes() {
 		s := newState(n.hosts, n.pools)
 		list := sightingsOf(s)
-		in := plan.Input{State: s, List: list, Seen: list.ByID(), Quit: func(gauge.Host) bool { return true }, Lost: func(gauge.Host) bool { return false }}
+		in := plan.Input{State: s, List: list, ListByHost: list.ByID(), IsQuiesced: func(gauge.Host) bool { return true }, IsLost: func(gauge.Host) bool { return false }}
 		p := plan.New(plan.Config{})
 		b.Run(fmt.Sprintf("hosts=%d/fleet", n.hosts), func(b *testing.B) {
 			for b.Loop() {
@@ -191,7 +191,7 @@
 		})
 		b.Run(fmt.Sprintf("hosts=%d/pools", n.hosts), func(b *testing.B) {
 			for b.Loop() {
-				for _, name := range s.Names(gauge.RecordPool) {
+				for _, name := range s.RecordNames(gauge.RecordPool) {
 					p.Pool(in, name)
 				}
 			}
@@ -199,7 +199,7 @@
 		b.Run(fmt.Sprintf("hosts=%d/list", n.hosts), func(b *testing.B) {
 			body, _ := json.Marshal(list)
 			for b.Loop() {
-				var l gauge.Sightings
+				var l gauge.HostList
 				_ = json.Unmarshal(body, &l)
 				l.ByID()
 			}
@@ -244,15 +244,15 @@
 			for range callers {
 				group.Go(func() {
 					for range each {
-						k, _ := gauge.Key(time.Now(), "t", uuid.Must(uuid.NewV7()).String())
-						if _, mine, err := c.Claim(context.Background(), k, gauge.ClaimRunning, 1, nil); err != nil || !mine {
+						k, _ := gauge.ParseIdempotencyKey(time.Now(), "t", uuid.Must(uuid.NewV7()).String())
+						if _, mine, err := c.Insert(context.Background(), k, gauge.ClaimRunning, 1, nil); err != nil || !mine {
 							b.Error(err)
 						}
 					}
 				})
 			}
 			group.Wait()
-			commits, writes := c.Counts()
+			commits, writes := c.CommitCounts()
 			b.ReportMetric(float64(writes)/float64(commits), "claims/commit")
 			b.ReportMetric(float64(writes)/time.Since(began).Seconds(), "claims/s")
 		})
@@ -271,7 +271,7 @@
 	k := d.nodes[addr]
 	d.mu.RUnlock()
 	if k == nil {
-		return gauge.Fail(gauge.KindOutage, "no node")
+		return gauge.Errorf(gauge.KindOutage, "no node")
 	}
 	body, err := frame.Encode(req)
 	if err != nil {
@@ -315,9 +315,9 @@
 		var keeper *member.Keeper
 		followers[i] = follow.New(follow.Config{
 			Log: revlog.New(table), Clock: time.Now, Logs: logr.Discard(),
-			Adopted: func(gauge.State, time.Duration) {
+			OnAdopted: func(gauge.State, time.Duration) {
 				if push {
-					go keeper.Tell(ctx)
+					go keeper.SendHeartbeats(ctx)
 				}
 			},
 		})
--- a/test/soak/client_test.go
+++ b/test/soak/client_test.go
@@ -136,7 +136,7 @@
 // randomJob returns a job of two steps whose tasks take some tenths of a second.
 func randomJob(random *rand.Rand) map[string]any {
 	millis := 50 + random.IntN(300)
-	spec := fakes.Work{Millis: millis, CPU: 300}.Payload()
+	spec := fakes.Work{RunMillis: millis, CPU: 300}.Payload()
 	first := map[string]any{"count": 1 + random.IntN(3), "cpu": 300, "memMb": 100, "estimateMs": millis}
 	second := map[string]any{"count": 1 + random.IntN(3), "cpu": 300, "memMb": 100, "estimateMs": millis, "after": []int{0}}
 	return map[string]any{"spec": spec, "steps": []any{first, second}}
--- a/test/soak/crash_test.go
+++ b/test/soak/crash_test.go
@@ -59,11 +59,11 @@
 // several tasks, with speculative copies, or long-running. It is never a gang: these workers end
 // the members of a gang one by one, and the end of one member that is done counts for all.
 func crashJob(random *rand.Rand) map[string]any {
-	work := fakes.Work{Millis: 600, CPU: 300, Crashes: true, After: random.IntN(2) * random.IntN(400)}
+	work := fakes.Work{RunMillis: 600, CPU: 300, Crashes: true, CrashAfterMillis: random.IntN(2) * random.IntN(400)}
 	step := map[string]any{"count": 1 + random.IntN(3), "cpu": 300, "memMb": 100, "estimateMs": 300}
 	switch random.IntN(3) {
 	case 0:
-		step["longRunning"], work.Millis = true, 0
+		step["longRunning"], work.RunMillis = true, 0
 	case 1:
 		step["speculative"] = true
 	}
--- a/test/soak/entry_test.go
+++ b/test/soak/entry_test.go
@@ -39,8 +39,8 @@
 	e := &entry{t: t, program: program, name: fmt.Sprintf("e-%d", number), dir: dir, link: newLink(t, p.addrs.Table)}
 	e.ip = fmt.Sprintf("127.%d.%d.%d", 16+os.Getpid()%200, os.Getpid()/200%250, 10+number)
 	settings := fakes.Host{
-		Name: e.name, Zone: fmt.Sprintf("z%d", number%2), IP: e.ip, Front: frontPort, Ready: readyPort, Peer: peerPort,
-		Table: e.link.addr(), Machines: p.addrs.Machines, Grace: graceS,
+		Name: e.name, Zone: fmt.Sprintf("z%d", number%2), IP: e.ip, FrontendPort: frontPort, ReadyPort: readyPort, FirstPeerPort: peerPort,
+		TableAddr: e.link.addr(), MachinesAddr: p.addrs.Machines, GraceSeconds: graceS,
 	}.Settings()
 	assert.NilError(t, os.WriteFile(e.settingsFile(), []byte(settings), 0o600))
 	t.Cleanup(e.kill)
--- a/test/soak/standin_test.go
+++ b/test/soak/standin_test.go
@@ -75,17 +75,17 @@
 		ids = append(ids, fmt.Sprintf("m-%d", i))
 		service.Add(ids[i], poolName)
 	}
-	table.Configure(1, queues(1), spareName)
+	table.PutConfig(1, queues(1), spareName)
 	mux := http.NewServeMux()
 	mux.HandleFunc("/configure", func(_ http.ResponseWriter, r *http.Request) {
 		version, _ := strconv.ParseInt(r.URL.Query().Get("version"), 10, 64)
-		table.Configure(version, queues(version), spareName)
+		table.PutConfig(version, queues(version), spareName)
 	})
-	mux.HandleFunc("/wave", func(http.ResponseWriter, *http.Request) { table.Wave(1, ids, 60, 2) })
+	mux.HandleFunc("/wave", func(http.ResponseWriter, *http.Request) { table.PutWave(1, ids, 60, 2) })
 	mux.HandleFunc("/faults", func(_ http.ResponseWriter, r *http.Request) {
 		pick := faultPicker(r)
-		table.Set(pick)
-		service.Each(func(w *fakes.Worker) { w.Set(pick) })
+		table.SetFault(pick)
+		service.EachWorker(func(w *fakes.Worker) { w.SetFault(pick) })
 	})
 	mux.HandleFunc("/room", func(_ http.ResponseWriter, r *http.Request) {
 		cpu, _ := strconv.Atoi(r.URL.Query().Get("cpu"))
@@ -95,12 +95,12 @@
 	})
 	mux.HandleFunc("/power", func(http.ResponseWriter, *http.Request) {
 		for _, id := range ids {
-			service.Crash(id)
+			service.CrashWorker(id)
 		}
 	})
 	mux.HandleFunc("/verdict", func(w http.ResponseWriter, _ *http.Request) {
-		v := verdict{Faults: journal.Faults(), Wave: table.WaveDone(1), CrashedWorkers: journal.Under()}
-		v.Starts, v.Running = journal.Tasks()
+		v := verdict{Faults: journal.Violations(), Wave: table.IsWaveDone(1), CrashedWorkers: journal.CrashesByTask()}
+		v.Starts, v.Running = journal.StartsAndRunning()
 		_ = json.NewEncoder(w).Encode(v)
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 	if share == 0 {
 		return nil
 	}
-	kinds := []fakes.Fault{fakes.FaultRefuse, fakes.FaultLost, fakes.FaultDrop, fakes.FaultLate, fakes.FaultHalf}
+	kinds := []fakes.Fault{fakes.FaultRefused, fakes.FaultResponseLost, fakes.FaultRequestLost, fakes.FaultRequestDelayed, fakes.FaultResponseCut}
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func(string) fakes.Fault {
--- a/test/whole/bench_test.go
+++ b/test/whole/bench_test.go
@@ -26,7 +26,7 @@
 }
 
 func newCaller(addr, path string, callers int) *caller {
-	return &caller{pool: exch.New(exch.Config{Resting: callers}), addr: addr, path: path}
+	return &caller{pool: exch.New(exch.Config{MaxIdlePerAddr: callers}), addr: addr, path: path}
 }
 
 func (c *caller) send(query string) (int, error) {
--- a/test/whole/whole_test.go
+++ b/test/whole/whole_test.go
@@ -153,7 +153,7 @@
 	countDone := func(ctx context.Context) int {
 		n, serving := 0, 0
 		for _, h := range other.hosts(ctx).InPool("brakes") {
-			if h.Done {
+			if h.WaveDone {
 				n++
 			}
 			if h.State == gauge.HostServing {
--- a/worker.go
+++ b/worker.go
@@ -7,19 +7,19 @@
 
 // Worker is one incarnation of a worker process, which may be restarted under the same ID.
 type Worker struct {
-	ID       string
-	Born     int64 // when this incarnation started, see Life
-	Pool     string
-	Addr     string
-	Zone     string
-	Labels   []string // its kind and its rack
-	Capacity Resources
-	Draining bool
-	Leaves   time.Duration // minimum time that it stays while draining
+	ID           string
+	StartedAt    int64 // when this incarnation started, see Incarnation
+	Pool         string
+	Addr         string
+	Zone         string
+	Labels       []string // its kind and its rack
+	Capacity     Resources
+	Draining     bool
+	MinDrainTime time.Duration // minimum time that it stays while draining
 }
 
-// Life returns the worker's incarnation.
-func (w *Worker) Life() Life { return Life{Worker: w.ID, Born: w.Born} }
+// Incarnation returns the worker's incarnation.
+func (w *Worker) Incarnation() Incarnation { return Incarnation{Worker: w.ID, StartedAt: w.StartedAt} }
 
 // Rack returns the name of the rack, which is the last label.
 func (w *Worker) Rack() string {
@@ -47,77 +47,77 @@
 
 // The ways in which a run ends.
 const (
-	EndDone    Ending = "done"
-	EndFailed  Ending = "failed"  // by a fault of the task or the worker
-	EndStopped Ending = "stopped" // the worker was ordered to stop it
-	EndLapsed  Ending = "lapsed"  // the worker's lease expired
-	EndBroken  Ending = "broken"  // another member of its gang ended
-	EndAlone   Ending = "alone"   // the other members of its gang didn't start in time
+	EndDone           Ending = "done"
+	EndFailed         Ending = "failed"  // by a fault of the task or the worker
+	EndStopped        Ending = "stopped" // the worker was ordered to stop it
+	EndLeaseExpired   Ending = "lapsed"  // the worker's lease expired
+	EndGangBroken     Ending = "broken"  // another member of its gang ended
+	EndGangIncomplete Ending = "alone"   // the other members of its gang didn't start in time
 )
 
 // RunReport describes one run on a worker.
 type RunReport struct {
-	Task     TaskID
-	Run      int
-	Saved    string // newest checkpoint
-	Progress int    // percent of its work done; 100 for a long-running task in service
-	Load     int    // tail latency in milliseconds if it serves users, else processor use in thousandths
+	Task       TaskID
+	Run        int
+	Checkpoint string // newest checkpoint
+	Progress   int    // percent of its work done; 100 for a long-running task in service
+	Load       int    // tail latency in milliseconds if it serves users, else processor use in thousandths
 }
 
 // EndReport describes one ended run. Numbers start at 1 in each incarnation of the worker and grow.
 type EndReport struct {
-	Number int64
-	Task   TaskID
-	Run    int
-	How    Ending
-	Saved  string
+	Number     int64
+	Task       TaskID
+	Run        int
+	Ending     Ending
+	Checkpoint string
 }
 
-// WorkerReport is a worker's answer to Hold.
+// WorkerReport is a worker's answer to Heartbeat.
 type WorkerReport struct {
-	Born    int64         // start of the incarnation that answered; 0: not reported
-	Clock   time.Duration // the worker's monotonic clock
-	Running []RunReport
-	Ended   []EndReport
+	StartedAt int64         // start of the incarnation that answered; 0: not reported
+	Clock     time.Duration // the worker's monotonic clock
+	Running   []RunReport
+	Ended     []EndReport
 }
 
-// Fence is the fencing token of the pool's owner. A worker refuses orders with a lower token than
-// one that it has seen.
-type Fence int64
+// FencingToken is the fencing token of the pool's owner. A worker refuses orders with a lower token
+// than one that it has seen.
+type FencingToken int64
 
-// HoldCall is a heartbeat: it extends the lease of everything that runs on a worker and asks for
-// its report.
-type HoldCall struct {
-	Fence Fence
+// Heartbeat is a call that extends the lease of everything that runs on a worker and asks for its
+// report.
+type Heartbeat struct {
+	Fence FencingToken
 	Until time.Duration // by the worker's clock; 0: no extension
-	// LastSeen is the number up to which the worker may forget ends. It is sent only to an
+	// LastSeenEnd is the number up to which the worker may forget ends. It is sent only to an
 	// incarnation that has answered a heartbeat before: another incarnation would forget its own
 	// ends.
-	LastSeen int64
-	Wait     time.Duration // answer as soon as a run ends, at the latest after this time
+	LastSeenEnd int64
+	Wait        time.Duration // answer as soon as a run ends, at the latest after this time
 }
 
 // StartCall starts one run.
 type StartCall struct {
-	Fence   Fence
-	Task    TaskID
-	Run     int
-	Payload string
-	Until   time.Duration // by the worker's clock
-	Saved   string        // checkpoint to resume from
-	Ticket  string        // of the advice service, if the queue requires one
+	Fence      FencingToken
+	Task       TaskID
+	Run        int
+	Payload    string
+	Until      time.Duration // by the worker's clock
+	Checkpoint string        // checkpoint to resume from
+	Ticket     string        // of the advice service, if the queue requires one
 }
 
 // StopCall stops one run.
 type StopCall struct {
-	Fence Fence
+	Fence FencingToken
 	Task  TaskID
 	Run   int
 }
 
 // PaceCall sets the percentage of full speed at which a run works.
 type PaceCall struct {
-	Fence   Fence
+	Fence   FencingToken
 	Task    TaskID
 	Run     int
 	Percent int
@@ -125,16 +125,16 @@
 
 // Workers sends orders to workers. The implementation sends each call once and never repeats it. A
 // call may reach a later incarnation of the worker than intended, which carries it out: only the
-// answer to Hold says which incarnation it was. The returned clock is the worker's own, 0 if the
-// answer has none.
+// answer to Heartbeat says which incarnation it was. The returned clock is the worker's own, 0 if
+// the answer has none.
 //
 // Errors by kind: KindOutage: not sent; KindUnknown: sent, no complete answer, it may be carried
-// out seconds later; KindFenced, KindStale, KindLate, KindNoRoom, KindTicket: refused by the
-// worker, nothing done; KindReplaced: another worker answers at that address, so the intended
+// out seconds later; KindFenced, KindStale, KindPastDeadline, KindNoRoom, KindBadTicket: refused by
+// the worker, nothing done; KindReplaced: another worker answers at that address, so the intended
 // incarnation is dead; KindUnhealthy: refused by a worker in trouble, nothing done; KindInvalid:
 // the worker doesn't accept the order.
 type Workers interface {
-	Hold(ctx context.Context, w *Worker, c HoldCall) (*WorkerReport, error)
+	Heartbeat(ctx context.Context, w *Worker, c Heartbeat) (*WorkerReport, error)
 	Start(ctx context.Context, w *Worker, c StartCall) (clock time.Duration, err error)
 	Stop(ctx context.Context, w *Worker, c StopCall) (clock time.Duration, err error)
 	Pace(ctx context.Context, w *Worker, c PaceCall) (clock time.Duration, err error)
