--- a/internal/intake/depth_test.go
+++ b/internal/intake/depth_test.go
@@ -33,9 +33,9 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			n := intake.New(intake.Config{
-				Logs:       logr.Discard(),
-				SeenDepth:  func(*gauge.Queue) (int, time.Duration, bool) { return 3, tt.age, tt.seen },
-				OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 8, tt.owner },
+				Logs:        logr.Discard(),
+				CachedDepth: func(*gauge.Queue) (int, time.Duration, bool) { return 3, tt.age, tt.seen },
+				OwnerDepth:  func(context.Context, *gauge.Queue) (int, bool) { return 8, tt.owner },
 			})
 			got, err := n.Depth(t.Context(), &gauge.Queue{Name: "sheets", Pool: "brakes"})
 			if tt.kind != "" {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -20,9 +20,9 @@
 	CountEvent func(event string)   // counts outcomes of submissions
 	Now        func() time.Duration // monotonic clock
 	TableClock func() int64         // approximate time of the table's clock in milliseconds
-	// SeenDepth returns how many jobs of a queue have not begun, as the pool's owner last wrote,
+	// CachedDepth returns how many jobs of a queue have not begun, as the pool's owner last wrote,
 	// and how old that count is; false: it isn't known.
-	SeenDepth func(q *gauge.Queue) (int, time.Duration, bool)
+	CachedDepth func(q *gauge.Queue) (int, time.Duration, bool)
 	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
 	OwnerDepth  func(ctx context.Context, q *gauge.Queue) (int, bool)
 	NotifyOwner func(n Notification) // notifies the owner of the pool
@@ -149,7 +149,7 @@
 // Depth returns how many jobs of a queue have not begun. If the count that was seen is too old, the
 // pool's owner is asked. KindOutage: nobody knows the count, since a wrong one is worse than none.
 func (n *Intake) Depth(ctx context.Context, q *gauge.Queue) (int, error) {
-	if depth, age, ok := n.conf.SeenDepth(q); ok && age <= maxCountAge {
+	if depth, age, ok := n.conf.CachedDepth(q); ok && age <= maxCountAge {
 		return depth, nil
 	}
 	if depth, ok := n.conf.OwnerDepth(ctx, q); ok {
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -172,10 +172,10 @@
 	g.intake = intake.New(intake.Config{
 		Relay: r, After: g.timers.After,
 		Store: t, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
-		SeenDepth:  func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
-		OwnerDepth: func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
-		JobState:   func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
-		OwnsJob:    func(_ *gauge.Queue, id string) bool { return g.known[id] },
+		CachedDepth: func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
+		OwnerDepth:  func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
+		JobState:    func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
+		OwnsJob:     func(_ *gauge.Queue, id string) bool { return g.known[id] },
 		NotifyOwner: func(n intake.Notification) {
 			g.mu.Lock()
 			defer g.mu.Unlock()
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// backgroundCalls runs calls beside the rounds of the fleet lease holder. The result of a call is
-// applied in a round, so that only one goroutine changes the holder's state.
+// backgroundCalls runs calls concurrently with the rounds of the fleet lease holder. The result of
+// a call is applied in a later round, so that only one goroutine changes the holder's state.
 type backgroundCalls struct {
 	mu       sync.Mutex
 	running  map[string]bool
--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// updateWorkerListGate has the list of workers followed while this entry holds or claims the lease
-// of a pool. n.mu is held.
+// updateWorkerListGate opens the gate of the worker list while this entry holds or claims the lease
+// of a pool, and shuts it otherwise. n.mu is held.
 func (n *Node) updateWorkerListGate() {
 	pools := len(n.leasesInUse)
 	if n.leasesInUse[fleetPool] {
@@ -101,9 +101,9 @@
 	return gauge.RowKey{Table: gauge.TableLeases, Partition: pool, Key: gauge.KeyOwner}
 }
 
-// readGrants reads the orders of the previous holders, for a lease that nobody offers. It reports
-// whether the read succeeded.
-func (n *Node) readGrants(ctx context.Context, c *terms.Claim) bool {
+// readHandover adds the handover row of the previous holders to a claim of a lease that nobody
+// offers. It reports whether the read succeeded.
+func (n *Node) readHandover(ctx context.Context, c *terms.Claim) bool {
 	if c.Version == 0 {
 		return true // there was no previous holder
 	}
@@ -118,7 +118,7 @@
 // From is the holder that offers the lease, empty if there is none.
 func (n *Node) claim(ctx context.Context, c terms.Claim, from string) {
 	defer n.markReleased(c.Pool)
-	if from == "" && !n.readGrants(ctx, &c) {
+	if from == "" && !n.readHandover(ctx, &c) {
 		return
 	}
 	var l *takenLease
@@ -139,11 +139,11 @@
 
 // takenLease is a lease that this entry has just taken.
 type takenLease struct {
-	lease         *tenure.Tenure
-	token         gauge.FencingToken
-	term          int // number of previous holders
-	previousRow   gauge.LeaseRow
-	remainingTerm time.Duration // how much of the previous term may remain
+	lease             *tenure.Tenure
+	token             gauge.FencingToken
+	term              int // number of previous holders
+	previousRow       gauge.LeaseRow
+	previousLeaseLeft time.Duration // how much of the previous holder's lease may be left; above 0 only if that holder didn't answer a probe
 }
 
 // fleetPool is the key of the fleet lease, whose holder moves machines and starts their
@@ -160,7 +160,7 @@
 		term++
 	}
 	row := gauge.LeaseRow{Holder: n.holder, Addr: n.conf.Addr, Term: term, Workers: c.Row.Workers, UnrecordedOwners: c.Row.UnrecordedOwners, RenewedAt: n.tableClock()}
-	row.InheritDepths(&c.Row) // there was no count since
+	row.InheritDepths(&c.Row) // nothing was counted since the previous row was written
 	if c.Pool == fleetPool {
 		n.carryOverOrders(&row, &c.Row)
 	}
@@ -187,10 +187,10 @@
 	n.conf.Logs.Info("lease taken", "pool", c.Pool, "fence", position.Version, "term", term, "before", c.Row.Holder, "from", from,
 		"workers", len(c.Row.Workers), "seen", c.Version)
 	lease := tenure.New(tenure.Config{
-		Key: key, Holder: n.holder, Addr: n.conf.Addr, Term: term, Version: position.Version, ClaimedAt: sent, LeaseDuration: leaseTerm,
+		Key: key, Holder: n.holder, Addr: n.conf.Addr, Term: term, Version: position.Version, ClaimedAt: sent, LeaseDuration: leaseDuration,
 		Store: n.conf.Store, Now: n.conf.Now, TableClock: n.tableClock,
 	})
-	return &takenLease{lease: lease, token: gauge.FencingToken(position.Version), term: term, previousRow: c.Row, remainingTerm: c.PreviousLeaseLeft}, false
+	return &takenLease{lease: lease, token: gauge.FencingToken(position.Version), term: term, previousRow: c.Row, previousLeaseLeft: c.PreviousLeaseLeft}, false
 }
 
 // handleClaimFailure applies what a failed claim shows. It reports whether to try again at once.
@@ -218,7 +218,7 @@
 // runPool runs a pool until its lease is lost or given up.
 func (n *Node) runPool(ctx context.Context, pool string, l *takenLease) {
 	o := owner.New(ctx, owner.Config{
-		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, PreviousWorkers: l.previousRow.Workers, PreviousRow: l.previousRow, PreviousLeaseLeft: l.remainingTerm,
+		Pool: pool, Lease: l.lease, Term: l.term, Fence: l.token, PreviousWorkers: l.previousRow.Workers, PreviousRow: l.previousRow, PreviousLeaseLeft: l.previousLeaseLeft,
 		Grace: workerLeaseGrace, JobRetention: retentionFactor * n.conf.JobRetention, LeaseExtension: min(workerLeaseDuration, n.conf.MaxWorkerLease), MaxWorkerLease: n.conf.MaxWorkerLease,
 		Store: n.conf.Store, Workers: n.conf.Workers, Adviser: n.conf.Adviser, Logs: n.conf.Logs, Now: n.conf.Now, WallClock: n.conf.WallClock,
 		ObserveTableClock: n.recordTableClock, TableClock: n.tableClock, ObserveCall: n.conf.ObserveCall, CountEvent: n.conf.CountEvent, ObserveBacklog: n.conf.ObserveBacklog,
@@ -243,8 +243,8 @@
 	o.Run(n.Site(), workers)
 }
 
-// claimPauseAfterLeaving is how long an entry claims nothing after it had to leave a pool.
-const claimPauseAfterLeaving = 3 * time.Second
+// claimPauseAfterHandover is how long an entry claims nothing after it handed over a stuck pool.
+const claimPauseAfterHandover = 3 * time.Second
 
 // handOverStuckPool has another entry take over a pool whose owner here can't write to the table or
 // is short of processor time. If no entry can, the owner here continues.
@@ -259,14 +259,15 @@
 		return
 	}
 	n.mu.Lock()
-	n.claimPauseUntil = n.conf.Now() + claimPauseAfterLeaving
+	n.claimPauseUntil = n.conf.Now() + claimPauseAfterHandover
 	n.mu.Unlock()
 	if o.Stop("writes fail here, or the owner lags") {
 		n.offerLease(ctx, to, offerOf(o))
 	}
 }
 
-// allowOffer bounds how often a successor for a pool is searched for.
+// allowOffer reports whether a successor for a pool may be searched for now, at most once in
+// offerRetryDelay, and if so records the search.
 func (n *Node) allowOffer(pool string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -15,9 +15,9 @@
 const (
 	// fleetInterval is the interval between two rounds of the fleet lease holder.
 	fleetInterval = 100 * time.Millisecond
-	// drainedBatchDelay is how long a drained machine waits for others before it is ordered: each
-	// round with new orders is a write.
-	drainedBatchDelay = 40 * time.Millisecond
+	// orderBatchDelay is how long the move of a drained machine waits for other machines to be
+	// drained, since each round with new orders costs a write to the table.
+	orderBatchDelay = 40 * time.Millisecond
 	// fleetRenewInterval is the interval at which the fleet lease is renewed if nothing else is
 	// written.
 	fleetRenewInterval = 400 * time.Millisecond
@@ -48,7 +48,7 @@
 
 	moveTarget atomic.Pointer[string] // address of the entry that the lease is to move to
 
-	orderMu     sync.Mutex // guards ordersEnded, so that no order is sent after the lease was given away
+	orderMu     sync.Mutex // guards ordersEnded, so that no order is permitted after the orders were listed for the successor
 	ordersEnded bool       // no more orders
 }
 
@@ -93,8 +93,7 @@
 	n.fleet = f
 }
 
-// requestMove has the lease handed to an entry after the current round. An empty address leaves it
-// here.
+// requestMove hands the lease to an entry after the current round. An empty address leaves it here.
 func (f *fleet) requestMove(addr string) {
 	if addr != "" {
 		f.moveTarget.Store(&addr)
@@ -184,7 +183,7 @@
 		return
 	}
 	steps := f.scheduler.Next(f.node.conf.Now(), waves.View{
-		IsMoving: f.sizer.IsMoving, WasOrdered: f.orderedByPrevious, IsShort: f.sizer.IsShort, LongRunningTasks: f.sizer.LongRunningTasks,
+		IsMoving: f.sizer.IsMoving, WasOrderedBefore: f.wasOrderedBefore, IsShort: f.sizer.IsShort, LongRunningTasks: f.sizer.LongRunningTasks,
 	})
 	moves := f.nextMoves()
 	f.announceOrders(ctx, machinesToOrder(steps, moves))
@@ -214,7 +213,7 @@
 	return true
 }
 
-// refreshMachines has the machines listed if the last list is too old.
+// refreshMachines starts listing the machines if the last list is too old.
 func (f *fleet) refreshMachines(ctx context.Context) {
 	now := f.node.conf.Now()
 	if f.listedAt > 0 && now-f.listedAt < machineListInterval {
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -35,16 +35,16 @@
 
 // recordTableClock records a reading of the table's clock from a call that was sent at the given
 // time. A reading from a slow call is imprecise, by more than the clocks drift apart within a day.
-func (n *Node) recordTableClock(s gauge.TablePosition, sent time.Duration) {
+func (n *Node) recordTableClock(position gauge.TablePosition, sent time.Duration) {
 	now := n.conf.Now()
-	if s.Now > 0 && (now-sent < maxClockReadingTime || n.clockOffset.Load() == 0) {
-		n.clockOffset.Store(int64(s.Now - now))
+	if position.Now > 0 && (now-sent < maxClockReadingTime || n.clockOffset.Load() == 0) {
+		n.clockOffset.Store(int64(position.Now - now))
 	}
 }
 
 // recordLeaseRead records that the leases were read, whether or not they have changed.
-func (n *Node) recordLeaseRead(s gauge.TablePosition, sent time.Duration) {
-	n.recordTableClock(s, sent)
+func (n *Node) recordLeaseRead(position gauge.TablePosition, sent time.Duration) {
+	n.recordTableClock(position, sent)
 	now := n.conf.Now()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,12 +167,13 @@
 	return n.tableClock()
 }
 
-// seenDepth returns how many jobs of a queue have not begun, as its pool's owner last wrote, and
-// how old that count is by the table's clock. The count ages if the feed brings no changes, if the
-// owner can't write, and if the owner hasn't read the queue. Lease rows still hold the count of a
-// queue that was deleted, which this entry may not know of yet; so it reports false unless this
-// entry's configuration is current.
-func (n *Node) seenDepth(q *gauge.Queue) (int, time.Duration, bool) {
+// cachedDepth returns how many jobs of a queue have not begun, according to the last lease row of
+// its pool that was read, and how old that count is by the table's clock. The count grows old while
+// the feed brings no changes, while the owner can't write, and until a new owner has counted. It
+// reports false if the owner hasn't read the queue. Lease rows still hold the count of a queue that
+// was deleted, which this entry may not know of yet; so it also reports false unless this entry's
+// configuration is current.
+func (n *Node) cachedDepth(q *gauge.Queue) (int, time.Duration, bool) {
 	clock := n.tableClockIfKnown()
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -7,9 +7,9 @@
 	gauge "sapphiregauge"
 )
 
-// freshness holds as of when this entry has seen all rows of each table that it follows. An entry
-// that is refused by the table, or whose link or processor is used up, continues with the last rows
-// that it has read; without this nothing would show how old they are.
+// freshness records, for each table that this entry follows, the latest time at which its rows here
+// were certain to be complete. An entry that the table refuses, or whose link or processor is used
+// up, continues with the rows that it read last; this shows how old they are.
 type freshness struct {
 	mu   sync.Mutex
 	asOf map[string]time.Duration // by table name, on the monotonic clock
--- a/internal/node/holdercheck.go
+++ b/internal/node/holdercheck.go
@@ -9,10 +9,10 @@
 	gauge "sapphiregauge"
 )
 
-// A pool whose owner's process ends would stand still until the lease expires, although the end
-// shows at once: its connections are closed. An early claim does no harm, since workers accept no
-// orders from an owner that was wrongly taken for dead. So the full term is only waited for if the
-// holder may just be unreachable from here.
+// When the process of a pool's owner exits, its connections are closed at once. Without this check
+// the pool would still have no owner until the lease expires. An early claim does no harm, since
+// workers accept no orders from an owner that was wrongly taken for dead. So the whole lease is
+// only waited for if the holder may just be unreachable from here.
 
 const (
 	// dialTimeout bounds connecting to a holder.
@@ -83,8 +83,8 @@
 	}
 }
 
-// CheckHolder finds out whether the process that held leases at an address has ended: nothing
-// listens there, or another process of that host's entry does.
+// CheckHolder finds out whether the process that held leases at an address has ended. It has ended
+// if the address refuses connections, or if a process with another holder name answers there.
 func (n *Node) CheckHolder(addr string) {
 	n.mu.Lock()
 	holders := n.leaseView.HoldersAt(addr)
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -64,42 +64,42 @@
 }
 
 // requestDraining asks pool owners to drain workers.
-func (f *fleet) requestDraining(ctx context.Context, asks []waves.DrainRequest) {
-	for _, a := range asks {
-		f.calls.start("empty "+a.Machine, func() func() {
-			empty, err := f.node.drainWorker(ctx, drainCall{Pool: a.Pool, Worker: a.Worker, Force: a.Force})
+func (f *fleet) requestDraining(ctx context.Context, requests []waves.DrainRequest) {
+	for _, request := range requests {
+		f.calls.start("empty "+request.Machine, func() func() {
+			empty, err := f.node.drainWorker(ctx, drainCall{Pool: request.Pool, Worker: request.Worker, Force: request.Force})
 			if err != nil {
-				f.node.conf.Logs.Info("machine not emptied", "machine", a.Machine, "pool", a.Pool, "error", err.Error())
+				f.node.conf.Logs.Info("machine not emptied", "machine", request.Machine, "pool", request.Pool, "error", err.Error())
 			}
-			return func() { f.scheduler.RecordDrainAnswer(a, empty && err == nil) }
+			return func() { f.scheduler.RecordDrainAnswer(request, empty && err == nil) }
 		})
 	}
 }
 
-// orderMaintenance orders the maintenance of machines, each only while the lease is certain to
-// last.
-func (f *fleet) orderMaintenance(ctx context.Context, begins []waves.MaintenanceStart) {
+// orderMaintenance orders the maintenance of machines, each only within orderWindow after the last
+// renewal of the lease.
+func (f *fleet) orderMaintenance(ctx context.Context, starts []waves.MaintenanceStart) {
 	issuer := gauge.OrderIssuer{Holder: f.node.conf.Name, Fence: f.held.token}
-	for _, b := range begins {
-		f.calls.start("upkeep "+b.Machine, func() func() {
+	for _, start := range starts {
+		f.calls.start("upkeep "+start.Machine, func() func() {
 			var err error = gauge.Errorf(gauge.KindOutage, "the lease has ended")
-			if f.allowOrder(b.Machine) {
-				err = f.node.conf.Machines.StartMaintenance(ctx, issuer, b.Machine, b.Wave)
+			if f.allowOrder(start.Machine) {
+				err = f.node.conf.Machines.StartMaintenance(ctx, issuer, start.Machine, start.Wave)
 			}
-			return func() { f.recordMaintenance(b, err) }
+			return func() { f.recordMaintenance(start, err) }
 		})
 	}
 }
 
 // recordMaintenance applies the outcome of an order.
-func (f *fleet) recordMaintenance(b waves.MaintenanceStart, err error) {
+func (f *fleet) recordMaintenance(start waves.MaintenanceStart, err error) {
 	if gauge.IsKind(err, gauge.KindFenced) {
 		f.held.lease.MarkLost()
 		f.node.conf.Logs.Info("lease lost", "pool", "fleet", "fence", f.held.token, "reason", "a machine has seen a newer fencing token")
 		return
 	}
-	f.scheduler.RecordStart(b, err, f.node.conf.Now())
-	f.unsaved[b.Wave] = true
+	f.scheduler.RecordStart(start, err, f.node.conf.Now())
+	f.unsaved[start.Wave] = true
 }
 
 // saveWave writes the progress of a wave, for the operator and for the next holder, and reports
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,16 +49,16 @@
 }
 
 const (
-	// leaseTerm is the duration of an owner's lease: a lost owner is replaced after this. With a
+	// leaseDuration is the duration of an owner's lease: a lost owner is replaced after this. With a
 	// table that is 60 times slower than usual, a renewal is confirmed 1.6 s after the previous one
 	// was sent.
-	leaseTerm = 2 * time.Second
+	leaseDuration = 2 * time.Second
 	// workerLeaseGrace is how far worker leases may reach beyond the end of the owner's lease, so
 	// that runs survive a table outage. A successor waits this long for workers that don't answer.
 	workerLeaseGrace = 6 * time.Second
 	// workerLeaseDuration is the worker lease that each heartbeat requests. It outlasts the
-	// replacement of an owner, which takes the lease's term and about 1 s, counted from up to 1 s
-	// after the last heartbeat.
+	// replacement of an owner, which takes leaseDuration and about 1 s, counted from up to 1 s after
+	// the last heartbeat.
 	workerLeaseDuration = 4500 * time.Millisecond
 	// claimSpread and claimDelayPerLease delay claims, so that entries don't claim one pool at the
 	// same time, and so that pools are spread over the entries.
@@ -108,8 +108,8 @@
 	workerListLinger = 2 * time.Second
 	// notificationRetryDelay is the pause between two attempts to notify a pool owner of a job.
 	notificationRetryDelay = 250 * time.Millisecond
-	// retentionFactor multiplies the time for which an ended job can be queried to give the time
-	// for which its rows are kept, beyond any late repetition of its submission.
+	// retentionFactor times Config.JobRetention is how long the rows of an ended job are kept, which
+	// is longer than a late repetition of its submission can take to arrive.
 	retentionFactor      = 3
 	notificationAttempts = 4
 	notificationTimeout  = time.Second
@@ -127,14 +127,14 @@
 	site           atomic.Pointer[gauge.Site]
 	clockOffset    atomic.Int64                    // table's clock minus the local one, in nanoseconds
 	workerListGate *gate.Gate                      // open while the list of workers is followed
-	running        atomic.Bool                     // false before the start and once the entry stops: it takes no pools then
+	running        atomic.Bool                     // set by Run, cleared by Release; no leases are taken while it is false
 	leasesRead     atomic.Bool                     // the leases were read at least once
 	ctx            atomic.Pointer[context.Context] // of Run
 	group          conc.WaitGroup
 	freshness      *freshness
 
-	// offerMu is held from the choice of a successor to its answer, so that leases that this entry
-	// offers one after the other go to different entries.
+	// offerMu is held from the search for a successor until it has answered the offer, so that leases
+	// that this entry offers one after the other go to different entries.
 	offerMu sync.Mutex
 
 	mu                sync.Mutex
@@ -175,9 +175,9 @@
 		owners: make(map[string]*owner.Owner), leasesInUse: make(map[string]bool), claiming: make(map[string]chan struct{}),
 		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.MaintenanceOrder),
 	}
-	n.leaseView = terms.New(terms.Config{Holder: n.holder, Addr: c.Addr, Capacity: c.CapacityCores, LeaseDuration: leaseTerm, ClaimSpread: claimSpread, DelayPerLease: claimDelayPerLease, ProbeAfter: suspectAfter(c.Disabled), GracePeriod: renewalGrace})
+	n.leaseView = terms.New(terms.Config{Holder: n.holder, Addr: c.Addr, Capacity: c.CapacityCores, LeaseDuration: leaseDuration, ClaimSpread: claimSpread, DelayPerLease: claimDelayPerLease, ProbeAfter: suspectAfter(c.Disabled), GracePeriod: renewalGrace})
 	n.intake = intake.New(intake.Config{
-		Store: c.Store, Logs: c.Logs, CountEvent: c.CountEvent, Now: c.Now, TableClock: n.tableClock, SeenDepth: n.seenDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
+		Store: c.Store, Logs: c.Logs, CountEvent: c.CountEvent, Now: c.Now, TableClock: n.tableClock, CachedDepth: n.cachedDepth, OwnerDepth: n.ownerDepth, NotifyOwner: n.notify, JobState: n.jobState,
 		Relay: ownerRelay{n}, ReportUnsettled: n.reportUnsettled, OwnsJob: n.ownsJob, Disabled: c.Disabled,
 	})
 	c.Mesh.Handle(methodNotification, n.handleNotification)
@@ -200,9 +200,9 @@
 func (n *Node) Site() *gauge.Site { return n.site.Load() }
 
 // ServingSite returns the configuration by which callers are served, nil before this entry has read
-// which entries own the pools. Without owners it would send a submission to the table itself; if
-// that got no answer, it could notify no owner, and the owner would refuse the caller's retry of a
-// job that runs after all.
+// which entries own the pools. Before that it would send each submission to the table itself and,
+// if that got no answer, couldn't notify the pool's owner. The owner would then refuse the caller's
+// retry, although the job may have been stored and run.
 func (n *Node) ServingSite() *gauge.Site {
 	if !n.leasesRead.Load() {
 		return nil
@@ -239,8 +239,9 @@
 	n.group.Wait()
 }
 
-// Release gives up the pools that this entry owns and takes no more. While the table is slow or
-// unreachable, a pool is better off here: it is kept until that ends, for at most patience.
+// Release hands over the pools that this entry owns, or gives up their leases, and takes no more. A
+// successor has to write to the table, so while that is slow or unreachable each pool is kept, for
+// at most patience.
 func (n *Node) Release(ctx context.Context, patience time.Duration) {
 	n.running.Store(false)
 	until := n.conf.Now() + patience
--- a/internal/node/notification.go
+++ b/internal/node/notification.go
@@ -57,10 +57,10 @@
 	return n.conf.Mesh.Call(ctx, row.Addr, methodNotification, &notification, &answer)
 }
 
-// findOwner returns the lease row of a notification's pool. An entry that has just started, or
-// whose pool has just got its first owner, hasn't seen the lease yet. The owner would go on
-// reporting a job as running whose cancellation was acknowledged, so for a cancellation the row is
-// read.
+// findOwner returns the lease row of a notification's pool. A lease that was only just created, or
+// that an entry which has just started hasn't read, isn't known here yet. For a cancellation the
+// row is then read from the table: without a notification the owner would go on reporting a job as
+// running whose cancellation was acknowledged.
 func (n *Node) findOwner(ctx context.Context, notification intake.Notification) (gauge.LeaseRow, bool) {
 	n.mu.Lock()
 	row, ok := n.leaseView.Lease(notification.Pool)
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -10,7 +10,7 @@
 )
 
 // A holder that can't write to the table, or that stops, would leave its pool without an owner
-// until the lease expires. So it asks another entry to take over once all its own work has ended.
+// until the lease expires. So it stops all its orders and then asks another entry to take over.
 // Neither of the two calls needs the table: with a slow table, a read of the lease row would take
 // longer than a busy pool can wait.
 
@@ -24,7 +24,7 @@
 	stuckAfter = 500 * time.Millisecond
 	// offerTimeout bounds each of the two calls.
 	offerTimeout = 400 * time.Millisecond
-	// offerRetryDelay is the pause between two rounds of offers.
+	// offerRetryDelay is the minimum time between two searches for a successor for the same lease.
 	offerRetryDelay = 300 * time.Millisecond
 	// probeMargin is by how much an entry's last answer from the table must be later than the
 	// holder's first failure to show that the entry reaches what the holder can't. Each entry polls
@@ -64,14 +64,14 @@
 }
 
 type offerAnswer struct {
-	Ready    bool    `msgpack:"r"`
-	Holder   string  `msgpack:"h"` // that answers
-	Held     int     `msgpack:"n"` // leases that it holds or is claiming
-	Capacity float64 `msgpack:"c"` // of its host
+	Ready       bool    `msgpack:"r"`
+	Holder      string  `msgpack:"h"` // that answers
+	LeasesInUse int     `msgpack:"n"` // leases that it holds or is claiming
+	Capacity    float64 `msgpack:"c"` // of its host
 }
 
 func (a *offerAnswer) load() terms.HostLoad {
-	return terms.HostLoad{Leases: a.Held, Capacity: a.Capacity}
+	return terms.HostLoad{Leases: a.LeasesInUse, Capacity: a.Capacity}
 }
 
 // peerAddrs lists the addresses of the other entries, the least loaded hosts first.
@@ -254,7 +254,7 @@
 func (n *Node) newAnswer(ready bool) offerAnswer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return offerAnswer{Ready: ready, Holder: n.holder, Held: len(n.leasesInUse), Capacity: n.conf.CapacityCores}
+	return offerAnswer{Ready: ready, Holder: n.holder, LeasesInUse: len(n.leasesInUse), Capacity: n.conf.CapacityCores}
 }
 
 // claimOf returns the claim of an offered lease. Its holder has stopped, so the claim doesn't wait
@@ -264,9 +264,10 @@
 	return terms.Claim{Pool: c.Pool, Version: c.Version, Row: c.Row}
 }
 
-// canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't had to
-// leave a pool just now, and its view of the lease table is no older than maxViewAge. After an
-// outage it first leaves the holders the time to notice that the table answers again.
+// canTakeOver reports whether this entry can take over a lease: it isn't stopping, hasn't handed
+// over a stuck pool within claimPauseAfterHandover, and its view of the lease table is no older
+// than maxViewAge. After an outage it first leaves the holders the time to notice that the table
+// answers again.
 func (n *Node) canTakeOver(maxViewAge time.Duration) bool {
 	if !n.running.Load() || n.Site() == nil {
 		return false
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -34,8 +34,8 @@
 }
 
 // carryOverOrders copies the orders of earlier holders into the row of a claim. If this process
-// ends before its first renewal, its successor has only that row. Announced stays set, or is set if
-// the lease was given up: this holder announces its own orders before it sends them.
+// ends before its first renewal, its successor has only that row. OrdersAnnounced stays set, or is
+// set if the lease was given up: this holder announces its own orders before it sends them.
 func (n *Node) carryOverOrders(row, before *gauge.LeaseRow) {
 	row.Retention = before.Retention
 	row.OrdersAnnounced = before.OrdersAnnounced || before.Holder == ""
@@ -53,7 +53,7 @@
 	f.orderMu.Lock()
 	defer f.orderMu.Unlock()
 	now := f.node.conf.Now()
-	if f.ordersEnded || now >= f.held.lease.Until()-leaseTerm+orderWindow {
+	if f.ordersEnded || now >= f.held.lease.Until()-leaseDuration+orderWindow {
 		return false
 	}
 	return f.orderGuard.TryOrder(machine, f.node.tableClock(), now)
@@ -70,8 +70,8 @@
 	f.ordersEnded = true
 }
 
-// leaseRow returns the row that a holder that continues writes. It includes the announced machines,
-// which may be ordered before the next write.
+// leaseRow returns the row with which this holder renews its lease. It includes the announced
+// machines, which may be ordered before the next write.
 func (f *fleet) leaseRow(announced map[string]bool) gauge.LeaseRow {
 	lists := f.orderGuard.RecentAndPlanned(announced, orderWindow, f.node.tableClock())
 	return gauge.LeaseRow{
@@ -103,7 +103,7 @@
 	return machines
 }
 
-// orderedByPrevious reports whether a previous holder has just ordered a machine.
-func (f *fleet) orderedByPrevious(machine string) bool {
+// wasOrderedBefore reports whether a previous holder has just ordered a machine.
+func (f *fleet) wasOrderedBefore(machine string) bool {
 	return f.orderGuard.WasOrderedBefore(machine, f.node.tableClock())
 }
--- a/internal/node/ownercalls.go
+++ b/internal/node/ownercalls.go
@@ -31,8 +31,8 @@
 const loadTimeout = 400 * time.Millisecond
 
 type loadCall struct {
-	Pool string   `msgpack:"p"`
-	Soon []string `msgpack:"s,omitempty"` // workers that a maintenance wave is about to drain
+	Pool           string   `msgpack:"p"`
+	UpcomingDrains []string `msgpack:"s,omitempty"` // workers that a maintenance wave is about to drain
 }
 
 // ownerOf returns a pool's owner if it runs here, otherwise its address.
@@ -70,7 +70,7 @@
 		return l, err
 	}
 	if o != nil {
-		return o.Load(c.Soon), nil
+		return o.Load(c.UpcomingDrains), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := o.Load(c.Soon)
+	l := o.Load(c.UpcomingDrains)
 	return &l, nil
 }
 
@@ -191,8 +191,8 @@
 	Known bool `msgpack:"k"`
 }
 
-// ownerDepth asks the owner of a queue's pool how many of its jobs have not begun. If this entry
-// can't be certain that the queue exists, the owner must be.
+// ownerDepth asks the owner of a queue's pool how many of its jobs have not begun. The result
+// counts only if this entry or the owner is certain that the queue exists.
 func (n *Node) ownerDepth(ctx context.Context, q *gauge.Queue) (int, bool) {
 	o, addr, err := n.ownerOf(q.Pool)
 	if err != nil {
--- a/internal/node/rebalance.go
+++ b/internal/node/rebalance.go
@@ -15,11 +15,11 @@
 // there, one at a time, with the same hand-over as at SIGTERM.
 
 const (
-	// rebalanceInterval is the interval at which a lease may move away. By then the counts of
-	// leases in the table are correct again.
+	// rebalanceInterval is the time between two moves of leases away from here; within it, the counts
+	// of leases in the table come to reflect the previous move.
 	rebalanceInterval = 2 * time.Second
-	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its
-	// workers have to report first, and each move makes it stand still for some tenths of a second.
+	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its workers
+	// have to report first, and each move leaves it without an owner for some tenths of a second.
 	minHeldBeforeMove = 3 * time.Second
 	// reservationDuration is how long an entry reserves room for a lease that is to move to it:
 	// longer than the offer and the transaction of the claim take.
@@ -35,7 +35,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if o, f := n.movable(); o != nil {
+		if o, f := n.movableLeases(); o != nil {
 			n.movePool(ctx, o)
 		} else if f != nil {
 			f.requestMove(n.findLessLoaded(ctx, fleetPool))
@@ -43,9 +43,9 @@
 	}
 }
 
-// movable returns, of the pools that may move, the one that has been owned the longest, and the
-// fleet if it may move. Each is nil if there is none.
-func (n *Node) movable() (*owner.Owner, *fleet) {
+// movableLeases returns, of the pools that may move, the one that has been owned the longest, and
+// the fleet if it may move. Each is nil if there is none.
+func (n *Node) movableLeases() (*owner.Owner, *fleet) {
 	n.mu.Lock()
 	owners, f := n.ownersLocked(), n.fleet
 	n.mu.Unlock()
@@ -93,7 +93,7 @@
 			return ""
 		}
 		n.conf.Logs.Info("lease moves", "pool", pool, "to", best.addr, "held", here.Leases, "capacity", here.Capacity,
-			"heldThere", reserved.Held, "capacityThere", reserved.Capacity)
+			"heldThere", reserved.LeasesInUse, "capacityThere", reserved.Capacity)
 		return best.addr
 	}
 	return ""
--- a/internal/node/relay.go
+++ b/internal/node/relay.go
@@ -172,7 +172,7 @@
 	defer cancel()
 	n.awaitClaim(ctx, q.Pool)
 	if a, elsewhere := n.redirect(q.Pool); elsewhere {
-		return a, nil // this entry's own result would be worth no more than the caller's
+		return a, nil // as it isn't the owner, this entry could do no more than the calling entry
 	}
 	return answerOf(n.intake.SubmitLocally(ctx, q, c.ID, c.Spec)), nil
 }
@@ -195,10 +195,10 @@
 // takes a read and a transaction, 0.2 to 0.4 s each.
 const claimWaitTimeout = time.Second
 
-// awaitClaim waits while this entry claims a pool. The holder that offered the lease names this
-// entry as the owner, while the table, which this entry would follow, still names that holder:
-// submissions were passed back and forth between the two until they were given up, and callers got
-// no clear answer just when the table was slow.
+// awaitClaim waits while this entry claims a pool. Until the claim succeeds, the previous holder
+// redirects callers here while the lease row still names that holder. Without the wait, submissions
+// went back and forth between the two until they were given up, and callers got no clear answer
+// just when the table was slow.
 func (n *Node) awaitClaim(ctx context.Context, pool string) {
 	n.mu.Lock()
 	ended := n.claiming[pool]
@@ -229,10 +229,10 @@
 	return a, true
 }
 
-// queueForCall returns the queue of another entry's call, which knows the queue from the given
-// version of the configuration. With an older version this entry can't say that the queue doesn't
-// exist: the caller, whose entry serves the queue, would be refused for good. KindNoWorker lets
-// that entry continue without the owner.
+// queueForCall returns the queue that a call from another entry names; version is that of the
+// calling entry's configuration. An older configuration here doesn't show that the queue doesn't
+// exist, and the client of the calling entry would be refused for good; KindNoWorker lets the
+// calling entry continue without the owner.
 func (n *Node) queueForCall(name string, version int64) (*gauge.Queue, error) {
 	site := n.Site()
 	if site == nil {
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -19,7 +19,7 @@
 		if p.Standby {
 			continue
 		}
-		call := loadCall{Pool: p.Name, Soon: f.scheduler.PendingWorkers(p.Name)}
+		call := loadCall{Pool: p.Name, UpcomingDrains: f.scheduler.PendingWorkers(p.Name)}
 		f.calls.start("load "+p.Name, func() func() {
 			l, err := f.node.poolLoad(ctx, call)
 			if err != nil {
@@ -41,10 +41,10 @@
 }
 
 // moveMachines moves machines between pools. A machine that is in use is drained first and ordered
-// in a later round, once the lease row names it. If the row named it during draining, which takes
-// up to two seconds, a next holder would have to leave the machine alone if this one is lost: after
-// a power loss of all entries while demand moved from one pool to another, half of a pool's
-// machines came two seconds later for that reason.
+// in a later round, once the lease row names it. If the row named the machine while it is drained,
+// which takes up to two seconds, and this holder was lost, the next one couldn't order the machine
+// at once. After a power loss of all entries while demand moved from one pool to another, half of a
+// pool's machines came two seconds late for that reason.
 func (f *fleet) moveMachines(ctx context.Context, moves []sizing.Move) {
 	for _, m := range moves {
 		began := f.calls.start("move "+m.Machine, func() func() {
@@ -92,11 +92,11 @@
 	case <-ctx.Done():
 	case <-timer.C:
 	case <-f.drained:
-		sleep(ctx, drainedBatchDelay)
+		sleep(ctx, orderBatchDelay)
 	}
 }
 
-// orderMove orders the move of one machine while the lease is certain to last.
+// orderMove orders the move of one machine within orderWindow after the last renewal of the lease.
 func (f *fleet) orderMove(ctx context.Context, m sizing.Move) error {
 	if !f.allowOrder(m.Machine) {
 		return gauge.Errorf(gauge.KindOutage, "the lease has ended")
--- a/internal/node/workerlist.go
+++ b/internal/node/workerlist.go
@@ -14,7 +14,8 @@
 // from the table, and took a fifth of a small host's link. An entry that takes a pool reads the
 // whole list while it reads the pool's jobs.
 
-// followWorkers follows the list of workers whenever this entry has a pool, until ctx ends.
+// followWorkers follows the list of workers while this entry holds or claims the lease of a pool,
+// until ctx ends.
 func (n *Node) followWorkers(ctx context.Context) {
 	for n.workerListGate.WaitOpen(ctx) {
 		n.followWorkerList(ctx)
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -82,7 +82,7 @@
 		}
 	}
 	for _, m := range left {
-		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.IsMoving(m.ID) || k.view.WasOrdered(m.ID) {
+		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.IsMoving(m.ID) || k.view.WasOrderedBefore(m.ID) {
 			continue
 		}
 		p := stateOf(m.Pool)
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -44,7 +44,7 @@
 // selected counts the machines that are to be drained, and those of them with long-running tasks.
 func (f *fleet) selected(short bool) (all, slow int) {
 	s := f.scheduler.Next(time.Millisecond, waves.View{
-		IsMoving: never, WasOrdered: never, IsShort: func(string) bool { return short },
+		IsMoving: never, WasOrderedBefore: never, IsShort: func(string) bool { return short },
 		LongRunningTasks: func(worker string) int { return f.longRunning[worker] },
 	})
 	for _, a := range s.Drains {
--- a/internal/waves/drained_test.go
+++ b/internal/waves/drained_test.go
@@ -65,6 +65,6 @@
 	g.scheduler.SetStandbyPools([]string{"spare"})
 	assert.Equal(t, len(g.next().Starts), 1)
 	always := func(string) bool { return true }
-	s := g.scheduler.Next(g.now, waves.View{IsMoving: always, WasOrdered: never, IsShort: never})
+	s := g.scheduler.Next(g.now, waves.View{IsMoving: always, WasOrderedBefore: never, IsShort: never})
 	assert.Equal(t, len(s.Starts), 0)
 }
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -237,7 +237,7 @@
 // View is the state outside of the Scheduler on which its decisions depend.
 type View struct {
 	IsMoving         func(machine string) bool // reports whether the machine is moving to another pool
-	WasOrdered       func(machine string) bool // reports whether the previous holder may have ordered it just now
+	WasOrderedBefore func(machine string) bool // reports whether the previous holder may have ordered it just now
 	IsShort          func(pool string) bool    // reports whether the pool is short of machines
 	LongRunningTasks func(worker string) int   // number of long-running tasks on the worker; nil: unknown
 }
@@ -306,7 +306,7 @@
 		if _, known := w.downSince[id]; known {
 			continue
 		}
-		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineInMaintenance || k.view.WasOrdered(id)) {
+		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineInMaintenance || k.view.WasOrderedBefore(id)) {
 			n++
 		}
 	}
--- a/internal/waves/waves_test.go
+++ b/internal/waves/waves_test.go
@@ -46,7 +46,7 @@
 }
 
 func (g *harness) next() waves.Steps {
-	return g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: never})
+	return g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: never})
 }
 
 func (g *harness) recordStart(b waves.MaintenanceStart, err error) {
@@ -130,9 +130,9 @@
 func TestPoolsShortOfMachinesGiveNoneUntilTheWaveIsLate(t *testing.T) {
 	g := newHarness("p", 4, 2)
 	pressed := func(string) bool { return true }
-	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed}).Drains), 0)
+	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed}).Drains), 0)
 	g.advance(20 * time.Second)
-	asks := g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed}).Drains
+	asks := g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed}).Drains
 	assert.Assert(t, len(asks) > 0)
 	assert.Assert(t, asks[0].Force)
 }
@@ -146,7 +146,7 @@
 	g.machines["m-0"].State = gauge.MachineInMaintenance // as the list shows
 	g.advance(time.Millisecond)
 	justOrdered := func(id string) bool { return id == "m-1" } // the list doesn't show it yet
-	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrdered: justOrdered, IsShort: never}).Starts), 1)
+	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: justOrdered, IsShort: never}).Starts), 1)
 }
 
 // Guards against the last machines of a wave starting maintenance seconds after its end. The fleet
@@ -180,7 +180,7 @@
 			k.AddWave(order, past, now)
 			k.SetMachines(list, now+maintenanceTime+time.Millisecond)
 			pressed := func(string) bool { return true }
-			s := k.Next(now+maintenanceTime+time.Millisecond, waves.View{IsMoving: never, WasOrdered: never, IsShort: pressed})
+			s := k.Next(now+maintenanceTime+time.Millisecond, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed})
 			assert.Equal(t, len(s.Drains) > 0 && s.Drains[0].Force, tt.force)
 			assert.Equal(t, k.WaveAge(1, now), tt.age)
 		})
