--- a/internal/intake/batcher.go
+++ b/internal/intake/batcher.go
@@ -23,8 +23,8 @@
 	// probeTimeout bounds a read that shows whether a partition of the table answers. A read takes
 	// 4 ms, in a slow period 60 to 90 times as long.
 	probeTimeout = 500 * time.Millisecond
-	// probeRetryDelay is the pause between two such reads. It delays the end of the refusals after
-	// the outage.
+	// probeRetryDelay is the pause between two such reads. Jobs may be refused for this much longer
+	// than the outage lasts.
 	probeRetryDelay = 150 * time.Millisecond
 	// probeIdleTimeout is how long the reads go on without a submission. After that the circuit
 	// breaker is closed, and the next job shows whether the table answers.
@@ -36,9 +36,9 @@
 // other: in a slow period it would refuse most of them if there was one for each job.
 //
 // When a transaction and then a read of the partition both fail, the batcher's circuit breaker
-// opens: jobs are refused at once until a read is answered. Otherwise each job would be kept for as
-// long as its caller waits, only to be refused then. And since a transaction without an answer may
-// take effect later, only for jobs that are never sent can callers be certain that they don't run.
+// opens: jobs are refused at once until a read is answered. Otherwise each job would be refused
+// only after its caller had waited in vain. And a job that is never sent certainly doesn't run,
+// whereas a transaction without an answer may take effect later.
 type batcher struct {
 	intake *Intake
 	queue  string
@@ -93,7 +93,7 @@
 	}
 	p.abandoned = true
 	p.unsettled = p.unsettled || p.inFlight
-	return p.abandonedOutcome()
+	return p.givenUpOutcome()
 }
 
 // settle sends the outcome of a job to its caller. If the caller no longer waits, the owner is
--- a/internal/intake/breaker.go
+++ b/internal/intake/breaker.go
@@ -27,26 +27,28 @@
 	b.openBreaker()
 	for _, p := range jobs {
 		if !p.abandoned {
-			p.result <- p.abandonedOutcome()
+			p.result <- p.givenUpOutcome()
 		}
 	}
 	b.mu.Unlock()
-	b.awaitTable(jobs[0].id, len(jobs))
+	b.watchOutage(jobs[0].id, len(jobs))
 }
 
-// awaitTable logs the outage and starts waiting for its end.
-func (b *batcher) awaitTable(id string, jobs int) {
+// watchOutage logs the outage and starts a goroutine that closes the circuit breaker when the table
+// answers.
+func (b *batcher) watchOutage(id string, jobs int) {
 	b.intake.conf.Logs.Info("dependency lost", "table", gauge.TableJobs, "queue", b.queue, "given", jobs)
 	go b.closeBreakerWhenAnswering(id)
 }
 
-// openBreaker has submissions refused from now on. b.mu is held.
+// openBreaker opens the circuit breaker: submissions are refused from now on. b.mu is held.
 func (b *batcher) openBreaker() { b.breakerOpen, b.openSince = true, b.intake.conf.Now() }
 
-// canSend reports whether a job may be sent to the table after the table has refused the owner of
-// its pool. A read shows it. A job that was sent without this check could be stored later, so its
-// caller could only be asked to retry, until its attempts are used up. In an outage that happened
-// to each job once at each entry.
+// canSend reports whether to pass a job to the batcher after its pool's owner couldn't store it. If
+// neither the circuit breaker nor other queued jobs decide that, a read shows whether the table
+// answers. A job that was sent without this check could be stored later, so its caller could only
+// be asked to retry, until its attempts are used up. In an outage that happened to each job once at
+// each entry.
 func (b *batcher) canSend(id string) bool {
 	b.mu.Lock()
 	decided := b.breakerOpen || b.running // it is refused, or joins the other queued jobs
@@ -61,7 +63,7 @@
 	}
 	b.mu.Unlock()
 	if first {
-		b.awaitTable(id, 0)
+		b.watchOutage(id, 0)
 	}
 	return false
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -36,11 +36,11 @@
 
 // mergeCancelErrors returns the error for a caller after an attempt here has failed and another
 // entry was asked.
-func mergeCancelErrors(here, there error) error {
-	if there == nil || gauge.IsKind(there, gauge.KindGone) {
-		return there
+func mergeCancelErrors(localErr, ownerErr error) error {
+	if ownerErr == nil || gauge.IsKind(ownerErr, gauge.KindGone) {
+		return ownerErr
 	}
-	return here
+	return localErr
 }
 
 // tryCancel reads the job's row and marks the job as cancelled, in one attempt.
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -20,8 +20,8 @@
 	CountEvent func(event string)   // counts outcomes of submissions
 	Now        func() time.Duration // monotonic clock
 	TableClock func() int64         // approximate time of the table's clock in milliseconds
-	// CachedDepth returns how many jobs of a queue have not begun, as the pool's owner last wrote,
-	// and how old that count is; false: it isn't known.
+	// CachedDepth returns how many jobs of a queue have not begun, according to the lease row of its
+	// pool that was last read, and how old that count is; false: it isn't known.
 	CachedDepth func(q *gauge.Queue) (int, time.Duration, bool)
 	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
 	OwnerDepth  func(ctx context.Context, q *gauge.Queue) (int, bool)
@@ -41,8 +41,8 @@
 	Disabled gauge.Disabled
 }
 
-// Relay forwards to the owner of a queue's pool what the table refuses this entry: the owner writes
-// to that partition of the table all the time, or has another entry take over the pool. Errors:
+// Relay forwards submissions and cancellations to the owner of the queue's pool, which writes to
+// that partition of the table all the time, or has another entry take over the pool. Errors:
 // KindOutage: the owner says that it was certainly not done; KindNoWorker: no owner could be asked;
 // KindUnknown: it may have been done.
 type Relay interface {
@@ -146,8 +146,8 @@
 // maxCountAge is the maximum age of a count that callers are given: the users' contract allows 2 s.
 const maxCountAge = 2 * time.Second
 
-// Depth returns how many jobs of a queue have not begun. If the count that was seen is too old, the
-// pool's owner is asked. KindOutage: nobody knows the count, since a wrong one is worse than none.
+// Depth returns how many jobs of a queue have not begun. If the cached count is too old, the pool's
+// owner is asked. KindOutage: nobody knows the count, since a wrong one is worse than none.
 func (n *Intake) Depth(ctx context.Context, q *gauge.Queue) (int, error) {
 	if depth, age, ok := n.conf.CachedDepth(q); ok && age <= maxCountAge {
 		return depth, nil
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -157,7 +157,7 @@
 	c.now += d
 }
 
-type rig struct {
+type harness struct {
 	intake        *intake.Intake
 	timers        timers
 	mu            sync.Mutex
@@ -165,10 +165,10 @@
 	known         map[string]bool // jobs that the owner at this entry knows
 }
 
-func newRig(t *table, c *clock) *rig { return newRelayRig(t, c, nil) }
+func newHarness(t *table, c *clock) *harness { return newRelayHarness(t, c, nil) }
 
-func newRelayRig(t *table, c *clock, r intake.Relay) *rig {
-	g := &rig{timers: timers{channels: make(map[time.Duration]chan time.Time)}}
+func newRelayHarness(t *table, c *clock, r intake.Relay) *harness {
+	g := &harness{timers: timers{channels: make(map[time.Duration]chan time.Time)}}
 	g.intake = intake.New(intake.Config{
 		Relay: r, After: g.timers.After,
 		Store: t, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
@@ -187,7 +187,7 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-func (g *rig) submit(n int) error {
+func (g *harness) submit(n int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	return g.intake.Submit(ctx, &gauge.Queue{Name: "sheets", Pool: "brakes"}, id(n), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
@@ -237,7 +237,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			store := newTable()
-			g := newRig(store, &clock{step: time.Millisecond})
+			g := newHarness(store, &clock{step: time.Millisecond})
 			store.answer = tt.answer
 			store.onRead = func(n int) {
 				if n == readsBeforeTimeout {
@@ -263,7 +263,7 @@
 // a slow one, more would wait than the partition accepts.
 func TestJobsSubmittedDuringATransactionShareTheNext(t *testing.T) {
 	store, received, release := newHangingTable()
-	g := newRig(store, &clock{})
+	g := newHarness(store, &clock{})
 	var group sync.WaitGroup
 	results := make([]error, 41)
 	start := func(n int) {
@@ -305,14 +305,14 @@
 		store.rows[key] = gauge.PartitionRow{RowKey: key, Value: value, Version: store.version}
 		return gauge.Errorf(gauge.KindUnknown, "no answer")
 	}
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	assert.NilError(t, g.submit(1))
 	assert.Equal(t, len(g.notifications), 0)
 }
 
 func TestCancel(t *testing.T) {
 	store := newTable()
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.Equal(t, gauge.KindOf(g.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
 	assert.NilError(t, g.submit(1))
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -29,7 +29,7 @@
 // queued for the next one; then the waits of both callers end.
 func TestCallersDoNotWaitForAHangingTransaction(t *testing.T) {
 	store, received, release := newHangingTable()
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	var group sync.WaitGroup
 	results := make([]error, 2)
 	group.Go(func() { results[0] = g.submit(0) })
@@ -51,13 +51,13 @@
 }
 
 // Guards against keeping each submission for over a second during a table outage, with transactions
-// that may take effect later: each job tried for itself what was known to fail. A transaction and
-// then a read fail; more jobs are submitted; the table answers again.
+// that may take effect later: each job was sent in a transaction although the table was known not
+// to answer. A transaction and then a read fail; more jobs are submitted; the table answers again.
 func TestSubmissionsAreRefusedAtOnceDuringATableOutage(t *testing.T) {
 	store := newTable()
 	store.silent = true
 	store.answer = outage
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
 	for n := range 3 {
 		assert.Equal(t, gauge.KindOf(g.submit(2+n)), gauge.KindOutage)
@@ -78,7 +78,7 @@
 	store := newTable()
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
 }
 
@@ -130,7 +130,7 @@
 			store := newTable()
 			store.silent, store.answer = true, tt.here
 			p := &peer{err: tt.there}
-			g := newRelayRig(store, &clock{step: time.Millisecond}, p)
+			g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
 			err := g.submit(1)
 			assert.Equal(t, p.submits, 1)
 			assert.Equal(t, len(g.notifications), 0, "the owner knows")
@@ -148,7 +148,7 @@
 	store := newTable()
 	store.silent, store.answer = true, outage
 	p := &peer{}
-	g := newRelayRig(store, &clock{step: time.Millisecond}, p)
+	g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
@@ -161,7 +161,7 @@
 	store := newTable()
 	store.silent = true
 	p := &peer{}
-	g := newRelayRig(store, &clock{step: time.Millisecond}, p)
+	g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
 	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
 	p.err = gauge.Errorf(gauge.KindGone, "no such job")
@@ -205,7 +205,7 @@
 			p := &peer{preferred: true, err: tt.there}
 			c := &clock{step: time.Millisecond}
 			p.onSubmit = func() { c.advance(tt.delay) }
-			err := newRelayRig(store, c, p).submit(1)
+			err := newRelayHarness(store, c, p).submit(1)
 			assert.Equal(t, store.count(), tt.sent)
 			assert.Equal(t, p.submits, 1)
 			if tt.want == "" {
@@ -222,7 +222,7 @@
 func TestSubmissionEndsWithItsContext(t *testing.T) {
 	store, received, release := newHangingTable()
 	defer close(release)
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	ctx, stop := context.WithCancel(context.Background())
 	result := make(chan error, 1)
 	go func() {
@@ -243,7 +243,7 @@
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	c := &clock{step: time.Millisecond}
-	g := newRig(store, c)
+	g := newHarness(store, c)
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
 	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindOutage, "another job was certainly not sent")
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
@@ -257,7 +257,7 @@
 // and must not take it for a job that ended before its cancellation.
 func TestRetriedCancelNotifiesTheOwner(t *testing.T) {
 	store := newTable()
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	assert.NilError(t, g.submit(1))
 	store.answer = func(n int, execute func()) error {
 		if n != 2 {
@@ -280,7 +280,7 @@
 	store := newTable()
 	store.silent, store.answer = true, outage
 	c := &clock{}
-	g := newRig(store, c)
+	g := newHarness(store, c)
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
 	for i, tt := range []struct{ away, want time.Duration }{
 		{0, time.Second}, {2 * time.Second, 2 * time.Second}, {time.Minute, 4 * time.Second},
@@ -302,7 +302,7 @@
 	c := &clock{step: time.Millisecond}
 	ownerTable := newTable()
 	ownerTable.silent, ownerTable.answer = true, outage
-	owner := newRig(ownerTable, c)
+	owner := newHarness(ownerTable, c)
 	var notified []string
 	entry := intake.New(intake.Config{
 		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
@@ -326,7 +326,7 @@
 	store := newTable()
 	store.silent = true
 	store.answer = outage
-	g := newRig(store, &clock{step: time.Millisecond})
+	g := newHarness(store, &clock{step: time.Millisecond})
 	g.known = map[string]bool{id(2): true}
 	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
 	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindExpired)
--- a/internal/intake/pending.go
+++ b/internal/intake/pending.go
@@ -6,7 +6,7 @@
 	gauge "sapphiregauge"
 )
 
-// pendingJob is a submitted job that isn't settled yet.
+// pendingJob is a submitted job whose caller has no outcome yet.
 type pendingJob struct {
 	id        string
 	queue     *gauge.Queue
@@ -64,8 +64,8 @@
 	}, nil
 }
 
-// abandonedOutcome returns the outcome of a job that isn't tried any more.
-func (p *pendingJob) abandonedOutcome() outcome {
+// givenUpOutcome returns the outcome of a job that isn't tried any more.
+func (p *pendingJob) givenUpOutcome() outcome {
 	if p.unsettled {
 		return outcome{err: unsettledError(p.lastErr)}
 	}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -77,32 +77,32 @@
 	return n.conf.Now() < n.unsettledUntil[id]
 }
 
-// storeOrForward has a job stored by the owner of its pool or by this entry.
+// storeOrForward stores a job by way of the owner of its pool or at this entry.
 func (n *Intake) storeOrForward(ctx context.Context, p *pendingJob, relay Relay) outcome {
 	b := n.batcher(p.queue.Name)
 	if relay == nil {
 		return b.store(ctx, p)
 	}
 	if !relay.PreferOwner(p.queue) || n.conf.Disabled.Has(gauge.MechanismRelay) {
-		here := b.store(ctx, p)
-		if !isUndecided(here.err) {
-			return here
+		local := b.store(ctx, p)
+		if !isUndecided(local.err) {
+			return local
 		}
-		return mergeOutcomes(here, relay.Submit(ctx, p.queue, p.id, p.spec))
+		return mergeOutcomes(local, relay.Submit(ctx, p.queue, p.id, p.spec))
 	}
-	there := relay.Submit(ctx, p.queue, p.id, p.spec)
+	ownerErr := relay.Submit(ctx, p.queue, p.id, p.spec)
 	tooLate := n.conf.Now()-p.startedAt > submitTimeout/2
-	if !isUndecided(there) || tooLate && !gauge.IsKind(there, gauge.KindOutage) {
-		return mergeOutcomes(outcome{err: gauge.Errorf(gauge.KindOutage, "not tried at this entry")}, there)
+	if !isUndecided(ownerErr) || tooLate && !gauge.IsKind(ownerErr, gauge.KindOutage) {
+		return mergeOutcomes(outcome{err: gauge.Errorf(gauge.KindOutage, "not tried at this entry")}, ownerErr)
 	}
-	if gauge.IsKind(there, gauge.KindOutage) && !b.canSend(p.id) {
-		return mergeOutcomes(outcome{err: b.refusalError()}, there)
+	if gauge.IsKind(ownerErr, gauge.KindOutage) && !b.canSend(p.id) {
+		return mergeOutcomes(outcome{err: b.refusalError()}, ownerErr)
 	}
-	return mergeOutcomes(b.store(ctx, p), there)
+	return mergeOutcomes(b.store(ctx, p), ownerErr)
 }
 
-// isUndecided reports whether the job may still be stored by another entry, or was certainly not
-// stored by the one that was asked.
+// isUndecided reports whether an error leaves open whether the job can be stored by a further
+// attempt: it was not stored so far, or that isn't known.
 func isUndecided(err error) bool {
 	switch gauge.KindOf(err) {
 	case gauge.KindOutage, gauge.KindExpired, gauge.KindUnknown, gauge.KindNoWorker:
@@ -115,18 +115,18 @@
 // mergeOutcomes combines an attempt here with one by the owner of the job's pool. Only the owner
 // can say that a job is not stored: a submission may repeat one that another entry has sent without
 // getting an answer, and all of them go through the owner.
-func mergeOutcomes(here outcome, there error) outcome {
+func mergeOutcomes(local outcome, ownerErr error) outcome {
 	switch {
-	case !isUndecided(here.err):
-		return here
-	case there == nil:
+	case !isUndecided(local.err):
+		return local
+	case ownerErr == nil:
 		return outcome{relayed: true}
-	case gauge.IsKind(here.err, gauge.KindExpired), gauge.IsKind(there, gauge.KindOutage):
-		return here
-	case isUndecided(there):
-		return outcome{err: unsettledError(there)}
+	case gauge.IsKind(local.err, gauge.KindExpired), gauge.IsKind(ownerErr, gauge.KindOutage):
+		return local
+	case isUndecided(ownerErr):
+		return outcome{err: unsettledError(ownerErr)}
 	default:
-		return outcome{err: there}
+		return outcome{err: ownerErr}
 	}
 }
 
@@ -157,12 +157,13 @@
 	}
 }
 
-// reportStored logs a job that is in the table, and notifies its owner.
+// reportStored logs a job that is in the table. It notifies the owner of a new job, and of a
+// pending duplicate that an earlier transaction without an answer has stored.
 func (n *Intake) reportStored(p *pendingJob, o outcome) {
 	q, took := p.queue, n.conf.Now()-p.startedAt
 	if o.duplicate {
 		n.conf.Logs.Info("job known", "job", p.id, "queue", q.Name, "version", o.version, "unsure", p.unsettled, "took", took)
-		n.notifyOfUnsettled(q, p, p.spec, o)
+		n.notifyOfStoredUnsettled(q, p, p.spec, o)
 		return
 	}
 	n.conf.CountEvent("job accepted")
@@ -170,9 +171,9 @@
 	n.conf.NotifyOwner(Notification{Pool: q.Pool, Queue: q.Name, ID: p.id, Spec: p.spec, Row: p.row, Version: o.version})
 }
 
-// notifyOfUnsettled notifies the owner of a job that was stored by a transaction without an answer.
-// The notification has the row as it is stored now: the job may have been cancelled since.
-func (n *Intake) notifyOfUnsettled(q *gauge.Queue, p *pendingJob, j *gauge.JobSpec, o outcome) {
+// notifyOfStoredUnsettled notifies the owner of a job that was stored by a transaction without an
+// answer. The notification has the row as it is stored now: the job may have been cancelled since.
+func (n *Intake) notifyOfStoredUnsettled(q *gauge.Queue, p *pendingJob, j *gauge.JobSpec, o outcome) {
 	if !p.unsettled {
 		return
 	}
