--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -20,8 +20,8 @@
 	CountEvent func(event string)   // counts outcomes of submissions
 	Now        func() time.Duration // monotonic clock
 	TableClock func() int64         // approximate time of the table's clock in milliseconds
-	// CachedDepth returns how many jobs of a queue have not begun, according to the lease row of its
-	// pool that was last read, and how old that count is; false: it isn't known.
+	// CachedDepth returns how many jobs of a queue have not begun, according to the lease row of
+	// its pool that was last read, and how old that count is; false: it isn't known.
 	CachedDepth func(q *gauge.Queue) (int, time.Duration, bool)
 	// OwnerDepth asks the owner for the count; false: the owner doesn't know it, or can't be asked.
 	OwnerDepth  func(ctx context.Context, q *gauge.Queue) (int, bool)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,16 +49,16 @@
 }
 
 const (
-	// leaseDuration is the duration of an owner's lease: a lost owner is replaced after this. With a
-	// table that is 60 times slower than usual, a renewal is confirmed 1.6 s after the previous one
-	// was sent.
+	// leaseDuration is the duration of an owner's lease: a lost owner is replaced after this. With
+	// a table that is 60 times slower than usual, a renewal is confirmed 1.6 s after the previous
+	// one was sent.
 	leaseDuration = 2 * time.Second
 	// workerLeaseGrace is how far worker leases may reach beyond the end of the owner's lease, so
 	// that runs survive a table outage. A successor waits this long for workers that don't answer.
 	workerLeaseGrace = 6 * time.Second
 	// workerLeaseDuration is the worker lease that each heartbeat requests. It outlasts the
-	// replacement of an owner, which takes leaseDuration and about 1 s, counted from up to 1 s after
-	// the last heartbeat.
+	// replacement of an owner, which takes leaseDuration and about 1 s, counted from up to 1 s
+	// after the last heartbeat.
 	workerLeaseDuration = 4500 * time.Millisecond
 	// claimSpread and claimDelayPerLease delay claims, so that entries don't claim one pool at the
 	// same time, and so that pools are spread over the entries.
@@ -108,8 +108,8 @@
 	workerListLinger = 2 * time.Second
 	// notificationRetryDelay is the pause between two attempts to notify a pool owner of a job.
 	notificationRetryDelay = 250 * time.Millisecond
-	// retentionFactor times Config.JobRetention is how long the rows of an ended job are kept, which
-	// is longer than a late repetition of its submission can take to arrive.
+	// retentionFactor times Config.JobRetention is how long the rows of an ended job are kept,
+	// which is longer than a late repetition of its submission can take to arrive.
 	retentionFactor      = 3
 	notificationAttempts = 4
 	notificationTimeout  = time.Second
@@ -133,8 +133,8 @@
 	group          conc.WaitGroup
 	freshness      *freshness
 
-	// offerMu is held from the search for a successor until it has answered the offer, so that leases
-	// that this entry offers one after the other go to different entries.
+	// offerMu is held from the search for a successor until it has answered the offer, so that
+	// leases that this entry offers one after the other go to different entries.
 	offerMu sync.Mutex
 
 	mu                sync.Mutex
--- a/internal/node/rebalance.go
+++ b/internal/node/rebalance.go
@@ -15,11 +15,12 @@
 // there, one at a time, with the same hand-over as at SIGTERM.
 
 const (
-	// rebalanceInterval is the time between two moves of leases away from here; within it, the counts
-	// of leases in the table come to reflect the previous move.
+	// rebalanceInterval is the time between two moves of leases away from here; within it, the
+	// counts of leases in the table come to reflect the previous move.
 	rebalanceInterval = 2 * time.Second
-	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its workers
-	// have to report first, and each move leaves it without an owner for some tenths of a second.
+	// minHeldBeforeMove is how long a pool must have been owned here before it may move. Its
+	// workers have to report first, and each move leaves it without an owner for some tenths of a
+	// second.
 	minHeldBeforeMove = 3 * time.Second
 	// reservationDuration is how long an entry reserves room for a lease that is to move to it:
 	// longer than the offer and the transaction of the claim take.
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -34,9 +34,7 @@
 // nextMoves returns the machines to drain or to order now.
 func (f *fleet) nextMoves() []sizing.Move {
 	now := f.node.conf.Now()
-	taken := func(machine string) bool {
-		return f.scheduler.IsReserved(machine) || f.orderGuard.IsBlocked(machine, now)
-	}
+	taken := func(id string) bool { return f.scheduler.IsReserved(id) || f.orderGuard.IsBlocked(id, now) }
 	return f.sizer.Next(now, taken, f.scheduler.IsPending)
 }
 
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -111,9 +111,10 @@
 	return a
 }
 
-// WantedHosts returns how many hosts a pool should have: the promised number, as many as its
-// largest failure domain has with the present spread, and what a wave needs in addition: one more
-// domain if speed is preferred, else one host while a wave covers the pool.
+// WantedHosts returns how many hosts a pool should have: the sum of the promised number, the number
+// in its largest failure domain with the present spread, and a reserve for waves: one more domain
+// if speed is preferred, else one host while an unpaused wave has hosts of the pool left to reboot.
+// It is 0 if none are promised.
 func WantedHosts(s gauge.State, pool string, members gauge.Hosts) int {
 	rec := s.Pool(pool)
 	worst := max(1, largestDomain(rec, members))
@@ -239,9 +240,9 @@
 	return out
 }
 
-// bestHost picks the host that spreads the pool most, from the failure domain of which it has the
-// fewest hosts. Among the hosts that fit, those with the fewest accelerators come first, so that
-// scarce ones stay for the pools that need them.
+// bestHost picks, of the hosts that fit, one with the fewest accelerators, so that scarce ones stay
+// for the pools that need them; of these, one in the failure domain in which the pool has the
+// fewest hosts.
 func (a *assignment) bestHost(pool string, from gauge.Hosts) (gauge.Host, bool) {
 	rec := a.pools[pool]
 	counts := make(map[string]int)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -3,8 +3,9 @@
 // next steps from the current state alone: it keeps no state, does no input or output, and can be
 // restarted at any time.
 //
-// Invariant: no step takes a host out of service unless the pool would still keep its promise after
-// the loss of its worst failure domain.
+// Invariant: no step takes a host out of service unless the pool would still keep its promise, the
+// number of hosts that must be able to work at any moment (gauge.Pool.Hosts), after the loss of its
+// worst failure domain.
 package plan
 
 import (
@@ -141,8 +142,8 @@
 }
 
 // mustRepeatReboot reports whether the platform shows no sign of a reboot: the previous controller
-// may have died between writing the row and asking for the reboot. The token is the same, so a
-// reboot requested twice happens once.
+// may have died between writing the row and asking for the reboot. Both requests have the same
+// token, by which gauge.Platform reboots the host once.
 func mustRepeatReboot(h gauge.Host, s gauge.ListedHost) bool {
 	return h.State == gauge.HostRebooting && s.Status == gauge.StatusLive && s.Boots == h.Boots
 }
@@ -210,45 +211,46 @@
 	return due
 }
 
-// drainForWave chooses the hosts to drain now: rack by rack, since losing a rack that is partly
-// under maintenance anyway costs less, and within a rack those with the least work first.
-func (p *Planner) drainForWave(mark waveMark, due, all gauge.Hosts, seen map[string]gauge.ListedHost, r *availability) ([]Step, string) {
-	out := 0
+// drainForWave chooses the hosts to drain now: failure domain by failure domain, since losing one
+// that is partly under maintenance anyway costs less, and within a domain those with the least work
+// first.
+func (p *Planner) drainForWave(mark waveMark, due, all gauge.Hosts, listed map[string]gauge.ListedHost, available *availability) ([]Step, string) {
+	unavailable := 0
 	busy := make(map[string]int)
 	for _, h := range all {
 		if h.State == gauge.HostLeaving || h.State == gauge.HostRebooting {
-			busy[r.pool.Domain.Of(h)]++
-			out++
+			busy[available.pool.Domain.Of(h)]++
+			unavailable++
 		}
 	}
 	slices.SortFunc(due, func(a, b gauge.Host) int {
-		da, db := r.pool.Domain.Of(a), r.pool.Domain.Of(b)
+		da, db := available.pool.Domain.Of(a), available.pool.Domain.Of(b)
 		return cmp.Or(
 			cmp.Compare(busy[db], busy[da]),
 			cmp.Compare(da, db),
-			cmp.Compare(seen[a.ID].Used, seen[b.ID].Used),
+			cmp.Compare(listed[a.ID].Used, listed[b.ID].Used),
 			cmp.Compare(a.ID, b.ID),
 		)
 	})
 	var steps []Step
 	for _, h := range due {
-		if h.State != gauge.HostServing || seen[h.ID].Status != gauge.StatusLive {
+		if h.State != gauge.HostServing || listed[h.ID].Status != gauge.StatusLive {
 			continue
 		}
-		if p.conf.Batch > 0 && out >= p.conf.Batch {
+		if p.conf.Batch > 0 && unavailable >= p.conf.Batch {
 			break
 		}
-		if !r.tryTake(h) {
+		if !available.tryTake(h) {
 			continue
 		}
-		out++
+		unavailable++
 		h.State, h.Goal = gauge.HostLeaving, gauge.GoalReboot
 		h.Wave, h.WaveRevision = mark.wave, mark.revision
 		h.WaveDone = false
 		steps = append(steps, Step{Host: h, Reason: "leaves for wave " + mark.wave})
 	}
-	if len(steps) == 0 && out == 0 {
-		return nil, fmt.Sprintf("%d hosts serve, the worst failure takes %d, %d are promised: none can be spared", r.total, r.largestDomain(), r.pool.Hosts)
+	if len(steps) == 0 && unavailable == 0 {
+		return nil, fmt.Sprintf("%d hosts serve, the worst failure takes %d, %d are promised: none can be spared", available.total, available.largestDomain(), available.pool.Hosts)
 	}
 	return steps, ""
 }
--- a/internal/sizing/move.go
+++ b/internal/sizing/move.go
@@ -33,7 +33,7 @@
 	for _, pool := range pools {
 		w := s.wanted[pool]
 		for w.surplusSince > 0 && now-w.surplusSince > s.retention.current(now) && s.shortfall(pool) < 0 {
-			m, ok := s.findIdle(pool, taken, s.waveLater)
+			m, ok := s.findEasiestToDrain(pool, taken, s.waveLater)
 			if !ok {
 				break
 			}
@@ -90,7 +90,7 @@
 // findSpare finds a machine for a pool: on standby, or else in a pool with a surplus.
 func (s *Sizer) findSpare(pools []string, to string, now time.Duration, taken func(string) bool) (gauge.Machine, bool) {
 	for _, pool := range s.standbyPools {
-		if m, ok := s.findIdle(pool, taken, s.waveLater); ok {
+		if m, ok := s.findEasiestToDrain(pool, taken, s.waveLater); ok {
 			return m, true
 		}
 	}
@@ -98,16 +98,16 @@
 		if pool == to || s.shortfall(pool) >= 0 || now-s.loads[pool].receivedAt > maxLoadAge {
 			continue
 		}
-		if m, ok := s.findIdle(pool, taken, s.waveLater); ok {
+		if m, ok := s.findEasiestToDrain(pool, taken, s.waveLater); ok {
 			return m, true
 		}
 	}
 	return gauge.Machine{}, false
 }
 
-// findIdle finds the machine of a pool that is the least work to drain. Machines with long-running
-// tasks don't qualify: these tasks would have to move, and their users would notice.
-func (s *Sizer) findIdle(pool string, taken, later func(string) bool) (gauge.Machine, bool) {
+// findEasiestToDrain finds the machine of a pool that takes the least work to drain. Machines with
+// long-running tasks don't qualify: these tasks would have to move, and their users would notice.
+func (s *Sizer) findEasiestToDrain(pool string, taken, later func(string) bool) (gauge.Machine, bool) {
 	runs := s.loads[pool].workers
 	var best gauge.Machine
 	found := false
--- a/internal/sizing/rate.go
+++ b/internal/sizing/rate.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// minRateWindow is the shortest time over which arrivals are counted: each tenth of a second
-	// that machines come sooner is one in which jobs of a busy queue meet their objective.
+	// minRateWindow is the shortest time over which arrivals are counted: a longer one would delay
+	// the machines, and until they come jobs of a busy queue miss their objective. Each tenth of a
+	// second counts.
 	minRateWindow = 500 * time.Millisecond
 	// maxRateWindow is the time over which arrivals are counted if they are few.
 	maxRateWindow = 3 * time.Second
@@ -16,8 +17,8 @@
 	minSamples = 5
 	// riseWindow and minRiseJobs are the time and the number of jobs that are enough to detect a
 	// rise. The peak of a large pool brings some ten jobs in a quarter of a second; when arrivals
-	// in five samples were required, its machines came most of a second later, which is the slack
-	// of its shortest jobs.
+	// in five samples were required, its machines came most of a second later, which is all the
+	// delay that its shortest jobs can have and still meet their objective.
 	riseWindow  = 250 * time.Millisecond
 	minRiseJobs = 8
 	// riseFactor is how many times the rate over maxRateWindow counts as a rise: less is within the
@@ -89,9 +90,9 @@
 	trendDeviations = 2.5
 )
 
-// forecast returns how many more cores the arrivals will need by the time a machine that is
-// requested now has come, as far as the increase in their number is significant. A queue's demand
-// rises over some seconds: a pool sized by past arrivals is always one move's duration behind.
+// forecast returns how many more cores the arrivals will need when a machine that is requested now
+// is ready; 0 unless the number of arrivals rises significantly. A queue's demand rises over some
+// seconds: a pool sized by past arrivals is always one move's duration behind.
 func (a arrivals) forecast(now time.Duration) float64 {
 	jobs, before, work := 0.0, 0.0, 0.0
 	for _, n := range a {
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -146,9 +146,9 @@
 	s.loads[l.Pool] = load{PoolLoad: l, receivedAt: now, workers: runs}
 }
 
-// SetMachines replaces the list of machines and the standby pools. Asked is when the list was
+// SetMachines replaces the list of machines and the standby pools. RequestedAt is when the list was
 // requested.
-func (s *Sizer) SetMachines(list []gauge.Machine, standby []string, asked time.Duration) {
+func (s *Sizer) SetMachines(list []gauge.Machine, standby []string, requestedAt time.Duration) {
 	clear(s.machines)
 	for _, m := range list {
 		s.machines[m.ID] = m
@@ -159,7 +159,7 @@
 		switch {
 		case !there, m.Pool == v.To && m.State == gauge.MachineUp:
 			delete(s.moves, id)
-		case v.unanswered || v.orderedAt > 0 && asked < v.orderedAt+listDelay:
+		case v.unanswered || v.orderedAt > 0 && requestedAt < v.orderedAt+listDelay:
 		case v.orderedAt > 0 && m.State == gauge.MachineUp && m.Pool == v.From:
 			delete(s.moves, id) // refused, or lost with a restart: choose again
 		}
@@ -178,8 +178,8 @@
 	return s.loads[pool].Timely.WaitingCores > 0 || s.shortfall(pool) > 0
 }
 
-// MarkInFlight records that a machine's owner is being asked to drain it, followed by the order to
-// move it if it is drained.
+// MarkInFlight records that a call for a machine's move is in flight: the request to drain it, or
+// the order to move it.
 func (s *Sizer) MarkInFlight(machine string) {
 	if v := s.moves[machine]; v != nil {
 		v.inFlight = true
--- a/internal/turns/turns.go
+++ b/internal/turns/turns.go
@@ -19,10 +19,10 @@
 	Previous map[string]int64
 }
 
-// Inherited returns the lists of a holder that has ordered nothing itself yet. Same says that the
-// previous holder was this one in an earlier process.
-func (l RecentOrders) Inherited(same bool) RecentOrders {
-	if same {
+// Inherited returns the lists of a holder that has ordered nothing itself yet. SameEntry says that
+// the previous holder was this one in an earlier process.
+func (l RecentOrders) Inherited(sameEntry bool) RecentOrders {
+	if sameEntry {
 		return l
 	}
 	previous := make(map[string]int64)
@@ -46,111 +46,111 @@
 	announced      map[string]bool          // machines that are named in the lease row in the table
 	blockedUntil   map[string]time.Duration // by the local clock
 	ownOrders      map[string]int64         // when this holder ordered a machine, by the table's clock in milliseconds
-	previousOrders map[string]int64         // the same of previous holders, and of this holder's previous process
+	previousOrders map[string]int64         // the same, of previous holders, and of this holder's previous process
 }
 
-// New returns an OrderGuard that heeds the orders before. Same says that the previous holder was
-// this one in an earlier process. Clock is the table's clock now, in milliseconds, and now the
-// local one.
-func New(minInterval time.Duration, before RecentOrders, same bool, clock int64, now time.Duration) *OrderGuard {
-	t := &OrderGuard{minInterval: minInterval, blockedUntil: make(map[string]time.Duration), ownOrders: make(map[string]int64), previousOrders: make(map[string]int64)}
+// New returns an OrderGuard that enforces the interval to earlier orders. SameEntry says that the
+// previous holder was this one in an earlier process. Clock is the table's clock now, in
+// milliseconds, and now the local one.
+func New(minInterval time.Duration, earlier RecentOrders, sameEntry bool, clock int64, now time.Duration) *OrderGuard {
+	g := &OrderGuard{minInterval: minInterval, blockedUntil: make(map[string]time.Duration), ownOrders: make(map[string]int64), previousOrders: make(map[string]int64)}
 	block := func(ordered map[string]int64, gap time.Duration) {
 		for machine, at := range ordered {
 			since := time.Duration(clock-at) * time.Millisecond
-			t.blockedUntil[machine] = max(t.blockedUntil[machine], now+gap-since)
-			t.previousOrders[machine] = max(t.previousOrders[machine], at)
+			g.blockedUntil[machine] = max(g.blockedUntil[machine], now+gap-since)
+			g.previousOrders[machine] = max(g.previousOrders[machine], at)
 		}
 	}
-	block(before.Previous, minInterval)
-	if !same {
-		block(before.Own, minInterval)
-		return t
+	block(earlier.Previous, minInterval)
+	if !sameEntry {
+		block(earlier.Own, minInterval)
+		return g
 	}
-	block(before.Own, maxOrderDelay)
-	maps.Copy(t.ownOrders, before.Own)
-	return t
+	block(earlier.Own, maxOrderDelay)
+	maps.Copy(g.ownOrders, earlier.Own)
+	return g
 }
 
 // IsBlocked reports whether the machine can't be ordered yet.
-func (t *OrderGuard) IsBlocked(machine string, now time.Duration) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return now < t.blockedUntil[machine]
+func (g *OrderGuard) IsBlocked(machine string, now time.Duration) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return now < g.blockedUntil[machine]
 }
 
 // WasOrderedBefore reports whether the machine was ordered within the minimum interval by a
 // previous holder, or by this holder's previous process: the order may not be recorded in the
 // table.
-func (t *OrderGuard) WasOrderedBefore(machine string, clock int64) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	at, ok := t.previousOrders[machine]
-	return ok && t.isRecent(at, clock)
+func (g *OrderGuard) WasOrderedBefore(machine string, clock int64) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	at, ok := g.previousOrders[machine]
+	return ok && g.isRecent(at, clock)
 }
 
 // RetainAnnounced drops the announced machines that aren't to be ordered any more, and reports
-// whether any that are to be ordered aren't announced. A concurrent call of TryOrder may be about
+// whether any of the given machines isn't announced yet. A concurrent call of TryOrder may be about
 // to order a dropped machine, so RetainAnnounced must be called before the row without the machine
 // is written.
-func (t *OrderGuard) RetainAnnounced(machines map[string]bool) (fresh bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	maps.DeleteFunc(t.announced, func(m string, _ bool) bool { return !machines[m] })
+func (g *OrderGuard) RetainAnnounced(machines map[string]bool) (unannounced bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	maps.DeleteFunc(g.announced, func(m string, _ bool) bool { return !machines[m] })
 	for m := range machines {
-		fresh = fresh || !t.announced[m]
+		unannounced = unannounced || !g.announced[m]
 	}
-	return fresh
+	return unannounced
 }
 
 // Announce records that the lease row in the table names these machines.
-func (t *OrderGuard) Announce(machines map[string]bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.announced = maps.Clone(machines)
+func (g *OrderGuard) Announce(machines map[string]bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.announced = maps.Clone(machines)
 }
 
 // Announced returns the machines that the row in the table has to keep naming.
-func (t *OrderGuard) Announced() map[string]bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return maps.Clone(t.announced)
+func (g *OrderGuard) Announced() map[string]bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return maps.Clone(g.announced)
 }
 
 // TryOrder reports whether the machine may be ordered now: it is announced, and no previous holder
 // ordered it within the minimum interval. If so, it is recorded as ordered, for the successor.
-func (t *OrderGuard) TryOrder(machine string, clock int64, now time.Duration) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.announced[machine] || now < t.blockedUntil[machine] {
+func (g *OrderGuard) TryOrder(machine string, clock int64, now time.Duration) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.announced[machine] || now < g.blockedUntil[machine] {
 		return false
 	}
-	t.ownOrders[machine] = clock
+	g.ownOrders[machine] = clock
 	return true
 }
 
-func (t *OrderGuard) isRecent(at, clock int64) bool {
-	return time.Duration(clock-at)*time.Millisecond <= t.minInterval
+func (g *OrderGuard) isRecent(at, clock int64) bool {
+	return time.Duration(clock-at)*time.Millisecond <= g.minInterval
 }
 
-// Recent returns the machines whose orders a successor has to heed, including those of earlier
-// holders: with two handovers in a row, the third holder's order may come within the minimum
-// interval after the first one's.
-func (t *OrderGuard) Recent(clock int64) RecentOrders {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	isOld := func(_ string, at int64) bool { return !t.isRecent(at, clock) }
-	maps.DeleteFunc(t.ownOrders, isOld)
-	maps.DeleteFunc(t.previousOrders, isOld)
-	return RecentOrders{Own: maps.Clone(t.ownOrders), Previous: maps.Clone(t.previousOrders)}
+// Recent returns the machines that were ordered so recently that a successor has to wait, including
+// those that earlier holders ordered: with two handovers in a row, the third holder's order may
+// come within the minimum interval after the first one's.
+func (g *OrderGuard) Recent(clock int64) RecentOrders {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	isOld := func(_ string, at int64) bool { return !g.isRecent(at, clock) }
+	maps.DeleteFunc(g.ownOrders, isOld)
+	maps.DeleteFunc(g.previousOrders, isOld)
+	return RecentOrders{Own: maps.Clone(g.ownOrders), Previous: maps.Clone(g.previousOrders)}
 }
 
-// RecentAndPlanned returns the same, and adds the machines that may be ordered within a span from
-// now, at the latest possible time. As it is written beforehand, it shows the successor of a
-// crashed holder which machines to leave alone, and the successor may order all others at once.
-// Without it the successor left all machines alone, and a pool whose peak had begun got no machine
-// for five seconds.
-func (t *OrderGuard) RecentAndPlanned(machines map[string]bool, span time.Duration, clock int64) RecentOrders {
-	l := t.Recent(clock)
+// RecentAndPlanned returns what Recent does, and adds the machines that may be ordered within a
+// span from now, at the latest possible time. As it is written beforehand, it shows the successor
+// of a crashed holder which machines to leave alone, and the successor may order all others at
+// once. Without it the successor left all machines alone, and a pool whose peak had begun got no
+// machine for five seconds.
+func (g *OrderGuard) RecentAndPlanned(machines map[string]bool, span time.Duration, clock int64) RecentOrders {
+	l := g.Recent(clock)
 	for machine := range machines {
 		l.Own[machine] = clock + span.Milliseconds()
 	}
--- a/internal/waves/bench_test.go
+++ b/internal/waves/bench_test.go
@@ -12,8 +12,8 @@
 func BenchmarkNext(b *testing.B) {
 	for _, count := range []int{49, 540, 5900} {
 		b.Run(fmt.Sprintf("machines=%d", count), func(b *testing.B) {
-			lasting := func(string) int { return 1 }
-			view := waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: never, LongRunningTasks: lasting}
+			longRunning := func(string) int { return 1 }
+			view := waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: never, LongRunningTasks: longRunning}
 			for b.Loop() {
 				b.StopTimer()
 				f := newFleet(nil, count, count/2, count/6)
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -31,7 +31,7 @@
 	shortPoolShare = 0.05
 )
 
-// poolState is what a pool can give up to a wave now.
+// poolState is how many machines of a pool are unavailable, and which ones a wave may select.
 type poolState struct {
 	size, unavailable, slowSelected int
 	slow, fast                      []gauge.Machine
@@ -40,16 +40,16 @@
 
 // selectMachines picks the machines to drain, from the pools with the smallest unavailable share
 // first.
-func (k *Scheduler) selectMachines(w *wave, left []gauge.Machine, force bool) {
-	budget := max(1, w.order.MaxConcurrent) - len(w.selected)
-	if !k.conf.Disabled.Has(gauge.MechanismEarly) {
-		budget = int(float64(max(1, w.order.MaxConcurrent))*drainAheadFactor) - len(w.selected)
+func (s *Scheduler) selectMachines(w *wave, left []gauge.Machine, force bool) {
+	budget := max(1, w.spec.MaxConcurrent) - len(w.selected)
+	if !s.conf.Disabled.Has(gauge.MechanismEarly) {
+		budget = int(float64(max(1, w.spec.MaxConcurrent))*drainAheadFactor) - len(w.selected)
 	}
 	if budget <= 0 {
 		return
 	}
-	sparing := !force && !k.conf.Disabled.Has(gauge.MechanismSpared)
-	pools := k.poolStates(w, left)
+	sparing := !force && !s.conf.Disabled.Has(gauge.MechanismSpared)
+	pools := s.poolStates(w, left)
 	for ; budget > 0; budget-- {
 		p := nextPool(pools, sparing)
 		if p == nil {
@@ -61,32 +61,32 @@
 
 // poolStates groups the machines that may be selected by pool, those with the most long-running
 // tasks first.
-func (k *Scheduler) poolStates(w *wave, left []gauge.Machine) []*poolState {
+func (s *Scheduler) poolStates(w *wave, left []gauge.Machine) []*poolState {
 	byName := make(map[string]*poolState)
 	stateOf := func(pool string) *poolState {
 		p := byName[pool]
 		if p == nil {
-			p = &poolState{standby: k.standbyPools[pool], short: k.view.IsShort(pool)}
+			p = &poolState{standby: s.standbyPools[pool], short: s.view.IsShort(pool)}
 			byName[pool] = p
 		}
 		return p
 	}
-	for _, m := range k.machines {
+	for _, m := range s.machines {
 		p := stateOf(m.Pool)
 		p.size++
 		if m.State != gauge.MachineUp || w.selected[m.ID] {
 			p.unavailable++
 		}
-		if w.selected[m.ID] && k.longRunningTasks(m) > 0 {
+		if w.selected[m.ID] && s.longRunningTasks(m) > 0 {
 			p.slowSelected++
 		}
 	}
 	for _, m := range left {
-		if w.selected[m.ID] || m.State != gauge.MachineUp || k.view.IsMoving(m.ID) || k.view.WasOrderedBefore(m.ID) {
+		if w.selected[m.ID] || m.State != gauge.MachineUp || s.view.IsMoving(m.ID) || s.view.WasOrderedBefore(m.ID) {
 			continue
 		}
 		p := stateOf(m.Pool)
-		if k.longRunningTasks(m) > 0 && !k.conf.Disabled.Has(gauge.MechanismChains) {
+		if s.longRunningTasks(m) > 0 && !s.conf.Disabled.Has(gauge.MechanismChains) {
 			p.slow = append(p.slow, m)
 		} else {
 			p.fast = append(p.fast, m)
@@ -94,7 +94,7 @@
 	}
 	names := make([]string, 0, len(byName))
 	for name, p := range byName {
-		slices.SortStableFunc(p.slow, func(a, b gauge.Machine) int { return cmp.Compare(k.longRunningTasks(b), k.longRunningTasks(a)) })
+		slices.SortStableFunc(p.slow, func(a, b gauge.Machine) int { return cmp.Compare(s.longRunningTasks(b), s.longRunningTasks(a)) })
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -105,19 +105,19 @@
 	return list
 }
 
-func (k *Scheduler) longRunningTasks(m gauge.Machine) int {
-	if k.view.LongRunningTasks == nil || m.Worker == "" {
+func (s *Scheduler) longRunningTasks(m gauge.Machine) int {
+	if s.view.LongRunningTasks == nil || m.Worker == "" {
 		return 0
 	}
-	return k.view.LongRunningTasks(m.Worker)
+	return s.view.LongRunningTasks(m.Worker)
 }
 
-// nextPool returns the pool with the smallest unavailable share among those that can give up a
-// machine, or nil if none can.
+// nextPool returns the pool with the smallest unavailable share among those of which a machine may
+// be selected, or nil if there is none.
 func nextPool(pools []*poolState, sparing bool) *poolState {
 	var best *poolState
 	for _, p := range pools {
-		if p.canGive(sparing) && (best == nil || p.nextShare() < best.nextShare()) {
+		if p.canSelect(sparing) && (best == nil || p.nextShare() < best.nextShare()) {
 			best = p
 		}
 	}
@@ -128,7 +128,7 @@
 // taken.
 func (p *poolState) nextShare() float64 { return float64(p.unavailable+1) / float64(max(1, p.size)) }
 
-func (p *poolState) canGive(sparing bool) bool {
+func (p *poolState) canSelect(sparing bool) bool {
 	switch {
 	case len(p.slow)+len(p.fast) == 0:
 		return false
@@ -141,7 +141,7 @@
 	}
 }
 
-// takeNext removes and returns the machine that the pool gives up next.
+// takeNext removes and returns the machine of the pool that is selected next.
 func (p *poolState) takeNext() gauge.Machine {
 	from := &p.fast
 	if len(p.slow) > 0 && (len(p.fast) == 0 || p.short || float64(p.slowSelected) <= slowDrainShare*float64(p.unavailable)) {
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -24,7 +24,7 @@
 		scheduler:   waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard(), Disabled: disabled}),
 		longRunning: make(map[string]int), machine: make(map[string]string),
 	}
-	order := gauge.MaintenanceOrder{Wave: 1, Within: time.Minute, MaxConcurrent: atOnce}
+	wave := gauge.MaintenanceOrder{Wave: 1, Within: time.Minute, MaxConcurrent: atOnce}
 	var list []gauge.Machine
 	for i := range count {
 		id := fmt.Sprintf("m-%03d", i)
@@ -33,10 +33,10 @@
 			f.longRunning[m.Worker] = 1 + i%3
 		}
 		f.machine[m.Worker] = id
-		order.Machines = append(order.Machines, id)
+		wave.Machines = append(wave.Machines, id)
 		list = append(list, m)
 	}
-	f.scheduler.AddWave(order, waves.StoredProgress{}, 0)
+	f.scheduler.AddWave(wave, waves.StoredProgress{}, 0)
 	f.scheduler.SetMachines(list, time.Millisecond)
 	return f
 }
@@ -60,25 +60,25 @@
 // unplaced at a time; this came from taking machines in the order of their names, whatever ran
 // there.
 func TestSlowDrainsStartWithTheOthers(t *testing.T) {
-	all, chained := newFleet(nil, 100, 30, 40).selected(false)
+	all, slow := newFleet(nil, 100, 30, 40).selected(false)
 	assert.Equal(t, all, 34, "a third of the pool")
-	assert.Equal(t, chained, 17, "half of these")
-	_, chained = newFleet(gauge.Disabled{gauge.MechanismChains}, 100, 30, 40).selected(false)
-	assert.Equal(t, chained, 0)
+	assert.Equal(t, slow, 17, "half of these")
+	_, slow = newFleet(gauge.Disabled{gauge.MechanismChains}, 100, 30, 40).selected(false)
+	assert.Equal(t, slow, 0)
 }
 
 func TestFastDrainsFillUpWhereFewMachinesHaveLongRunningTasks(t *testing.T) {
-	all, chained := newFleet(nil, 100, 3, 40).selected(false)
+	all, slow := newFleet(nil, 100, 3, 40).selected(false)
 	assert.Equal(t, all, 34)
-	assert.Equal(t, chained, 3)
+	assert.Equal(t, slow, 3)
 }
 
 // Guards against slow drains that stop for a third of a wave. A pool at its demand peak is short of
-// machines, and a pool that is short gave up none to a wave.
+// machines, and no machine of a pool that is short was selected for a wave.
 func TestSlowDrainsContinueInAPoolAtItsPeak(t *testing.T) {
-	all, chained := newFleet(nil, 100, 30, 40).selected(true)
+	all, slow := newFleet(nil, 100, 30, 40).selected(true)
 	assert.Equal(t, all, 5)
-	assert.Equal(t, chained, 5)
+	assert.Equal(t, slow, 5)
 	all, _ = newFleet(nil, 10, 5, 5).selected(true)
 	assert.Equal(t, all, 0, "one machine of ten is too many")
 }
--- a/internal/waves/drained_test.go
+++ b/internal/waves/drained_test.go
@@ -35,9 +35,9 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness("p", 1, 1)
-			ask := g.next().Drains[0]
-			g.scheduler.SetDrained(ask.Machine, true)
-			tt.between(g, g.machines[ask.Machine])
+			request := g.next().Drains[0]
+			g.scheduler.SetDrained(request.Machine, true)
+			tt.between(g, g.machines[request.Machine])
 			s := g.next()
 			assert.Equal(t, len(s.Starts), 0)
 			assert.Equal(t, len(s.Drains), 1)
@@ -49,10 +49,10 @@
 // The same fault, with the answer in flight while the machine gets another worker.
 func TestLateAnswerOfAnEarlierWorkerStartsNoMaintenance(t *testing.T) {
 	g := newHarness("p", 1, 1)
-	ask := g.next().Drains[0]
-	g.machines[ask.Machine].Worker = "i-new"
+	request := g.next().Drains[0]
+	g.machines[request.Machine].Worker = "i-new"
 	g.advance(time.Second)
-	g.scheduler.RecordDrainAnswer(ask, true)
+	g.scheduler.RecordDrainAnswer(request, true)
 	assert.Equal(t, len(g.next().Starts), 0)
 	g.scheduler.RecordDrainAnswer(g.next().Drains[0], true)
 	assert.Equal(t, len(g.next().Starts), 1)
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -33,7 +33,7 @@
 }
 
 type wave struct {
-	order       gauge.MaintenanceOrder
+	spec        gauge.MaintenanceOrder
 	seenAt      time.Duration            // by this lease holder
 	firstSeenAt time.Duration            // by the first lease holder
 	started     map[string]bool          // as recorded in the table
@@ -79,12 +79,12 @@
 
 // AddWave adds a wave; a wave that is known already stays as it is. Past is the progress recorded
 // in the table.
-func (k *Scheduler) AddWave(o gauge.MaintenanceOrder, past StoredProgress, now time.Duration) {
-	if k.waves[o.Wave] != nil {
+func (s *Scheduler) AddWave(spec gauge.MaintenanceOrder, past StoredProgress, now time.Duration) {
+	if s.waves[spec.Wave] != nil {
 		return
 	}
 	w := &wave{
-		order: o, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
+		spec: spec, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
 		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: past.Done,
 	}
 	for _, m := range past.Started {
@@ -92,28 +92,28 @@
 		// The machine may still be down: an earlier holder sent the order.
 		w.downSince[m] = now
 	}
-	k.waves[o.Wave] = w
+	s.waves[spec.Wave] = w
 }
 
 // WaveAge returns how long the wave has been known, to this lease holder or an earlier one.
-func (k *Scheduler) WaveAge(number int64, now time.Duration) time.Duration {
-	return now - k.waves[number].firstSeenAt
+func (s *Scheduler) WaveAge(number int64, now time.Duration) time.Duration {
+	return now - s.waves[number].firstSeenAt
 }
 
 // HasWave reports whether the wave has been added.
-func (k *Scheduler) HasWave(number int64) bool { return k.waves[number] != nil }
+func (s *Scheduler) HasWave(number int64) bool { return s.waves[number] != nil }
 
 // SetStandbyPools sets the pools whose machines run nothing.
-func (k *Scheduler) SetStandbyPools(pools []string) {
-	clear(k.standbyPools)
+func (s *Scheduler) SetStandbyPools(pools []string) {
+	clear(s.standbyPools)
 	for _, p := range pools {
-		k.standbyPools[p] = true
+		s.standbyPools[p] = true
 	}
 }
 
 // HasOpenWaves reports whether any wave is not completed.
-func (k *Scheduler) HasOpenWaves() bool {
-	for _, w := range k.waves {
+func (s *Scheduler) HasOpenWaves() bool {
+	for _, w := range s.waves {
 		if !w.completed {
 			return true
 		}
@@ -121,18 +121,18 @@
 	return false
 }
 
-// SetMachines replaces the list of machines. Asked is when the list was requested.
-func (k *Scheduler) SetMachines(list []gauge.Machine, asked time.Duration) {
-	k.listedAt = asked
-	k.dropStaleAnswers(list)
-	clear(k.machines)
+// SetMachines replaces the list of machines. RequestedAt is when the list was requested.
+func (s *Scheduler) SetMachines(list []gauge.Machine, requestedAt time.Duration) {
+	s.listedAt = requestedAt
+	s.dropStaleAnswers(list)
+	clear(s.machines)
 	for _, m := range list {
-		k.machines[m.ID] = m
+		s.machines[m.ID] = m
 	}
-	for _, w := range k.waves {
+	for _, w := range s.waves {
 		for id, since := range w.downSince {
-			m, listed := k.machines[id]
-			if asked > since+k.conf.MaintenanceDuration && (!listed || m.State == gauge.MachineUp) {
+			m, listed := s.machines[id]
+			if requestedAt > since+s.conf.MaintenanceDuration && (!listed || m.State == gauge.MachineUp) {
 				delete(w.downSince, id)
 			}
 		}
@@ -140,20 +140,20 @@
 }
 
 // dropStaleAnswers drops the answers about machines that have another pool or worker by now.
-func (k *Scheduler) dropStaleAnswers(list []gauge.Machine) {
+func (s *Scheduler) dropStaleAnswers(list []gauge.Machine) {
 	for _, m := range list {
-		if before, listed := k.machines[m.ID]; listed && before.Pool == m.Pool && before.Worker == m.Worker {
+		if before, listed := s.machines[m.ID]; listed && before.Pool == m.Pool && before.Worker == m.Worker {
 			continue
 		}
-		for _, w := range k.waves {
+		for _, w := range s.waves {
 			delete(w.drained, m.ID)
 		}
 	}
 }
 
 // IsReserved reports whether a wave has selected the machine, or the machine is down for one.
-func (k *Scheduler) IsReserved(machine string) bool {
-	for _, w := range k.waves {
+func (s *Scheduler) IsReserved(machine string) bool {
+	for _, w := range s.waves {
 		if _, down := w.downSince[machine]; down || w.selected[machine] && !w.completed {
 			return true
 		}
@@ -162,9 +162,9 @@
 }
 
 // IsPending reports whether the machine has yet to start the maintenance of a wave.
-func (k *Scheduler) IsPending(machine string) bool {
-	for _, w := range k.waves {
-		if !w.completed && !w.started[machine] && slices.Contains(w.order.Machines, machine) {
+func (s *Scheduler) IsPending(machine string) bool {
+	for _, w := range s.waves {
+		if !w.completed && !w.started[machine] && slices.Contains(w.spec.Machines, machine) {
 			return true
 		}
 	}
@@ -173,14 +173,14 @@
 
 // RecordDrainAnswer records an owner's answer to a request. The answer doesn't count for a worker
 // that has started on the machine since.
-func (k *Scheduler) RecordDrainAnswer(a DrainRequest, empty bool) {
-	m := k.machines[a.Machine]
-	k.SetDrained(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
+func (s *Scheduler) RecordDrainAnswer(a DrainRequest, empty bool) {
+	m := s.machines[a.Machine]
+	s.SetDrained(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
 }
 
 // SetDrained records whether nothing runs on a machine, as its pool's owner reported.
-func (k *Scheduler) SetDrained(machine string, empty bool) {
-	for _, w := range k.waves {
+func (s *Scheduler) SetDrained(machine string, empty bool) {
+	for _, w := range s.waves {
 		if w.selected[machine] {
 			w.drained[machine] = empty
 		}
@@ -188,8 +188,8 @@
 }
 
 // RecordStart records the result of an order.
-func (k *Scheduler) RecordStart(b MaintenanceStart, err error, now time.Duration) {
-	w := k.waves[b.Wave]
+func (s *Scheduler) RecordStart(b MaintenanceStart, err error, now time.Duration) {
+	w := s.waves[b.Wave]
 	if w == nil {
 		return
 	}
@@ -206,7 +206,7 @@
 	default:
 		delete(w.downSince, b.Machine)
 	}
-	k.conf.Logs.Info("upkeep ordered", "wave", b.Wave, "machine", b.Machine, "kind", resultLabel(err), "begun", len(w.started), "of", len(w.order.Machines))
+	s.conf.Logs.Info("upkeep ordered", "wave", b.Wave, "machine", b.Machine, "kind", resultLabel(err), "begun", len(w.started), "of", len(w.spec.Machines))
 }
 
 func resultLabel(err error) gauge.Kind {
@@ -218,8 +218,8 @@
 
 // StartedMachines returns the sorted machines whose order was carried out, to be recorded in the
 // table.
-func (k *Scheduler) StartedMachines(number int64) []string {
-	w := k.waves[number]
+func (s *Scheduler) StartedMachines(number int64) []string {
+	w := s.waves[number]
 	var started []string
 	for m := range w.started {
 		started = append(started, m)
@@ -229,9 +229,9 @@
 }
 
 // MarkCompleted records that the table has the wave as completed.
-func (k *Scheduler) MarkCompleted(number int64) {
-	k.waves[number].completed = true
-	k.conf.Logs.Info("wave completed", "wave", number, "begun", len(k.waves[number].started))
+func (s *Scheduler) MarkCompleted(number int64) {
+	s.waves[number].completed = true
+	s.conf.Logs.Info("wave completed", "wave", number, "begun", len(s.waves[number].started))
 }
 
 // View is the state outside of the Scheduler on which its decisions depend.
@@ -243,70 +243,70 @@
 }
 
 // Next returns what to do now.
-func (k *Scheduler) Next(now time.Duration, view View) Steps {
-	k.view = view
-	var s Steps
-	numbers := make([]int64, 0, len(k.waves))
-	for n, w := range k.waves {
+func (s *Scheduler) Next(now time.Duration, view View) Steps {
+	s.view = view
+	var steps Steps
+	numbers := make([]int64, 0, len(s.waves))
+	for n, w := range s.waves {
 		if !w.completed {
 			numbers = append(numbers, n)
 		}
 	}
 	slices.Sort(numbers)
 	for _, n := range numbers {
-		k.appendSteps(k.waves[n], now, &s)
+		s.appendSteps(s.waves[n], now, &steps)
 	}
-	return s
+	return steps
 }
 
-func (k *Scheduler) appendSteps(w *wave, now time.Duration, s *Steps) {
-	left := k.remaining(w)
+func (s *Scheduler) appendSteps(w *wave, now time.Duration, steps *Steps) {
+	left := s.remaining(w)
 	if len(left) == 0 {
-		if k.listedAt > w.seenAt {
-			s.CompletedWaves = append(s.CompletedWaves, w.order.Wave)
+		if s.listedAt > w.seenAt {
+			steps.CompletedWaves = append(steps.CompletedWaves, w.spec.Wave)
 		}
 		return
 	}
-	force := k.isLate(w, len(left), now)
+	force := s.isLate(w, len(left), now)
 	for _, m := range left {
 		if w.selected[m.ID] && m.State != gauge.MachineUp {
 			delete(w.selected, m.ID)
 			delete(w.drained, m.ID)
 		}
 	}
-	k.selectMachines(w, left, force)
-	room := max(1, w.order.MaxConcurrent) - len(w.downSince) - k.unrecorded(w)
+	s.selectMachines(w, left, force)
+	room := max(1, w.spec.MaxConcurrent) - len(w.downSince) - s.unrecorded(w)
 	for _, m := range left {
 		if !w.selected[m.ID] {
 			continue
 		}
 		_, ordered := w.downSince[m.ID]
-		if k.view.IsMoving(m.ID) {
+		if s.view.IsMoving(m.ID) {
 			continue // it may be in another pool by now, and running tasks
 		}
-		if (w.drained[m.ID] || k.standbyPools[m.Pool]) && (room > 0 || ordered) {
+		if (w.drained[m.ID] || s.standbyPools[m.Pool]) && (room > 0 || ordered) {
 			if !ordered {
 				room--
 				w.downSince[m.ID] = now
 			}
-			s.Starts = append(s.Starts, MaintenanceStart{Wave: w.order.Wave, Machine: m.ID})
+			steps.Starts = append(steps.Starts, MaintenanceStart{Wave: w.spec.Wave, Machine: m.ID})
 			continue
 		}
-		if !k.standbyPools[m.Pool] {
-			s.Drains = append(s.Drains, DrainRequest{Machine: m.ID, Pool: m.Pool, Worker: m.Worker, Force: force})
+		if !s.standbyPools[m.Pool] {
+			steps.Drains = append(steps.Drains, DrainRequest{Machine: m.ID, Pool: m.Pool, Worker: m.Worker, Force: force})
 		}
 	}
 }
 
 // unrecorded counts the machines of a wave that may be down by an order that isn't in the table: a
 // previous holder sent it and could no longer write it down.
-func (k *Scheduler) unrecorded(w *wave) int {
+func (s *Scheduler) unrecorded(w *wave) int {
 	n := 0
-	for _, id := range w.order.Machines {
+	for _, id := range w.spec.Machines {
 		if _, known := w.downSince[id]; known {
 			continue
 		}
-		if m, listed := k.machines[id]; listed && (m.State == gauge.MachineInMaintenance || k.view.WasOrderedBefore(id)) {
+		if m, listed := s.machines[id]; listed && (m.State == gauge.MachineInMaintenance || s.view.WasOrderedBefore(id)) {
 			n++
 		}
 	}
@@ -314,10 +314,10 @@
 }
 
 // remaining lists the machines that are still in the fleet and have not started, sorted by ID.
-func (k *Scheduler) remaining(w *wave) []gauge.Machine {
+func (s *Scheduler) remaining(w *wave) []gauge.Machine {
 	var left []gauge.Machine
-	for _, id := range w.order.Machines {
-		m, listed := k.machines[id]
+	for _, id := range w.spec.Machines {
+		m, listed := s.machines[id]
 		if listed && !w.started[id] {
 			left = append(left, m)
 		}
@@ -328,7 +328,8 @@
 
 const (
 	// forceShare is the share of a wave's time after which tasks that don't end by themselves are
-	// stopped if the wave would be late otherwise.
+	// stopped if the wave would be late otherwise. It is also the lead over the elapsed time that
+	// the wave's progress must have, as a share of the remaining time.
 	forceShare = 0.4
 	// lateMargin is how long before the end of a wave it counts as late if any machines remain,
 	// however few: a machine with long-running tasks takes three to four seconds to drain, one task
@@ -336,29 +337,29 @@
 	lateMargin = 6 * time.Second
 )
 
-// isLate reports whether the wave will be late at its present rate.
-func (k *Scheduler) isLate(w *wave, left int, now time.Duration) bool {
-	if w.order.Within <= 0 {
+// isLate reports whether the wave is about to end, or its progress is too small to end in time.
+func (s *Scheduler) isLate(w *wave, left int, now time.Duration) bool {
+	if w.spec.Within <= 0 {
 		return false
 	}
-	if now-w.firstSeenAt > w.order.Within-min(lateMargin, w.order.Within/3) {
+	if now-w.firstSeenAt > w.spec.Within-min(lateMargin, w.spec.Within/3) {
 		return true
 	}
-	passed := float64(now-w.firstSeenAt) / float64(w.order.Within)
-	done := 1 - float64(left)/float64(len(w.order.Machines))
+	passed := float64(now-w.firstSeenAt) / float64(w.spec.Within)
+	done := 1 - float64(left)/float64(len(w.spec.Machines))
 	return passed > forceShare && done < passed+(1-passed)*forceShare
 }
 
 // PendingWorkers lists the workers on those machines of a pool that have yet to start the
 // maintenance of a wave.
-func (k *Scheduler) PendingWorkers(pool string) []string {
+func (s *Scheduler) PendingWorkers(pool string) []string {
 	var workers []string
-	for _, w := range k.waves {
+	for _, w := range s.waves {
 		if w.completed {
 			continue
 		}
-		for _, id := range w.order.Machines {
-			if m, listed := k.machines[id]; listed && m.Pool == pool && m.Worker != "" && !w.started[id] {
+		for _, id := range w.spec.Machines {
+			if m, listed := s.machines[id]; listed && m.Pool == pool && m.Worker != "" && !w.started[id] {
 				workers = append(workers, m.Worker)
 			}
 		}
--- a/internal/waves/waves_test.go
+++ b/internal/waves/waves_test.go
@@ -24,13 +24,13 @@
 
 func newHarness(pool string, count, atOnce int) *harness {
 	g := &harness{scheduler: waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
-	order := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: atOnce}
+	wave := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: atOnce}
 	for i := range count {
 		id := fmt.Sprintf("m-%d", i)
 		g.machines[id] = &gauge.Machine{ID: id, Pool: pool, State: gauge.MachineUp, Worker: "i-" + id}
-		order.Machines = append(order.Machines, id)
+		wave.Machines = append(wave.Machines, id)
 	}
-	g.scheduler.AddWave(order, waves.StoredProgress{}, g.now)
+	g.scheduler.AddWave(wave, waves.StoredProgress{}, g.now)
 	g.advance(time.Millisecond)
 	return g
 }
@@ -49,9 +49,7 @@
 	return g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: never})
 }
 
-func (g *harness) recordStart(b waves.MaintenanceStart, err error) {
-	g.scheduler.RecordStart(b, err, g.now)
-}
+func (g *harness) record(s waves.MaintenanceStart, err error) { g.scheduler.RecordStart(s, err, g.now) }
 
 func TestMaintenanceStartsOnlyWhenTheOwnerReportsDrained(t *testing.T) {
 	g := newHarness("p", 6, 2)
@@ -71,7 +69,7 @@
 	s := g.next()
 	assert.Equal(t, len(s.Starts), 2)
 	for _, b := range s.Starts {
-		g.recordStart(b, gauge.Errorf(gauge.KindUnknown, "no answer"))
+		g.record(b, gauge.Errorf(gauge.KindUnknown, "no answer"))
 	}
 	s2 := g.next()
 	assert.Equal(t, len(s2.Starts), 2, "the same ones are asked again")
@@ -82,7 +80,7 @@
 	g := newHarness("spare", 3, 1)
 	g.scheduler.SetStandbyPools([]string{"spare"})
 	b := g.next().Starts[0]
-	g.recordStart(b, nil)
+	g.record(b, nil)
 	g.machines[b.Machine].State = gauge.MachineInMaintenance
 	g.advance(maintenanceTime + time.Second)
 	assert.Equal(t, len(g.next().Starts), 0)
@@ -95,7 +93,7 @@
 func TestOldListDoesNotEndMaintenance(t *testing.T) {
 	g := newHarness("spare", 2, 1)
 	g.scheduler.SetStandbyPools([]string{"spare"})
-	g.recordStart(g.next().Starts[0], nil)
+	g.record(g.next().Starts[0], nil)
 	g.advance(time.Millisecond)
 	assert.Equal(t, len(g.next().Starts), 0)
 }
@@ -105,9 +103,9 @@
 	g.scheduler.SetStandbyPools([]string{"spare"})
 	s := g.next()
 	assert.Equal(t, len(s.Starts), 3)
-	g.recordStart(s.Starts[0], nil)
-	g.recordStart(s.Starts[1], gauge.Errorf(gauge.KindBusy, "it leaves"))
-	g.recordStart(s.Starts[2], nil)
+	g.record(s.Starts[0], nil)
+	g.record(s.Starts[1], gauge.Errorf(gauge.KindBusy, "it leaves"))
+	g.record(s.Starts[2], nil)
 	assert.Equal(t, len(g.next().CompletedWaves), 0)
 	delete(g.machines, s.Starts[1].Machine)
 	g.advance(time.Second)
@@ -129,12 +127,12 @@
 
 func TestPoolsShortOfMachinesGiveNoneUntilTheWaveIsLate(t *testing.T) {
 	g := newHarness("p", 4, 2)
-	pressed := func(string) bool { return true }
-	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed}).Drains), 0)
+	isShort := func(string) bool { return true }
+	assert.Equal(t, len(g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: isShort}).Drains), 0)
 	g.advance(20 * time.Second)
-	asks := g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed}).Drains
-	assert.Assert(t, len(asks) > 0)
-	assert.Assert(t, asks[0].Force)
+	drains := g.scheduler.Next(g.now, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: isShort}).Drains
+	assert.Assert(t, len(drains) > 0)
+	assert.Assert(t, drains[0].Force)
 }
 
 // Guards against one machine too many being down after a handover. The fleet lease holder orders
@@ -163,13 +161,13 @@
 		{"shortly before its end", 25 * time.Second, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			k := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
-			order := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: 2}
+			scheduler := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
+			wave := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: 2}
 			var past waves.StoredProgress
 			var list []gauge.Machine
 			for i := range 20 {
 				id := fmt.Sprintf("m-%02d", i)
-				order.Machines = append(order.Machines, id)
+				wave.Machines = append(wave.Machines, id)
 				list = append(list, gauge.Machine{ID: id, Pool: "p", State: gauge.MachineUp, Worker: "i-" + id})
 				if i > 0 {
 					past.Started = append(past.Started, id)
@@ -177,12 +175,12 @@
 			}
 			past.Age = tt.age
 			const now = time.Minute
-			k.AddWave(order, past, now)
-			k.SetMachines(list, now+maintenanceTime+time.Millisecond)
-			pressed := func(string) bool { return true }
-			s := k.Next(now+maintenanceTime+time.Millisecond, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: pressed})
+			scheduler.AddWave(wave, past, now)
+			scheduler.SetMachines(list, now+maintenanceTime+time.Millisecond)
+			isShort := func(string) bool { return true }
+			s := scheduler.Next(now+maintenanceTime+time.Millisecond, waves.View{IsMoving: never, WasOrderedBefore: never, IsShort: isShort})
 			assert.Equal(t, len(s.Drains) > 0 && s.Drains[0].Force, tt.force)
-			assert.Equal(t, k.WaveAge(1, now), tt.age)
+			assert.Equal(t, scheduler.WaveAge(1, now), tt.age)
 		})
 	}
 }
