--- a/decode_test.go
+++ b/decode_test.go
@@ -64,7 +64,7 @@
 	f.Fuzz(func(_ *testing.T, b []byte) { _, _ = gauge.DecodeJobSpec(b) })
 }
 
-func FuzzDecodeMark(f *testing.F) {
+func FuzzDecodeOpenJobMark(f *testing.F) {
 	addSeeds(f, gauge.OpenJobMark{Pool: "p", Cancelled: true}.Encode())
 	f.Fuzz(func(_ *testing.T, b []byte) { _ = gauge.DecodeOpenJobMark(b) })
 }
--- a/error_test.go
+++ b/error_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Only errors made by Refuse may claim that a request did not run, and each kind has an answer of
-// its own.
-func TestFailNeverClaimsNotRun(t *testing.T) {
+// Only errors made by Refuse may claim that a request did not run, and no kind but internal is
+// answered like internal.
+func TestErrorfNeverClaimsNotRun(t *testing.T) {
 	for _, k := range gauge.Kinds() {
 		assert.Assert(t, gauge.Errorf(k, "x").Ran() != gauge.RanNo, k)
 		assert.Assert(t, k.Answer().Status >= 400, k)
--- a/grantrow.go
+++ b/grantrow.go
@@ -11,7 +11,7 @@
 // previous ones; its fields are those of LeaseRow. When it has changed it is written in one
 // transaction with the lease row, and only an entry that takes the lease reads it. As each change
 // of it changes the version of the lease row, a claim conditional on that version proves that the
-// contents read after it are current.
+// handover row read after it is current.
 type HandoverRow struct {
 	Workers          []string         `msgpack:"w,omitempty"`
 	RemainingLeases  map[string]int64 `msgpack:"l,omitempty"`
@@ -25,38 +25,38 @@
 
 // Split separates the fields for all entries from those for the next holder.
 func (r *LeaseRow) Split() (LeaseRow, HandoverRow) {
-	g := HandoverRow{Workers: r.Workers, RemainingLeases: r.RemainingLeases, DrainedFor: r.DrainedFor, UnrecordedOwners: r.UnrecordedOwners, OwnOrders: r.OwnOrders, PreviousOrders: r.PreviousOrders, Retention: r.Retention, OrdersAnnounced: r.OrdersAnnounced}
+	h := HandoverRow{Workers: r.Workers, RemainingLeases: r.RemainingLeases, DrainedFor: r.DrainedFor, UnrecordedOwners: r.UnrecordedOwners, OwnOrders: r.OwnOrders, PreviousOrders: r.PreviousOrders, Retention: r.Retention, OrdersAnnounced: r.OrdersAnnounced}
 	all := *r
 	all.Join(&HandoverRow{})
-	return all, g
+	return all, h
 }
 
 // Join adds the fields for the next holder.
-func (r *LeaseRow) Join(g *HandoverRow) {
-	r.Workers, r.RemainingLeases, r.DrainedFor, r.UnrecordedOwners = g.Workers, g.RemainingLeases, g.DrainedFor, g.UnrecordedOwners
-	r.OwnOrders, r.PreviousOrders, r.Retention, r.OrdersAnnounced = g.OwnOrders, g.PreviousOrders, g.Retention, g.OrdersAnnounced
+func (r *LeaseRow) Join(h *HandoverRow) {
+	r.Workers, r.RemainingLeases, r.DrainedFor, r.UnrecordedOwners = h.Workers, h.RemainingLeases, h.DrainedFor, h.UnrecordedOwners
+	r.OwnOrders, r.PreviousOrders, r.Retention, r.OrdersAnnounced = h.OwnOrders, h.PreviousOrders, h.Retention, h.OrdersAnnounced
 }
 
 // Equal reports whether two rows have the same content.
-func (g *HandoverRow) Equal(o *HandoverRow) bool {
-	return g.Retention == o.Retention && g.UnrecordedOwners == o.UnrecordedOwners && g.OrdersAnnounced == o.OrdersAnnounced && slices.Equal(g.Workers, o.Workers) &&
-		maps.Equal(g.RemainingLeases, o.RemainingLeases) && maps.Equal(g.DrainedFor, o.DrainedFor) && maps.Equal(g.OwnOrders, o.OwnOrders) && maps.Equal(g.PreviousOrders, o.PreviousOrders)
+func (h *HandoverRow) Equal(o *HandoverRow) bool {
+	return h.Retention == o.Retention && h.UnrecordedOwners == o.UnrecordedOwners && h.OrdersAnnounced == o.OrdersAnnounced && slices.Equal(h.Workers, o.Workers) &&
+		maps.Equal(h.RemainingLeases, o.RemainingLeases) && maps.Equal(h.DrainedFor, o.DrainedFor) && maps.Equal(h.OwnOrders, o.OwnOrders) && maps.Equal(h.PreviousOrders, o.PreviousOrders)
 }
 
 // Encode marshals the row for the table.
-func (g *HandoverRow) Encode() ([]byte, error) {
-	b, err := msgpack.Marshal(g)
+func (h *HandoverRow) Encode() ([]byte, error) {
+	b, err := msgpack.Marshal(h)
 	if err != nil {
-		return nil, Errorf(KindInternal, "grant row").WithCause(err)
+		return nil, Errorf(KindInternal, "handover row").WithCause(err)
 	}
 	return b, nil
 }
 
 // DecodeHandoverRow decodes a row written by Encode.
 func DecodeHandoverRow(b []byte) (*HandoverRow, error) {
-	g := new(HandoverRow)
-	if err := msgpack.Unmarshal(b, g); err != nil {
-		return nil, Errorf(KindInvalid, "grant row").WithCause(err)
+	h := new(HandoverRow)
+	if err := msgpack.Unmarshal(b, h); err != nil {
+		return nil, Errorf(KindInvalid, "handover row").WithCause(err)
 	}
-	return g, nil
+	return h, nil
 }
--- a/leaserow.go
+++ b/leaserow.go
@@ -59,8 +59,8 @@
 	return r.Counted
 }
 
-// InheritDepths takes over the depths of the previous row together with their time: an owner that
-// has not counted yet reports them as old as they are.
+// InheritDepths copies the depths of the previous row and the time of their count, so that an owner
+// that has not counted yet reports their true age.
 func (r *LeaseRow) InheritDepths(before *LeaseRow) {
 	r.Depths, r.UnreadQueues, r.Counted = before.Depths, before.UnreadQueues, before.CountedAt()
 	if r.Counted == 0 {
--- a/leaserow_test.go
+++ b/leaserow_test.go
@@ -30,7 +30,7 @@
 		value []byte
 	}{
 		{"empty", nil},
-		{"an address as it is", []byte("10.1.0.9:7060")},
+		{"a bare address", []byte("10.1.0.9:7060")},
 		{"no address", packed(gauge.EntryRow{Capacity: 1})},
 		{"no capacity", packed(gauge.EntryRow{Addr: "10.1.0.9:7060"})},
 		{"less than none", packed(gauge.EntryRow{Addr: "10.1.0.9:7060", Capacity: -1})},
@@ -70,12 +70,12 @@
 		Holder: "e/1", Addr: "a", Term: 2, Workers: []string{"w@1"}, RemainingLeases: map[string]int64{"w@1": 1}, DrainedFor: map[string]int64{"w": 2}, UnrecordedOwners: 2,
 		Depths: map[string]int{"sheets": 1}, OwnOrders: map[string]int64{"m": 3}, PreviousOrders: map[string]int64{"n": 4}, Retention: 5, OrdersAnnounced: true,
 	}
-	all, grants := row.Split()
-	value, err := grants.Encode()
+	all, handover := row.Split()
+	value, err := handover.Encode()
 	assert.NilError(t, err)
 	read, err := gauge.DecodeHandoverRow(value)
 	assert.NilError(t, err)
-	assert.Assert(t, read.Equal(&grants))
+	assert.Assert(t, read.Equal(&handover))
 	assert.Equal(t, len(all.DrainedFor), 0)
 	all.Join(read)
 	assert.DeepEqual(t, all, row)
--- a/life.go
+++ b/life.go
@@ -13,21 +13,21 @@
 	StartedAt int64 // start time in Unix milliseconds by its own clock; 0: not reported
 }
 
-// IsBefore reports whether l is over if o is known: o belongs to the same worker and started later.
+// IsBefore reports whether i is over if o is known: o belongs to the same worker and started later.
 // An incarnation without a start time comes before those with one.
-func (l Incarnation) IsBefore(o Incarnation) bool {
-	return l.Worker == o.Worker && l.StartedAt < o.StartedAt
+func (i Incarnation) IsBefore(o Incarnation) bool {
+	return i.Worker == o.Worker && i.StartedAt < o.StartedAt
 }
 
 // incarnationSeparator separates a worker's ID from the start time of its incarnation.
 const incarnationSeparator = "@"
 
 // String returns the name of the incarnation in rows of the table.
-func (l Incarnation) String() string {
-	if l.StartedAt == 0 {
-		return l.Worker
+func (i Incarnation) String() string {
+	if i.StartedAt == 0 {
+		return i.Worker
 	}
-	return l.Worker + incarnationSeparator + strconv.FormatInt(l.StartedAt, 10)
+	return i.Worker + incarnationSeparator + strconv.FormatInt(i.StartedAt, 10)
 }
 
 // ParseIncarnation parses a name returned by String. A name without a start time, as in rows of
--- a/life_test.go
+++ b/life_test.go
@@ -15,10 +15,10 @@
 		incarnation gauge.Incarnation
 		text        string
 	}{
-		{"told", gauge.Incarnation{Worker: "i-1", StartedAt: 1700000000000}, "i-1@1700000000000"},
-		{"not told", gauge.Incarnation{Worker: "i-1"}, "i-1"},
-		{"a mark in the id", gauge.Incarnation{Worker: "a@b", StartedAt: 7}, "a@b@7"},
-		{"a mark and no number", gauge.Incarnation{Worker: "a@b"}, "a@b"},
+		{"with a start time", gauge.Incarnation{Worker: "i-1", StartedAt: 1700000000000}, "i-1@1700000000000"},
+		{"without a start time", gauge.Incarnation{Worker: "i-1"}, "i-1"},
+		{"a separator in the ID", gauge.Incarnation{Worker: "a@b", StartedAt: 7}, "a@b@7"},
+		{"a separator and no start time", gauge.Incarnation{Worker: "a@b"}, "a@b"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			assert.Equal(t, tt.incarnation.String(), tt.text)
--- a/machine.go
+++ b/machine.go
@@ -16,7 +16,8 @@
 	MachineDown          MachineState = "down"
 )
 
-// Machine is a host as the platform lists it. A worker is one incarnation of the machine.
+// Machine is a machine on the list of the platform's machine service. At most one worker runs on it
+// at a time.
 type Machine struct {
 	ID       string
 	Pool     string
@@ -42,8 +43,8 @@
 // exist or isn't part of that wave.
 type Machines interface {
 	List(ctx context.Context) ([]Machine, error)
-	Move(ctx context.Context, d OrderIssuer, machine, pool string) error
-	StartMaintenance(ctx context.Context, d OrderIssuer, machine string, wave int64) error
+	Move(ctx context.Context, issuer OrderIssuer, machine, pool string) error
+	StartMaintenance(ctx context.Context, issuer OrderIssuer, machine string, wave int64) error
 }
 
 // Ticket permits the tasks of one step on one worker, until that worker is restarted.
--- a/mechanism.go
+++ b/mechanism.go
@@ -51,11 +51,11 @@
 type Disabled []Mechanism
 
 // Has reports whether a mechanism is switched off.
-func (w Disabled) Has(m Mechanism) bool { return slices.Contains(w, m) }
+func (d Disabled) Has(m Mechanism) bool { return slices.Contains(d, m) }
 
 // ParseDisabled parses mechanism names separated by commas.
 func ParseDisabled(text string) (Disabled, error) {
-	var w Disabled
+	var disabled Disabled
 	for _, name := range strings.Split(text, ",") {
 		name = strings.TrimSpace(name)
 		if name == "" {
@@ -64,9 +64,9 @@
 		if !slices.Contains(Mechanisms(), Mechanism(name)) {
 			return nil, Errorf(KindInvalid, "without: %q is none of %s", name, mechanismNames())
 		}
-		w = append(w, Mechanism(name))
+		disabled = append(disabled, Mechanism(name))
 	}
-	return w, nil
+	return disabled, nil
 }
 
 func mechanismNames() string {
--- a/pool.go
+++ b/pool.go
@@ -11,10 +11,10 @@
 	PreferSpeed  Preference = "speed"  // finish waves and changes as soon as possible
 )
 
-// FailureDomain is a failure domain: the group of hosts that fail together.
+// FailureDomain is the level at which hosts fail together: rack or zone.
 type FailureDomain string
 
-// The failure domains.
+// The levels of failure domains.
 const (
 	DomainRack FailureDomain = "rack"
 	DomainZone FailureDomain = "zone"
--- a/site.go
+++ b/site.go
@@ -119,8 +119,9 @@
 	return nil
 }
 
-// MaintenanceOrder is a wave: it asks that machines undergo maintenance within a time, with at most
-// MaxConcurrent of them down at a time.
+// MaintenanceOrder is a wave of machines in the operator's table: it asks that they undergo
+// maintenance within a time, with at most MaxConcurrent of them down at a time. A Wave, in
+// contrast, is declared by a record and reboots hosts.
 type MaintenanceOrder struct {
 	Wave          int64
 	Machines      []string
--- a/suspect.go
+++ b/suspect.go
@@ -11,7 +11,7 @@
 	Run       int    `msgpack:"r"`
 	Worker    string `msgpack:"w"`
 	StartedAt int64  `msgpack:"n,omitempty"` // start of the worker's incarnation, see Incarnation
-	// Crashed says that the worker is dead; else its fate is still unknown.
+	// Crashed says that the worker is dead; else it isn't known yet whether it crashed.
 	Crashed bool `msgpack:"x,omitempty"`
 	// SoleJob says that no other job had a task on the worker, so none of those is the cause.
 	SoleJob bool `msgpack:"o,omitempty"`
@@ -26,8 +26,8 @@
 }
 
 // Incarnation returns the incarnation of the worker.
-func (t *SuspectRun) Incarnation() Incarnation {
-	return Incarnation{Worker: t.Worker, StartedAt: t.StartedAt}
+func (r *SuspectRun) Incarnation() Incarnation {
+	return Incarnation{Worker: r.Worker, StartedAt: r.StartedAt}
 }
 
 // SuspectRuns are the runs of one task that may have crashed their workers. A run of a gang on
@@ -35,39 +35,39 @@
 type SuspectRuns []SuspectRun
 
 // CrashCount counts the runs whose workers crashed.
-func (t SuspectRuns) CrashCount() int { return t.count(func(r SuspectRun) bool { return r.Crashed }) }
+func (s SuspectRuns) CrashCount() int { return s.count(func(r SuspectRun) bool { return r.Crashed }) }
 
 // SoleJobCrashCount counts those of the crashed runs that shared their worker with no other job.
-func (t SuspectRuns) SoleJobCrashCount() int {
-	return t.count(func(r SuspectRun) bool { return r.Crashed && r.SoleJob })
+func (s SuspectRuns) SoleJobCrashCount() int {
+	return s.count(func(r SuspectRun) bool { return r.Crashed && r.SoleJob })
 }
 
 // IsolatedCrashCount counts those of the crashed runs that were isolated from other jobs' tasks.
-func (t SuspectRuns) IsolatedCrashCount() int {
-	return t.count(func(r SuspectRun) bool { return r.Crashed && r.Isolated })
+func (s SuspectRuns) IsolatedCrashCount() int {
+	return s.count(func(r SuspectRun) bool { return r.Crashed && r.Isolated })
 }
 
 // LikelyCrashCount counts those of the crashed runs for which nothing on the worker was a likelier
 // cause.
-func (t SuspectRuns) LikelyCrashCount() int {
-	return t.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause })
+func (s SuspectRuns) LikelyCrashCount() int {
+	return s.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause })
 }
 
 // UnlikelyCrashCountWithin counts the crashed runs that ended within a span from their start and
 // for which another task on the worker was a likelier cause.
-func (t SuspectRuns) UnlikelyCrashCountWithin(span time.Duration) int {
-	return t.count(func(r SuspectRun) bool { return r.Crashed && r.LikelierCause && r.RunTime < span })
+func (s SuspectRuns) UnlikelyCrashCountWithin(span time.Duration) int {
+	return s.count(func(r SuspectRun) bool { return r.Crashed && r.LikelierCause && r.RunTime < span })
 }
 
 // LikelyCrashCountWithin counts the crashed runs that ended within a span from their start and for
 // which nothing on the worker was a likelier cause.
-func (t SuspectRuns) LikelyCrashCountWithin(span time.Duration) int {
-	return t.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause && r.RunTime < span })
+func (s SuspectRuns) LikelyCrashCountWithin(span time.Duration) int {
+	return s.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause && r.RunTime < span })
 }
 
-func (t SuspectRuns) count(matches func(r SuspectRun) bool) int {
+func (s SuspectRuns) count(matches func(r SuspectRun) bool) int {
 	numbers := make(map[int]bool)
-	for _, r := range t {
+	for _, r := range s {
 		if matches(r) {
 			numbers[r.Run] = true
 		}
@@ -75,21 +75,21 @@
 	return len(numbers)
 }
 
-// HasOpenIsolatedRun reports whether a run was recorded as isolated and its worker's fate is
-// unknown.
-func (t SuspectRuns) HasOpenIsolatedRun(run int) bool {
-	return slices.ContainsFunc(t, func(r SuspectRun) bool { return r.Run == run && r.Isolated && !r.Crashed })
+// HasOpenIsolatedRun reports whether a run was recorded as isolated and it isn't known yet whether
+// its worker crashed.
+func (s SuspectRuns) HasOpenIsolatedRun(run int) bool {
+	return slices.ContainsFunc(s, func(r SuspectRun) bool { return r.Run == run && r.Isolated && !r.Crashed })
 }
 
 // WithoutRun returns the runs except for those with one number.
-func (t SuspectRuns) WithoutRun(run int) SuspectRuns {
-	return slices.DeleteFunc(slices.Clone(t), func(r SuspectRun) bool { return r.Run == run })
+func (s SuspectRuns) WithoutRun(run int) SuspectRuns {
+	return slices.DeleteFunc(slices.Clone(s), func(r SuspectRun) bool { return r.Run == run })
 }
 
 // LongestRunTime returns the run time of the longest of these runs.
-func (t SuspectRuns) LongestRunTime() time.Duration {
+func (s SuspectRuns) LongestRunTime() time.Duration {
 	longest := time.Duration(0)
-	for _, r := range t {
+	for _, r := range s {
 		longest = max(longest, r.RunTime)
 	}
 	return longest
@@ -97,8 +97,8 @@
 
 // AnyEndedWithin reports whether one of the runs ended, or may have ended, within a span from its
 // start.
-func (t SuspectRuns) AnyEndedWithin(span time.Duration) bool {
-	for _, r := range t {
+func (s SuspectRuns) AnyEndedWithin(span time.Duration) bool {
+	for _, r := range s {
 		if r.RunTime < span {
 			return true
 		}
