--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -168,29 +168,29 @@
 func newHarness(t *table, c *clock) *harness { return newRelayHarness(t, c, nil) }
 
 func newRelayHarness(t *table, c *clock, r intake.Relay) *harness {
-	g := &harness{timers: timers{channels: make(map[time.Duration]chan time.Time)}}
-	g.intake = intake.New(intake.Config{
-		Relay: r, After: g.timers.After,
+	h := &harness{timers: timers{channels: make(map[time.Duration]chan time.Time)}}
+	h.intake = intake.New(intake.Config{
+		Relay: r, After: h.timers.After,
 		Store: t, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
 		CachedDepth: func(*gauge.Queue) (int, time.Duration, bool) { return 0, 0, true },
 		OwnerDepth:  func(context.Context, *gauge.Queue) (int, bool) { return 0, false },
 		JobState:    func(context.Context, *gauge.Queue, string) (gauge.JobState, bool) { return "", false },
-		OwnsJob:     func(_ *gauge.Queue, id string) bool { return g.known[id] },
+		OwnsJob:     func(_ *gauge.Queue, id string) bool { return h.known[id] },
 		NotifyOwner: func(n intake.Notification) {
-			g.mu.Lock()
-			defer g.mu.Unlock()
-			g.notifications = append(g.notifications, n)
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.notifications = append(h.notifications, n)
 		},
 	})
-	return g
+	return h
 }
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-func (g *harness) submit(n int) error {
+func (h *harness) submit(n int) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	return g.intake.Submit(ctx, &gauge.Queue{Name: "sheets", Pool: "brakes"}, id(n), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
+	return h.intake.Submit(ctx, &gauge.Queue{Name: "sheets", Pool: "brakes"}, id(n), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 }
 
 func outage(int, func()) error { return gauge.Errorf(gauge.KindOutage, "refused") }
@@ -237,14 +237,14 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			store := newTable()
-			g := newHarness(store, &clock{step: time.Millisecond})
+			h := newHarness(store, &clock{step: time.Millisecond})
 			store.answer = tt.answer
 			store.onRead = func(n int) {
 				if n == readsBeforeTimeout {
-					g.timers.fire(submitTimeout)
+					h.timers.fire(submitTimeout)
 				}
 			}
-			err := g.submit(1)
+			err := h.submit(1)
 			if tt.kind == "" {
 				assert.NilError(t, err)
 			} else {
@@ -253,7 +253,7 @@
 			}
 			_, stored := store.rows[gauge.RowKey{Table: gauge.TableJobs, Partition: "sheets", Key: id(1)}]
 			assert.Equal(t, stored, tt.stored)
-			assert.Equal(t, len(g.notifications), tt.notifications)
+			assert.Equal(t, len(h.notifications), tt.notifications)
 		})
 	}
 }
@@ -263,11 +263,11 @@
 // a slow one, more would wait than the partition accepts.
 func TestJobsSubmittedDuringATransactionShareTheNext(t *testing.T) {
 	store, received, release := newHangingTable()
-	g := newHarness(store, &clock{})
+	h := newHarness(store, &clock{})
 	var group sync.WaitGroup
 	results := make([]error, 41)
 	start := func(n int) {
-		group.Go(func() { results[n] = g.submit(n) })
+		group.Go(func() { results[n] = h.submit(n) })
 	}
 	start(0)
 	<-received
@@ -275,7 +275,7 @@
 		start(n)
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if g.intake.QueuedJobs("sheets") == 40 {
+		if h.intake.QueuedJobs("sheets") == 40 {
 			return poll.Success()
 		}
 		return poll.Continue("40 jobs are queued")
@@ -305,21 +305,21 @@
 		store.rows[key] = gauge.PartitionRow{RowKey: key, Value: value, Version: store.version}
 		return gauge.Errorf(gauge.KindUnknown, "no answer")
 	}
-	g := newHarness(store, &clock{step: time.Millisecond})
-	assert.NilError(t, g.submit(1))
-	assert.Equal(t, len(g.notifications), 0)
+	h := newHarness(store, &clock{step: time.Millisecond})
+	assert.NilError(t, h.submit(1))
+	assert.Equal(t, len(h.notifications), 0)
 }
 
 func TestCancel(t *testing.T) {
 	store := newTable()
-	g := newHarness(store, &clock{step: time.Millisecond})
+	h := newHarness(store, &clock{step: time.Millisecond})
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-	assert.Equal(t, gauge.KindOf(g.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
-	assert.NilError(t, g.submit(1))
-	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
-	state, err := g.intake.State(context.Background(), q, id(1))
+	assert.Equal(t, gauge.KindOf(h.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
+	assert.NilError(t, h.submit(1))
+	assert.NilError(t, h.intake.Cancel(context.Background(), q, id(1)))
+	state, err := h.intake.State(context.Background(), q, id(1))
 	assert.NilError(t, err)
 	assert.Equal(t, state, gauge.JobCancelled)
-	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)), "again")
-	assert.Equal(t, len(g.notifications), 3, "the owner is notified each time: it may have missed the first")
+	assert.NilError(t, h.intake.Cancel(context.Background(), q, id(1)), "again")
+	assert.Equal(t, len(h.notifications), 3, "the owner is notified each time: it may have missed the first")
 }
--- a/internal/intake/outage_test.go
+++ b/internal/intake/outage_test.go
@@ -29,23 +29,23 @@
 // queued for the next one; then the waits of both callers end.
 func TestCallersDoNotWaitForAHangingTransaction(t *testing.T) {
 	store, received, release := newHangingTable()
-	g := newHarness(store, &clock{step: time.Millisecond})
+	h := newHarness(store, &clock{step: time.Millisecond})
 	var group sync.WaitGroup
 	results := make([]error, 2)
-	group.Go(func() { results[0] = g.submit(0) })
+	group.Go(func() { results[0] = h.submit(0) })
 	<-received
-	group.Go(func() { results[1] = g.submit(1) })
-	waitFor(t, "the second job is queued", func() bool { return g.intake.QueuedJobs("sheets") == 1 })
-	g.timers.fire(submitTimeout)
-	g.timers.fire(submitTimeout)
+	group.Go(func() { results[1] = h.submit(1) })
+	waitFor(t, "the second job is queued", func() bool { return h.intake.QueuedJobs("sheets") == 1 })
+	h.timers.fire(submitTimeout)
+	h.timers.fire(submitTimeout)
 	group.Wait()
 	assert.Equal(t, gauge.KindOf(results[0]), gauge.KindExpired, "it may still be stored")
 	assert.Equal(t, gauge.KindOf(results[1]), gauge.KindOutage, "it was not sent")
 	close(release)
 	waitFor(t, "the owner is notified of the job that was stored after all", func() bool {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		return len(g.notifications) == 1 && g.notifications[0].ID == id(0)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		return len(h.notifications) == 1 && h.notifications[0].ID == id(0)
 	})
 	assert.Equal(t, store.count(), 1, "the refused job is never sent")
 }
@@ -57,19 +57,19 @@
 	store := newTable()
 	store.silent = true
 	store.answer = outage
-	g := newHarness(store, &clock{step: time.Millisecond})
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
+	h := newHarness(store, &clock{step: time.Millisecond})
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindOutage)
 	for n := range 3 {
-		assert.Equal(t, gauge.KindOf(g.submit(2+n)), gauge.KindOutage)
+		assert.Equal(t, gauge.KindOf(h.submit(2+n)), gauge.KindOutage)
 	}
 	assert.Equal(t, store.count(), 1, "nothing more is sent")
-	g.timers.fire(probeRetryDelay) // still unreachable
+	h.timers.fire(probeRetryDelay) // still unreachable
 	store.mu.Lock()
 	store.answer = nil
 	store.mu.Unlock()
 	store.setSilent(false)
-	g.timers.fire(probeRetryDelay)
-	waitFor(t, "jobs are accepted again", func() bool { return g.submit(9) == nil })
+	h.timers.fire(probeRetryDelay)
+	waitFor(t, "jobs are accepted again", func() bool { return h.submit(9) == nil })
 }
 
 // Guards against running a job that was refused. A transaction gets no answer, then reads fail, and
@@ -78,8 +78,8 @@
 	store := newTable()
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
-	g := newHarness(store, &clock{step: time.Millisecond})
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
+	h := newHarness(store, &clock{step: time.Millisecond})
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindExpired)
 }
 
 // peer is the pool's owner at another entry, as seen by an entry that can't reach the table.
@@ -118,8 +118,8 @@
 	}{
 		{"stored there", outage, nil, ""},
 		{"stored there, sent here", unknown, nil, ""},
-		{"refused by both", outage, gauge.Errorf(gauge.KindOutage, "away"), gauge.KindOutage},
-		{"refused there, sent here", unknown, gauge.Errorf(gauge.KindOutage, "away"), gauge.KindExpired},
+		{"refused by both", outage, gauge.Errorf(gauge.KindOutage, "unreachable"), gauge.KindOutage},
+		{"refused there, sent here", unknown, gauge.Errorf(gauge.KindOutage, "unreachable"), gauge.KindExpired},
 		{"no owner to ask", outage, gauge.Errorf(gauge.KindNoWorker, "no owner"), gauge.KindExpired},
 		{"no answer from there", outage, gauge.Errorf(gauge.KindUnknown, "no answer"), gauge.KindExpired},
 		{"may be stored there", outage, gauge.Errorf(gauge.KindExpired, "not known"), gauge.KindExpired},
@@ -130,10 +130,10 @@
 			store := newTable()
 			store.silent, store.answer = true, tt.here
 			p := &peer{err: tt.there}
-			g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
-			err := g.submit(1)
+			h := newRelayHarness(store, &clock{step: time.Millisecond}, p)
+			err := h.submit(1)
 			assert.Equal(t, p.submits, 1)
-			assert.Equal(t, len(g.notifications), 0, "the owner knows")
+			assert.Equal(t, len(h.notifications), 0, "the owner knows")
 			if tt.want == "" {
 				assert.NilError(t, err)
 				return
@@ -148,11 +148,11 @@
 	store := newTable()
 	store.silent, store.answer = true, outage
 	p := &peer{}
-	g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
+	h := newRelayHarness(store, &clock{step: time.Millisecond}, p)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-	err := g.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
+	err := h.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	assert.Equal(t, gauge.KindOf(err), gauge.KindOutage)
 	assert.Equal(t, p.submits, 0)
 }
@@ -161,15 +161,15 @@
 	store := newTable()
 	store.silent = true
 	p := &peer{}
-	g := newRelayHarness(store, &clock{step: time.Millisecond}, p)
+	h := newRelayHarness(store, &clock{step: time.Millisecond}, p)
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
+	assert.NilError(t, h.intake.Cancel(context.Background(), q, id(1)))
 	p.err = gauge.Errorf(gauge.KindGone, "no such job")
-	assert.Equal(t, gauge.KindOf(g.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
-	p.err = gauge.Errorf(gauge.KindOutage, "away")
+	assert.Equal(t, gauge.KindOf(h.intake.Cancel(context.Background(), q, id(1))), gauge.KindGone)
+	p.err = gauge.Errorf(gauge.KindOutage, "unreachable")
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	assert.Equal(t, gauge.KindOf(g.intake.Cancel(ctx, q, id(1))), gauge.KindOutage)
+	assert.Equal(t, gauge.KindOf(h.intake.Cancel(ctx, q, id(1))), gauge.KindOutage)
 	assert.Equal(t, p.cancels, 3)
 }
 
@@ -196,7 +196,7 @@
 		{"no owner to ask, stored here", gauge.Errorf(gauge.KindNoWorker, "no owner"), nil, 0, "", 1},
 		{"no owner to ask, not stored here", gauge.Errorf(gauge.KindNoWorker, "no owner"), outage, 0, gauge.KindExpired, 1},
 		{"stored by neither", gauge.Errorf(gauge.KindOutage, "no owner"), outage, 0, gauge.KindOutage, 0},
-		{"refused there, no answer would come here", gauge.Errorf(gauge.KindOutage, "away"), lost, 0, gauge.KindOutage, 0},
+		{"refused there, no answer would come here", gauge.Errorf(gauge.KindOutage, "unreachable"), lost, 0, gauge.KindOutage, 0},
 		{"no such queue there", gauge.Errorf(gauge.KindNotFound, "no such queue"), nil, 0, gauge.KindNotFound, 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -222,12 +222,12 @@
 func TestSubmissionEndsWithItsContext(t *testing.T) {
 	store, received, release := newHangingTable()
 	defer close(release)
-	g := newHarness(store, &clock{step: time.Millisecond})
+	h := newHarness(store, &clock{step: time.Millisecond})
 	ctx, stop := context.WithCancel(context.Background())
 	result := make(chan error, 1)
 	go func() {
 		q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-		result <- g.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
+		result <- h.intake.SubmitLocally(ctx, q, id(1), &gauge.JobSpec{Steps: []gauge.Step{{Count: 1}}})
 	}()
 	<-received
 	stop()
@@ -243,13 +243,13 @@
 	store.silent = true
 	store.answer = func(int, func()) error { return gauge.Errorf(gauge.KindUnknown, "no answer") }
 	c := &clock{step: time.Millisecond}
-	g := newHarness(store, c)
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
-	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindOutage, "another job was certainly not sent")
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindExpired)
+	h := newHarness(store, c)
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindExpired)
+	assert.Equal(t, gauge.KindOf(h.submit(2)), gauge.KindOutage, "another job was certainly not sent")
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindExpired)
 	assert.Equal(t, store.count(), 1)
 	c.advance(time.Hour)
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage, "it can no longer take effect")
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindOutage, "it can no longer take effect")
 }
 
 // Guards against a cancellation whose caller gets no clear answer, or whose owner is never
@@ -257,8 +257,8 @@
 // and must not take it for a job that ended before its cancellation.
 func TestRetriedCancelNotifiesTheOwner(t *testing.T) {
 	store := newTable()
-	g := newHarness(store, &clock{step: time.Millisecond})
-	assert.NilError(t, g.submit(1))
+	h := newHarness(store, &clock{step: time.Millisecond})
+	assert.NilError(t, h.submit(1))
 	store.answer = func(n int, execute func()) error {
 		if n != 2 {
 			return nil
@@ -267,10 +267,10 @@
 		return gauge.Errorf(gauge.KindUnknown, "no answer")
 	}
 	q := &gauge.Queue{Name: "sheets", Pool: "brakes"}
-	assert.NilError(t, g.intake.Cancel(context.Background(), q, id(1)))
+	assert.NilError(t, h.intake.Cancel(context.Background(), q, id(1)))
 	assert.Equal(t, store.count(), 2, "it does not take effect twice")
-	assert.Equal(t, len(g.notifications), 2)
-	assert.Assert(t, g.notifications[1].Cancelled, "the owner is notified")
+	assert.Equal(t, len(h.notifications), 2)
+	assert.Assert(t, h.notifications[1].Cancelled, "the owner is notified")
 }
 
 // Guards against callers that use up their attempts within an outage of some seconds, so that their
@@ -280,13 +280,13 @@
 	store := newTable()
 	store.silent, store.answer = true, outage
 	c := &clock{}
-	g := newHarness(store, c)
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
-	for i, tt := range []struct{ away, want time.Duration }{
+	h := newHarness(store, c)
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindOutage)
+	for i, tt := range []struct{ outage, want time.Duration }{
 		{0, time.Second}, {2 * time.Second, 2 * time.Second}, {time.Minute, 4 * time.Second},
 	} {
-		c.advance(tt.away)
-		assert.Equal(t, gauge.AsError(g.submit(2+i)).RetryAfter, tt.want)
+		c.advance(tt.outage)
+		assert.Equal(t, gauge.AsError(h.submit(2+i)).RetryAfter, tt.want)
 	}
 }
 
@@ -306,7 +306,7 @@
 	var notified []string
 	entry := intake.New(intake.Config{
 		Store: store, Logs: logr.Discard(), CountEvent: func(string) {}, Now: c.Now, TableClock: func() int64 { return 1 },
-		NotifyOwner: func(intake.Notification) {}, Relay: &peer{err: gauge.Errorf(gauge.KindOutage, "away")},
+		NotifyOwner: func(intake.Notification) {}, Relay: &peer{err: gauge.Errorf(gauge.KindOutage, "unreachable")},
 		ReportUnsettled: func(_ *gauge.Queue, id string) {
 			notified = append(notified, id)
 			owner.intake.MarkUnsettled(id)
@@ -326,8 +326,8 @@
 	store := newTable()
 	store.silent = true
 	store.answer = outage
-	g := newHarness(store, &clock{step: time.Millisecond})
-	g.known = map[string]bool{id(2): true}
-	assert.Equal(t, gauge.KindOf(g.submit(1)), gauge.KindOutage)
-	assert.Equal(t, gauge.KindOf(g.submit(2)), gauge.KindExpired)
+	h := newHarness(store, &clock{step: time.Millisecond})
+	h.known = map[string]bool{id(2): true}
+	assert.Equal(t, gauge.KindOf(h.submit(1)), gauge.KindOutage)
+	assert.Equal(t, gauge.KindOf(h.submit(2)), gauge.KindExpired)
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -67,11 +67,11 @@
 func (f *fleet) requestDraining(ctx context.Context, requests []waves.DrainRequest) {
 	for _, request := range requests {
 		f.calls.start("empty "+request.Machine, func() func() {
-			empty, err := f.node.drainWorker(ctx, drainCall{Pool: request.Pool, Worker: request.Worker, Force: request.Force})
+			drained, err := f.node.drainWorker(ctx, drainCall{Pool: request.Pool, Worker: request.Worker, Force: request.Force})
 			if err != nil {
 				f.node.conf.Logs.Info("machine not emptied", "machine", request.Machine, "pool", request.Pool, "error", err.Error())
 			}
-			return func() { f.scheduler.RecordDrainAnswer(request, empty && err == nil) }
+			return func() { f.scheduler.RecordDrainAnswer(request, drained && err == nil) }
 		})
 	}
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -92,8 +92,8 @@
 // machinesToOrder returns the machines that are about to be ordered.
 func machinesToOrder(steps waves.Steps, moves []sizing.Move) map[string]bool {
 	machines := make(map[string]bool)
-	for _, b := range steps.Starts {
-		machines[b.Machine] = true
+	for _, s := range steps.Starts {
+		machines[s.Machine] = true
 	}
 	for _, m := range moves {
 		if m.Drained {
--- a/internal/node/ownercalls.go
+++ b/internal/node/ownercalls.go
@@ -43,7 +43,7 @@
 		return o, "", nil
 	}
 	row, ok := n.leaseView.Lease(pool)
-	if m, gone := n.ownerMoves[pool]; gone && (n.leaseView.LeaseVersion(pool) <= m.version || row.Holder == n.holder) {
+	if m, moved := n.ownerMoves[pool]; moved && (n.leaseView.LeaseVersion(pool) <= m.version || row.Holder == n.holder) {
 		return nil, m.addr, nil
 	}
 	if !ok || row.Holder == n.holder {
@@ -99,7 +99,7 @@
 }
 
 type drainAnswer struct {
-	Empty bool `msgpack:"e"`
+	Drained bool `msgpack:"e"`
 }
 
 // drainWorker asks a pool's owner to drain a worker and reports whether nothing runs there.
@@ -115,7 +115,7 @@
 	defer cancel()
 	var answer drainAnswer
 	err = n.conf.Mesh.Call(ctx, addr, methodDrain, &c, &answer)
-	return answer.Empty, err
+	return answer.Drained, err
 }
 
 func (n *Node) handleDrain(_ context.Context, body []byte) (any, error) {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return drainAnswer{Empty: o.DrainWorker(c.Worker, c.Force)}, nil
+	return drainAnswer{Drained: o.DrainWorker(c.Worker, c.Force)}, nil
 }
 
 type stateCall struct {
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -47,8 +47,8 @@
 	for _, m := range moves {
 		began := f.calls.start("move "+m.Machine, func() func() {
 			if !m.Drained {
-				empty := f.drainMachine(ctx, m)
-				return func() { f.sizer.SetDrained(m.Machine, empty) }
+				drained := f.drainMachine(ctx, m)
+				return func() { f.sizer.SetDrained(m.Machine, drained) }
 			}
 			err := f.orderMove(ctx, m)
 			return func() {
@@ -63,11 +63,11 @@
 }
 
 func (f *fleet) drainMachine(ctx context.Context, m sizing.Move) bool {
-	empty, err := f.node.drainWorker(ctx, drainCall{Pool: m.From, Worker: m.Worker})
+	drained, err := f.node.drainWorker(ctx, drainCall{Pool: m.From, Worker: m.Worker})
 	if err != nil {
 		f.node.conf.Logs.Info("machine not emptied", "machine", m.Machine, "pool", m.From, "error", err.Error())
 	}
-	if !empty || err != nil {
+	if !drained || err != nil {
 		return false
 	}
 	f.wake()
--- a/internal/queue/queue.go
+++ b/internal/queue/queue.go
@@ -130,17 +130,17 @@
 	if elapsed < rateWindow {
 		return
 	}
-	fresh := l.finishedCount / elapsed.Seconds()
+	windowRate := l.finishedCount / elapsed.Seconds()
 	if l.rate == 0 {
-		l.rate = fresh
+		l.rate = windowRate
 	}
-	l.rate = (l.rate + fresh) / 2
+	l.rate = (l.rate + windowRate) / 2
 	l.windowStart = now
 	l.finishedCount = 0
 }
 
-// estimateWait returns 0 while the rate is unknown: refusing without evidence would turn work away
-// from an idle fleet.
+// estimateWait returns 0 while the rate is unknown: a refusal without evidence would keep work from
+// an idle fleet.
 func (l *classQueue) estimateWait(now time.Time, position int) time.Duration {
 	l.rollWindow(now)
 	if l.rate <= 0 {
--- a/internal/sizing/share.go
+++ b/internal/sizing/share.go
@@ -18,11 +18,11 @@
 		func(n need) int { return n.timely },
 		func(n need) int { return n.late },
 	} {
-		asked := make([]int, len(pools))
+		requested := make([]int, len(pools))
 		for i, p := range pools {
-			asked[i] = part(needs[p])
+			requested[i] = part(needs[p])
 		}
-		for i, n := range divide(asked, supply) {
+		for i, n := range divide(requested, supply) {
 			got[pools[i]] += n
 			supply -= n
 		}
@@ -32,27 +32,27 @@
 
 // divide gives each pool what it asks for, or a proportional share if the sum exceeds the supply;
 // the largest remainders are rounded up.
-func divide(asked []int, supply int) []int {
+func divide(requested []int, supply int) []int {
 	sum := 0
-	for _, a := range asked {
+	for _, a := range requested {
 		sum += a
 	}
 	if sum <= supply {
-		return asked
+		return requested
 	}
-	got := make([]int, len(asked))
+	got := make([]int, len(requested))
 	if supply <= 0 {
 		return got
 	}
-	order := make([]int, len(asked))
+	order := make([]int, len(requested))
 	left := supply
-	for i, a := range asked {
+	for i, a := range requested {
 		got[i] = a * supply / sum
 		left -= got[i]
 		order[i] = i
 	}
 	sort.SliceStable(order, func(x, y int) bool {
-		return asked[order[x]]*supply%sum > asked[order[y]]*supply%sum
+		return requested[order[x]]*supply%sum > requested[order[y]]*supply%sum
 	})
 	for _, i := range order[:left] {
 		got[i]++
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -187,9 +187,9 @@
 }
 
 // SetDrained records whether nothing runs on a machine, as its pool's owner reported.
-func (s *Sizer) SetDrained(machine string, empty bool) {
+func (s *Sizer) SetDrained(machine string, drained bool) {
 	if v := s.moves[machine]; v != nil {
-		v.Drained, v.inFlight = empty, false
+		v.Drained, v.inFlight = drained, false
 	}
 }
 
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -75,7 +75,7 @@
 	moves := g.next()
 	assert.Equal(t, countTo(moves, "a"), 8+6, "all from standby, and what b has above its base")
 	for _, m := range moves {
-		assert.Equal(t, m.Drained, m.From == "spare", "a machine in use is emptied first")
+		assert.Equal(t, m.Drained, m.From == "spare", "a machine in use is drained first")
 	}
 }
 
--- a/internal/timely/timely_test.go
+++ b/internal/timely/timely_test.go
@@ -69,10 +69,10 @@
 				Store: store, CheckDelay: checkDelay, MaxFastRead: fastRead, ReadTimeout: readTimeout, CommitTimeout: maxWait, Now: func() time.Duration { return store.now },
 			})
 			row := gauge.RowKey{Table: "jobs", Partition: "sheets", Key: "0000007"}
-			stamp, _, err := timed.Commit(context.Background(), gauge.PartitionTxn{Checks: []gauge.RowCheck{{RowKey: row}}})
+			position, _, err := timed.Commit(context.Background(), gauge.PartitionTxn{Checks: []gauge.RowCheck{{RowKey: row}}})
 			if tt.want == "" {
 				assert.NilError(t, err)
-				assert.Equal(t, stamp.Version, int64(7))
+				assert.Equal(t, position.Version, int64(7))
 				return
 			}
 			assert.Equal(t, gauge.KindOf(err), tt.want)
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -21,7 +21,7 @@
 	Partitioned     bool // the rows are in many partitions; otherwise all are in the unnamed one
 	Store           gauge.PartitionedTable
 	FeedWait        time.Duration        // how long a feed call waits for a change; 0: it returns at once
-	ConfirmEachWait bool                 // confirms every Wait that all rows are known, also while rows change
+	ConfirmEachWait bool                 // confirms every FeedWait that all rows are known, also while rows change
 	PollDelay       func() time.Duration // returns the delay between two calls
 	Logs            logr.Logger
 	Now             func() time.Duration
@@ -29,7 +29,7 @@
 	OnRows func(rows []gauge.PartitionRow, whole bool)
 	// OnTablePosition receives each reading of the table's clock and the time at which the call
 	// was sent, by Now.
-	OnTablePosition func(s gauge.TablePosition, sent time.Duration)
+	OnTablePosition func(position gauge.TablePosition, sent time.Duration)
 	// OnKnownAsOf receives, after each successful call, a time by Now: all that the table held then
 	// has been delivered. It may be nil.
 	OnKnownAsOf func(asOf time.Duration)
@@ -128,12 +128,12 @@
 	}
 	sent := t.conf.Now()
 	wait := t.feedWait(sent)
-	rows, stamp, err := t.conf.Store.Feed(ctx, t.conf.Name, t.version, wait)
+	rows, position, err := t.conf.Store.Feed(ctx, t.conf.Name, t.version, wait)
 	if err != nil {
 		return err
 	}
-	t.conf.OnTablePosition(stamp, sent)
-	t.version = max(t.version, stamp.Version)
+	t.conf.OnTablePosition(position, sent)
+	t.version = max(t.version, position.Version)
 	if len(rows) > 0 {
 		t.conf.OnRows(rows, false)
 	}
@@ -141,9 +141,9 @@
 	return nil
 }
 
-// feedWait returns how long a feed call that is sent now should wait for a change. After a
-// change, or a slow answer, a call that waited for all of Wait would leave it unknown for nearly
-// twice Wait whether there has been another change.
+// feedWait returns how long a feed call that is sent now should wait for a change. After a change,
+// or a slow answer, a call that waited for all of FeedWait would leave it unknown for nearly twice
+// FeedWait whether there has been another change.
 func (t *Table) feedWait(now time.Duration) time.Duration {
 	if t.unreachable {
 		return 0
@@ -176,7 +176,7 @@
 // readAll reads and delivers the whole table.
 func (t *Table) readAll(ctx context.Context) error {
 	sent := t.conf.Now()
-	rows, stamp, err := t.conf.Store.Range(ctx, t.conf.Name, "", "", "")
+	rows, position, err := t.conf.Store.Range(ctx, t.conf.Name, "", "", "")
 	if err != nil {
 		return err
 	}
@@ -191,10 +191,10 @@
 		}
 		rows = append(rows, more...)
 	}
-	t.version, t.hasRows = stamp.Version, true
+	t.version, t.hasRows = position.Version, true
 	t.conf.OnRows(rows, true)
-	// Only after Tell: the receiver of the stamp counts the rows as read at that time.
-	t.conf.OnTablePosition(stamp, sent)
+	// Only after OnRows: the receiver of the position counts the rows as read at that time.
+	t.conf.OnTablePosition(position, sent)
 	t.reportAsOf(sent)
 	return nil
 }
--- a/internal/watch/watch_test.go
+++ b/internal/watch/watch_test.go
@@ -119,19 +119,19 @@
 func TestPartialReadIsNotReported(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	stamps, rounds := 0, 0
+	positions, rounds := 0, 0
 	store := &partialTable{}
 	store.onPartitionRead = func() { stop() }
 	watch.New(watch.Config{
 		Name: "leases", Partitioned: true, Store: store, Logs: logr.Discard(), Now: func() time.Duration { return 0 },
 		PollDelay: func() time.Duration { return 0 }, OnRows: func([]gauge.PartitionRow, bool) { rounds++ },
-		OnTablePosition: func(gauge.TablePosition, time.Duration) { stamps++ },
+		OnTablePosition: func(gauge.TablePosition, time.Duration) { positions++ },
 	}).Run(ctx)
 	assert.Equal(t, rounds, 0)
-	assert.Equal(t, stamps, 0)
+	assert.Equal(t, positions, 0)
 }
 
-// The time that is passed to Seen must not be too late: its receiver would take rows for
+// The time that is passed to OnKnownAsOf must not be too late: its receiver would take rows for
 // complete that the table has changed since.
 func TestSeenTimeIsNotTooLate(t *testing.T) {
 	const wait = time.Second
@@ -217,9 +217,9 @@
 }
 
 func (a *timedTable) Range(ctx context.Context, name, part, from, to string) ([]gauge.PartitionRow, gauge.TablePosition, error) {
-	rows, stamp, err := a.table.Range(ctx, name, part, from, to)
+	rows, position, err := a.table.Range(ctx, name, part, from, to)
 	*a.now += 4 * time.Millisecond
-	return rows, stamp, err
+	return rows, position, err
 }
 
 func (a *timedTable) Feed(_ context.Context, _ string, _ int64, wait time.Duration) ([]gauge.PartitionRow, gauge.TablePosition, error) {
--- a/internal/waves/drained_test.go
+++ b/internal/waves/drained_test.go
@@ -15,30 +15,30 @@
 func TestAnswerOfAnEarlierWorkerStartsNoMaintenance(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
-		between func(g *harness, m *gauge.Machine)
+		between func(h *harness, m *gauge.Machine)
 	}{
-		{"it moves to another pool", func(g *harness, m *gauge.Machine) {
+		{"it moves to another pool", func(h *harness, m *gauge.Machine) {
 			m.State, m.Worker = gauge.MachineMoving, ""
-			g.advance(time.Second)
-			g.next()
+			h.advance(time.Second)
+			h.next()
 			m.State, m.Pool, m.Worker = gauge.MachineUp, "q", "i-new"
-			g.advance(time.Second)
+			h.advance(time.Second)
 		}},
-		{"it has moved between two lists", func(g *harness, m *gauge.Machine) {
+		{"it has moved between two lists", func(h *harness, m *gauge.Machine) {
 			m.Pool, m.Worker = "q", "i-new"
-			g.advance(time.Second)
+			h.advance(time.Second)
 		}},
-		{"another worker starts there", func(g *harness, m *gauge.Machine) {
+		{"another worker starts there", func(h *harness, m *gauge.Machine) {
 			m.Worker = "i-new"
-			g.advance(time.Second)
+			h.advance(time.Second)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			g := newHarness("p", 1, 1)
-			request := g.next().Drains[0]
-			g.scheduler.SetDrained(request.Machine, true)
-			tt.between(g, g.machines[request.Machine])
-			s := g.next()
+			h := newHarness("p", 1, 1)
+			request := h.next().Drains[0]
+			h.scheduler.SetDrained(request.Machine, true)
+			tt.between(h, h.machines[request.Machine])
+			s := h.next()
 			assert.Equal(t, len(s.Starts), 0)
 			assert.Equal(t, len(s.Drains), 1)
 			assert.Equal(t, s.Drains[0].Worker, "i-new")
@@ -48,23 +48,23 @@
 
 // The same fault, with the answer in flight while the machine gets another worker.
 func TestLateAnswerOfAnEarlierWorkerStartsNoMaintenance(t *testing.T) {
-	g := newHarness("p", 1, 1)
-	request := g.next().Drains[0]
-	g.machines[request.Machine].Worker = "i-new"
-	g.advance(time.Second)
-	g.scheduler.RecordDrainAnswer(request, true)
-	assert.Equal(t, len(g.next().Starts), 0)
-	g.scheduler.RecordDrainAnswer(g.next().Drains[0], true)
-	assert.Equal(t, len(g.next().Starts), 1)
+	h := newHarness("p", 1, 1)
+	request := h.next().Drains[0]
+	h.machines[request.Machine].Worker = "i-new"
+	h.advance(time.Second)
+	h.scheduler.RecordDrainAnswer(request, true)
+	assert.Equal(t, len(h.next().Starts), 0)
+	h.scheduler.RecordDrainAnswer(h.next().Drains[0], true)
+	assert.Equal(t, len(h.next().Starts), 1)
 }
 
 // Guards against maintenance that kills long-running tasks on a machine that has left standby for a
 // pool, while the list of machines is from before the move.
 func TestMachineMovingFromStandbyGetsNoMaintenance(t *testing.T) {
-	g := newHarness("spare", 1, 1)
-	g.scheduler.SetStandbyPools([]string{"spare"})
-	assert.Equal(t, len(g.next().Starts), 1)
+	h := newHarness("spare", 1, 1)
+	h.scheduler.SetStandbyPools([]string{"spare"})
+	assert.Equal(t, len(h.next().Starts), 1)
 	always := func(string) bool { return true }
-	s := g.scheduler.Next(g.now, waves.View{IsMoving: always, WasOrderedBefore: never, IsShort: never})
+	s := h.scheduler.Next(h.now, waves.View{IsMoving: always, WasOrderedBefore: never, IsShort: never})
 	assert.Equal(t, len(s.Starts), 0)
 }
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -173,40 +173,40 @@
 
 // RecordDrainAnswer records an owner's answer to a request. The answer doesn't count for a worker
 // that has started on the machine since.
-func (s *Scheduler) RecordDrainAnswer(a DrainRequest, empty bool) {
-	m := s.machines[a.Machine]
-	s.SetDrained(a.Machine, empty && m.Pool == a.Pool && m.Worker == a.Worker)
+func (s *Scheduler) RecordDrainAnswer(request DrainRequest, drained bool) {
+	m := s.machines[request.Machine]
+	s.SetDrained(request.Machine, drained && m.Pool == request.Pool && m.Worker == request.Worker)
 }
 
 // SetDrained records whether nothing runs on a machine, as its pool's owner reported.
-func (s *Scheduler) SetDrained(machine string, empty bool) {
+func (s *Scheduler) SetDrained(machine string, drained bool) {
 	for _, w := range s.waves {
 		if w.selected[machine] {
-			w.drained[machine] = empty
+			w.drained[machine] = drained
 		}
 	}
 }
 
 // RecordStart records the result of an order.
-func (s *Scheduler) RecordStart(b MaintenanceStart, err error, now time.Duration) {
-	w := s.waves[b.Wave]
+func (s *Scheduler) RecordStart(start MaintenanceStart, err error, now time.Duration) {
+	w := s.waves[start.Wave]
 	if w == nil {
 		return
 	}
-	delete(w.drained, b.Machine)
+	delete(w.drained, start.Machine)
 	switch {
 	case err == nil:
-		w.started[b.Machine] = true
-		w.downSince[b.Machine] = now
-		delete(w.selected, b.Machine)
+		w.started[start.Machine] = true
+		w.downSince[start.Machine] = now
+		delete(w.selected, start.Machine)
 	case gauge.IsKind(err, gauge.KindUnknown):
 		// The order may still be carried out, so the machine counts as down. Sending it again is
 		// safe: the platform answers "done" if it was carried out.
-		w.downSince[b.Machine] = now
+		w.downSince[start.Machine] = now
 	default:
-		delete(w.downSince, b.Machine)
+		delete(w.downSince, start.Machine)
 	}
-	s.conf.Logs.Info("upkeep ordered", "wave", b.Wave, "machine", b.Machine, "kind", resultLabel(err), "begun", len(w.started), "of", len(w.spec.Machines))
+	s.conf.Logs.Info("upkeep ordered", "wave", start.Wave, "machine", start.Machine, "kind", resultLabel(err), "begun", len(w.started), "of", len(w.spec.Machines))
 }
 
 func resultLabel(err error) gauge.Kind {
--- a/state.go
+++ b/state.go
@@ -77,8 +77,8 @@
 	}
 	for pool := range affected {
 		next[pool] = slices.DeleteFunc(slices.Clone(next[pool]), func(h Host) bool {
-			_, gone := moved[h.ID]
-			return gone
+			_, replaced := moved[h.ID]
+			return replaced
 		})
 	}
 	for _, h := range moved {
