--- a/claim.go
+++ b/claim.go
@@ -26,7 +26,7 @@
 // Claim is the row that ensures that a request runs at most once.
 type Claim struct {
 	Token  string           `json:"token"` // identifies the attempt to claim, so that a lost answer can be read back
-	Entry  string           `json:"entry"` // ID/run of the entry that runs the request
+	Entry  string           `json:"entry"` // ID/start ID of the entry that runs the request
 	State  ClaimState       `json:"state"`
 	Hash   uint64           `json:"hash"`             // hash of the request, to detect a reused key
 	Accept *AcceptedRequest `json:"accept,omitempty"` // the asynchronous request, to run it after a takeover
--- a/internal/node/resize.go
+++ b/internal/node/resize.go
@@ -34,8 +34,8 @@
 // nextMoves returns the machines to drain or to order now.
 func (f *fleet) nextMoves() []sizing.Move {
 	now := f.node.conf.Now()
-	taken := func(id string) bool { return f.scheduler.IsReserved(id) || f.orderGuard.IsBlocked(id, now) }
-	return f.sizer.Next(now, taken, f.scheduler.IsPending)
+	isTaken := func(id string) bool { return f.scheduler.IsReserved(id) || f.orderGuard.IsBlocked(id, now) }
+	return f.sizer.Next(now, isTaken, f.scheduler.IsPending)
 }
 
 // moveMachines moves machines between pools. A machine that is in use is drained first and ordered
--- a/internal/sizing/move.go
+++ b/internal/sizing/move.go
@@ -10,7 +10,7 @@
 
 // chooseMoves picks machines for pools that are short, from standby first and then from pools with
 // a surplus, and sends the machines that no pool needs to standby.
-func (s *Sizer) chooseMoves(pools []string, now time.Duration, taken func(string) bool) {
+func (s *Sizer) chooseMoves(pools []string, now time.Duration, isTaken func(string) bool) {
 	byShortfall := slices.Clone(pools)
 	slices.SortFunc(byShortfall, func(a, b string) int {
 		return cmp.Or(cmp.Compare(s.shortfall(b), s.shortfall(a)), cmp.Compare(a, b))
@@ -20,7 +20,7 @@
 			if s.redirect(pool) {
 				continue
 			}
-			m, ok := s.findSpare(pools, pool, now, taken)
+			m, ok := s.findSpare(pools, pool, now, isTaken)
 			if !ok {
 				break
 			}
@@ -33,7 +33,7 @@
 	for _, pool := range pools {
 		w := s.wanted[pool]
 		for w.surplusSince > 0 && now-w.surplusSince > s.retention.current(now) && s.shortfall(pool) < 0 {
-			m, ok := s.findEasiestToDrain(pool, taken, s.waveLater)
+			m, ok := s.findEasiestToDrain(pool, isTaken, s.isPending)
 			if !ok {
 				break
 			}
@@ -88,9 +88,9 @@
 func (s *Sizer) standbyPool(gauge.Machine) string { return s.standbyPools[0] }
 
 // findSpare finds a machine for a pool: on standby, or else in a pool with a surplus.
-func (s *Sizer) findSpare(pools []string, to string, now time.Duration, taken func(string) bool) (gauge.Machine, bool) {
+func (s *Sizer) findSpare(pools []string, to string, now time.Duration, isTaken func(string) bool) (gauge.Machine, bool) {
 	for _, pool := range s.standbyPools {
-		if m, ok := s.findEasiestToDrain(pool, taken, s.waveLater); ok {
+		if m, ok := s.findEasiestToDrain(pool, isTaken, s.isPending); ok {
 			return m, true
 		}
 	}
@@ -98,7 +98,7 @@
 		if pool == to || s.shortfall(pool) >= 0 || now-s.loads[pool].receivedAt > maxLoadAge {
 			continue
 		}
-		if m, ok := s.findEasiestToDrain(pool, taken, s.waveLater); ok {
+		if m, ok := s.findEasiestToDrain(pool, isTaken, s.isPending); ok {
 			return m, true
 		}
 	}
@@ -107,19 +107,19 @@
 
 // findEasiestToDrain finds the machine of a pool that takes the least work to drain. Machines with
 // long-running tasks don't qualify: these tasks would have to move, and their users would notice.
-func (s *Sizer) findEasiestToDrain(pool string, taken, later func(string) bool) (gauge.Machine, bool) {
+func (s *Sizer) findEasiestToDrain(pool string, isTaken, isPending func(string) bool) (gauge.Machine, bool) {
 	runs := s.loads[pool].workers
 	var best gauge.Machine
 	found := false
 	for _, m := range s.index.machines[pool] {
-		if m.State != gauge.MachineUp || s.moves[m.ID] != nil || taken(m.ID) {
+		if m.State != gauge.MachineUp || s.moves[m.ID] != nil || isTaken(m.ID) {
 			continue
 		}
 		w := runs[m.Worker]
 		if w.LongRunning > 0 {
 			continue
 		}
-		if !found || lessDisruptive(m, w, best, runs[best.Worker], later) {
+		if !found || lessDisruptive(m, w, best, runs[best.Worker], isPending) {
 			best, found = m, true
 		}
 	}
@@ -128,9 +128,9 @@
 
 // lessDisruptive reports whether machine a is a better choice than b: one that no wave will take
 // comes first, then the one with less work left, then the one with fewer runs, then the lower ID.
-func lessDisruptive(a gauge.Machine, onA gauge.WorkerLoad, b gauge.Machine, onB gauge.WorkerLoad, later func(string) bool) bool {
-	if later(a.ID) != later(b.ID) {
-		return later(b.ID)
+func lessDisruptive(a gauge.Machine, onA gauge.WorkerLoad, b gauge.Machine, onB gauge.WorkerLoad, isPending func(string) bool) bool {
+	if isPending(a.ID) != isPending(b.ID) {
+		return isPending(b.ID)
 	}
 	return cmp.Or(cmp.Compare(onA.RemainingTime, onB.RemainingTime), cmp.Compare(onA.Runs, onB.Runs), cmp.Compare(a.ID, b.ID)) < 0
 }
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -49,7 +49,7 @@
 	longRunning  map[string]int // number of long-running tasks by worker
 	loggedCounts map[string]int
 	retention    retention
-	waveLater    func(machine string) bool
+	isPending    func(machine string) bool
 	index        index
 }
 
@@ -214,11 +214,11 @@
 	return err.Error()
 }
 
-// Next returns the machines to drain and the moves to order. Taken reports whether a machine is
-// reserved by a wave or may not be ordered yet; later reports whether a wave will take it, which
-// makes it a less suitable choice.
-func (s *Sizer) Next(now time.Duration, taken, later func(machine string) bool) []Move {
-	s.waveLater = later
+// Next returns the machines to drain and the moves to order. IsTaken reports whether a machine is
+// reserved by a wave or may not be ordered yet; isPending reports whether a wave will take it,
+// which makes it a less suitable choice.
+func (s *Sizer) Next(now time.Duration, isTaken, isPending func(machine string) bool) []Move {
+	s.isPending = isPending
 	s.expireMoves(now)
 	if len(s.machines) == 0 {
 		return nil
@@ -226,7 +226,7 @@
 	s.index = s.buildIndex()
 	pools := s.poolNames()
 	s.updateWanted(pools, now)
-	s.chooseMoves(pools, now, taken)
+	s.chooseMoves(pools, now, isTaken)
 	out := make([]Move, 0, len(s.moves))
 	for _, v := range s.moves {
 		if v.orderedAt == 0 || v.unanswered {
