--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -49,7 +49,7 @@
 	longRunning  map[string]int // number of long-running tasks by worker
 	loggedCounts map[string]int
 	retention    retention
-	waveLater    func(machine string) bool
+	isPending    func(machine string) bool
 	index        index
 }
 
@@ -146,9 +146,9 @@
 	s.loads[l.Pool] = load{PoolLoad: l, receivedAt: now, workers: runs}
 }
 
-// SetMachines replaces the list of machines and the standby pools. Asked is when the list was
+// SetMachines replaces the list of machines and the standby pools. RequestedAt is when the list was
 // requested.
-func (s *Sizer) SetMachines(list []gauge.Machine, standby []string, asked time.Duration) {
+func (s *Sizer) SetMachines(list []gauge.Machine, standby []string, requestedAt time.Duration) {
 	clear(s.machines)
 	for _, m := range list {
 		s.machines[m.ID] = m
@@ -159,7 +159,7 @@
 		switch {
 		case !there, m.Pool == v.To && m.State == gauge.MachineUp:
 			delete(s.moves, id)
-		case v.unanswered || v.orderedAt > 0 && asked < v.orderedAt+listDelay:
+		case v.unanswered || v.orderedAt > 0 && requestedAt < v.orderedAt+listDelay:
 		case v.orderedAt > 0 && m.State == gauge.MachineUp && m.Pool == v.From:
 			delete(s.moves, id) // refused, or lost with a restart: choose again
 		}
@@ -178,8 +178,8 @@
 	return s.loads[pool].Timely.WaitingCores > 0 || s.shortfall(pool) > 0
 }
 
-// MarkInFlight records that a machine's owner is being asked to drain it, followed by the order to
-// move it if it is drained.
+// MarkInFlight records that a call for a machine's move is in flight: the request to drain it, or
+// the order to move it.
 func (s *Sizer) MarkInFlight(machine string) {
 	if v := s.moves[machine]; v != nil {
 		v.inFlight = true
@@ -187,9 +187,9 @@
 }
 
 // SetDrained records whether nothing runs on a machine, as its pool's owner reported.
-func (s *Sizer) SetDrained(machine string, empty bool) {
+func (s *Sizer) SetDrained(machine string, drained bool) {
 	if v := s.moves[machine]; v != nil {
-		v.Drained, v.inFlight = empty, false
+		v.Drained, v.inFlight = drained, false
 	}
 }
 
@@ -214,11 +214,11 @@
 	return err.Error()
 }
 
-// Next returns the machines to drain and the moves to order. Taken reports whether a machine is
-// reserved by a wave or may not be ordered yet; later reports whether a wave will take it, which
-// makes it a less suitable choice.
-func (s *Sizer) Next(now time.Duration, taken, later func(machine string) bool) []Move {
-	s.waveLater = later
+// Next returns the machines to drain and the moves to order. IsTaken reports whether a machine is
+// reserved by a wave or may not be ordered yet; isPending reports whether a wave will take it,
+// which makes it a less suitable choice.
+func (s *Sizer) Next(now time.Duration, isTaken, isPending func(machine string) bool) []Move {
+	s.isPending = isPending
 	s.expireMoves(now)
 	if len(s.machines) == 0 {
 		return nil
@@ -226,7 +226,7 @@
 	s.index = s.buildIndex()
 	pools := s.poolNames()
 	s.updateWanted(pools, now)
-	s.chooseMoves(pools, now, taken)
+	s.chooseMoves(pools, now, isTaken)
 	out := make([]Move, 0, len(s.moves))
 	for _, v := range s.moves {
 		if v.orderedAt == 0 || v.unanswered {
