--- a/cmd/sapphiregauge/entry.go
+++ b/cmd/sapphiregauge/entry.go
@@ -109,7 +109,7 @@
 		PeerKey: []byte(s.peerKey), OperatorKey: s.operatorKey,
 		Clock: time.Now, Logs: logs.New(os.Stderr, s.logLevel == "debug").WithValues("entry", s.id),
 		PollInterval: s.pollInterval, HeartbeatInterval: s.heartbeatInterval, MemberRowInterval: s.memberRowInterval, LeaseDuration: s.leaseTerm, RoundInterval: s.renewInterval,
-		HostListInterval: s.hostListInterval, DrainDelay: s.drainDelay, ShutdownTimeout: s.shutdownTimeout,
+		ListInterval: s.hostListInterval, DrainDelay: s.drainDelay, ShutdownTimeout: s.shutdownTimeout,
 	}).Run(ctx)
 }
 
--- a/internal/boot/boot.go
+++ b/internal/boot/boot.go
@@ -20,5 +20,5 @@
 	return time.Duration(ts.Nano())
 }
 
-// fallbackEpoch returns the fixed moment that readings of the fallbackEpoch clock count from.
+// fallbackEpoch returns the fixed moment that readings of the fallback clock count from.
 func fallbackEpoch() time.Time { return time.Unix(0, 0) }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -28,7 +28,7 @@
 	View  func() member.View
 	Clock gauge.Clock
 	Logs  logr.Logger
-	Term  time.Duration // of a lease; default 3 s
+	Term  time.Duration // duration of a lease; default 3 s
 	Round time.Duration // between two rounds; default 1 s
 	Seed  uint64
 }
@@ -40,8 +40,8 @@
 )
 
 const (
-	defaultTerm  = 3 * time.Second
-	defaultRound = time.Second
+	defaultLeaseDuration = 3 * time.Second
+	defaultRoundInterval = time.Second
 	// requestDelay is the pause between a need for slots and the lease request, so that the needs
 	// of a burst go into one message.
 	requestDelay = 2 * time.Millisecond
@@ -56,7 +56,7 @@
 	Grants []slots.Grant `msgpack:"g"`
 }
 
-// emptyReply answers a message that needs no answer.
+// emptyReply answers a message whose answer carries nothing.
 type emptyReply struct{}
 
 // Broker has the allocators of this entry and the owners of the pools that it owns.
@@ -89,8 +89,8 @@
 
 // New returns a Broker without allocators.
 func New(c Config) *Broker {
-	fill.Zero(&c.Term, defaultTerm)
-	fill.Zero(&c.Round, defaultRound)
+	fill.Zero(&c.Term, defaultLeaseDuration)
+	fill.Zero(&c.Round, defaultRoundInterval)
 	return &Broker{
 		conf: c, wake: make(chan struct{}, 1),
 		allocators: make(map[string]*desk.Allocator), owners: make(map[string]*owner),
@@ -152,15 +152,15 @@
 func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Allocator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.allocators[pool]
-	if d == nil {
-		d = desk.New(desk.Config{
+	a := b.allocators[pool]
+	if a == nil {
+		a = desk.New(desk.Config{
 			Pool: pool, Holder: b.holderName(), MaxWaiting: max(1, maxWaiting), Clock: b.conf.Clock,
 			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), RequestSoon: b.requestSoon,
 		})
-		b.allocators[pool] = d
+		b.allocators[pool] = a
 	}
-	return d
+	return a
 }
 
 // Allocator returns a pool's allocator; nil if there is no such pool.
@@ -175,8 +175,8 @@
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	out := make([]desk.Counts, 0, len(b.allocators))
-	for _, d := range b.allocators {
-		out = append(out, d.Counts())
+	for _, a := range b.allocators {
+		out = append(out, a.Counts())
 	}
 	return out
 }
@@ -207,8 +207,8 @@
 	view := b.conf.View()
 	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
-	for pool, d := range b.allAllocators() {
-		request, ok := nextRequest(d)
+	for pool, a := range b.allAllocators() {
+		request, ok := nextRequest(a)
 		if !ok {
 			continue
 		}
@@ -234,8 +234,8 @@
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	out := make(map[string]*desk.Allocator, len(b.allocators))
-	for pool, d := range b.allocators {
-		out[pool] = d
+	for pool, a := range b.allocators {
+		out[pool] = a
 	}
 	return out
 }
@@ -254,8 +254,8 @@
 
 func (b *Broker) applyGrants(g grantMsg) {
 	for _, grant := range g.Grants {
-		if d := b.Allocator(grant.Pool); d != nil {
-			d.ApplyGrant(grant)
+		if a := b.Allocator(grant.Pool); a != nil {
+			a.ApplyGrant(grant)
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	return &reply, nil
 }
 
-// HandleGrant takes in slots that an owner grants after it answered the request.
+// HandleGrant adds slots that an owner grants some time after it answered the request.
 func (b *Broker) HandleGrant(_ context.Context, body []byte) (any, error) {
 	var msg grantMsg
 	if err := frame.Decode(body, &msg); err != nil {
@@ -387,8 +387,8 @@
 	now := b.conf.Clock()
 	for _, o := range owners {
 		o.mu.Lock()
-		for _, s := range list {
-			o.slots.ObserveUsage(s.ID, s.Used, now.Add(-s.Age))
+		for _, h := range list {
+			o.slots.ObserveUsage(h.ID, h.Used, now.Add(-h.Age))
 		}
 		o.mu.Unlock()
 	}
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -39,7 +39,7 @@
 	counts [Minutes]Count
 }
 
-// New makes an empty Book.
+// New makes an empty Recorder.
 func New(clock gauge.Clock) *Recorder {
 	return &Recorder{clock: clock, services: make(map[string]*ring)}
 }
@@ -58,19 +58,19 @@
 
 // RecordResponse counts one response of a service; err is nil for a good one. Errors that aren't
 // the service's fault aren't counted.
-func (b *Recorder) RecordResponse(service string, err error) {
+func (rc *Recorder) RecordResponse(service string, err error) {
 	bad := err != nil && CountsAsBad(gauge.KindOf(err))
 	if err != nil && !bad {
 		return
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	r := b.services[service]
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	r := rc.services[service]
 	if r == nil {
 		r = &ring{}
-		b.services[service] = r
+		rc.services[service] = r
 	}
-	c := r.at(b.minute())
+	c := r.at(rc.minute())
 	if bad {
 		c.Bad++
 		return
@@ -78,7 +78,7 @@
 	c.Good++
 }
 
-func (b *Recorder) minute() int64 { return b.clock().Unix() / 60 }
+func (rc *Recorder) minute() int64 { return rc.clock().Unix() / 60 }
 
 // at returns a minute's count and resets the counts of the minutes since the newest one.
 func (r *ring) at(minute int64) *Count {
@@ -92,12 +92,12 @@
 }
 
 // Series returns the counts of all services up to the current minute, sorted by service.
-func (b *Recorder) Series() []Series {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	now := b.minute()
+func (rc *Recorder) Series() []Series {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	now := rc.minute()
 	var out []Series
-	for name, r := range b.services {
+	for name, r := range rc.services {
 		r.at(now)
 		s := Series{Service: name, Minute: now, Counts: make([]Count, Minutes)}
 		for i := range s.Counts {
@@ -209,7 +209,7 @@
 	AlertPage   Alert = "page"
 )
 
-// Report computes the lines of the services that are configured in a state; series of other
+// Report computes the reports of the services that are configured in a state; series of other
 // services are left out.
 func Report(s gauge.State, series []Series) []ServiceReport {
 	var out []ServiceReport
@@ -218,22 +218,22 @@
 		if svc == nil || s.Pool(svc.Pool) == nil {
 			continue
 		}
-		out = append(out, newLine(svcSeries, svc.Pool, s.Pool(svc.Pool).Objective))
+		out = append(out, newServiceReport(svcSeries, svc.Pool, s.Pool(svc.Pool).Objective))
 	}
 	return out
 }
 
-func newLine(s Series, pool string, objective float64) ServiceReport {
-	l := ServiceReport{
+func newServiceReport(s Series, pool string, objective float64) ServiceReport {
+	r := ServiceReport{
 		Service: s.Service, Pool: pool, Objective: objective, Counts: s.Counts, Minute: s.Minute,
 		Rate5m: s.Rate(PageShort, objective), Rate30m: s.Rate(TicketShort, objective),
 		Rate1h: s.Rate(PageLong, objective), Rate6h: s.Rate(TicketLong, objective), Alert: AlertNone,
 	}
 	switch {
-	case l.Rate5m > PageRate && l.Rate1h > PageRate:
-		l.Alert = AlertPage
-	case l.Rate30m > TicketRate && l.Rate6h > TicketRate:
-		l.Alert = AlertTicket
+	case r.Rate5m > PageRate && r.Rate1h > PageRate:
+		r.Alert = AlertPage
+	case r.Rate30m > TicketRate && r.Rate6h > TicketRate:
+		r.Alert = AlertTicket
 	}
-	return l
+	return r
 }
--- a/internal/burn/burn_test.go
+++ b/internal/burn/burn_test.go
@@ -36,16 +36,16 @@
 		now = now.Add(time.Minute)
 	}
 	now = now.Add(-time.Minute)
-	l := burn.Report(state(0.999), b.Series())[0]
+	r := burn.Report(state(0.999), b.Series())[0]
 	near := func(got, want float64) {
 		t.Helper()
 		assert.Assert(t, got > want*0.99 && got < want*1.01, "%v, not %v", got, want)
 	}
-	near(l.Rate5m, 100)
-	near(l.Rate30m, 100.0/3)
-	near(l.Rate1h, 100.0/6)
-	near(l.Rate6h, 100.0/36)
-	assert.Equal(t, l.Alert, burn.AlertPage)
+	near(r.Rate5m, 100)
+	near(r.Rate30m, 100.0/3)
+	near(r.Rate1h, 100.0/6)
+	near(r.Rate6h, 100.0/36)
+	assert.Equal(t, r.Alert, burn.AlertPage)
 }
 
 // Counts older than the window are dropped, even if no response was counted meanwhile, and the
--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -24,13 +24,13 @@
 
 // Burn plots the burn rate of one service over a sliding window of five minutes, with the alerts'
 // rates as dashed lines. It returns the SVG.
-func Burn(l burn.ServiceReport) ([]byte, error) {
+func Burn(r burn.ServiceReport) ([]byte, error) {
 	p := plot.New()
-	p.Title.Text = l.Service
+	p.Title.Text = r.Service
 	p.Y.Label.Text = "burn rate"
 	p.X.Tick.Marker = plot.TimeTicks{Format: "15:04", Time: func(t float64) time.Time { return time.Unix(int64(t), 0).UTC() }}
 	p.Y.Min = 0
-	line, err := plotter.NewLine(ratePoints(l))
+	line, err := plotter.NewLine(ratePoints(r))
 	if err != nil {
 		return nil, gauge.Errorf(gauge.KindInternal, "chart.Burn").WithCause(err)
 	}
@@ -50,13 +50,13 @@
 	return out.Bytes(), nil
 }
 
-func ratePoints(l burn.ServiceReport) plotter.XYs {
-	out := make(plotter.XYs, len(l.Counts))
-	firstMinute := l.Minute - int64(len(l.Counts)) + 1
-	for i := range l.Counts {
-		s := burn.Series{Counts: l.Counts[:i+1]}
+func ratePoints(r burn.ServiceReport) plotter.XYs {
+	out := make(plotter.XYs, len(r.Counts))
+	firstMinute := r.Minute - int64(len(r.Counts)) + 1
+	for i := range r.Counts {
+		s := burn.Series{Counts: r.Counts[:i+1]}
 		out[i].X = float64((firstMinute + int64(i)) * 60)
-		out[i].Y = s.Rate(rateWindowMinutes, l.Objective)
+		out[i].Y = s.Rate(rateWindowMinutes, r.Objective)
 	}
 	return out
 }
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -23,7 +23,7 @@
 	Table   gauge.Table
 	Objects gauge.Objects
 	Timeout time.Duration // of one transaction; default 2 s
-	Inline  int           // most bytes of a body kept in the row; longer ones go to the object store; default 32 KiB
+	Inline  int           // longest body that is kept in the row, in bytes; longer ones go to the object store; default 32 KiB
 	Clock   gauge.Clock
 }
 
@@ -65,10 +65,11 @@
 }
 
 // Insert inserts a claim. It returns the claim that is stored, and whether that is the new one. An
-// error means that nothing may be dispatched: the caller may then answer "not run", and passes what
-// is returned to Abandon if it has a token.
+// error means that nothing may be dispatched. The caller may then answer "not run"; it must pass the
+// returned row to Abandon if its claim has a token.
 //
-// If the insertion isn't answered, the row is read back, and its token shows whose it is.
+// If the insertion isn't answered, the row is read back, and its token shows which claim was
+// inserted.
 func (c *Claims) Insert(ctx context.Context, k gauge.ClaimKey, state gauge.ClaimState, hash uint64, accept *gauge.AcceptedRequest) (Row, bool, error) {
 	want := gauge.Claim{Token: uuid.NewString(), Entry: c.conf.Entry, State: state, Hash: hash, Accept: accept}
 	if err := c.storeLongBody(ctx, k, want.Accept); err != nil {
@@ -141,7 +142,7 @@
 }
 
 // Transition writes a claim's next state if the claim hasn't changed since it was read. False means
-// that another entry has it now, and nothing may be dispatched here.
+// that another entry has taken it over, and nothing may be dispatched here.
 func (c *Claims) Transition(ctx context.Context, row Row, state gauge.ClaimState) (Row, bool, error) {
 	if row.version == 0 {
 		read, err := c.Read(ctx, row.Key)
@@ -209,7 +210,7 @@
 
 // Abandon deletes a claim whose insertion wasn't confirmed. The insertion may still take effect
 // after the caller was told "not run"; left there, the row would make the caller's next try appear
-// to be running for ever. Abandon looks for the row until it turns up or can no longer come.
+// to be running for ever. Abandon polls for the row until it appears or can no longer appear.
 func (c *Claims) Abandon(ctx context.Context, row Row) {
 	ctx, cancel := context.WithTimeout(ctx, maxCommitDelay)
 	defer cancel()
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -1,5 +1,5 @@
-// Package conf reads the settings of commands. Each setting is a flag and an environment variable; the
-// flag takes precedence. All invalid settings are reported together, each with the flag or the
+// Package conf reads the settings of commands. Each setting is a flag and an environment variable;
+// the flag takes precedence. All invalid settings are reported together, each with the flag or the
 // variable that its value came from.
 package conf
 
@@ -62,8 +62,8 @@
 	}
 }
 
-// Load sets each setting from its flag, or else from its environment variable. It checks the settings
-// once all are set, since a check may depend on other settings. The error lists all faults.
+// Load sets each setting from its flag, or else from its environment variable. It checks the
+// settings once all are set, since a check may depend on other settings. The error lists all faults.
 func (l List) Load(lookup func(string) (string, bool)) error {
 	var faults gauge.Faults
 	sources := make([]string, len(l))
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -1,8 +1,8 @@
 // Package ctrl carries out plans. There is one unit of control for each pool and one for the whole
 // fleet; each is controlled by one entry at a time, which holds the unit's lease and writes the
 // steps that package plan decides. A step is written before the platform is asked to act, and its
-// result is read from the platform's host list, so that the controller may die at any moment and
-// the next one goes on.
+// result is read from the platform's host list, so that if the controller dies at any moment, the
+// next one can continue.
 package ctrl
 
 import (
@@ -29,9 +29,9 @@
 	Planner        *plan.Planner
 	State          func() gauge.State
 	LastHostList   func() (gauge.HostList, time.Time) // the last host list and when it was read
-	IsConfirmed    func(revision int64) bool          // every entry has the revision in force or is gone
+	IsConfirmed    func(revision int64) bool          // every entry has the revision in force or is dead
 	OwnsDuty       func(unit string) bool             // whether this entry is to control a unit
-	CatchUpTo      func(revision int64)               // polls at once for a revision that is probably there
+	CatchUpTo      func(revision int64)               // polls at once for a revision that has probably been accepted
 	OnHostAdded    func(pool string)                  // a host was added to a pool
 	Clock          gauge.Clock
 	Logs           logr.Logger
@@ -59,16 +59,16 @@
 	hostsByID  map[string]gauge.ListedHost
 	listReadAt time.Time
 
-	// What was first observed when; kept in memory only. After a takeover the waits start again,
-	// which delays a step and never hastens one.
-	quiescedSince map[string]observation // when a host's leaving was found to be confirmed by all entries
-	failedSince   map[string]observation // since when a host is seen as failed
+	// Since when hosts have been observed in a state; kept in memory only. After a takeover the
+	// waiting times start again, so a step may come later but never too early.
+	quiescedSince map[string]observation // since when all entries are known to have confirmed that the host is leaving
+	failedSince   map[string]observation // since when a host has been marked as failed
 
 	mu    sync.Mutex
 	waits map[string][]plan.Wait // by unit
 }
 
-// observation is when something was first observed at an epoch of a host's row.
+// observation is when a state was first observed, and the epoch of the host's row at that time.
 type observation struct {
 	epoch int64
 	at    time.Time
@@ -169,8 +169,7 @@
 	c.waits[unit] = w
 }
 
-// appendSteps appends the steps as one revision, on the condition that this entry still has the
-// lease.
+// appendSteps appends the steps as one revision, provided that this entry still has the lease.
 func (c *Controller) appendSteps(ctx context.Context, s gauge.State, check gauge.Check, steps []plan.Step) error {
 	change := gauge.Change{}
 	for _, st := range steps {
@@ -204,7 +203,7 @@
 func (c *Controller) requestReboots(ctx context.Context, steps []plan.Step) error {
 	for _, st := range steps {
 		if !st.Reboot || st.Reason != "" {
-			continue // a new intent is in force only from the next round on
+			continue // a step that was just appended is in force only from the next round on
 		}
 		token := fmt.Sprintf("%s/%d", st.Host.ID, st.Host.WaveRevision)
 		if err := c.conf.Platform.Reboot(ctx, st.Host.ID, token); err != nil {
@@ -214,7 +213,7 @@
 	return nil
 }
 
-// updateObservations records since when hosts are failed, or are sure to get no new requests.
+// updateObservations records since when hosts have been failed, or certain to get no new requests.
 func (c *Controller) updateObservations(s gauge.State) {
 	now := c.conf.Clock()
 	for id, h := range s.ByHost {
@@ -224,11 +223,11 @@
 }
 
 func recordObservation(seen map[string]observation, id string, h gauge.Host, now time.Time, observed bool) {
-	m, known := seen[id]
+	o, known := seen[id]
 	switch {
 	case !observed:
 		delete(seen, id)
-	case !known || m.epoch != h.Epoch:
+	case !known || o.epoch != h.Epoch:
 		seen[id] = observation{h.Epoch, now}
 	}
 }
@@ -236,15 +235,15 @@
 // isQuiesced reports whether the host list's reading of a host was taken after every entry had
 // stopped sending requests to it.
 func (c *Controller) isQuiesced(h gauge.Host) bool {
-	m, ok := c.quiescedSince[h.ID]
-	if !ok || m.epoch != h.Epoch {
+	o, ok := c.quiescedSince[h.ID]
+	if !ok || o.epoch != h.Epoch {
 		return false
 	}
-	s, ok := c.hostsByID[h.ID]
-	return ok && c.listReadAt.Add(-s.Age).After(m.at)
+	listed, ok := c.hostsByID[h.ID]
+	return ok && c.listReadAt.Add(-listed.Age).After(o.at)
 }
 
 func (c *Controller) isLost(h gauge.Host) bool {
-	m, ok := c.failedSince[h.ID]
-	return ok && m.epoch == h.Epoch && c.conf.Clock().Sub(m.at) > c.conf.FailureTimeout
+	o, ok := c.failedSince[h.ID]
+	return ok && o.epoch == h.Epoch && c.conf.Clock().Sub(o.at) > c.conf.FailureTimeout
 }
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -16,9 +16,9 @@
 
 func TestMain(m *testing.M) { fixed.Flags{Checks: "200", Steps: "200"}.Main(m) }
 
-// Guards against acting on outdated state, so that a pool has fewer hosts than promised, a task is
-// cut off by a reboot, a host is in two pools or a host is rebooted twice. Controllers that all
-// believe they are in charge, lagging entries, failing and returning hosts and racks, old host
+// Guards against acting on outdated state, which may leave a pool with fewer hosts than promised,
+// interrupt a task by a reboot, put a host into two pools or reboot a host twice. Controllers that
+// all believe they are in charge, lagging entries, failing and returning hosts and racks, old host
 // lists, table outages, and changing waves and pools come in any order.
 func TestAnyEventOrderKeepsPromises(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -186,8 +186,8 @@
 	return st.ByHost[host].State
 }
 
-// Guards against a task that is cut off by a reboot because an idle host was taken for one that
-// gets no more tasks. A host leaves, and a lagging entry still sends to it after the controller has
+// Guards against a task that is interrupted by a reboot because a host was idle and was believed to
+// get no more tasks. A host leaves, and a lagging entry still sends to it after the controller has
 // seen it idle.
 func TestLeavingWaitsForLaggingEntry(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
@@ -208,8 +208,8 @@
 	assert.Equal(t, s.state(host), gauge.HostRebooting)
 }
 
-// Guards against a task that is cut off by a reboot because the host list was older than the last
-// confirmation. The list is read, then an entry sends a task and adopts the revision, and the
+// Guards against a task that is interrupted by a reboot because the host list was older than the
+// last confirmation. The list is read, then an entry sends a task and adopts the revision, and the
 // controller finds all entries confirmed while it has the list from before.
 func TestOldHostListDoesNotProveIdle(t *testing.T) {
 	s, first, lagging, host := leavingHost(t)
--- a/internal/ctrl/site_test.go
+++ b/internal/ctrl/site_test.go
@@ -110,8 +110,8 @@
 	return false
 }
 
-// isConfirmed asks all entries, also those that seem dead: they may only be paused, and package
-// peers forgets them only after the lease duration.
+// isConfirmed covers all entries, also those that seem dead: they may only be paused, and package
+// peers forgets them only when their member rows are stale.
 func (s *site) isConfirmed(revision int64) bool {
 	for _, e := range s.entries {
 		if e.state.Revision < revision {
@@ -124,15 +124,15 @@
 func (s *site) List(context.Context) (gauge.HostList, error) {
 	var out gauge.HostList
 	for _, m := range s.machines {
-		seen := m.listed
-		seen.Used = len(m.running)
+		listed := m.listed
+		listed.Used = len(m.running)
 		switch {
 		case m.down:
-			seen.Status = gauge.StatusGone
+			listed.Status = gauge.StatusGone
 		case m.booting:
-			seen.Status = gauge.StatusBooting
+			listed.Status = gauge.StatusBooting
 		}
-		out = append(out, seen)
+		out = append(out, listed)
 	}
 	return out, nil
 }
@@ -240,7 +240,7 @@
 	}
 }
 
-// settle lets everything go well for some rounds.
+// settle makes some rounds without disturbances.
 func (s *site) settle(rounds int) {
 	for range rounds {
 		for _, m := range s.machines {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -26,7 +26,7 @@
 	RequestSoon func() // called when slots are needed, to send a lease request soon
 }
 
-// Allocator hands out the slots of one pool at one entry. It is safe for concurrent use.
+// Allocator assigns the slots of one pool at one entry. It is safe for concurrent use.
 type Allocator struct {
 	conf Config
 
@@ -66,233 +66,233 @@
 
 // SetHosts sets the hosts that serve the pool and how many were promised. Hosts that are leaving
 // get no requests from here on.
-func (d *Allocator) SetHosts(hosts gauge.Hosts, promised int) {
+func (a *Allocator) SetHosts(hosts gauge.Hosts, promised int) {
 	targets := make(map[string]gauge.Target, len(hosts))
 	for _, h := range hosts {
 		targets[h.ID] = h.Target()
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.hosts = len(targets)
-	d.slots.SetTargets(targets)
-	d.ejector.SetLimit(len(targets), promised)
-	d.ejector.Retain(func(host string) bool { _, ok := targets[host]; return ok })
-	d.assignIdle()
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.hosts = len(targets)
+	a.slots.SetTargets(targets)
+	a.ejector.SetLimit(len(targets), promised)
+	a.ejector.Retain(func(host string) bool { _, ok := targets[host]; return ok })
+	a.assignIdle()
 }
 
 // Acquire returns a slot, after waiting for one if necessary. It refuses at once a request that
 // can't start before its deadline.
-func (d *Allocator) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Slot, error) {
-	it := &queue.Item{Class: class, Deadline: deadline, Granted: make(chan *gauge.Slot, 1), Attempts: earlier}
-	p, err := d.takeOrEnqueue(it)
-	if p != nil || err != nil {
-		return p, err
+func (a *Allocator) Acquire(ctx context.Context, class gauge.Class, deadline time.Time, earlier gauge.Attempts) (*gauge.Slot, error) {
+	item := &queue.Item{Class: class, Deadline: deadline, Granted: make(chan *gauge.Slot, 1), Attempts: earlier}
+	slot, err := a.takeOrEnqueue(item)
+	if slot != nil || err != nil {
+		return slot, err
 	}
-	d.conf.RequestSoon()
+	a.conf.RequestSoon()
 	select {
-	case p := <-it.Granted:
-		return p, nil
+	case slot := <-item.Granted:
+		return slot, nil
 	case <-ctx.Done():
 	}
-	if p := d.stopWaiting(it); p != nil {
-		d.Release(p) // it was granted at the same moment
+	if slot := a.stopWaiting(item); slot != nil {
+		a.Release(slot) // it was granted at the same moment
 	}
 	if ctx.Err() == context.Canceled {
 		return nil, gauge.Refuse(earlier, gauge.KindCancelled, "the caller left while the request waited", 0)
 	}
-	return nil, gauge.Refuse(earlier, gauge.KindNoSlot, "no worker came free before the deadline", d.retryAfter(class))
+	return nil, gauge.Refuse(earlier, gauge.KindNoSlot, "no worker came free before the deadline", a.retryAfter(class))
 }
 
-func (d *Allocator) takeOrEnqueue(item *queue.Item) (*gauge.Slot, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.conf.Clock()
-	if d.hosts == 0 {
-		return nil, gauge.Refuse(item.Attempts, gauge.KindNoWorker, "pool "+d.conf.Pool+" has no serving worker", minRetryAfter)
+func (a *Allocator) takeOrEnqueue(item *queue.Item) (*gauge.Slot, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.conf.Clock()
+	if a.hosts == 0 {
+		return nil, gauge.Refuse(item.Attempts, gauge.KindNoWorker, "pool "+a.conf.Pool+" has no serving worker", minRetryAfter)
 	}
-	if d.queue.Len(item.Class) == 0 {
-		if p, ok := d.takeSlot(now, item); ok {
-			return p, nil
+	if a.queue.Len(item.Class) == 0 {
+		if slot, ok := a.takeSlot(now, item); ok {
+			return slot, nil
 		}
 	}
-	wait, ok := d.queue.Add(now, item)
+	wait, ok := a.queue.Add(now, item)
 	if !ok {
 		return nil, gauge.Refuse(item.Attempts, gauge.KindNoSlot, "no worker comes free in time", max(wait, minRetryAfter))
 	}
-	d.assignIdle() // those ahead of it may be retries that can't use the idle slots
+	a.assignIdle() // those ahead of it may be retries that can't use the idle slots
 	return nil, nil
 }
 
 const minRetryAfter = time.Second
 
-func (d *Allocator) retryAfter(c gauge.Class) time.Duration {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return max(minRetryAfter, d.queue.EstimateWait(d.conf.Clock(), c))
+func (a *Allocator) retryAfter(c gauge.Class) time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return max(minRetryAfter, a.queue.EstimateWait(a.conf.Clock(), c))
 }
 
-func (d *Allocator) takeSlot(now time.Time, it *queue.Item) (*gauge.Slot, bool) {
-	p, ok := d.slots.Acquire(now, it.Class, it.Attempts, func(host string) bool { return d.ejector.IsBlocked(now, host) })
+func (a *Allocator) takeSlot(now time.Time, item *queue.Item) (*gauge.Slot, bool) {
+	slot, ok := a.slots.Acquire(now, item.Class, item.Attempts, func(host string) bool { return a.ejector.IsBlocked(now, host) })
 	if ok {
-		d.ejector.RecordStart(now, p.Target.Host)
+		a.ejector.RecordStart(now, slot.Target.Host)
 	}
-	return p, ok
+	return slot, ok
 }
 
 // stopWaiting removes a request from the queue. If a slot was granted meanwhile, it returns that.
-func (d *Allocator) stopWaiting(it *queue.Item) *gauge.Slot {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.queue.Remove(it) {
+func (a *Allocator) stopWaiting(item *queue.Item) *gauge.Slot {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.queue.Remove(item) {
 		return nil
 	}
-	return <-it.Granted
+	return <-item.Granted
 }
 
 // assignIdle gives idle slots to the waiting requests. A retry can't use slots of the hosts where
 // it was tried: it is passed over for the requests behind it and counted, so that slots of other
 // hosts are requested although some are idle. Otherwise it would wait next to idle slots until its
 // deadline.
-func (d *Allocator) assignIdle() {
-	now := d.conf.Clock()
-	d.blockedRetries = 0
+func (a *Allocator) assignIdle() {
+	now := a.conf.Clock()
+	a.blockedRetries = 0
 	for _, c := range []gauge.Class{gauge.ClassQuick, gauge.ClassLong} {
 		var skipped []*queue.Item
-		for it := d.queue.Peek(c); it != nil; it = d.queue.Peek(c) {
-			p, ok := d.takeSlot(now, it)
-			if !ok && len(it.Attempts) == 0 {
+		for item := a.queue.Peek(c); item != nil; item = a.queue.Peek(c) {
+			slot, ok := a.takeSlot(now, item)
+			if !ok && len(item.Attempts) == 0 {
 				break
 			}
-			d.queue.Remove(it)
+			a.queue.Remove(item)
 			if ok {
-				it.Granted <- p
+				item.Granted <- slot
 				continue
 			}
-			skipped = append(skipped, it)
+			skipped = append(skipped, item)
 		}
-		for _, it := range skipped {
-			d.queue.Requeue(it)
+		for _, item := range skipped {
+			a.queue.Requeue(item)
 		}
-		d.blockedRetries += len(skipped)
+		a.blockedRetries += len(skipped)
 	}
 }
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
 // slots, as many more are counted as there are idle ones.
-func (d *Allocator) waitingCounts() (quick, long int) {
-	quick, long = d.queue.Len(gauge.ClassQuick), d.queue.Len(gauge.ClassLong)
-	if d.blockedRetries == 0 {
+func (a *Allocator) waitingCounts() (quick, long int) {
+	quick, long = a.queue.Len(gauge.ClassQuick), a.queue.Len(gauge.ClassLong)
+	if a.blockedRetries == 0 {
 		return quick, long
 	}
 	if quick > 0 {
-		quick += d.slots.IdleCount(gauge.ClassQuick)
+		quick += a.slots.IdleCount(gauge.ClassQuick)
 	}
 	if long > 0 {
-		long += d.slots.IdleCount(gauge.ClassLong)
+		long += a.slots.IdleCount(gauge.ClassLong)
 	}
 	return quick, long
 }
 
 // HasUntriedHost reports whether there is a host that a request wasn't tried on.
-func (d *Allocator) HasUntriedHost(tried gauge.Attempts) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return tried.Hosts() < d.hosts
+func (a *Allocator) HasUntriedHost(tried gauge.Attempts) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return tried.Hosts() < a.hosts
 }
 
 // Release returns a slot for the next request, here or, while slots are scarce, at another entry.
-func (d *Allocator) Release(p *gauge.Slot) {
-	if d.release(p) {
-		d.conf.RequestSoon()
+func (a *Allocator) Release(slot *gauge.Slot) {
+	if a.release(slot) {
+		a.conf.RequestSoon()
 	}
 }
 
-func (d *Allocator) release(p *gauge.Slot) (scarce bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.queue.RecordFinished(d.conf.Clock(), p.Class)
-	d.slots.Release(p)
-	d.assignIdle()
-	return d.slots.IsScarce()
+func (a *Allocator) release(slot *gauge.Slot) (scarce bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.queue.RecordFinished(a.conf.Clock(), slot.Class)
+	a.slots.Release(slot)
+	a.assignIdle()
+	return a.slots.IsScarce()
 }
 
 // CountAsLong counts a quick slot as long from the next lease renewal on.
-func (d *Allocator) CountAsLong(p *gauge.Slot) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.slots.CountAsLong(p)
+func (a *Allocator) CountAsLong(slot *gauge.Slot) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.slots.CountAsLong(slot)
 }
 
 // RecordOutcome rates a worker by how a request ended there; successes add to the retry budget. It
 // returns true if the worker is ejected for it.
-func (d *Allocator) RecordOutcome(host string, failed bool) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (a *Allocator) RecordOutcome(host string, failed bool) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	if !failed {
-		d.retryBudget.RecordSuccess()
+		a.retryBudget.RecordSuccess()
 	}
-	return d.ejector.RecordOutcome(d.conf.Clock(), host, failed)
+	return a.ejector.RecordOutcome(a.conf.Clock(), host, failed)
 }
 
 // SpendRetry takes the n-th retry of a request out of the budget and returns how long to wait
 // before it, or false if the budget is spent.
-func (d *Allocator) SpendRetry(n int) (time.Duration, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if !d.retryBudget.Spend(d.conf.Clock()) {
+func (a *Allocator) SpendRetry(n int) (time.Duration, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if !a.retryBudget.Spend(a.conf.Clock()) {
 		return 0, false
 	}
-	return d.retryBudget.Pause(n), true
+	return a.retryBudget.Pause(n), true
 }
 
 // RenewRequest returns the lease request that renews the lease, or false if there is nothing to
 // renew or to wait for.
-func (d *Allocator) RenewRequest() (slots.LeaseRequest, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	quick, long := d.waitingCounts()
-	if d.slots.IsEmpty() && quick+long == 0 {
+func (a *Allocator) RenewRequest() (slots.LeaseRequest, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	quick, long := a.waitingCounts()
+	if a.slots.IsEmpty() && quick+long == 0 {
 		return slots.LeaseRequest{}, false
 	}
-	now := d.conf.Clock()
-	d.lastFull = now
-	return d.slots.FullRequest(now, quick, long), true
+	now := a.conf.Clock()
+	a.lastFull = now
+	return a.slots.FullRequest(now, quick, long), true
 }
 
 // minFullInterval is how soon an allocator without a lease may request one again.
 const minFullInterval = 100 * time.Millisecond
 
 // NextRequest returns a lease request between two renewals, or false if nothing has changed.
-func (d *Allocator) NextRequest() (slots.LeaseRequest, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	now := d.conf.Clock()
-	quick, long := d.waitingCounts()
-	if req, ok := d.slots.DeltaRequest(now, quick, long); ok {
+func (a *Allocator) NextRequest() (slots.LeaseRequest, bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	now := a.conf.Clock()
+	quick, long := a.waitingCounts()
+	if req, ok := a.slots.DeltaRequest(now, quick, long); ok {
 		return req, true
 	}
-	if d.slots.HasLease(now) || quick+long == 0 || now.Sub(d.lastFull) < minFullInterval {
+	if a.slots.HasLease(now) || quick+long == 0 || now.Sub(a.lastFull) < minFullInterval {
 		return slots.LeaseRequest{}, false
 	}
-	d.lastFull = now
-	return d.slots.FullRequest(now, quick, long), true
+	a.lastFull = now
+	return a.slots.FullRequest(now, quick, long), true
 }
 
-// ApplyGrant takes in slots that the owner grants.
-func (d *Allocator) ApplyGrant(g slots.Grant) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.slots.ApplyGrant(g)
-	d.assignIdle()
+// ApplyGrant adds the slots that the owner grants.
+func (a *Allocator) ApplyGrant(g slots.Grant) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.slots.ApplyGrant(g)
+	a.assignIdle()
 }
 
 // Counts returns the current state.
-func (d *Allocator) Counts() Counts {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (a *Allocator) Counts() Counts {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	return Counts{
-		Pool: d.conf.Pool, Held: d.slots.LeasedCount(), Used: d.slots.UsedCount(), Hosts: d.hosts,
-		Quick: d.queue.Len(gauge.ClassQuick), Long: d.queue.Len(gauge.ClassLong),
-		Ejected: len(d.ejector.Ejected(d.conf.Clock())),
+		Pool: a.conf.Pool, Held: a.slots.LeasedCount(), Used: a.slots.UsedCount(), Hosts: a.hosts,
+		Quick: a.queue.Len(gauge.ClassQuick), Long: a.queue.Len(gauge.ClassLong),
+		Ejected: len(a.ejector.Ejected(a.conf.Clock())),
 	}
 }
--- a/internal/desk/desk_test.go
+++ b/internal/desk/desk_test.go
@@ -20,28 +20,28 @@
 // other slots would be requested.
 func TestRetryRequestsSlotsOfOtherHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := desk.New(desk.Config{
+		a := desk.New(desk.Config{
 			Pool: "p", Holder: "e", MaxWaiting: 10, Clock: time.Now,
 			Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 		})
-		d.SetHosts(gauge.Hosts{{ID: "a", Rack: "a"}, {ID: "b", Rack: "b"}}, 1)
+		a.SetHosts(gauge.Hosts{{ID: "a", Rack: "a"}, {ID: "b", Rack: "b"}}, 1)
 		deadline := time.Now().Add(time.Minute)
 		got := make(chan string, 2)
 		acquire := func(earlier gauge.Attempts) {
-			p, err := d.Acquire(context.Background(), gauge.ClassQuick, deadline, earlier)
+			slot, err := a.Acquire(context.Background(), gauge.ClassQuick, deadline, earlier)
 			assert.Check(t, err)
-			got <- p.Target.Host
+			got <- slot.Target.Host
 		}
 		go acquire(gauge.Attempts{{Target: gauge.Target{Host: "a", Rack: "a"}, Sent: true}})
 		synctest.Wait()
-		first, ok := d.RenewRequest()
+		first, ok := a.RenewRequest()
 		assert.Assert(t, ok)
-		d.ApplyGrant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, LeaseDuration: time.Minute, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "a", Quick: 4}}}) // more than the reserve
+		a.ApplyGrant(slots.Grant{Pool: "p", Seq: first.Seq, Full: true, LeaseDuration: time.Minute, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "a", Quick: 4}}}) // more than the reserve
 		go acquire(nil)
 		assert.Equal(t, <-got, "a", "the request behind the retry goes first")
-		next, ok := d.NextRequest()
+		next, ok := a.NextRequest()
 		assert.Assert(t, ok && next.WantedQuick > 0, "slots of other hosts are asked for: %+v", next)
-		d.ApplyGrant(slots.Grant{Pool: "p", Seq: next.Seq, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "b", Quick: 1}}})
+		a.ApplyGrant(slots.Grant{Pool: "p", Seq: next.Seq, MaxIdle: 4, Slots: []slots.HostSlots{{Host: "b", Quick: 1}}})
 		assert.Equal(t, <-got, "b")
 	})
 }
@@ -50,17 +50,17 @@
 // to retry after.
 func TestRefusedAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := desk.New(desk.Config{
+		a := desk.New(desk.Config{
 			Pool: "p", Holder: "e", MaxWaiting: 1, Clock: time.Now,
 			Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 		})
-		_, err := d.Acquire(context.Background(), gauge.ClassQuick, time.Now(), nil)
+		_, err := a.Acquire(context.Background(), gauge.ClassQuick, time.Now(), nil)
 		assert.Equal(t, gauge.KindOf(err), gauge.KindNoWorker)
-		d.SetHosts(gauge.Hosts{{ID: "a"}}, 1)
+		a.SetHosts(gauge.Hosts{{ID: "a"}}, 1)
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		began := time.Now()
-		_, err = d.Acquire(ctx, gauge.ClassQuick, began.Add(time.Second), nil)
+		_, err = a.Acquire(ctx, gauge.ClassQuick, began.Add(time.Second), nil)
 		assert.Equal(t, gauge.KindOf(err), gauge.KindNoSlot)
 		assert.Equal(t, gauge.AsError(err).Ran(), gauge.RanNo)
 		assert.Assert(t, gauge.AsError(err).RetryAfter > 0)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -54,8 +54,8 @@
 	MemberRowInterval time.Duration // interval between writes of the member row
 	LeaseDuration     time.Duration // of a slot lease
 	RoundInterval     time.Duration // interval between renewals of slot leases, and between controller rounds
-	HostListInterval  time.Duration // interval between reads of the platform's host list
-	DrainDelay        time.Duration // within which the load balancer notices that this entry is not ready
+	ListInterval      time.Duration // interval between reads of the platform's host list
+	DrainDelay        time.Duration // how long the load balancer may take to notice that this entry is not ready
 	ShutdownTimeout   time.Duration // longest wait for requests in flight at shutdown
 }
 
@@ -104,7 +104,7 @@
 	e.mesh = mesh.New(mesh.Config{Key: c.PeerKey, Limit: maxFrame})
 	e.follow = follow.New(follow.Config{
 		Log: e.log, PollInterval: c.PollInterval, Clock: c.Clock, Logs: c.Logs.WithName("follow"),
-		FetchFromPeers: e.askPeers, OnAdopted: e.onAdopted,
+		FetchFromPeers: e.fetchFromPeers, OnAdopted: e.onAdopted,
 	})
 	e.member = member.New(member.Config{
 		Self: c.Self, Table: c.Table, Peers: e.mesh, Clock: c.Clock, Logs: c.Logs.WithName("member"),
@@ -118,8 +118,8 @@
 	e.claims = claim.New(claim.Config{Entry: e.name(), Table: c.Table, Objects: c.Objects, Clock: c.Clock})
 	e.sender = send.New(send.Config{MaxAnswer: maxAnswer, Clock: c.Clock})
 	e.server = serve.New(serve.Config{
-		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.IsCurrent, Desk: e.broker.Allocator,
-		Send: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.mayBeAlive,
+		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.IsCurrent, Allocator: e.broker.Allocator,
+		Dispatcher: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.mayBeAlive,
 	})
 	e.apply = apply.New(apply.Config{Log: e.log, State: e.follow.State, Decoder: schema.New(), Notices: place.New().Unplaceable})
 	e.orphan = orphan.New(orphan.Config{
@@ -129,7 +129,7 @@
 	e.ctrl = ctrl.New(ctrl.Config{
 		Log: e.log, Platform: c.Platform, Planner: plan.New(plan.Config{}), State: e.follow.State,
 		Leases:       lease.New(lease.Config{Entry: e.name(), Table: c.Table, Lives: e.mayBeAlive}),
-		LastHostList: func() (gauge.HostList, time.Time) { s := e.hostList.Load(); return s.list, s.at },
+		LastHostList: func() (gauge.HostList, time.Time) { l := e.hostList.Load(); return l.list, l.at },
 		IsConfirmed:  e.member.IsConfirmed, OwnsDuty: e.ownsDuty, CatchUpTo: e.follow.Wake, OnHostAdded: e.meter.CountMove,
 		Clock: c.Clock, Logs: c.Logs.WithName("ctrl"), RoundInterval: c.RoundInterval,
 	})
@@ -234,9 +234,7 @@
 }
 
 // watchHosts reads the platform's host list periodically.
-func (e *Entry) watchHosts(ctx context.Context) {
-	ticks.Every(ctx, e.conf.HostListInterval, e.readHosts)
-}
+func (e *Entry) watchHosts(ctx context.Context) { ticks.Every(ctx, e.conf.ListInterval, e.readHosts) }
 
 func (e *Entry) readHosts(ctx context.Context) {
 	requestedAt := e.conf.Clock()
@@ -261,9 +259,9 @@
 	for _, w := range e.waves() {
 		e.meter.SetState(w.Pool, "wave_due", float64(w.Hosts-w.Done))
 	}
-	for _, l := range e.holds.Results() {
-		if l.Checks > 0 { // an entry that doesn't check a promise must not report zero breaches
-			e.meter.SetState("", "breaches_"+string(l.Promise), float64(l.Breaches))
+	for _, r := range e.holds.Results() {
+		if r.Checks > 0 { // an entry that doesn't check a promise must not report zero breaches
+			e.meter.SetState("", "breaches_"+string(r.Promise), float64(r.Breaches))
 		}
 	}
 	e.meter.SetState("", "peer_bytes", float64(e.mesh.BytesWritten()))
@@ -272,7 +270,7 @@
 	e.meter.SetState("", "claim_writes", float64(writes))
 }
 
-// mayBeAlive reports whether an entry (id/run) is still among the live members.
+// mayBeAlive reports whether an entry (ID/start ID) is still among the live members.
 func (e *Entry) mayBeAlive(name string) bool {
 	for _, m := range e.member.View().Live {
 		if m.ID+"/"+m.StartID == name {
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -37,9 +37,9 @@
 	return resp, nil
 }
 
-// askPeers returns the newest state that any live entry, including this one, has in force. It
-// returns an error of KindOutage, and the own state, if no other entry is reachable.
-func (e *Entry) askPeers(ctx context.Context) (gauge.State, error) {
+// fetchFromPeers returns the newest state that any live entry, including this one, has in force. It
+// returns an error of KindOutage, and this entry's own state, if no other entry is reachable.
+func (e *Entry) fetchFromPeers(ctx context.Context) (gauge.State, error) {
 	own := e.follow.State()
 	revisions := e.member.Revisions()
 	if len(revisions) < 2 {
@@ -77,15 +77,15 @@
 	return s.WithIndex()
 }
 
-// ownsDuty reports whether this entry is responsible for a duty, by its name. Duties are spread
+// ownsDuty reports whether this entry is responsible for the duty with a name. Duties are spread
 // over the live entries.
 func (e *Entry) ownsDuty(duty string) bool {
 	return peers.Owner(e.member.View().Live, duty).ID == e.conf.Self.ID
 }
 
-// sweep drops claims whose keys are too old to be accepted again.
+// sweepClaims deletes the claims whose keys are too old to be accepted again.
 func (e *Entry) sweepClaims(ctx context.Context) error {
-	const days = 3 // so that a day that an outage kept from being swept is swept later
+	const days = 3 // days missed during an outage are swept later
 	for _, day := range gauge.ExpiredClaimDays(e.conf.Clock(), days) {
 		if _, err := e.claims.Sweep(ctx, day); err != nil {
 			return err
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -21,12 +21,12 @@
 type reportReq struct{}
 
 type reportResp struct {
-	Series []burn.Series  `msgpack:"s"`
-	Lines  []holds.Result `msgpack:"l"`
+	Series  []burn.Series  `msgpack:"s"`
+	Results []holds.Result `msgpack:"l"`
 }
 
 func (e *Entry) handleReport(context.Context, []byte) (any, error) {
-	return &reportResp{Series: e.burn.Series(), Lines: e.holds.Results()}, nil
+	return &reportResp{Series: e.burn.Series(), Results: e.holds.Results()}, nil
 }
 
 const reportTimeout = 2 * time.Second
@@ -35,7 +35,7 @@
 func (e *Entry) collectReports(ctx context.Context) []reportResp {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	all := []reportResp{{Series: e.burn.Series(), Lines: e.holds.Results()}}
+	all := []reportResp{{Series: e.burn.Series(), Results: e.holds.Results()}}
 	var mu sync.Mutex
 	var group conc.WaitGroup
 	for _, m := range e.member.View().Live {
@@ -66,11 +66,11 @@
 }
 
 func (e *Entry) promisesReport(ctx context.Context) []holds.Result {
-	var lines [][]holds.Result
+	var results [][]holds.Result
 	for _, r := range e.collectReports(ctx) {
-		lines = append(lines, r.Lines)
+		results = append(results, r.Results)
 	}
-	return holds.Sum(lines...)
+	return holds.Sum(results...)
 }
 
 // checkPromises checks the promises of the pools that this entry watches: a host works if it
--- a/internal/flaky/flaky.go
+++ b/internal/flaky/flaky.go
@@ -15,19 +15,17 @@
 
 // The faults.
 const (
-	None                  Fault = "none"
-	Refused               Fault = "down"   // refused, not carried out
-	ResponseLost          Fault = "lost"   // carried out, the response is lost
-	RequestLost           Fault = "gone"   // the request is lost and not carried out; to the caller the outcome is unknown
-	ResponseLostDoneLater Fault = "late"   // the response is lost, the call is carried out after LateBy
-	CallerPaused          Fault = "frozen" // the caller is paused for FrozenFor before the call, which then succeeds
-	Outage                Fault = "outage" // this call and all others for OutageFor are refused
+	None         Fault = "none"
+	Refused      Fault = "down"   // refused, not carried out
+	ResponseLost Fault = "lost"   // carried out, the response is lost
+	RequestLost  Fault = "gone"   // the request is lost and not carried out; to the caller the outcome is unknown
+	DoneLater    Fault = "late"   // the response is lost, the call is carried out after DoneLaterDelay
+	Paused       Fault = "frozen" // the caller is paused for PauseDuration before the call, which then succeeds
+	Outage       Fault = "outage" // this call and all others for OutageDuration are refused
 )
 
 // Faults lists all faults but None.
-func Faults() []Fault {
-	return []Fault{Refused, ResponseLost, RequestLost, ResponseLostDoneLater, CallerPaused, Outage}
-}
+func Faults() []Fault { return []Fault{Refused, ResponseLost, RequestLost, DoneLater, Paused, Outage} }
 
 // Durations of the faults.
 const (
@@ -84,12 +82,12 @@
 }
 
 // readFault applies the fault of the next call, a read. Since a read has no effect, all faults but
-// Frozen are outages to the caller.
+// Paused are outages to the caller.
 func (t *Table) readFault() error {
 	switch t.nextFault() {
 	case None:
 		return nil
-	case CallerPaused:
+	case Paused:
 		time.Sleep(PauseDuration)
 		return nil
 	default:
@@ -124,10 +122,10 @@
 		return errUnknown
 	case RequestLost:
 		return errUnknown
-	case ResponseLostDoneLater:
+	case DoneLater:
 		time.AfterFunc(DoneLaterDelay, func() { _ = t.conf.Table.Commit(context.Background(), txn) })
 		return errUnknown
-	case CallerPaused:
+	case Paused:
 		time.Sleep(PauseDuration)
 	}
 	return t.conf.Table.Commit(ctx, txn)
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -28,9 +28,9 @@
 	f, err := frame.Read(bytes.NewReader(encoded(t, frame.Frame{ID: 9, Method: broker.MethodRequest, Body: body})), limit)
 	assert.NilError(t, err)
 	assert.Equal(t, f.ID, uint64(9))
-	var a slots.LeaseRequest
-	assert.NilError(t, frame.Decode(f.Body, &a))
-	assert.Equal(t, a.Seq, uint64(7))
+	var req slots.LeaseRequest
+	assert.NilError(t, frame.Decode(f.Body, &req))
+	assert.Equal(t, req.Seq, uint64(7))
 }
 
 // A frame that is too long, truncated or malformed is an error.
@@ -52,10 +52,10 @@
 // FuzzRead feeds arbitrary bytes to Read and to the decoders of the messages; none may
 // panic or allocate memory beyond the limit.
 func FuzzRead(f *testing.F) {
-	beat, _ := frame.Encode(&peers.Heartbeat{From: gauge.Member{ID: "e"}, ZoneLive: []string{"a"}})
-	ask, _ := frame.Encode(&slots.LeaseRequest{Holder: "e/1", Slots: []slots.HostSlots{{Host: "h", Quick: 1}}})
+	heartbeat, _ := frame.Encode(&peers.Heartbeat{From: gauge.Member{ID: "e"}, ZoneLive: []string{"a"}})
+	request, _ := frame.Encode(&slots.LeaseRequest{Holder: "e/1", Slots: []slots.HostSlots{{Host: "h", Quick: 1}}})
 	grant, _ := frame.Encode(&slots.Grant{Pool: "p", Slots: []slots.HostSlots{{Host: "h"}}})
-	for _, body := range [][]byte{beat, ask, grant, nil} {
+	for _, body := range [][]byte{heartbeat, request, grant, nil} {
 		f.Add(encoded(f, frame.Frame{ID: 1, Method: "m", Body: body}))
 	}
 	f.Add([]byte{0, 0, 0, 5, 0xdd, 0xff, 0xff, 0xff, 0xff}) // an array whose header claims a huge length
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -200,8 +200,8 @@
 	Faults gauge.Faults `json:"faults,omitempty"`
 }
 
-// Problem answers with an error: its kind, whether the request ran, and, if a retry may help,
-// after how many seconds.
+// Problem sends an error response: its kind, whether the request ran, and, if a retry may help,
+// after how many seconds to retry.
 func Problem(c fiber.Ctx, err error) error {
 	e := gauge.AsError(err)
 	a := e.Kind.Answer()
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -33,7 +33,7 @@
 // WaitOpen waits until the gate is open. It returns false if ctx ends first.
 func (g *Gate) WaitOpen(ctx context.Context) bool { return g.wait(ctx, true) }
 
-// WaitClosed waits until the gate has been closed for a time without a break. It returns false if
+// WaitClosed waits until the gate has been closed for the whole of a period. It returns false if
 // ctx ends first.
 func (g *Gate) WaitClosed(ctx context.Context, period time.Duration) bool {
 	for g.wait(ctx, false) {
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -16,20 +16,20 @@
 	go func() { opened <- g.WaitOpen(t.Context()) }()
 	g.Set(true)
 	assert.Assert(t, <-opened)
-	shut := make(chan bool)
-	go func() { shut <- g.WaitClosed(t.Context(), time.Nanosecond) }()
+	closed := make(chan bool)
+	go func() { closed <- g.WaitClosed(t.Context(), time.Nanosecond) }()
 	g.Set(false)
-	assert.Assert(t, <-shut)
+	assert.Assert(t, <-closed)
 }
 
 func TestGateThatReopensSoonIsNotClosed(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	g := gate.New()
-	shut := make(chan bool)
-	go func() { shut <- g.WaitClosed(ctx, time.Hour) }()
+	closed := make(chan bool)
+	go func() { closed <- g.WaitClosed(ctx, time.Hour) }()
 	g.Set(true)
 	cancel()
-	assert.Assert(t, !<-shut)
+	assert.Assert(t, !<-closed)
 }
 
 func TestWaitersReturnWhenContextEnds(t *testing.T) {
@@ -39,5 +39,5 @@
 	assert.Assert(t, !g.WaitOpen(ctx))
 	assert.Assert(t, !g.WaitClosed(ctx, time.Hour))
 	g.Set(true)
-	assert.Assert(t, !g.WaitOpen(ctx), "a loop on Open would never end")
+	assert.Assert(t, !g.WaitOpen(ctx), "a loop on WaitOpen would never end")
 }
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -2,8 +2,8 @@
 // how many more to ask for. It is a state machine without input or output, and implements
 // gauge.Slots.
 //
-// A lease counts from before its request was sent, on this entry's own clock, so it ends here
-// before it ends at the owner, however long the answer took or this entry was paused.
+// The duration of a lease counts from before its request was sent, by this entry's own clock. So the
+// lease ends here before it ends at the owner, even if the answer was slow or this entry was paused.
 package hold
 
 import (
@@ -29,8 +29,8 @@
 	leaseExpires time.Time
 	seq          uint64
 	fullSeq      uint64      // sequence number of the last full request
-	requestedAt  time.Time   // when it was sent
-	renewed      bool        // it was answered
+	requestedAt  time.Time   // when that request was sent
+	renewed      bool        // that request was answered
 	maxUsed      int         // most slots to use while other entries have too few; 0: no limit
 	maxIdle      int         // most idle slots of a class to keep
 	wanted       classCounts // slots wanted, as the owner knows
@@ -67,7 +67,7 @@
 // New returns a Holder without slots.
 func New(c Config) *Holder { return &Holder{conf: c, byHost: make(map[string]*hostSlots)} }
 
-// SetTargets sets the hosts that may be given new requests from now on.
+// SetTargets sets the hosts that new requests may be sent to from now on.
 func (h *Holder) SetTargets(targets map[string]gauge.Target) { h.targets = targets }
 
 // Acquire returns a slot on the host with the most idle ones. It uses no host of an earlier
@@ -113,23 +113,23 @@
 }
 
 // Release returns a slot after its request ended.
-func (h *Holder) Release(p *gauge.Slot) {
+func (h *Holder) Release(slot *gauge.Slot) {
 	h.used--
-	h.becomingLong = slices.DeleteFunc(h.becomingLong, func(t *gauge.Slot) bool { return t == p })
-	l := h.byHost[p.Target.Host]
+	h.becomingLong = slices.DeleteFunc(h.becomingLong, func(s *gauge.Slot) bool { return s == slot })
+	l := h.byHost[slot.Target.Host]
 	if l == nil {
 		return
 	}
-	l.addUsed(p.Class, -1)
+	l.addUsed(slot.Class, -1)
 	if l.isEmpty() {
-		delete(h.byHost, p.Target.Host)
+		delete(h.byHost, slot.Target.Host)
 	}
 }
 
 // CountAsLong counts a quick slot as long from the next full request on.
-func (h *Holder) CountAsLong(p *gauge.Slot) {
-	if p.Class == gauge.ClassQuick {
-		h.becomingLong = append(h.becomingLong, p)
+func (h *Holder) CountAsLong(slot *gauge.Slot) {
+	if slot.Class == gauge.ClassQuick {
+		h.becomingLong = append(h.becomingLong, slot)
 	}
 }
 
@@ -152,7 +152,7 @@
 	return n
 }
 
-// IsEmpty reports whether there is nothing to renew.
+// IsEmpty reports whether no slots are leased or in use, so that there is nothing to renew.
 func (h *Holder) IsEmpty() bool { return len(h.byHost) == 0 }
 
 // FullRequest returns a request that names all slots and renews the lease.
@@ -214,9 +214,9 @@
 }
 
 func (h *Holder) applyLong() {
-	for _, p := range h.becomingLong {
-		p.Class = gauge.ClassLong
-		if l := h.byHost[p.Target.Host]; l != nil {
+	for _, slot := range h.becomingLong {
+		slot.Class = gauge.ClassLong
+		if l := h.byHost[slot.Target.Host]; l != nil {
 			l.quick--
 			l.usedQuick--
 			l.long++
@@ -228,12 +228,12 @@
 
 const (
 	minReserve     = 1
-	usedPerReserve = 4 // one idle slot for so many in use
+	usedPerReserve = 4 // slots in use for each idle one
 )
 
 // reserve returns how many idle slots of a class to keep, so that a request needn't wait for a
-// round trip; never more than the owner allows. Without demand it is none: the slots are of more
-// use to other entries.
+// round trip; never more than the owner allows. Without demand it is 0, as other entries may need
+// the slots.
 func (h *Holder) reserve(used, waiting int) int {
 	if used+waiting == 0 {
 		return 0
@@ -327,7 +327,7 @@
 	return out
 }
 
-// ApplyGrant takes in slots that the owner grants. A grant sent before the owner saw the last full
+// ApplyGrant adds the slots that the owner grants. A grant sent before the owner saw the last full
 // request is ignored: that request didn't name its slots, so the owner has taken them back. Each
 // grant must be applied at most once.
 func (h *Holder) ApplyGrant(g slots.Grant) {
--- a/internal/hold/hold_test.go
+++ b/internal/hold/hold_test.go
@@ -20,11 +20,11 @@
 }
 
 // leased returns a Holder with a lease of three seconds from now.
-func leased(now time.Time, lots ...slots.HostSlots) *hold.Holder {
+func leased(now time.Time, granted ...slots.HostSlots) *hold.Holder {
 	h := hold.New(hold.Config{Name: "e", Pool: "p"})
 	h.SetTargets(targets("a", "b", "c"))
 	h.FullRequest(now, 1, 0)
-	h.ApplyGrant(slots.Grant{Seq: 1, Full: true, LeaseDuration: 3 * time.Second, Slots: lots, MaxIdle: 8})
+	h.ApplyGrant(slots.Grant{Seq: 1, Full: true, LeaseDuration: 3 * time.Second, Slots: granted, MaxIdle: 8})
 	return h
 }
 
@@ -40,17 +40,17 @@
 	assert.Assert(t, !ok)
 }
 
-// Guards against a leaving target that gets new requests, because one of its slots was held idle
-// when the host began to leave.
+// Guards against a leaving target that gets new requests, because this entry had an idle slot on it
+// when it began to leave.
 func TestLeavingHostGetsNoRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := leased(now, slots.HostSlots{Host: "a", Quick: 2})
 	h.SetTargets(targets("b"))
 	_, ok := h.Acquire(now, gauge.ClassQuick, nil, nil)
 	assert.Assert(t, !ok)
-	a, ok := h.DeltaRequest(now, 0, 0)
+	req, ok := h.DeltaRequest(now, 0, 0)
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, a.Slots, []slots.HostSlots{{Host: "a", Quick: 2}})
+	assert.DeepEqual(t, req.Slots, []slots.HostSlots{{Host: "a", Quick: 2}})
 }
 
 // A retry goes to another host, and to another rack where there is one.
@@ -73,10 +73,10 @@
 			}
 			h.SetTargets(set)
 			earlier := gauge.Attempts{{Target: gauge.Target{Host: "a", Rack: "r1"}}}
-			p, ok := h.Acquire(now, gauge.ClassQuick, earlier, nil)
+			slot, ok := h.Acquire(now, gauge.ClassQuick, earlier, nil)
 			assert.Equal(t, ok, tt.want != "")
 			if ok {
-				assert.Equal(t, p.Target.Host, tt.want)
+				assert.Equal(t, slot.Target.Host, tt.want)
 			}
 		})
 	}
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -20,7 +20,7 @@
 	TrueNotRun         Promise = "notrun"   // an answer that says "not run" is true
 	AtMostOnce         Promise = "once"     // a request that must not be repeated runs at most once
 	NoWorkWhenLeaving  Promise = "leaving"  // a leaving target gets no new requests after a few seconds
-	GracefulShutdown   Promise = "graceful" // a graceful shutdown cuts off no request
+	GracefulShutdown   Promise = "graceful" // a graceful shutdown interrupts no request
 	PromptConfig       Promise = "inforce"  // configuration is in force within seconds and never reverts to an older revision
 )
 
@@ -32,8 +32,8 @@
 // Result is what one entry has seen of a promise.
 type Result struct {
 	Promise  Promise   `json:"promise" msgpack:"p"`
-	Checks   int64     `json:"checks" msgpack:"c"`   // how often it was checked and could have been found broken
-	Events   int64     `json:"events" msgpack:"n"`   // how often the mechanism that keeps it took effect
+	Checks   int64     `json:"checks" msgpack:"c"`   // number of checks that could have found it broken
+	Events   int64     `json:"events" msgpack:"n"`   // how often the mechanism that enforces it took effect
 	Breaches int64     `json:"breaches" msgpack:"b"` // how often it was found broken
 	Last     time.Time `json:"last,omitzero" msgpack:"l"`
 	Evidence string    `json:"evidence" msgpack:"e"` // what the last breach showed or, without one, the last check or event
@@ -49,45 +49,45 @@
 
 // New returns a Recorder without any checks.
 func New(clock gauge.Clock) *Recorder {
-	b := &Recorder{clock: clock, results: make(map[Promise]*Result)}
+	r := &Recorder{clock: clock, results: make(map[Promise]*Result)}
 	for _, p := range Promises() {
-		b.results[p] = &Result{Promise: p}
+		r.results[p] = &Result{Promise: p}
 	}
-	return b
+	return r
 }
 
 // RecordCheck records one check of a promise.
-func (b *Recorder) RecordCheck(p Promise, held bool, evidence string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l := b.results[p]
-	l.Checks++
+func (r *Recorder) RecordCheck(p Promise, held bool, evidence string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	res := r.results[p]
+	res.Checks++
 	if !held {
-		l.Breaches++
-		l.Last = b.clock()
+		res.Breaches++
+		res.Last = r.clock()
 	}
-	if !held || l.Breaches == 0 {
-		l.Evidence = evidence
+	if !held || res.Breaches == 0 {
+		res.Evidence = evidence
 	}
 }
 
-// RecordEvent records that the mechanism that keeps a promise took effect. That is no check of the
-// promise: an entry can't see for itself that an answer was meant for another caller, or that a
+// RecordEvent records that the mechanism that enforces a promise took effect. That is no check of
+// the promise: an entry alone can't see that an answer was meant for another caller, or that a
 // request ran elsewhere as well.
-func (b *Recorder) RecordEvent(p Promise, evidence string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.results[p].Events++
-	b.results[p].Evidence = evidence
+func (r *Recorder) RecordEvent(p Promise, evidence string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.results[p].Events++
+	r.results[p].Evidence = evidence
 }
 
 // Results returns the results of all promises, in the order of the report.
-func (b *Recorder) Results() []Result {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	out := make([]Result, 0, len(b.results))
+func (r *Recorder) Results() []Result {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	out := make([]Result, 0, len(r.results))
 	for _, p := range Promises() {
-		out = append(out, *b.results[p])
+		out = append(out, *r.results[p])
 	}
 	return out
 }
@@ -97,10 +97,10 @@
 	out := make([]Result, len(Promises()))
 	for i, p := range Promises() {
 		out[i].Promise = p
-		for _, lines := range all {
-			for _, l := range lines {
-				if l.Promise == p {
-					out[i].merge(l)
+		for _, results := range all {
+			for _, r := range results {
+				if r.Promise == p {
+					out[i].merge(r)
 				}
 			}
 		}
@@ -108,14 +108,14 @@
 	return out
 }
 
-func (l *Result) merge(o Result) {
-	if l.Evidence == "" || o.Last.After(l.Last) {
-		l.Evidence = o.Evidence
+func (r *Result) merge(o Result) {
+	if r.Evidence == "" || o.Last.After(r.Last) {
+		r.Evidence = o.Evidence
 	}
-	if o.Last.After(l.Last) {
-		l.Last = o.Last
+	if o.Last.After(r.Last) {
+		r.Last = o.Last
 	}
-	l.Checks += o.Checks
-	l.Events += o.Events
-	l.Breaches += o.Breaches
+	r.Checks += o.Checks
+	r.Events += o.Events
+	r.Breaches += o.Breaches
 }
--- a/internal/lag/behind.go
+++ b/internal/lag/behind.go
@@ -5,17 +5,17 @@
 // Report is a change of an owner's state that is to be logged. Its value is the log message.
 type Report string
 
-// The values of Said.
+// The values of Report.
 const (
 	ReportNone     Report = ""
 	ReportBehind   Report = "owner behind"
 	ReportCaughtUp Report = "owner caught up"
 )
 
-// BehindConfig sets up a Belief.
+// BehindConfig sets up a BehindDetector.
 type BehindConfig struct {
 	Threshold      time.Duration // an owner whose oldest work has waited at least this long is behind
-	ReportInterval time.Duration // SaidBehind is repeated at this interval while the owner is behind
+	ReportInterval time.Duration // ReportBehind is repeated at this interval while the owner is behind
 }
 
 // BehindDetector tracks whether an owner is behind with its work, by the age of its oldest work. It
@@ -24,7 +24,7 @@
 	conf        BehindConfig
 	behind      bool
 	behindSince time.Duration // when the owner last fell behind
-	lastReport  time.Duration // when SaidBehind was last returned
+	lastReport  time.Duration // when ReportBehind was last returned
 }
 
 // NewBehindDetector makes a BehindDetector of an owner that is not behind.
--- a/internal/lag/lag.go
+++ b/internal/lag/lag.go
@@ -9,7 +9,7 @@
 type Config struct {
 	Window   time.Duration // calls that ended within it count
 	SlowCall time.Duration // a call that takes longer is slow
-	MinCalls int           // least number of calls within the window for a verdict
+	MinCalls int           // least number of calls within the window for Record to report slowness
 	MinPeers int           // least number of peers with slow calls; with fewer, the peers are at fault
 }
 
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -35,7 +35,7 @@
 const prefix = "lease/"
 
 // Acquire returns the check that this entry's writes for a unit must carry. It takes the lease if
-// that is free or its holder is gone, and then returns false until the next call reads the new
+// that is free or its holder is dead, and then returns false until the next call reads the new
 // version back. It also returns false if another live entry has the lease.
 func (l *Leases) Acquire(ctx context.Context, unit string) (gauge.Check, bool, error) {
 	key := prefix + unit
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -75,7 +75,7 @@
 		PeerKey: []byte(uuid.NewString()), OperatorKey: s.conf.OperatorKey,
 		Clock: time.Now, Logs: s.conf.Logs,
 		PollInterval: time.Second / 2, HeartbeatInterval: time.Second / 2, MemberRowInterval: time.Second, LeaseDuration: time.Second,
-		RoundInterval: time.Second / 4, HostListInterval: time.Second / 2, DrainDelay: 0, ShutdownTimeout: time.Minute,
+		RoundInterval: time.Second / 4, ListInterval: time.Second / 2, DrainDelay: 0, ShutdownTimeout: time.Minute,
 	})
 	group.Go(func(ctx context.Context) error {
 		err := e.Run(ctx)
@@ -111,7 +111,7 @@
 				Cores: coresPerWorker, Memory: memoryPerWorkerGiB, Slots: slotsPerWorker, Conns: connsPerWorker,
 			},
 			BootTime: bootTime, ReportInterval: reportInterval,
-			Report: func(seen gauge.ListedHost) (bool, error) { return hosts.Report(seen), nil },
+			Report: func(h gauge.ListedHost) (bool, error) { return hosts.Report(h), nil },
 		})}
 	}
 	return out, nil
--- a/internal/logs/line_test.go
+++ b/internal/logs/line_test.go
@@ -24,7 +24,7 @@
 
 func (b *brokenError) Error() string { return b.text }
 
-// newStandard returns a logger with the newStandard library's JSON handler.
+// newStandard returns a logger with the standard library's JSON handler.
 func newStandard(out *bytes.Buffer) logr.Logger {
 	return logr.FromSlogHandler(slog.NewJSONHandler(out, &slog.HandlerOptions{Level: slog.LevelInfo}))
 }
--- a/internal/loose/loose.go
+++ b/internal/loose/loose.go
@@ -47,7 +47,7 @@
 }
 
 // Release releases a slot.
-func (s *Slots) Release(p *gauge.Slot) { s.used[p.Target.Host]-- }
+func (s *Slots) Release(slot *gauge.Slot) { s.used[slot.Target.Host]-- }
 
 // CountAsLong does nothing, since the baseline doesn't distinguish classes.
 func (s *Slots) CountAsLong(*gauge.Slot) {}
--- a/internal/memdb/memdb.go
+++ b/internal/memdb/memdb.go
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Fetch reads an object. It fails with KindMissing if there is none.
+// Fetch reads an object. It fails with KindNotFound if there is none.
 func (d *DB) Fetch(_ context.Context, name string) ([]byte, error) {
 	d.mu.RLock()
 	defer d.mu.RUnlock()
--- a/internal/mesh/link_test.go
+++ b/internal/mesh/link_test.go
@@ -35,8 +35,8 @@
 }
 
 // Guards against jobs that their pool's owner learns of only a second after all entries have been
-// restarted: an entry connects to another that isn't up yet, and the kernel repeats the connection
-// request only after a second, while a new attempt would succeed sooner.
+// restarted: an entry connects to another that isn't up yet, and the kernel retransmits the
+// connection request only after a second, while a new attempt would succeed sooner.
 func TestConnectToUnresponsiveHostTimesOutSoon(t *testing.T) {
 	n := mesh.New(mesh.Config{Dial: time.Hour})
 	defer n.Close()
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -24,8 +24,8 @@
 	Limit int           // greatest size of a frame, in bytes; default 1 MiB
 	Dial  time.Duration // timeout of the handshake; default 1 s
 	// Connect is the timeout for establishing a TCP connection; default 250 ms. A host without
-	// power doesn't answer, and the kernel repeats the request only after a second: with a longer
-	// timeout, an entry that has just been restarted isn't reached for that second.
+	// power doesn't answer, and the kernel retransmits the request only after a second: with a
+	// longer timeout, an entry that has just been restarted isn't reached for that second.
 	Connect time.Duration
 	// Quiet is the timeout of a call, and of writing a frame; default 2 s. A call without an
 	// answer in this time closes its connection if nothing else was received on it.
--- a/internal/meter/meter.go
+++ b/internal/meter/meter.go
@@ -1,5 +1,6 @@
-// Package meter defines the Prometheus metrics. Each of them serves a service-level promise or a
-// performance measure. Label values come from bounded sets: error kinds, record names, classes.
+// Package meter defines the Prometheus metrics. Each of them supports a service-level objective or
+// a performance measurement. Label values come from bounded sets: error kinds, record names,
+// classes.
 package meter
 
 import (
@@ -17,7 +18,7 @@
 
 	requests       *prometheus.CounterVec
 	requestSeconds *prometheus.HistogramVec
-	attempts       *prometheus.CounterVec
+	tries          *prometheus.CounterVec
 	ejections      *prometheus.CounterVec
 	moves          *prometheus.CounterVec
 	state          *prometheus.GaugeVec
@@ -39,7 +40,7 @@
 			Name: prefix + "request_seconds", Help: "Time from acceptance to the final answer.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 18),
 		}, []string{"service", "class"}),
-		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
+		tries: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: prefix + "attempts_total", Help: "Requests sent to workers, by pool and outcome.",
 		}, []string{"pool", "kind"}),
 		ejections: prometheus.NewCounterVec(prometheus.CounterOpts{
@@ -63,7 +64,7 @@
 	m.owners.register(m.Registry)
 	m.Registry.MustRegister(
 		m.callSeconds, m.events,
-		m.requests, m.requestSeconds, m.attempts, m.ejections, m.moves, m.state,
+		m.requests, m.requestSeconds, m.tries, m.ejections, m.moves, m.state,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}),
 	)
 	return m
@@ -71,8 +72,8 @@
 
 const kindOK = "ok"
 
-// label returns an error's kind, or ok for nil.
-func label(err error) string {
+// kind returns an error's kind, or ok for nil.
+func kind(err error) string {
 	if err == nil {
 		return kindOK
 	}
@@ -89,14 +90,12 @@
 
 // ObserveRequest records a request's final answer and how long it took.
 func (m *Meter) ObserveRequest(service string, class gauge.Class, took time.Duration, err error) {
-	m.requests.WithLabelValues(service, label(err)).Inc()
+	m.requests.WithLabelValues(service, kind(err)).Inc()
 	m.requestSeconds.WithLabelValues(service, string(class)).Observe(took.Seconds())
 }
 
 // CountAttempt counts one request that was sent to a worker.
-func (m *Meter) CountAttempt(pool string, err error) {
-	m.attempts.WithLabelValues(pool, label(err)).Inc()
-}
+func (m *Meter) CountAttempt(pool string, err error) { m.tries.WithLabelValues(pool, kind(err)).Inc() }
 
 // CountEjection counts the ejection of a failing worker from a pool.
 func (m *Meter) CountEjection(pool string) { m.ejections.WithLabelValues(pool).Inc() }
--- a/internal/meter/owner.go
+++ b/internal/meter/owner.go
@@ -6,7 +6,7 @@
 	gauge "sapphiregauge"
 )
 
-// ownerMetrics holds the gauges of the backlog at the ownerMetrics that run on this entry, by pool.
+// ownerMetrics holds the gauges of the backlogs of the owners that run on this entry, by pool.
 type ownerMetrics struct {
 	changes, changeAge, ends, endAge, starts, startAge, queued, silent, slow *prometheus.GaugeVec
 	oldest                                                                   prometheus.Histogram
--- a/internal/meter/tableages.go
+++ b/internal/meter/tableages.go
@@ -23,11 +23,11 @@
 }
 
 // Describe implements prometheus.Collector.
-func (f *tableAges) Describe(out chan<- *prometheus.Desc) { out <- f.age }
+func (t *tableAges) Describe(out chan<- *prometheus.Desc) { out <- t.age }
 
 // Collect implements prometheus.Collector.
-func (f *tableAges) Collect(out chan<- prometheus.Metric) {
-	for table, age := range f.ages() {
-		out <- prometheus.MustNewConstMetric(f.age, prometheus.GaugeValue, age.Seconds(), table)
+func (t *tableAges) Collect(out chan<- prometheus.Metric) {
+	for table, age := range t.ages() {
+		out <- prometheus.MustNewConstMetric(t.age, prometheus.GaugeValue, age.Seconds(), table)
 	}
 }
--- a/internal/orphan/orphan.go
+++ b/internal/orphan/orphan.go
@@ -1,4 +1,4 @@
-// Package orphan finds the accepted requests of entries that are gone and has them taken over, so
+// Package orphan finds the accepted requests of dead entries and has them taken over, so
 // that none is lost when an entry is killed.
 package orphan
 
@@ -30,7 +30,7 @@
 	scansPerSweep = 720
 )
 
-// Finder looks for accepted requests of entries that are gone.
+// Finder looks for accepted requests of dead entries.
 type Finder struct {
 	conf  Config
 	scans int
--- a/internal/peek/peek.go
+++ b/internal/peek/peek.go
@@ -18,7 +18,7 @@
 )
 
 // Check returns the present state of a connection. A connection that gives no access to its file
-// descriptor counts as Quiet.
+// descriptor counts as Idle.
 func Check(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -3,7 +3,7 @@
 // heartbeats, each with the time, and does no input or output.
 //
 // The set of live entries, the view, determines which entry grants a pool's slots.
-// Two entries with different views may both take themselves for that entry. So
+// Two entries with different views may each believe that they are that entry. So
 // each may grant only the share that Share returns: the entries with the same view
 // out of all known entries. An entry has one view only, so the sets of entries
 // that agree on different views don't overlap, and the shares never add up to
@@ -25,7 +25,7 @@
 type Config struct {
 	Self    gauge.Member
 	Silence time.Duration // a peer without a heartbeat for longer is not alive; default 3 s
-	Term    time.Duration // a row that is unchanged for longer is stale; default 15 s
+	Term    time.Duration // a member row that is unchanged for longer is stale; default 15 s
 	Mesh    int           // up to this many entries form a full mesh; default 16
 }
 
@@ -38,16 +38,16 @@
 	maxReadGap = 10 * time.Second
 )
 
-// Heartbeat is a heartbeat. Own lists the live entries of the sender's data centre,
-// Same those of them that have the same view as the sender: so one link between
-// two data centres is enough to hear of all entries at its other end.
+// Heartbeat is the message that an entry sends to its neighbours. Between data centres it also lists
+// the live entries of the sender's data centre, so that one link between two data centres shows
+// either end all entries of the other.
 type Heartbeat struct {
 	From         gauge.Member `msgpack:"f"`
-	Revision     int64        `msgpack:"r"` // configuration revision in force at the sender
-	View         uint64       `msgpack:"v"` // hash of the sender's live entries
-	ZoneLive     []string     `msgpack:"o,omitempty"`
-	ZoneSameView []string     `msgpack:"s,omitempty"`
-	MinRevision  int64        `msgpack:"l,omitempty"` // lowest revision in force among Own
+	Revision     int64        `msgpack:"r"`           // configuration revision in force at the sender
+	View         uint64       `msgpack:"v"`           // hash of the sender's live entries
+	ZoneLive     []string     `msgpack:"o,omitempty"` // live entries of the sender's data centre
+	ZoneSameView []string     `msgpack:"s,omitempty"` // those of ZoneLive with the same view as the sender
+	MinRevision  int64        `msgpack:"l,omitempty"` // lowest revision in force among ZoneLive
 }
 
 // Set holds what this entry knows of the others.
@@ -56,15 +56,15 @@
 	known         map[string]*peer
 	lastRead      time.Time // last read of the rows
 	readableSince time.Time // start of the current series of reads without a gap
-	view          uint64    // hash of the live entries at the last Look
+	view          uint64    // hash of the live entries at the last Refresh
 }
 
 type peer struct {
 	member        gauge.Member
 	rowChanged    time.Time // when the row's counter last changed, by this entry's clock
-	lastHeartbeat time.Time // last heartbeat, direct or relayed by another entry
+	lastHeartbeat time.Time // last heartbeat, received directly or relayed by another entry
 	lastDirect    time.Time // last direct heartbeat
-	view          uint64    // 0: unknown, or another than that of the relaying entry
+	view          uint64    // 0: unknown, or different from that of the relaying entry
 	revision      int64     // configuration revision in force there, as last reported
 }
 
@@ -132,33 +132,33 @@
 }
 
 // Receive records a heartbeat.
-func (s *Set) Receive(now time.Time, b Heartbeat) {
-	if b.From.ID == s.conf.Self.ID || b.From.ID == "" {
+func (s *Set) Receive(now time.Time, h Heartbeat) {
+	if h.From.ID == s.conf.Self.ID || h.From.ID == "" {
 		return
 	}
-	p := s.peerOf(now, b.From)
-	row := p.member.WriteCount
-	p.member = b.From
-	p.member.WriteCount = row
+	p := s.peerOf(now, h.From)
+	writeCount := p.member.WriteCount
+	p.member = h.From
+	p.member.WriteCount = writeCount
 	p.lastHeartbeat, p.lastDirect = now, now
-	p.view, p.revision = b.View, b.Revision
-	for _, id := range b.ZoneLive {
-		s.recordRelayed(now, id, b)
+	p.view, p.revision = h.View, h.Revision
+	for _, id := range h.ZoneLive {
+		s.recordRelayed(now, id, h)
 	}
 }
 
 // recordRelayed records what a heartbeat says of a third entry. A recent direct
 // heartbeat of that entry holds more, and takes precedence.
-func (s *Set) recordRelayed(now time.Time, id string, b Heartbeat) {
+func (s *Set) recordRelayed(now time.Time, id string, h Heartbeat) {
 	p := s.known[id]
 	if p == nil || now.Sub(p.lastDirect) <= s.conf.Silence {
 		return
 	}
 	p.lastHeartbeat = now
-	p.revision = max(p.revision, b.MinRevision)
+	p.revision = max(p.revision, h.MinRevision)
 	p.view = 0
-	if slices.Contains(b.ZoneSameView, id) {
-		p.view = b.View
+	if slices.Contains(h.ZoneSameView, id) {
+		p.view = h.View
 	}
 }
 
@@ -231,23 +231,23 @@
 // NewHeartbeat returns this entry's heartbeat to an entry in the data centre zone; revision is the
 // configuration revision that is in force here.
 func (s *Set) NewHeartbeat(now time.Time, revision int64, zone string) Heartbeat {
-	b := Heartbeat{From: s.conf.Self, Revision: revision, View: s.view}
+	h := Heartbeat{From: s.conf.Self, Revision: revision, View: s.view}
 	if len(s.known) < s.conf.Mesh || zone == s.conf.Self.Zone {
-		return b // these entries exchange heartbeats directly: nothing to relay
+		return h // these entries exchange heartbeats directly: nothing to relay
 	}
 	for id, p := range s.known {
 		if p.member.Zone != s.conf.Self.Zone || now.Sub(p.lastDirect) > s.conf.Silence {
 			continue
 		}
-		b.ZoneLive = append(b.ZoneLive, id)
-		if len(b.ZoneLive) == 1 || p.revision < b.MinRevision {
-			b.MinRevision = p.revision
+		h.ZoneLive = append(h.ZoneLive, id)
+		if len(h.ZoneLive) == 1 || p.revision < h.MinRevision {
+			h.MinRevision = p.revision
 		}
 		if p.view == s.view {
-			b.ZoneSameView = append(b.ZoneSameView, id)
+			h.ZoneSameView = append(h.ZoneSameView, id)
 		}
 	}
-	return b
+	return h
 }
 
 // Neighbours returns the entries to send heartbeats to: all while there are few,
@@ -295,7 +295,7 @@
 
 // IsConfirmed reports whether every entry that may still be sending work has a
 // revision, or a later one, in force: a live entry by its own report; an entry that has
-// been gone for longer than the term is no longer known.
+// been dead for longer than the term is no longer known.
 func (s *Set) IsConfirmed(revision int64) bool {
 	for _, p := range s.known {
 		if p.revision < revision {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -74,8 +74,8 @@
 }
 
 // Guards against two entries that each grant all slots of a pool: links between
-// entries are cut, also in one direction only, and repaired in any order, while each
-// owner takes the live entries in its view for all that exist.
+// entries fail, also in one direction only, and are repaired in any order, while each
+// owner believes that the live entries in its view are all that exist.
 func TestSharesOfOneKeyNeverExceedOne(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
 		rapid.Check(t, func(t *rapid.T) {
@@ -113,7 +113,7 @@
 }
 
 // While all links work, every entry's view holds all entries and one owner has the
-// whole share, also where entries hear of others only through a third.
+// whole share, also where entries learn of others only through a third.
 func TestViewsAgreeWhileAllLinksWork(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
 		g := newCluster(9, mesh)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -74,8 +74,8 @@
 	return out, nil
 }
 
-// Reboot requests a reboot of a host, once per token. It fails with KindMissing for an unknown
-// host.
+// Reboot requests a reboot of a host, once per token. It fails with KindNotFound for an
+// unknown host.
 func (r *Roster) Reboot(_ context.Context, host, token string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/send/send.go
+++ b/internal/send/send.go
@@ -1,6 +1,6 @@
 // Package send sends a request to one worker and reads its answer. It reports whether the
 // worker may have run the request, and rejects an answer that is truncated, too long or
-// labelled with another request's id. It never retries; that is up to its caller.
+// bears the ID of another request. It never retries; that is up to its caller.
 package send
 
 import (
@@ -18,7 +18,7 @@
 // Config sets up a Sender.
 type Config struct {
 	MaxAnswer int           // bytes
-	MaxIdle   time.Duration // for which a connection is kept without use
+	MaxIdle   time.Duration // after which an idle connection is closed
 	Clock     gauge.Clock
 }
 
@@ -132,8 +132,8 @@
 }
 
 // dropIdle handles a connection that gave no answer. The idle connections to the worker may be
-// broken for the same reason while new ones work, and each would cost a request its deadline.
-// All of them are closed, at the cost of connecting again.
+// broken for the same reason while new ones work, and a request on each of them would wait until
+// its deadline. So all of them are closed, at the cost of connecting again.
 func (s *Sender) dropIdle(addr string, sent bool) {
 	if sent {
 		s.pool.CloseIdle(addr)
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -112,7 +112,7 @@
 	return nil
 }
 
-// restore rebuilds the request from its claim, with its whole timeout before it again.
+// restore rebuilds the request from its claim, with its full timeout counted from now.
 func (s *Server) restore(ctx context.Context, key gauge.ClaimKey, a *gauge.AcceptedRequest) (*call, error) {
 	body, err := s.conf.Claims.FetchBody(ctx, a)
 	if err != nil {
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -125,9 +125,9 @@
 	}}
 }
 
-// newDesk returns a desk with slots leased for an hour.
-func newDesk(name string) *desk.Allocator {
-	d := desk.New(desk.Config{
+// newAllocator returns an allocator with slots leased for an hour.
+func newAllocator(name string) *desk.Allocator {
+	a := desk.New(desk.Config{
 		Pool: "p", Holder: name, MaxWaiting: 100, Clock: time.Now,
 		Random: rand.New(rand.NewPCG(1, 1)), RequestSoon: func() {},
 	})
@@ -138,48 +138,48 @@
 		hosts = append(hosts, gauge.Host{ID: id, Rack: id, State: gauge.HostServing})
 		lease.Slots = append(lease.Slots, slots.HostSlots{Host: id, Quick: 8, Long: 8})
 	}
-	d.SetHosts(hosts, 1)
+	a.SetHosts(hosts, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, _ = d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil) // refused: nothing is leased yet
-	return grantLease(d, lease)
+	_, _ = a.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil) // refused: nothing is leased yet
+	return grantLease(a, lease)
 }
 
-// grantLease makes the desk ask for a full lease and grants it.
-func grantLease(d *desk.Allocator, lease slots.Grant) *desk.Allocator {
+// grantLease makes the allocator send a full lease request and grants it.
+func grantLease(a *desk.Allocator, lease slots.Grant) *desk.Allocator {
 	done := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		defer close(done)
-		if slot, err := d.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil); err == nil {
-			d.Release(slot)
+		if slot, err := a.Acquire(ctx, gauge.ClassQuick, time.Now().Add(time.Hour), nil); err == nil {
+			a.Release(slot)
 		}
 	}()
 	synctest.Wait()
-	d.RenewRequest()
-	d.ApplyGrant(lease)
+	a.RenewRequest()
+	a.ApplyGrant(lease)
 	<-done
 	cancel()
-	return d
+	return a
 }
 
 func (h *harness) entry(name string, table gauge.Table) *serve.Server {
-	d := newDesk(name)
+	a := newAllocator(name)
 	s := state()
 	for _, name := range h.teams {
 		s.Records[gauge.RecordID{Kind: gauge.RecordTeam, Name: name}] = gauge.Record{Kind: gauge.RecordTeam, Name: name, Team: &gauge.Team{Quota: 1}}
 	}
 	return serve.New(serve.Config{
 		Clock: time.Now, Logs: logr.Discard(), State: func() gauge.State { return s },
-		Desk: func(pool string) *desk.Allocator {
+		Allocator: func(pool string) *desk.Allocator {
 			if pool != "p" {
 				return nil
 			}
-			return d
+			return a
 		},
-		Send:   h.worker,
-		Claims: claim.New(claim.Config{Entry: name, Table: table, Objects: h.db, Clock: time.Now}),
-		Meter:  meter.New(), MayBeAlive: h.isAlive, IsStateCurrent: func() bool { return h.current },
+		Dispatcher: h.worker,
+		Claims:     claim.New(claim.Config{Entry: name, Table: table, Objects: h.db, Clock: time.Now}),
+		Meter:      meter.New(), MayBeAlive: h.isAlive, IsStateCurrent: func() bool { return h.current },
 		Burn: burn.New(time.Now), Holds: holds.New(time.Now),
 	})
 }
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -9,21 +9,21 @@
 )
 
 // quotaTimeout is how long a synchronous request waits for a slot of its team's quota, which
-// may have to be lent by another entry, before it is refused.
+// may have to be leased from another entry, before it is refused.
 const quotaTimeout = 250 * time.Millisecond
 
 // run dispatches the request to workers until one answers or no further attempt is due.
 func (s *Server) run(ctx context.Context, c *call) (gauge.Response, gauge.Attempts, error) {
-	if c.team != nil {
+	if c.quota != nil {
 		slot, err := s.acquireQuota(ctx, c)
 		if err != nil {
 			return gauge.Response{}, nil, err
 		}
-		defer c.team.Release(slot)
+		defer c.quota.Release(slot)
 	}
 	var attempts gauge.Attempts
 	for {
-		slot, err := c.desk.Acquire(ctx, c.req.Class, c.req.Deadline, attempts)
+		slot, err := c.slots.Acquire(ctx, c.req.Class, c.req.Deadline, attempts)
 		if err != nil {
 			return gauge.Response{}, attempts, err
 		}
@@ -45,7 +45,7 @@
 		defer cancel()
 		ctx = quotaCtx
 	}
-	slot, err := c.team.Acquire(ctx, gauge.ClassQuick, c.req.Deadline, nil)
+	slot, err := c.quota.Acquire(ctx, gauge.ClassQuick, c.req.Deadline, nil)
 	if gauge.IsKind(err, gauge.KindNoSlot) {
 		return nil, gauge.Refuse(nil, gauge.KindQuota, "team "+c.req.Team+" uses all of its quota", gauge.AsError(err).RetryAfter)
 	}
@@ -55,23 +55,23 @@
 // dispatch sends the request once. While it runs, a quick request that exceeds the service's
 // bound for quick requests is reclassified as long.
 func (s *Server) dispatch(ctx context.Context, c *call, slot *gauge.Slot) (gauge.Response, gauge.Attempt, error) {
-	defer c.desk.Release(slot)
+	defer c.slots.Release(slot)
 	if slot.Class == gauge.ClassQuick {
-		reclassify := time.AfterFunc(c.svc.QuickLimit, func() { c.desk.CountAsLong(slot) })
+		reclassify := time.AfterFunc(c.svc.QuickLimit, func() { c.slots.CountAsLong(slot) })
 		defer reclassify.Stop()
 	}
 	began := s.conf.Clock()
-	resp, a, err := s.conf.Send.Dispatch(ctx, slot.Target, c.req)
+	resp, a, err := s.conf.Dispatcher.Dispatch(ctx, slot.Target, c.req)
 	if c.declared == gauge.ClassQuick && a.MayHaveRun() {
 		s.sizeMu.Lock()
-		s.sizes.Ended(c.req.Service, c.req.Team, s.conf.Clock().Sub(began) > c.svc.QuickLimit)
+		s.sizes.RecordEnd(c.req.Service, c.req.Team, s.conf.Clock().Sub(began) > c.svc.QuickLimit)
 		s.sizeMu.Unlock()
 	}
 	s.conf.Meter.CountAttempt(c.svc.Pool, err)
 	if err == nil {
 		s.conf.Holds.RecordEvent(holds.WholeAnswers, "the last answer was whole and bore its request's id")
 	}
-	if counted, failed := workerOutcome(a, err); counted && c.desk.RecordOutcome(slot.Target.Host, failed) {
+	if counted, failed := workerOutcome(a, err); counted && c.slots.RecordOutcome(slot.Target.Host, failed) {
 		s.conf.Meter.CountEjection(c.svc.Pool)
 		s.conf.Logs.Info("worker ejected", "target", slot.Target.Host, "pool", c.svc.Pool)
 	}
@@ -102,10 +102,10 @@
 	if attempts.MayHaveRun() && !c.req.Repeatable {
 		return finalError(attempts, err)
 	}
-	if len(attempts) >= c.svc.MaxTries || !c.desk.HasUntriedHost(attempts) {
+	if len(attempts) >= c.svc.MaxTries || !c.slots.HasUntriedHost(attempts) {
 		return exhaustedError(attempts, err)
 	}
-	pause, ok := c.desk.SpendRetry(len(attempts))
+	pause, ok := c.slots.SpendRetry(len(attempts))
 	if !ok {
 		return finalError(attempts, err)
 	}
@@ -134,8 +134,8 @@
 	return finalError(attempts, err)
 }
 
-// finalError returns the error for the caller. If no attempt can have run, it is a refusal,
-// which states that; otherwise it is err.
+// finalError returns the error for the caller. If no attempt can have run, that is a
+// refusal, which says so; otherwise it is err.
 func finalError(attempts gauge.Attempts, err error) error {
 	if attempts.MayHaveRun() {
 		return err
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,5 +1,5 @@
-// Package serve takes a request from admission to its final answer: it acquires quota, claims
-// the request, acquires a slot on a worker, dispatches, retries and stores the outcome.
+// Package serve takes a request from admission to its final answer: it claims the request, takes a
+// slot of its team's quota and one on a worker, dispatches it, retries and stores the outcome.
 package serve
 
 import (
@@ -27,13 +27,13 @@
 	// IsStateCurrent reports whether State was recently confirmed to be the newest; nil means
 	// that it always is.
 	IsStateCurrent func() bool
-	Desk           func(name string) *desk.Allocator
-	Send           gauge.Dispatcher
+	Allocator      func(name string) *desk.Allocator
+	Dispatcher     gauge.Dispatcher
 	Claims         *claim.Claims
 	Meter          *meter.Meter
 	Burn           *burn.Recorder
 	Holds          *holds.Recorder
-	// MayBeAlive reports whether an entry (id/run) may still be running requests.
+	// MayBeAlive reports whether an entry (ID/start ID) may still be running requests.
 	MayBeAlive func(entry string) bool
 }
 
@@ -86,8 +86,8 @@
 type call struct {
 	req      *gauge.Request
 	svc      *gauge.Service
-	desk     *desk.Allocator
-	team     *desk.Allocator // nil: the team has no quota
+	slots    *desk.Allocator
+	quota    *desk.Allocator // nil: the team has no quota
 	declared gauge.Class
 	began    time.Time
 }
@@ -146,12 +146,12 @@
 	if latest := now.Add(svc.MaxTimeout); r.Deadline.IsZero() || r.Deadline.After(latest) {
 		r.Deadline = latest
 	}
-	c := &call{req: r, svc: svc, desk: s.conf.Desk(svc.Pool), declared: r.Class, began: now}
-	if c.desk == nil {
+	c := &call{req: r, svc: svc, slots: s.conf.Allocator(svc.Pool), declared: r.Class, began: now}
+	if c.slots == nil {
 		return nil, gauge.Refuse(nil, gauge.KindUnready, "pool "+svc.Pool+" is not in force here yet", time.Second)
 	}
 	teams := len(state.RecordNames(gauge.RecordTeam))
-	c.team = s.conf.Desk(broker.QuotaName(r.Team))
+	c.quota = s.conf.Allocator(broker.QuotaName(r.Team))
 	if teams > 0 && state.Team(r.Team) == nil {
 		return nil, s.refuseUndeclared(gauge.KindDenied, "team "+r.Team+" is not declared")
 	}
@@ -192,7 +192,7 @@
 }
 
 // claim inserts the claim of a request and reports whether it did; otherwise it returns the
-// claim that was there. On an error nothing was dispatched.
+// existing claim. On an error nothing was dispatched.
 func (s *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.AcceptedRequest) (claim.Row, bool, error) {
 	held, inserted, err := s.conf.Claims.Insert(ctx, key, state, requestHash(r), a)
 	if err == nil {
--- a/internal/sizer/sizer.go
+++ b/internal/sizer/sizer.go
@@ -31,8 +31,8 @@
 	return declared
 }
 
-// Ended records whether a request that was declared quick exceeded the bound.
-func (s *Sizer) Ended(service, team string, exceeded bool) {
+// RecordEnd records whether a request that was declared quick exceeded the bound.
+func (s *Sizer) RecordEnd(service, team string, exceeded bool) {
 	k := key{service, team}
 	if _, known := s.shares[k]; !known && len(s.shares) >= maxShares {
 		s.shares = make(map[key]float64)
--- a/internal/sizer/sizer_test.go
+++ b/internal/sizer/sizer_test.go
@@ -14,14 +14,14 @@
 func TestMisdeclaredRequestsAreTreatedAsLong(t *testing.T) {
 	s := sizer.New()
 	for range 20 {
-		s.Ended("desk", "liar", true)
-		s.Ended("desk", "honest", false)
+		s.RecordEnd("desk", "liar", true)
+		s.RecordEnd("desk", "honest", false)
 	}
 	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassLong)
 	assert.Equal(t, s.Class("desk", "honest", gauge.ClassQuick), gauge.ClassQuick)
 	assert.Equal(t, s.Class("other", "liar", gauge.ClassQuick), gauge.ClassQuick)
 	for range 20 {
-		s.Ended("desk", "liar", false)
+		s.RecordEnd("desk", "liar", false)
 	}
 	assert.Equal(t, s.Class("desk", "liar", gauge.ClassQuick), gauge.ClassQuick, "the declared class is used again")
 }
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -89,9 +89,9 @@
 	class     gauge.Class
 	arrivedAt time.Duration
 	duration  time.Duration
-	place     *gauge.Slot
+	slot      *gauge.Slot
 
-	paused bool // its entry was paused when it arrived, so its waiting time is no result of the way of sharing
+	paused bool // its entry was paused when it arrived, so its waiting time says nothing about the way of sharing
 }
 
 func base() time.Time { return time.Unix(1_000_000, 0) }
@@ -222,7 +222,7 @@
 		}
 		r := w.ticketQueue[0]
 		w.ticketQueue = w.ticketQueue[1:]
-		r.place = &gauge.Slot{Target: gauge.Target{Host: best}}
+		r.slot = &gauge.Slot{Target: gauge.Target{Host: best}}
 		w.running[best]++ // occupied from now on
 		w.total++
 		w.schedule(networkDelay, func() {
@@ -247,27 +247,27 @@
 	e := w.entries[i]
 	for _, c := range []gauge.Class{gauge.ClassQuick, gauge.ClassLong} {
 		for len(e.queues[c]) > 0 {
-			p, ok := e.slots.Acquire(base().Add(w.now), c, nil, nil)
+			slot, ok := e.slots.Acquire(base().Add(w.now), c, nil, nil)
 			if !ok {
 				break
 			}
 			r := e.queues[c][0]
 			e.queues[c] = e.queues[c][1:]
-			w.start(i, r, p)
+			w.start(i, r, slot)
 		}
 	}
 }
 
-func (w *simulation) start(i int, r *simRequest, p *gauge.Slot) {
+func (w *simulation) start(i int, r *simRequest, slot *gauge.Slot) {
 	w.recordStart(r)
-	w.running[p.Target.Host]++
+	w.running[slot.Target.Host]++
 	w.total++
 	w.schedule(r.duration, func() {
-		w.running[p.Target.Host]--
+		w.running[slot.Target.Host]--
 		w.total--
 		w.atEntry(i, func() {
 			e := w.entries[i]
-			e.slots.Release(p)
+			e.slots.Release(slot)
 			w.startQueued(i)
 			if e.holder != nil && e.holder.IsScarce() {
 				w.sendRequestSoon(i)
@@ -296,16 +296,16 @@
 func (w *simulation) sendRequest(i int, full bool) {
 	h, now := w.entries[i].holder, base().Add(w.now)
 	quick, long := len(w.entries[i].queues[gauge.ClassQuick]), len(w.entries[i].queues[gauge.ClassLong])
-	a, ok := h.DeltaRequest(now, quick, long)
+	req, ok := h.DeltaRequest(now, quick, long)
 	if full {
-		a, ok = h.FullRequest(now, quick, long), true
+		req, ok = h.FullRequest(now, quick, long), true
 	}
 	if !ok {
 		return
 	}
-	w.countBytes(a)
+	w.countBytes(req)
 	w.schedule(networkDelay, func() {
-		g, pushes := w.owner.HandleRequest(base().Add(w.now), a)
+		g, pushes := w.owner.HandleRequest(base().Add(w.now), req)
 		w.deliver(i, g)
 		for _, p := range pushes {
 			w.deliver(holderIndex("e"+p.Holder), p.Grant)
@@ -330,8 +330,8 @@
 }
 
 // BenchmarkShare compares the ways of sharing on the same arrivals: overfull slot-seconds,
-// slot-seconds idle while requests wait, the waiting time of quick requests, and control bytes per
-// second and entry, with one entry paused for 5 of 60 s.
+// slot-seconds idle while requests wait, the waiting time of quick requests, and the bytes of
+// control messages per second and entry, with one entry paused for 5 of 60 s.
 func BenchmarkShare(b *testing.B) {
 	for _, n := range []struct{ entries, workers int }{{8, 50}, {32, 50}, {128, 50}, {128, 400}} {
 		for _, load := range []float64{0.7, 0.95} {
--- a/internal/slots/doubt.go
+++ b/internal/slots/doubt.go
@@ -15,15 +15,15 @@
 	until     time.Time
 }
 
-// markUnreported marks as unconfirmed all slots that no holder has named by the end of the first
-// lease duration: an entry that held slots under the previous owner and is gone, often that owner
-// itself, may still have requests running.
+// markUnreported marks as unconfirmed all slots that no holder has reported by the end of the first
+// lease duration. An entry that held slots under the previous owner and has died, often that owner
+// itself, may have started requests that still run.
 func (o *Owner) markUnreported(now time.Time) {
 	end := o.conf.OwnerSince.Add(o.conf.LeaseDuration)
-	if o.firstTermOver || now.Before(end) {
+	if o.firstLeaseOver || now.Before(end) {
 		return
 	}
-	o.firstTermOver = true
+	o.firstLeaseOver = true
 	for _, r := range o.fleet.Hosts {
 		if n := r.Slots - o.leased[r.Host].total(); n > 0 {
 			o.unconfirmed = append(o.unconfirmed, unconfirmedSlots{
@@ -50,34 +50,34 @@
 		o.clearLeases(h)
 		delete(o.holders, name)
 	}
-	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return !now.Before(d.until) })
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return !now.Before(u.until) })
 }
 
 // clearUnconfirmed drops the unconfirmed slots of a holder that is back: its request names those
 // that it still uses.
 func (o *Owner) clearUnconfirmed(holder string) {
-	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.holder == holder })
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return u.holder == holder })
 }
 
-// ObserveUsage takes in how many slots of a host the platform saw in use at a time. The slots that
-// became unconfirmed before that time can't be more.
+// ObserveUsage records how many slots of a host the platform saw in use at a time. Of the slots that
+// became unconfirmed before that time, no more than these can still be in use.
 func (o *Owner) ObserveUsage(host string, used int, at time.Time) {
 	for i := range o.unconfirmed {
-		d := &o.unconfirmed[i]
-		if d.host != host || !d.expiredAt.Before(at) {
+		u := &o.unconfirmed[i]
+		if u.host != host || !u.expiredAt.Before(at) {
 			continue
 		}
-		d.slots = min(d.slots, used)
-		used -= d.slots
+		u.slots = min(u.slots, used)
+		used -= u.slots
 	}
-	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(d unconfirmedSlots) bool { return d.slots == 0 })
+	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return u.slots == 0 })
 }
 
 func (o *Owner) unconfirmedAt(host string) int {
 	n := 0
-	for _, d := range o.unconfirmed {
-		if d.host == host {
-			n += d.slots
+	for _, u := range o.unconfirmed {
+		if u.host == host {
+			n += u.slots
 		}
 	}
 	return n
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -41,14 +41,14 @@
 
 // Owner leases out the slots of one pool.
 type Owner struct {
-	conf          Config
-	fleet         Fleet
-	leased        map[string]classCounts  // by host
-	holders       map[string]*holderState // by entry
-	unconfirmed   []unconfirmedSlots
-	firstTermOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
-	capacity      int  // slots that this owner may lease out
-	leasedCount   int  // slots leased
+	conf           Config
+	fleet          Fleet
+	leased         map[string]classCounts  // by host
+	holders        map[string]*holderState // by entry
+	unconfirmed    []unconfirmedSlots
+	firstLeaseOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
+	capacity       int  // slots that this owner may lease out
+	leasedCount    int  // slots leased
 }
 
 type classCounts struct{ quick, long int }
@@ -79,8 +79,8 @@
 }
 
 // HandleRequest records what a holder has, gives back and wants. It returns the answer, and the
-// grants that this makes possible for other holders. A request whose sequence number isn't above
-// the last one seen was overtaken on the way: it changes nothing and is rejected.
+// grants for other holders that this makes possible. A request whose sequence number isn't above
+// the last one seen was overtaken by a later one: it changes nothing and is rejected.
 func (o *Owner) HandleRequest(now time.Time, req LeaseRequest) (Grant, []Push) {
 	o.expireLeases(now)
 	h := o.holders[req.Holder]
@@ -132,8 +132,8 @@
 // applyDelta applies a request that names only what changed since the one before it.
 func (o *Owner) applyDelta(h *holderState, req LeaseRequest) {
 	for _, l := range req.Slots {
-		had := h.byHost[l.Host]
-		back := classCounts{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
+		leased := h.byHost[l.Host]
+		back := classCounts{min(max(0, l.Quick), leased.quick), min(max(0, l.Long), leased.long)}
 		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
 	}
 	h.wanted = classCounts{max(0, h.wanted.quick+req.WantedQuick), max(0, h.wanted.long+req.WantedLong)}
@@ -152,7 +152,7 @@
 func (o *Owner) grantFree(fair int) map[string]map[string]classCounts {
 	given := make(map[string]map[string]classCounts)
 	names := o.waitingHolders()
-	if !o.firstTermOver || len(names) == 0 || o.leasedCount >= o.capacity {
+	if !o.firstLeaseOver || len(names) == 0 || o.leasedCount >= o.capacity {
 		return given
 	}
 	hosts := o.freeHosts()
@@ -235,7 +235,7 @@
 }
 
 // classLimit is the limit of one class: the total less the slots kept for the other class, but at
-// least one, so that a small share shuts out neither class.
+// least one, so that neither class is left without slots when the share is small.
 func classLimit(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
 
 func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, unit classCounts, granted map[string]classCounts) (given int) {
@@ -279,7 +279,7 @@
 	o.leasedCount += t.total()
 }
 
-// addCounts adds to an entry of a map, and deletes the entry when it becomes zero.
+// addCounts adds to the counts of a host, and deletes them from the map when they become zero.
 func addCounts(m map[string]classCounts, host string, t classCounts) {
 	sum := classCounts{m[host].quick + t.quick, m[host].long + t.long}
 	if sum == (classCounts{}) {
@@ -325,7 +325,7 @@
 }
 
 // idleDivisor determines which part of the free slots the holders together may keep idle; the rest
-// stays with the owner for whichever entry asks next.
+// stays with the owner for the next entry that requests slots.
 const idleDivisor = 2
 
 // maxIdle is how many idle slots each holder may keep.
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -26,7 +26,7 @@
 
 // request runs on a worker, whatever becomes of its holder.
 type request struct {
-	place   *gauge.Slot
+	slot    *gauge.Slot
 	holder  int
 	ends    time.Time
 	endSeen bool // its holder has seen its end
@@ -88,16 +88,16 @@
 }
 
 func (w *world) sendDelta(i, quick, long int) {
-	if a, ok := w.holders[i].DeltaRequest(w.now, quick, long); ok {
-		w.requests = append(w.requests, a)
+	if req, ok := w.holders[i].DeltaRequest(w.now, quick, long); ok {
+		w.requests = append(w.requests, req)
 	}
 }
 
 func (w *world) deliverRequest(i int) {
-	a := w.requests[i]
+	req := w.requests[i]
 	w.owner.SetFleet(w.fleet())
-	g, pushes := w.owner.HandleRequest(w.now, a)
-	w.grants = append(w.grants, addressedGrant{holderIndex(a.Holder), g})
+	g, pushes := w.owner.HandleRequest(w.now, req)
+	w.grants = append(w.grants, addressedGrant{holderIndex(req.Holder), g})
 	for _, p := range pushes {
 		w.grants = append(w.grants, addressedGrant{holderIndex(p.Holder), p.Grant})
 	}
@@ -127,9 +127,9 @@
 }
 
 func (w *world) take(i int, class gauge.Class, runs time.Duration) bool {
-	p, ok := w.holders[i].Acquire(w.now, class, nil, nil)
+	slot, ok := w.holders[i].Acquire(w.now, class, nil, nil)
 	if ok {
-		w.running = append(w.running, &request{place: p, holder: i, ends: w.now.Add(runs)})
+		w.running = append(w.running, &request{slot: slot, holder: i, ends: w.now.Add(runs)})
 	}
 	return ok
 }
@@ -140,7 +140,7 @@
 		host := fmt.Sprintf("w%d", i)
 		used := 0
 		for _, r := range w.running {
-			if r.place.Target.Host == host && w.now.Before(r.ends) {
+			if r.slot.Target.Host == host && w.now.Before(r.ends) {
 				used++
 			}
 		}
@@ -152,7 +152,7 @@
 func (w *world) finish(i int) {
 	for _, r := range w.running {
 		if r.holder == i && !r.endSeen && !w.now.Before(r.ends) {
-			w.holders[i].Release(r.place)
+			w.holders[i].Release(r.slot)
 			r.endSeen = true
 		}
 	}
@@ -163,9 +163,9 @@
 	running := make(map[string]int)
 	for _, r := range w.running {
 		if w.now.Before(r.ends) {
-			running[r.place.Target.Host]++
-			if running[r.place.Target.Host] > w.size {
-				return r.place.Target.Host
+			running[r.slot.Target.Host]++
+			if running[r.slot.Target.Host] > w.size {
+				return r.slot.Target.Host
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 }
 
 // Guards against a worker that runs more requests than it has slots, because a slot is granted
-// again while the entry that had it before may still use it. Requests for leases and their answers
+// again while its previous holder may still use it. Lease requests and their answers
 // are lost, delayed and reordered, holders pause and resume, owners change and leases expire, in
 // any order.
 func TestNeverMoreRequestsThanSlots(t *testing.T) {
@@ -216,7 +216,7 @@
 				if len(w.running) > 0 {
 					r := w.running[pick(len(w.running))]
 					if !r.endSeen {
-						w.holders[r.holder].CountAsLong(r.place)
+						w.holders[r.holder].CountAsLong(r.slot)
 					}
 				}
 			},
@@ -235,9 +235,9 @@
 	})
 }
 
-// passFirstTerm lets the first lease duration pass, after which the platform reports all workers
+// passFirstLease lets the first lease duration pass, after which the platform reports all workers
 // idle.
-func (w *world) passFirstTerm() {
+func (w *world) passFirstLease() {
 	w.now = w.now.Add(leaseDuration)
 	w.renew(0, 0)
 	w.now = w.now.Add(time.Millisecond)
@@ -267,7 +267,7 @@
 	} {
 		t.Run(string(tt.class), func(t *testing.T) {
 			w := newWorld(1)
-			w.passFirstTerm()
+			w.passFirstLease()
 			taken := 0
 			for range 5 {
 				w.renew(tt.quick, tt.long)
@@ -285,7 +285,7 @@
 // fair share, each slot that comes free would go back to its last holder.
 func TestFairShare(t *testing.T) {
 	w := newWorld(3)
-	w.passFirstTerm()
+	w.passFirstLease()
 	running := func(i int) int {
 		n := 0
 		for _, r := range w.running {
@@ -326,7 +326,7 @@
 // that report the slots would stay unconfirmed for the longest run of a request.
 func TestUsageReportConfirmsIdleSlots(t *testing.T) {
 	w := newWorld(2)
-	w.passFirstTerm()
+	w.passFirstLease()
 	w.renew(20, 0)
 	w.now = w.now.Add(leaseDuration)
 	w.sendFull(1, 0, 0)
@@ -339,11 +339,11 @@
 }
 
 // Guards against a worker that is overfull for as long as a request runs after an entry died. The
-// owner of a pool dies with requests of its own running, and the next owner, which knows nothing of
-// them, would grant all the slots if it didn't take those that no holder reports as unconfirmed.
+// owner of a pool dies with requests of its own running. Its successor knows nothing of them and
+// would grant all slots, unless it treats those that no holder reports as unconfirmed.
 func TestNewOwnerKeepsUnreportedSlots(t *testing.T) {
 	w := newWorld(2)
-	w.passFirstTerm()
+	w.passFirstLease()
 	w.renew(9, 0)
 	for w.take(0, gauge.ClassQuick, maxRunTime) {
 	}
--- a/internal/stand/stand.go
+++ b/internal/stand/stand.go
@@ -19,7 +19,7 @@
 
 // Config sets up a Server.
 type Config struct {
-	Lag   time.Duration // how old the host list may be
+	Lag   time.Duration // maximum age of the host list
 	Gone  time.Duration // time without a report after which a host is listed as gone
 	Clock gauge.Clock
 }
@@ -120,11 +120,11 @@
 }
 
 func (s *Server) reportHost(c fiber.Ctx) error {
-	var seen gauge.ListedHost
-	if err := json.Unmarshal(c.Body(), &seen); err != nil {
+	var host gauge.ListedHost
+	if err := json.Unmarshal(c.Body(), &host); err != nil {
 		return c.Status(http.StatusBadRequest).SendString(err.Error())
 	}
-	return c.JSON(reportBody{Reboot: s.hosts.Report(seen)})
+	return c.JSON(reportBody{Reboot: s.hosts.Report(host)})
 }
 
 func (s *Server) getRow(c fiber.Ctx) error {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -17,7 +17,7 @@
 
 // Config sets up a Worker.
 type Config struct {
-	Self           gauge.ListedHost // the host it reports; status, used slots and boots are filled in
+	Self           gauge.ListedHost // the host that it reports; status, used slots and boots are filled in
 	BootTime       time.Duration    // how long a reboot takes
 	ReportInterval time.Duration    // interval of reports
 	// Report sends a report to the platform and returns whether the worker is to reboot.
