--- a/cmd/rounds/main.go
+++ b/cmd/rounds/main.go
@@ -1,9 +1,9 @@
-// Command rounds compares versions of the scheduling policies by simulation. A play simulates one day
-// of load on a deployment with one source tree and one random seed; an external program, the player,
-// carries it out and reports the worth earned and the prices paid. The command plays the same days
-// with the same seeds on several trees and prints the results side by side. A single play says
-// little, since a day's worth differs by 0.1 to 0.4 between seeds; the mean of the differences on
-// equal seeds says more.
+// Command rounds compares versions of the scheduling policies by simulation. A play simulates one
+// day of load on a deployment with one source tree and one random seed; an external program, the
+// player, carries it out and reports the worth earned and what was deducted from it. The command
+// plays the same days with the same seeds on several trees and prints the results side by side. The
+// result of a single play is imprecise, since a day's worth differs by 0.1 to 0.4 between
+// seeds; the mean of the differences on equal seeds is more precise.
 package main
 
 import (
--- a/cmd/rounds/play.go
+++ b/cmd/rounds/play.go
@@ -23,7 +23,7 @@
 	Err                  error `json:"-"`
 }
 
-// Outcome is the result of a day as its report gives it.
+// Outcome is the result of a play, from its report.
 type Outcome struct {
 	Worth  float64
 	Whole  float64            // share of the due worth that was earned over the whole day
@@ -92,7 +92,7 @@
 	return dirs
 }
 
-// build lets the player build a tree once, before the plays, each of which would build it otherwise.
+// build has the player build a tree once before the plays; otherwise each play would build it.
 func build(ctx context.Context, player, dir string) error {
 	cmd := exec.CommandContext(ctx, player, "build")
 	cmd.Dir = dir
--- a/cmd/rounds/reasons.go
+++ b/cmd/rounds/reasons.go
@@ -19,7 +19,7 @@
 // The reasons, in order of precedence; their values are column headers.
 const (
 	ReasonRefused    Reason = "refused"           // no entry accepted it
-	ReasonUnsettled  Reason = "not settled"       // its client was told to ask again, and the log has nothing further on it
+	ReasonUnsettled  Reason = "not settled"       // its client was told to retry, and the log has nothing more on it
 	ReasonSubmission Reason = "slow hand-in"      // it was stored late
 	ReasonNoOwner    Reason = "pool in hand-over" // its pool had no owner with loaded state for a while after its submission
 	ReasonLost       Reason = "run lost"          // one of its runs ended in another way than done, or vanished
@@ -28,12 +28,13 @@
 )
 
 const (
-	// Delays above these count as reasons: a job's slack is 0.6 s plus a share of its work.
+	// Delays above these count as reasons: the slack of a job's objective is 0.6 s plus a share of
+	// its work.
 	slowSubmission = 500 * time.Millisecond
 	longDelay      = 400 * time.Millisecond
 )
 
-// logLine is a line of an entry's log, reduced to the values that are needed here.
+// logLine holds the fields of a line of an entry's log that are used here.
 type logLine struct {
 	Message string        `json:"msg"`
 	Job     string        `json:"job"`
@@ -89,12 +90,12 @@
 		}
 	}
 	counts := make(map[string]map[Reason]int)
-	for _, s := range histories {
-		if reason := s.reason(gaps); reason != "" {
-			if counts[s.pool] == nil {
-				counts[s.pool] = make(map[Reason]int)
+	for _, h := range histories {
+		if reason := h.reason(gaps); reason != "" {
+			if counts[h.pool] == nil {
+				counts[h.pool] = make(map[Reason]int)
 			}
-			counts[s.pool][reason]++
+			counts[h.pool][reason]++
 		}
 	}
 	return counts, eris.Wrap(in.Err(), "log")
@@ -115,58 +116,58 @@
 
 // recordLine updates the history of the line's job.
 func recordLine(histories map[string]*jobHistory, l *logLine) {
-	s := histories[l.Job]
-	if s == nil {
-		s = &jobHistory{firstSeen: l.at}
-		histories[l.Job] = s
+	h := histories[l.Job]
+	if h == nil {
+		h = &jobHistory{firstSeen: l.at}
+		histories[l.Job] = h
 	}
 	if l.Pool != "" {
-		s.pool = l.Pool
+		h.pool = l.Pool
 	}
-	s.lastSeen = l.at
+	h.lastSeen = l.at
 	switch l.Message {
 	case "job accepted", "job relayed", "job known", "job adopted":
-		s.stored = true
-		s.storedLate = s.storedLate || l.Message != "job adopted" && l.Took > slowSubmission
+		h.stored = true
+		h.storedLate = h.storedLate || l.Message != "job adopted" && l.Took > slowSubmission
 	case "job refused":
-		s.refused = true
+		h.refused = true
 	case "job unsettled":
-		s.unsettled = true
+		h.unsettled = true
 	case "job cancelled":
-		s.cancelled = true
+		h.cancelled = true
 	case "run starts":
-		s.waited = max(s.waited, l.Waited)
+		h.waited = max(h.waited, l.Waited)
 	case "run ended":
-		s.runLost = s.runLost || l.End != "done"
+		h.runLost = h.runLost || l.End != "done"
 	case "run vanished":
-		s.runLost = true
+		h.runLost = true
 	case "job completed":
-		s.completed, s.completedLate = true, l.Late
+		h.completed, h.completedLate = true, l.Late
 	}
 }
 
 // reason returns why the job was late or lost. It is empty for a job that met its objective and for
 // one that its client cancelled.
-func (s *jobHistory) reason(gaps []ownerGap) Reason {
+func (h *jobHistory) reason(gaps []ownerGap) Reason {
 	waitsForOwner := slices.ContainsFunc(gaps, func(g ownerGap) bool {
-		return g.pool == s.pool && g.to-g.from > longDelay.Seconds() && s.firstSeen < g.to && s.lastSeen > g.from
+		return g.pool == h.pool && g.to-g.from > longDelay.Seconds() && h.firstSeen < g.to && h.lastSeen > g.from
 	})
 	switch {
-	case s.cancelled || s.completed && !s.completedLate:
+	case h.cancelled || h.completed && !h.completedLate:
 		return ""
-	case !s.stored && s.refused:
+	case !h.stored && h.refused:
 		return ReasonRefused
-	case !s.stored && s.unsettled:
+	case !h.stored && h.unsettled:
 		return ReasonUnsettled
-	case !s.completed && s.waited == 0 && !s.runLost:
+	case !h.completed && h.waited == 0 && !h.runLost:
 		return "" // a long-running or scheduled job, or one submitted in the last seconds
-	case s.storedLate:
+	case h.storedLate:
 		return ReasonSubmission
 	case waitsForOwner:
 		return ReasonNoOwner
-	case s.runLost:
+	case h.runLost:
 		return ReasonLost
-	case s.waited > longDelay:
+	case h.waited > longDelay:
 		return ReasonRoom
 	default:
 		return ReasonWork
--- a/cmd/sapphiregauge/assemble.go
+++ b/cmd/sapphiregauge/assemble.go
@@ -16,30 +16,30 @@
 
 // assemble creates the components of an entry and connects them.
 func assemble(s platform.Settings, disabled gauge.Disabled, log logr.Logger) *components {
-	p := &components{settings: s, log: log, meter: meter.New()}
-	p.table = platform.NewTable(platform.TableConfig{Addr: s.TableAddr, ReadTimeout: readTimeout, CommitTimeout: commitTimeout, Clock: bootTime})
+	c := &components{settings: s, log: log, meter: meter.New()}
+	c.table = platform.NewTable(platform.TableConfig{Addr: s.TableAddr, ReadTimeout: readTimeout, CommitTimeout: commitTimeout, Clock: bootTime})
 	store := timely.New(timely.Config{
-		Store: p.table, CheckDelay: commitCheckDelay, MaxFastRead: maxFastRead, ReadTimeout: probeReadTimeout, CommitTimeout: commitTimeout, Now: boot.Now,
+		Store: c.table, CheckDelay: commitCheckDelay, MaxFastRead: maxFastRead, ReadTimeout: probeReadTimeout, CommitTimeout: commitTimeout, Now: boot.Now,
 	})
-	p.workers = platform.NewWorkers(platform.WorkersConfig{HeartbeatTimeout: heartbeatTimeout, OrderTimeout: orderTimeout, Clock: bootTime})
+	c.workers = platform.NewWorkers(platform.WorkersConfig{HeartbeatTimeout: heartbeatTimeout, OrderTimeout: orderTimeout, Clock: bootTime})
 	var machines gauge.Machines
 	if s.MachinesAddr != "" {
-		p.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.MachinesAddr, Timeout: machineTimeout, Clock: bootTime})
-		machines = p.machines
+		c.machines = platform.NewMachines(platform.MachinesConfig{Addr: s.MachinesAddr, Timeout: machineTimeout, Clock: bootTime})
+		machines = c.machines
 	}
 	var adviser gauge.Adviser
 	if s.AdviceAddr != "" {
 		adviser = platform.NewAdvice(platform.AdviceConfig{Addr: s.AdviceAddr, Timeout: adviceTimeout, Clock: bootTime})
 	}
-	p.mesh = mesh.New(mesh.Config{Closed: func(addr string) { p.node.CheckHolder(addr) }})
-	p.node = node.New(node.Config{
-		Name: s.NodeName, Start: newStartID(), Addr: p.peerAddr(), CapacityCores: s.CapacityCores(), Store: store, Workers: p.workers, Machines: machines, Adviser: adviser,
-		Words: platform.TableCodec{}, Mesh: p.mesh, Logs: log, Now: boot.Now, WallClock: time.Now, ObserveCall: p.meter.ObserveCall, CountEvent: p.meter.CountEvent,
-		ObserveBacklog: p.meter.SetBacklog, MaxWorkerLease: s.MaxWorkerLease, MaxApplyDelay: s.MaxApplyDelay, Disabled: disabled, MinOrderInterval: s.MinOrderInterval, MaintenanceDuration: s.MaintenanceDuration, JobRetention: s.JobRetention,
+	c.mesh = mesh.New(mesh.Config{Closed: func(addr string) { c.node.CheckHolder(addr) }})
+	c.node = node.New(node.Config{
+		Name: s.NodeName, Start: newStartID(), Addr: c.peerAddr(), CapacityCores: s.CapacityCores(), Store: store, Workers: c.workers, Machines: machines, Adviser: adviser,
+		Words: platform.TableCodec{}, Mesh: c.mesh, Logs: log, Now: boot.Now, WallClock: time.Now, ObserveCall: c.meter.ObserveCall, CountEvent: c.meter.CountEvent,
+		ObserveBacklog: c.meter.SetBacklog, MaxWorkerLease: s.MaxWorkerLease, MaxApplyDelay: s.MaxApplyDelay, Disabled: disabled, MinOrderInterval: s.MinOrderInterval, MaintenanceDuration: s.MaintenanceDuration, JobRetention: s.JobRetention,
 	})
-	p.meter.RegisterTableAges(p.node.TableAges)
-	p.front = platform.NewFrontend(platform.FrontendConfig{Jobs: p.node.Jobs(), Site: p.node.ServingSite, Route: p.node.Route, Ready: p.node.Ready, Logs: log})
-	return p
+	c.meter.RegisterTableAges(c.node.TableAges)
+	c.front = platform.NewFrontend(platform.FrontendConfig{Jobs: c.node.Jobs(), Site: c.node.ServingSite, Route: c.node.Route, Ready: c.node.Ready, Logs: log})
+	return c
 }
 
 // bootTime returns the time since the machine's start, suspensions included, as a time.Time, for
--- a/cmd/sapphiregauge/entry.go
+++ b/cmd/sapphiregauge/entry.go
@@ -34,7 +34,7 @@
 	id, zone, httpAddr, peerAddr, platformAddr                                                     string
 	platformKey, peerKey, operatorKey, logLevel                                                    string
 	seeds                                                                                          []string
-	pollInterval, heartbeatInterval, memberRowInterval, leaseTerm, renewInterval, hostListInterval time.Duration
+	pollInterval, heartbeatInterval, memberRowInterval, leaseDuration, roundInterval, listInterval time.Duration
 	drainDelay, shutdownTimeout                                                                    time.Duration
 }
 
@@ -42,7 +42,7 @@
 	return &entrySettings{
 		httpAddr: "127.0.0.1:8080", peerAddr: "127.0.0.1:8081", platformAddr: "127.0.0.1:8090", logLevel: "info",
 		pollInterval: time.Second, heartbeatInterval: time.Second, memberRowInterval: 5 * time.Second,
-		leaseTerm: 3 * time.Second, renewInterval: time.Second, hostListInterval: 2 * time.Second,
+		leaseDuration: 3 * time.Second, roundInterval: time.Second, listInterval: 2 * time.Second,
 		drainDelay: 5 * time.Second, shutdownTimeout: 2 * time.Minute,
 	}
 }
@@ -68,17 +68,17 @@
 		{Flag: "poll", Help: "time between two reads of the newest revision", Dest: &s.pollInterval, Check: conf.GreaterThan(&s.pollInterval, 0)},
 		{Flag: "beat", Help: "time between two heartbeats", Dest: &s.heartbeatInterval, Check: conf.GreaterThan(&s.heartbeatInterval, 0)},
 		{Flag: "row", Help: "time between two writes of the member row", Dest: &s.memberRowInterval, Check: conf.GreaterThan(&s.memberRowInterval, 0)},
-		{Flag: "term", Help: "length of a slot lease; more than twice --round", Dest: &s.leaseTerm, Check: s.checkTerm},
-		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.renewInterval, Check: conf.GreaterThan(&s.renewInterval, 0)},
-		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.hostListInterval, Check: conf.GreaterThan(&s.hostListInterval, 0)},
+		{Flag: "term", Help: "length of a slot lease; more than twice --round", Dest: &s.leaseDuration, Check: s.checkLeaseDuration},
+		{Flag: "round", Help: "time between two renewals of slot leases", Dest: &s.roundInterval, Check: conf.GreaterThan(&s.roundInterval, 0)},
+		{Flag: "watch", Help: "time between two reads of the host list", Dest: &s.listInterval, Check: conf.GreaterThan(&s.listInterval, 0)},
 		{Flag: "drain", Help: "time to go on serving after SIGTERM while not ready", Dest: &s.drainDelay, Check: conf.GreaterThan(&s.drainDelay, -1)},
 		{Flag: "stop", Help: "longest wait for requests in flight after --drain", Dest: &s.shutdownTimeout, Check: conf.GreaterThan(&s.shutdownTimeout, 0)},
 	}
 }
 
-func (s *entrySettings) checkTerm(fs *gauge.Faults, field string) {
-	if s.leaseTerm <= 2*s.renewInterval {
-		fs.Add(field, "is %s, must be above twice --round (%s), or one lost message ends the lease", s.leaseTerm, s.renewInterval)
+func (s *entrySettings) checkLeaseDuration(fs *gauge.Faults, field string) {
+	if s.leaseDuration <= 2*s.roundInterval {
+		fs.Add(field, "is %s, must be above twice --round (%s), or one lost message ends the lease", s.leaseDuration, s.roundInterval)
 	}
 }
 
@@ -108,8 +108,8 @@
 		Table: platform, Objects: platform, Platform: platform,
 		PeerKey: []byte(s.peerKey), OperatorKey: s.operatorKey,
 		Clock: time.Now, Logs: logs.New(os.Stderr, s.logLevel == "debug").WithValues("entry", s.id),
-		PollInterval: s.pollInterval, HeartbeatInterval: s.heartbeatInterval, MemberRowInterval: s.memberRowInterval, LeaseDuration: s.leaseTerm, RoundInterval: s.renewInterval,
-		ListInterval: s.hostListInterval, DrainDelay: s.drainDelay, ShutdownTimeout: s.shutdownTimeout,
+		PollInterval: s.pollInterval, HeartbeatInterval: s.heartbeatInterval, MemberRowInterval: s.memberRowInterval, LeaseDuration: s.leaseDuration, RoundInterval: s.roundInterval,
+		ListInterval: s.listInterval, DrainDelay: s.drainDelay, ShutdownTimeout: s.shutdownTimeout,
 	}).Run(ctx)
 }
 
--- a/cmd/sapphiregauge/host.go
+++ b/cmd/sapphiregauge/host.go
@@ -149,39 +149,39 @@
 	log := logs.New(out, false).WithValues("entry", settings.NodeName)
 	started := boot.Now()
 	log.Info("start", "zone", settings.Zone, "version", version, "without", disabled)
-	p := assemble(settings, disabled, log)
-	p.meter.RegisterDroppedLines(out.Dropped)
-	err = p.serveAll(ctx, s)
+	c := assemble(settings, disabled, log)
+	c.meter.RegisterDroppedLines(out.Dropped)
+	err = c.serveAll(ctx, s)
 	log.Info("stop", "ran", boot.Now()-started, "dropped", out.Dropped())
 	out.Close()
 	return err
 }
 
-func (p *components) serveAll(ctx context.Context, s *hostSettings) error {
-	front, err := net.Listen("tcp", p.settings.FrontendAddr)
+func (c *components) serveAll(ctx context.Context, s *hostSettings) error {
+	front, err := net.Listen("tcp", c.settings.FrontendAddr)
 	if err != nil {
 		return eris.Wrap(err, "host: address for clients")
 	}
-	ready, err := net.Listen("tcp", p.settings.ReadyAddr)
+	ready, err := net.Listen("tcp", c.settings.ReadyAddr)
 	if err != nil {
 		return eris.Wrap(err, "host: address for the readiness check")
 	}
-	peer, err := net.Listen("tcp", p.peerAddr())
+	peer, err := net.Listen("tcp", c.peerAddr())
 	if err != nil {
 		return eris.Wrap(err, "host: address for other entries")
 	}
 	run, stop := context.WithCancel(context.Background())
 	defer stop()
 	var group conc.WaitGroup
-	group.Go(func() { p.logEnd("clients", p.front.Serve(front)) })
-	group.Go(func() { p.logEnd("readiness", p.front.ServeReady(ready)) })
-	group.Go(func() { p.logEnd("entries", p.mesh.Serve(run, peer)) })
-	group.Go(func() { p.node.Run(run) })
-	p.serveMetrics(s)
-	p.reloadOnHangup(ctx)
-	p.shutDown()
+	group.Go(func() { c.logEnd("clients", c.front.Serve(front)) })
+	group.Go(func() { c.logEnd("readiness", c.front.ServeReady(ready)) })
+	group.Go(func() { c.logEnd("entries", c.mesh.Serve(run, peer)) })
+	group.Go(func() { c.node.Run(run) })
+	c.serveMetrics(s)
+	c.reloadOnHangup(ctx)
+	c.shutDown()
 	stop()
-	p.mesh.Close()
+	c.mesh.Close()
 	group.Wait()
 	return nil
 }
@@ -189,7 +189,7 @@
 // reloadOnHangup reads the settings again at each SIGHUP until ctx is done. Without a handler the
 // signal would end the process. The running entry keeps the settings it was started with: the log
 // says whether they have changed, and the new ones take effect at the next start.
-func (p *components) reloadOnHangup(ctx context.Context) {
+func (c *components) reloadOnHangup(ctx context.Context) {
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
@@ -201,58 +201,58 @@
 		}
 		reread, err := platform.ReadSettings()
 		if err != nil {
-			p.log.Error(err, "settings not read, keeping the previous ones")
+			c.log.Error(err, "settings not read, keeping the previous ones")
 			continue
 		}
-		p.log.Info("reload", "changed", reread != p.settings)
+		c.log.Info("reload", "changed", reread != c.settings)
 	}
 }
 
-func (p *components) peerAddr() string {
-	return net.JoinHostPort(p.settings.IP, strconv.Itoa(p.settings.PeerPorts[0]))
+func (c *components) peerAddr() string {
+	return net.JoinHostPort(c.settings.IP, strconv.Itoa(c.settings.PeerPorts[0]))
 }
 
 // shutDown shuts an entry down without interrupting requests: its pools are released to other
 // entries as soon as possible, clients are asked to use other entries, and it goes on serving until
 // shortly before the grace period ends, so that the platform has had time to stop routing clients
 // here.
-func (p *components) shutDown() {
+func (c *components) shutDown() {
 	began := boot.Now()
-	remaining := p.settings.GracePeriod - stopMargin
-	p.front.BeginShutdown(remaining + closeTimeout - responseMargin)
-	p.release(max(0, remaining-releaseTimeout-releaseMargin))
+	remaining := c.settings.GracePeriod - stopMargin
+	c.front.BeginShutdown(remaining + closeTimeout - responseMargin)
+	c.release(max(0, remaining-releaseTimeout-releaseMargin))
 	if remaining -= boot.Now() - began; remaining > 0 {
 		time.Sleep(remaining)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	p.logEnd("clients", p.front.Close(ctx))
+	c.logEnd("clients", c.front.Close(ctx))
 }
 
 // release gives up the leases of the pools, so that other entries take them: at once, or, while the
 // table is slow, as soon as it is fast again or maxDelay has passed.
-func (p *components) release(maxDelay time.Duration) {
+func (c *components) release(maxDelay time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), maxDelay+releaseTimeout)
 	defer cancel()
-	p.node.Release(ctx, maxDelay)
+	c.node.Release(ctx, maxDelay)
 }
 
-func (p *components) serveMetrics(s *hostSettings) {
+func (c *components) serveMetrics(s *hostSettings) {
 	if s.metrics == 0 {
 		return
 	}
 	mux := http.NewServeMux()
-	mux.Handle("/metrics", promhttp.HandlerFor(p.meter.Registry, promhttp.HandlerOpts{}))
+	mux.Handle("/metrics", promhttp.HandlerFor(c.meter.Registry, promhttp.HandlerOpts{}))
 	server := &http.Server{
-		Addr: net.JoinHostPort(p.settings.IP, strconv.Itoa(s.metrics)), Handler: mux, ReadHeaderTimeout: time.Second,
+		Addr: net.JoinHostPort(c.settings.IP, strconv.Itoa(s.metrics)), Handler: mux, ReadHeaderTimeout: time.Second,
 	}
-	go func() { p.logEnd("metrics", server.ListenAndServe()) }()
+	go func() { c.logEnd("metrics", server.ListenAndServe()) }()
 }
 
 // logEnd logs the error with which a server ended; a nil error is a regular stop.
-func (p *components) logEnd(server string, err error) {
+func (c *components) logEnd(server string, err error) {
 	if err != nil {
-		p.log.Error(err, "server ended", "server", server)
+		c.log.Error(err, "server ended", "server", server)
 	}
 }
 
--- a/cmd/sapphiregauge/report.go
+++ b/cmd/sapphiregauge/report.go
@@ -63,24 +63,24 @@
 }
 
 func reportBurn(ctx context.Context, cl *client.Client, w io.Writer, format string) error {
-	var lines []burn.ServiceReport
-	if err := cl.Get(ctx, "/reports/burn", &lines); err != nil {
+	var reports []burn.ServiceReport
+	if err := cl.Get(ctx, "/reports/burn", &reports); err != nil {
 		return err
 	}
 	switch format {
 	case "json":
-		return json.NewEncoder(w).Encode(lines)
+		return json.NewEncoder(w).Encode(reports)
 	case "html":
-		return burnPage(w, lines)
+		return burnPage(w, reports)
 	case "text":
 	default:
 		return gauge.Errorf(gauge.KindInvalid, "--format: %q is none of text, json, html", format)
 	}
 	table := [][]string{{"SERVICE", "POOL", "OBJECTIVE", "5m", "30m", "1h", "6h", "ALERT"}}
-	for _, l := range lines {
+	for _, r := range reports {
 		table = append(table, []string{
-			l.Service, l.Pool, strconv.FormatFloat(l.Objective, 'g', -1, 64),
-			formatRate(l.Rate5m), formatRate(l.Rate30m), formatRate(l.Rate1h), formatRate(l.Rate6h), string(l.Alert),
+			r.Service, r.Pool, strconv.FormatFloat(r.Objective, 'g', -1, 64),
+			formatRate(r.Rate5m), formatRate(r.Rate30m), formatRate(r.Rate1h), formatRate(r.Rate6h), string(r.Alert),
 		})
 	}
 	return printTable(w, table...)
@@ -92,18 +92,18 @@
 var burnTemplate string
 
 // burnPage writes the report as a self-contained HTML page with inline SVG plots.
-func burnPage(w io.Writer, lines []burn.ServiceReport) error {
+func burnPage(w io.Writer, reports []burn.ServiceReport) error {
 	type row struct {
 		burn.ServiceReport
 		Plot template.HTML
 	}
 	var rows []row
-	for _, l := range lines {
-		svg, err := chart.Burn(l)
+	for _, r := range reports {
+		svg, err := chart.Burn(r)
 		if err != nil {
 			return err
 		}
-		rows = append(rows, row{l, template.HTML(svg)}) //nolint:gosec // drawn here from numbers and a checked name
+		rows = append(rows, row{r, template.HTML(svg)}) //nolint:gosec // drawn here from numbers and a checked name
 	}
 	t, err := template.New("burn").Funcs(template.FuncMap{"rate": formatRate}).Parse(burnTemplate)
 	if err != nil {
@@ -113,41 +113,41 @@
 }
 
 func reportPromises(ctx context.Context, cl *client.Client, w io.Writer, format string) error {
-	var lines []holds.Result
-	if err := cl.Get(ctx, "/reports/promises", &lines); err != nil {
+	var results []holds.Result
+	if err := cl.Get(ctx, "/reports/promises", &results); err != nil {
 		return err
 	}
 	if format == "json" {
-		return json.NewEncoder(w).Encode(lines)
+		return json.NewEncoder(w).Encode(results)
 	}
 	if format != "text" {
 		return gauge.Errorf(gauge.KindInvalid, "--format: %q is neither text nor json", format)
 	}
 	table := [][]string{{"PROMISE", "HELD", "LOOKED AT", "LAST BREACH", "EVIDENCE"}}
-	for _, l := range lines {
-		table = append(table, []string{string(l.Promise), heldColumn(l), strconv.FormatInt(l.Checks, 10), lastBreach(l), l.Evidence})
+	for _, r := range results {
+		table = append(table, []string{string(r.Promise), heldColumn(r), strconv.FormatInt(r.Checks, 10), lastBreach(r), r.Evidence})
 	}
 	return printTable(w, table...)
 }
 
 // heldColumn returns the HELD column: whether the promise was kept.
-func heldColumn(l holds.Result) string {
+func heldColumn(r holds.Result) string {
 	switch {
-	case l.Checks == 0 && l.Events > 0:
-		return fmt.Sprintf("not checked, %d events", l.Events)
-	case l.Checks == 0:
+	case r.Checks == 0 && r.Events > 0:
+		return fmt.Sprintf("not checked, %d events", r.Events)
+	case r.Checks == 0:
 		return "not seen"
-	case l.Breaches == 0:
+	case r.Breaches == 0:
 		return "yes"
 	default:
-		return fmt.Sprintf("no, %d times", l.Breaches)
+		return fmt.Sprintf("no, %d times", r.Breaches)
 	}
 }
 
 // lastBreach returns the LAST BREACH column.
-func lastBreach(l holds.Result) string {
-	if l.Last.IsZero() {
+func lastBreach(r holds.Result) string {
+	if r.Last.IsZero() {
 		return "-"
 	}
-	return l.Last.UTC().Format(time.RFC3339)
+	return r.Last.UTC().Format(time.RFC3339)
 }
--- a/cmd/sapphiregauge/wave.go
+++ b/cmd/sapphiregauge/wave.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// waveTable returns a wave's table, header included, and how many of its hosts are done, of all.
+// waveTable returns a wave's table, header included, the number of its hosts that are done, and the
+// number of all its hosts.
 func waveTable(ctx context.Context, cl *client.Client, name string) (lines [][]string, done, all int, err error) {
 	var waves []query.Wave
 	if err := cl.Get(ctx, "/waves", &waves); err != nil {
@@ -141,13 +142,13 @@
 }
 
 // estimate extrapolates the remaining time from the progress since the watch began.
-func estimate(seen time.Duration, done, left int) string {
+func estimate(elapsed time.Duration, done, left int) string {
 	switch {
 	case left == 0:
 		return "done"
 	case done == 0:
 		return "no progress seen yet"
 	}
-	rest := time.Duration(float64(seen) / float64(done) * float64(left))
+	rest := time.Duration(float64(elapsed) / float64(done) * float64(left))
 	return fmt.Sprintf("estimated end in %s, at %s", rest.Round(time.Second), time.Now().Add(rest).Format("15:04:05"))
 }
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -133,10 +133,10 @@
 }
 
 // report sends one status report; the response says whether the worker is to reboot.
-func (r *reporter) report(s gauge.ListedHost) (bool, error) {
+func (r *reporter) report(h gauge.ListedHost) (bool, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	body, err := json.Marshal(s)
+	body, err := json.Marshal(h)
 	if err != nil {
 		return false, err
 	}
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -23,9 +23,9 @@
 	Key   []byte        // shared by all entries
 	Limit int           // greatest size of a frame, in bytes; default 1 MiB
 	Dial  time.Duration // timeout of the handshake; default 1 s
-	// Connect is the timeout for establishing a TCP connection; default 250 ms. A host without
-	// power doesn't answer, and the kernel retransmits the request only after a second: with a
-	// longer timeout, an entry that has just been restarted isn't reached for that second.
+	// Connect is the timeout for establishing a TCP connection; default 250 ms. A host
+	// without power doesn't answer, and the kernel retransmits the request only after a second:
+	// with a longer timeout, an entry that has just been restarted isn't reached for that second.
 	Connect time.Duration
 	// Quiet is the timeout of a call, and of writing a frame; default 2 s. A call without an
 	// answer in this time closes its connection if nothing else was received on it.
@@ -35,7 +35,7 @@
 }
 
 const (
-	defaultLimit            = 1 << 20
+	defaultMaxFrameSize     = 1 << 20
 	defaultHandshakeTimeout = time.Second
 	// defaultConnectTimeout is ample: the round trip between data centres takes 3 ms, and an
 	// entry's kernel answers even while its process is slow.
@@ -67,7 +67,7 @@
 
 // New makes a Node without handlers.
 func New(c Config) *Node {
-	fill.Zero(&c.Limit, defaultLimit)
+	fill.Zero(&c.Limit, defaultMaxFrameSize)
 	fill.Zero(&c.Dial, defaultHandshakeTimeout)
 	fill.Zero(&c.Connect, defaultConnectTimeout)
 	fill.Zero(&c.Quiet, defaultCallTimeout)
--- a/internal/orphan/orphan.go
+++ b/internal/orphan/orphan.go
@@ -1,5 +1,5 @@
-// Package orphan finds the accepted requests of dead entries and has them taken over, so
-// that none is lost when an entry is killed.
+// Package orphan finds the accepted requests of dead entries and has them taken over, so that none
+// is lost when an entry is killed.
 package orphan
 
 import (
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -2,12 +2,11 @@
 // It is a state machine: it receives the table's member rows and the peers'
 // heartbeats, each with the time, and does no input or output.
 //
-// The set of live entries, the view, determines which entry grants a pool's slots.
-// Two entries with different views may each believe that they are that entry. So
-// each may grant only the share that Share returns: the entries with the same view
-// out of all known entries. An entry has one view only, so the sets of entries
-// that agree on different views don't overlap, and the shares never add up to
-// more than one.
+// The set of live entries, the view, determines which entry grants a pool's slots. Two entries with
+// different views may each believe that they are that entry. So each may grant only the share that
+// Share returns: the entries with the same view out of all known entries. An entry has one view
+// only, so the sets of entries that agree on different views don't overlap, and the shares never
+// add up to more than one.
 package peers
 
 import (
@@ -293,9 +292,9 @@
 	return out
 }
 
-// IsConfirmed reports whether every entry that may still be sending work has a
-// revision, or a later one, in force: a live entry by its own report; an entry that has
-// been dead for longer than the term is no longer known.
+// IsConfirmed reports whether every entry that may still be sending work has a revision, or a later
+// one, in force: a live entry by its own report; an entry that has been dead for longer than the
+// term is no longer known.
 func (s *Set) IsConfirmed(revision int64) bool {
 	for _, p := range s.known {
 		if p.revision < revision {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -73,9 +73,9 @@
 	}
 }
 
-// Guards against two entries that each grant all slots of a pool: links between
-// entries fail, also in one direction only, and are repaired in any order, while each
-// owner believes that the live entries in its view are all that exist.
+// Guards against two entries that each grant all slots of a pool: links between entries fail, also
+// in one direction only, and are repaired in any order, while each owner believes that the live
+// entries in its view are all that exist.
 func TestSharesOfOneKeyNeverExceedOne(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
 		rapid.Check(t, func(t *rapid.T) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// While all links work, every entry's view holds all entries and one owner has the
-// whole share, also where entries learn of others only through a third.
+// While all links work, every entry's view holds all entries and one owner has the whole share,
+// also where entries learn of others only through a third.
 func TestViewsAgreeWhileAllLinksWork(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
 		g := newCluster(9, mesh)
--- a/internal/send/send.go
+++ b/internal/send/send.go
@@ -1,6 +1,6 @@
-// Package send sends a request to one worker and reads its answer. It reports whether the
-// worker may have run the request, and rejects an answer that is truncated, too long or
-// bears the ID of another request. It never retries; that is up to its caller.
+// Package send sends a request to one worker and reads its answer. It reports whether the worker
+// may have run the request, and rejects an answer that is truncated, too long or bears the ID of
+// another request. It never retries; that is up to its caller.
 package send
 
 import (
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -134,8 +134,8 @@
 	return finalError(attempts, err)
 }
 
-// finalError returns the error for the caller. If no attempt can have run, that is a
-// refusal, which says so; otherwise it is err.
+// finalError returns the error for the caller. If no attempt can have run, that is a refusal, which
+// says so; otherwise it is err.
 func finalError(attempts gauge.Attempts, err error) error {
 	if attempts.MayHaveRun() {
 		return err
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -173,9 +173,8 @@
 }
 
 // Guards against a worker that runs more requests than it has slots, because a slot is granted
-// again while its previous holder may still use it. Lease requests and their answers
-// are lost, delayed and reordered, holders pause and resume, owners change and leases expire, in
-// any order.
+// again while its previous holder may still use it. Lease requests and their answers are lost,
+// delayed and reordered, holders pause and resume, owners change and leases expire, in any order.
 func TestNeverMoreRequestsThanSlots(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSized(2, 1, 2, 0) // small, so that few steps fill it
--- a/test/machines/cancel_test.go
+++ b/test/machines/cancel_test.go
@@ -10,7 +10,7 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// Guards against a job that is shown as running after its cancel was acknowledged: a caller
+// Guards against a job that is shown as running after its cancel was acknowledged: a client
 // cancels it at an entry that has just started and asks for its state at another. The new entry
 // has not read the leases yet, so it notifies no owner of the cancel.
 func TestCancelAtNewEntryIsVisibleAtOnce(t *testing.T) {
--- a/test/machines/config_test.go
+++ b/test/machines/config_test.go
@@ -24,23 +24,23 @@
 const clockAdvance = 20 * time.Second
 
 func (s *site) startStaleEntry(name string, on host) *staleEntry {
-	b := new(staleEntry)
+	e := new(staleEntry)
 	proxyAddr := startProxy(s.t, s.table.Addr(), func(w http.ResponseWriter, r *http.Request) bool {
-		if !b.noConfig.Load() || r.URL.Query().Get("table") != "op" {
+		if !e.noConfig.Load() || r.URL.Query().Get("table") != "op" {
 			return false
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
-	on.now = func() time.Duration { return boot.Now() + time.Duration(b.clockOffset.Load()) }
-	b.entry = s.startOn(name, proxyAddr, on)
-	return b
+	on.now = func() time.Duration { return boot.Now() + time.Duration(e.clockOffset.Load()) }
+	e.entry = s.startOn(name, proxyAddr, on)
+	return e
 }
 
 // cutConfig cuts the entry off from changes of the configuration, once the pending feed call has
 // ended.
-func (s *site) cutConfig(b *staleEntry, name string) {
-	b.noConfig.Store(true)
+func (s *site) cutConfig(e *staleEntry, name string) {
+	e.noConfig.Store(true)
 	s.waitFor("the entry receives no configuration", func() bool {
 		return s.countLogged("dependency lost", `"entry"="`+name+`"`, `"table"="op"`) > 0
 	})
@@ -52,10 +52,10 @@
 )
 
 // Guards against an entry that answers 404 for a queue, seconds after the operator was told that
-// the queue was added, while other entries serve it. An entry receives nothing of the
-// configuration for some seconds, in which a queue is added, and is asked for that queue.
+// the queue was added, while other entries serve it. An entry receives no changes of the
+// configuration for some seconds, in which a queue is added, and is then asked for that queue.
 //
-// The entry went by its configuration however long ago it had last been confirmed as the newest.
+// The entry used its configuration however long ago it had last been confirmed as the newest.
 // On hosts that ran out of processor time, two entries had changes in force 2.7 and 4.4 s late,
 // and nothing kept them from answering 404 meanwhile. Without the fix the test fails in each run.
 func TestEntryWithStaleConfigDoesNotAnswerThatQueueIsMissing(t *testing.T) {
@@ -82,11 +82,11 @@
 		return status == http.StatusOK && stale.node.Ready()
 	})
 	status, _, _ = s.call(stale.entry, http.MethodGet, "/nowhere/", nil)
-	assert.Equal(t, status, http.StatusNotFound, "with a fresh configuration it can tell that a queue is missing")
+	assert.Equal(t, status, http.StatusNotFound, "with a fresh configuration it knows that a queue is missing")
 }
 
 // Guards against a job that is refused with 404 by an entry that otherwise serves its queue. The
-// owner of a pool receives nothing of the configuration while a queue is added; an entry that has
+// owner of a pool receives no changes of the configuration while a queue is added; an entry that has
 // the new configuration forwards a job of that queue to it. The owner's answer that there is no
 // such queue was trusted whichever configuration it was based on. Without the fix the answer is
 // 404 in each run.
@@ -113,11 +113,11 @@
 		_, out, _ := s.call(e, http.MethodGet, path, nil)
 		return out["state"] == "completed"
 	})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a count of queued jobs that is reported for a dropped queue. An entry receives
-// nothing of the configuration while the queue is dropped, but goes on reading the leases. A
+// no changes of the configuration while the queue is dropped, but goes on reading the leases. A
 // count was reported as long as it was fresh, whether or not the queue still existed; without the
 // fix that happens in each run.
 func TestCountOfDroppedQueueIsRefusedByEntryWithStaleConfig(t *testing.T) {
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -38,12 +38,12 @@
 }
 
 // Guards against a task that crashes the workers of a pool one after the other without end, and
-// other callers' tasks with them. The task ends its worker some milliseconds after the start; the
+// other clients' tasks with them. The task ends its worker some milliseconds after the start; the
 // owner notices that another incarnation answers at the worker's address and starts the task on
 // the next worker.
 //
-// A run that ends with its worker's incarnation is an end that nobody reports, and only reported
-// ends were counted, in the owner and in the table. The same tasks were lost each time,
+// Nobody reports the end of a run that ends with its worker's incarnation, and only reported ends
+// were counted, by the owner and in the table. The same tasks were lost each time,
 // milliseconds after their starts, on hosts that had nothing else in common; counting these
 // losses stops them.
 func TestTaskThatCrashesItsWorkersIsFailed(t *testing.T) {
@@ -86,7 +86,7 @@
 			last := s.entries[len(s.entries)-1]
 			s.waitFor("the job has failed", func() bool { return s.stateAt(last, 1) == "failed" || len(s.journal.Violations()) > 0 })
 			s.machines.SetWorkerFault(nil)
-			s.checkNoFaults()
+			s.checkNoViolations()
 			assert.Equal(t, s.stateAt(last, 1), "failed")
 			s.waitFor("other work runs", func() bool { return s.stateAt(last, 2) == "completed" || !s.submitAt(last, 2) })
 		})
@@ -100,7 +100,7 @@
 }
 
 // A healthy job must not be failed: the workers that run it crash repeatedly, for causes of their
-// own, and each time others crash with them that run nothing of it. Crashes count only against
+// own, and each time others that run nothing of it crash with them. Crashes count only against
 // tasks that may have caused them.
 func TestJobOnWorkersThatCrashTogetherIsNotFailed(t *testing.T) {
 	t.Parallel()
@@ -125,11 +125,11 @@
 		})
 	}
 	assert.Equal(t, s.jobState(1), "running")
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // A worker must not be given more than it has room for: its room shrinks while tasks run there
-// and others are started. The owner must go by the room that the worker reported last.
+// and others are started. The owner must use the room that the worker reported last.
 func TestRoomThatShrinksIsNotExceeded(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 2)
@@ -152,7 +152,7 @@
 	assert.Assert(t, s.submit(1000, twoSteps(100)))
 	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(4000) })
 	s.waitCompleted(append(jobs, 1000))
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // A long-running task must not end because the next owner doesn't renew the lease of its worker,
@@ -178,5 +178,5 @@
 	s.entries[0].kill()
 	s.waitFor("the next owner has found the run", func() bool { return s.countLogged(`"msg"="run found"`, `"entry"="next"`) == 1 })
 	assert.Equal(t, s.journal.StartCount(task), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
--- a/test/machines/drain_test.go
+++ b/test/machines/drain_test.go
@@ -11,9 +11,9 @@
 
 // Guards against machines that move two seconds late: after all entries have lost power during a
 // shift of machines between pools, half of a pool's machines came two seconds later than the
-// others. The fleet lease holder had ordered workers drained for a move and was gone; its lease
-// named each machine from the start of the drain, so its successor left all of them alone, as
-// they might have been ordered to move just then.
+// others. The fleet lease holder had ordered workers to drain for a move and had died; its lease
+// named each machine from the start of the drain, so its successor moved none of them, as it had to
+// assume that they had just been ordered to move.
 func TestDrainingMachineIsNotRecordedAsOrdered(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
--- a/test/machines/handover_test.go
+++ b/test/machines/handover_test.go
@@ -41,10 +41,10 @@
 	return addr, block, unblock
 }
 
-// Guards against callers that get no clear answer while a pool is handed over and the table is
+// Guards against clients that get no clear answer while a pool is handed over and the table is
 // slow: the owner offers its pool, and the claim of its successor takes some tenths of a second,
-// in which jobs are submitted at a third entry. The previous owner named its successor as the
-// owner, and the successor, going by the table, the previous owner.
+// in which jobs are submitted at a third entry. The previous owner answered that its
+// successor is the owner, and the successor, according to the table, that the previous owner is.
 func TestSubmissionsWaitForOwnerTakingThePool(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 2)
@@ -53,20 +53,20 @@
 	s.waitLeasesHeldBy("strong-0")
 	slowAddr, block, unblock := slowWrites(t, s.table.Addr())
 	next := s.startOn("strong-1", slowAddr, host{capacity: largeHostCores})
-	caller := s.startOn("weak-0", s.table.Addr(), host{capacity: smallHostCores})
+	receiver := s.startOn("weak-0", s.table.Addr(), host{capacity: smallHostCores})
 	s.waitReady()
 	s.waitFor("both entries are known, and leases can be taken", func() bool {
-		return s.countLogged("entry known", `"entry"="strong-0"`, next.peerAddr) == 1 && s.acceptsLeases(next) && s.acceptsLeases(caller)
+		return s.countLogged("entry known", `"entry"="strong-0"`, next.peerAddr) == 1 && s.acceptsLeases(next) && s.acceptsLeases(receiver)
 	})
 	block()
 	go first.node.Release(t.Context(), 0)
 	s.waitFor("the pool is offered", func() bool { return s.countLogged("lease offered", `"pool"="`+poolName+`"`, next.peerAddr) == 1 })
 	answers := make(chan int)
 	go func() {
-		status, _, _ := s.call(caller, http.MethodPost, jobPath(1), twoSteps(20))
+		status, _, _ := s.call(receiver, http.MethodPost, jobPath(1), twoSteps(20))
 		answers <- status
 	}()
-	s.waitFor("the entry that was called knows the successor", func() bool {
+	s.waitFor("the entry that received the job knows the successor", func() bool {
 		return s.countLogged("owner moved", `"entry"="weak-0"`) > 0
 	})
 	time.AfterFunc(150*time.Millisecond, unblock) // as long as a slow transaction takes
@@ -74,5 +74,5 @@
 	assert.Equal(t, s.countLogged("owner moved", `"entry"="weak-0"`), 1, "the request isn't sent back")
 	s.entries = s.entries[1:]
 	s.waitCompleted([]int{1})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
--- a/test/machines/link_test.go
+++ b/test/machines/link_test.go
@@ -13,7 +13,7 @@
 	"sapphiregauge/internal/mesh"
 )
 
-// tableLink is a TCP proxy on the path from an entry to the table, which a test can cut.
+// tableLink is a TCP proxy between an entry and the table, whose connections a test can break.
 type tableLink struct {
 	tableAddr string
 	listen    net.Listener
@@ -106,7 +106,7 @@
 	clear(l.conns)
 }
 
-// Guards against an entry that refuses its callers although other entries could serve them. The
+// Guards against an entry that refuses its clients although other entries could serve them. The
 // entry is cut off from the table; it gets submissions, state queries and a cancel. Each entry
 // had only its own path to the table.
 func TestEntryCutOffFromTableServesThroughOwner(t *testing.T) {
@@ -142,7 +142,7 @@
 	assert.Equal(t, status, http.StatusOK)
 	assert.Equal(t, out["state"], "cancelled")
 	link.Cut(false)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a pool that stops being served for seconds when its owner stops while the table
@@ -171,13 +171,13 @@
 	// Only the worker may know that the job runs, and its report arrives after the pool is taken.
 	s.waitFor("the second entry knows that it runs", func() bool { return s.jobState(1) == "running" })
 	assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 1)), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against an outage of all pools from half a second after the start of a table outage
 // until its end. An owner that couldn't write asked another entry to take its pool, and that one
-// had had an answer from the table just before. What was seen before the owner's first failure
-// was taken to mean that the other entry was better off.
+// had received an answer from the table just before. An answer from before the owner's first
+// failure was taken as proof that the other entry could still reach the table.
 func TestOwnersKeepPoolsDuringTableOutage(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
@@ -198,7 +198,7 @@
 	link.Cut(false)
 	s.waitFor("jobs are accepted again", func() bool { return s.submit(2, twoSteps(20)) })
 	s.waitCompleted([]int{2})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a pool that is not served for two seconds after its owner's process was killed.
@@ -224,13 +224,13 @@
 	})
 	assert.Assert(t, s.submit(2, twoSteps(20)))
 	s.waitCompleted([]int{1, 2})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
-// Guards against an entry that does nothing any more although it and the table work. Something
-// between the two forgets all open connections: what is sent on them is lost without a reset,
-// while new connections work. An answer was waited for without a timeout, or the next call went
-// out on another connection of the same age.
+// Guards against an entry that stops working although it and the table are healthy. A firewall
+// between the two drops the state of all open connections: what is sent on them is lost without a
+// reset, while new connections work. The entry waited for an answer without a timeout, or sent the
+// next call on another connection of the same age.
 func TestConnectionsThatGoSilentAreReplaced(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 0, 3)
@@ -244,7 +244,7 @@
 		s.waitFor("jobs are accepted again", func() bool { return s.submit(10+n, twoSteps(20)) })
 		s.waitCompleted([]int{10 + n})
 	}
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // acceptsLeases asks an entry whether it would take over a lease.
@@ -284,5 +284,5 @@
 	assert.Equal(t, status, http.StatusOK, "%v", out)
 	s.entries = s.entries[2:]
 	s.waitCompleted([]int{2})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -1,4 +1,4 @@
-// Package machines_test runs whole entries against stand-ins of the platform.
+// Package machines_test runs whole entries against fakes of the platform.
 package machines_test
 
 import (
@@ -24,7 +24,7 @@
 		jobs = append(jobs, n)
 	}
 	s.waitCompleted(jobs)
-	s.checkNoFaults()
+	s.checkNoViolations()
 	for n := range 12 {
 		assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.1.1", n)), 1)
 	}
@@ -100,7 +100,7 @@
 	s.waitFor("spec dropped", func() bool { return s.table.Value("specs", queueName, fmt.Sprintf("%016x", 1)) == nil })
 	assert.Assert(t, s.submit(1, longRunning), "a late retry of the submission")
 	assert.Equal(t, s.jobState(1), "cancelled")
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against jobs that are lost, or run twice, when an owner dies, through state that only
@@ -126,7 +126,7 @@
 		s.waitReady()
 	}
 	s.waitCompleted(jobs)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // randomFaults returns a function that has a share of the calls misbehave, the same ones on each
@@ -147,7 +147,7 @@
 // Guards against jobs that are lost, run twice or run although they were refused, and workers
 // that get more than they have room for. A tenth to a third of all calls to the table, or to the
 // workers, is refused, breaks before or after it took effect, or is carried out late. A call
-// without an answer must be taken neither for done nor for not done.
+// without an answer must be assumed neither carried out nor not carried out.
 func TestCallFaultsLoseAndDuplicateNoJobs(t *testing.T) {
 	t.Parallel()
 	for _, tt := range []struct {
@@ -185,7 +185,7 @@
 				assert.Equal(t, s.jobState(n), "410", "a refused job never runs")
 				assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", n)), 0)
 			}
-			s.checkNoFaults()
+			s.checkNoViolations()
 		})
 	}
 }
@@ -207,10 +207,10 @@
 	s.table.PutWave(1, []string{"m-0", "m-1", "m-2", "m-3", "m-4"}, 20, 2)
 	s.waitFor("wave completed", func() bool { return s.table.IsWaveDone(1) })
 	assert.Equal(t, s.machines.StartedMaintenance(1), 5)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
-// A follower reads all rows anew when the table has dropped the history that it needs.
+// A follower reads all rows again when the table has dropped the history that it needs.
 func TestConfigurationIsFollowedAfterHistoryIsLost(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -109,7 +109,7 @@
 	assert.Assert(t, s.submit(2, twoSteps(20)))
 	s.waitCompleted([]int{2})
 	assert.Assert(t, calls.total(workers, "rows-get") > 0)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a task that runs twice at once after the owner of its pool was killed: the owner
@@ -133,5 +133,5 @@
 		return s.countLogged("lease taken", `"pool"="`+poolName+`"`, before) == 1
 	})
 	assert.Equal(t, s.countLogged("lease taken", `"pool"="`+poolName+`"`, before, `"workers"=1 `), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
--- a/test/machines/rebalance_test.go
+++ b/test/machines/rebalance_test.go
@@ -74,7 +74,7 @@
 	s.waitCompleted(jobs)
 	assert.Equal(t, s.jobState(0), "running")
 	assert.Equal(t, s.journal.StartCount(fmt.Sprintf("%016x.0.0.1", 0)), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a pool that nobody serves for long after the process of a large host with all
@@ -104,7 +104,7 @@
 	})
 	assert.Assert(t, s.submit(2, twoSteps(20)))
 	s.waitCompleted([]int{1, 2})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a stopping owner that hands its pool to a small host although a large one is
@@ -130,7 +130,7 @@
 	s.waitLeasesHeldBy("strong-1")
 	assert.Assert(t, s.submit(1, twoSteps(20)))
 	s.waitCompleted([]int{1})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against an idle large host that gets the pools of many small ones at once: several
@@ -177,7 +177,7 @@
 	s.waitCompleted([]int{1})
 	s.waitFor("its own row is read", func() bool { return s.countLogged("entry known", `"peer"="e-0"`) == 1 })
 	assert.Equal(t, s.countLogged("entry row not read"), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // fakePeer is an entry that the others know, whose answers the test gives.
@@ -231,19 +231,19 @@
 	first := s.startOn("strong-0", s.table.Addr(), host{capacity: largeHostCores})
 	s.waitReady()
 	s.waitLeasesHeldBy("strong-0")
-	strong := s.startFakePeer("strong-1", largeHostCores, 3, nil)
-	weak := s.startFakePeer("weak-0", smallHostCores, 0, strong.answered)
+	large := s.startFakePeer("strong-1", largeHostCores, 3, nil)
+	small := s.startFakePeer("weak-0", smallHostCores, 0, large.answered)
 	s.waitFor("both are known", func() bool {
 		return s.countLogged("entry known", `"peer"="strong-1"`) == 1 && s.countLogged("entry known", `"peer"="weak-0"`) == 1
 	})
 	first.node.Release(t.Context(), 0)
-	s.waitFor("both leases offered", func() bool { return strong.offers.Load()+weak.offers.Load() == 2 })
-	assert.Equal(t, strong.offers.Load(), int32(2))
+	s.waitFor("both leases offered", func() bool { return large.offers.Load()+small.offers.Load() == 2 })
+	assert.Equal(t, large.offers.Load(), int32(2))
 }
 
 // Guards against pools of a stopping entry that are taken only after their leases have expired.
 // Dozens of large hosts have lost power and answer nothing; they are the least loaded that the
-// entry knows. They were asked four at a time, and each four were waited for.
+// entry knows. The entry asked four hosts at a time and waited for each four.
 func TestStoppingEntryDoesNotWaitForSilentHosts(t *testing.T) {
 	t.Parallel()
 	const (
@@ -259,12 +259,12 @@
 	for n := range silent {
 		s.startFakePeer(fmt.Sprintf("silent-%02d", n), largeHostCores, 0, make(chan struct{}))
 	}
-	weak := s.startFakePeer("weak-0", smallHostCores, 0, nil)
+	small := s.startFakePeer("weak-0", smallHostCores, 0, nil)
 	s.waitFor("all are known", func() bool {
 		return s.countLogged("entry known", `"peer"="silent-`) == silent && s.countLogged("entry known", `"peer"="weak-0"`) == 1
 	})
 	ctx, cancel := context.WithTimeout(t.Context(), stopTimeout)
 	defer cancel()
 	first.node.Release(ctx, 0)
-	assert.Assert(t, weak.offers.Load() > 0)
+	assert.Assert(t, small.offers.Load() > 0)
 }
--- a/test/machines/restart_test.go
+++ b/test/machines/restart_test.go
@@ -21,8 +21,8 @@
 }
 
 // crashAllWorkers crashes all workers at once and waits until they are back. If they crashed one
-// after the other, each loss would be attributed, as far as can be known, to the tasks that were
-// just started on the next worker.
+// after the other, each loss would be attributed to the tasks that had just been started on
+// the next worker.
 func (s *site) crashAllWorkers() {
 	s.t.Helper()
 	before := make(map[string]*fakes.Worker)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Long-running tasks must not be taken for running on a worker that has restarted and no longer
+// Long-running tasks must not be believed to run on a worker that has restarted and no longer
 // runs them.
 func TestLongRunningTasksRestartAfterWorkerRestarts(t *testing.T) {
 	t.Parallel()
@@ -60,7 +60,7 @@
 		_, running := s.journal.StartsAndRunning()
 		return len(running) == 6
 	})
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // The ends that a restarted worker reports must not be acknowledged by the sequence numbers of
@@ -103,7 +103,7 @@
 			for _, job := range jobs {
 				s.waitFor(fmt.Sprintf("job %d completed", job), func() bool { return s.stateAt(last, job) == "completed" })
 			}
-			s.checkNoFaults()
+			s.checkNoViolations()
 		})
 	}
 }
--- a/test/machines/site_test.go
+++ b/test/machines/site_test.go
@@ -28,8 +28,7 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// site is a small deployment: entries of the product on loopback, and stand-ins for everything
-// else.
+// site is a small deployment: entries of the product on loopback, and fakes of everything else.
 type site struct {
 	t        *testing.T
 	table    *fakes.Table
@@ -262,8 +261,8 @@
 	}
 }
 
-func (s *site) checkNoFaults() {
+func (s *site) checkNoViolations() {
 	s.t.Helper()
-	faults := s.journal.Violations()
-	assert.Equal(s.t, len(faults), 0, "%v", faults)
+	violations := s.journal.Violations()
+	assert.Equal(s.t, len(violations), 0, "%v", violations)
 }
--- a/test/machines/startup_test.go
+++ b/test/machines/startup_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a job that runs although its caller was told that it never does. An entry that
+// Guards against a job that runs although its client was told that it never does. An entry that
 // has just started and hasn't read the leases sends a submission to the table itself, gets no
-// answer, and knows no owner to notify. The caller's retry reaches the owner, which can't reach
-// the table either and refuses. The first attempt was stored. The entry served callers before it
+// answer, and knows no owner to notify. The client's retry reaches the owner, which can't reach
+// the table either and refuses. The first attempt was stored. The entry served clients before it
 // knew the owners of their pools.
 func TestEntryThatHasNotReadLeasesRefusesSubmissions(t *testing.T) {
 	t.Parallel()
--- a/test/machines/unsettled_test.go
+++ b/test/machines/unsettled_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a job that runs although its caller was told that it never does. The pool's
+// Guards against a job that runs although its client was told that it never does. The pool's
 // owner is killed, and an entry that is cut off doesn't learn of the new owner. It sends a
 // submission to the table, which stores it, and the answer is lost; the entry has no owner to
-// notify. The caller's retry reaches the new owner, which can't reach the table either and must
+// notify. The client's retry reaches the new owner, which can't reach the table either and must
 // not refuse. An unsettled submission was reported to the owner alone, which the entry could not
 // know.
 func TestOwnerNotNotifiedOfUnsettledSubmissionRefusesNoRetry(t *testing.T) {
--- a/test/size/size_test.go
+++ b/test/size/size_test.go
@@ -51,18 +51,18 @@
 				rows = append(rows, newMember(i))
 			}
 			set.UpdateRows(now, rows)
-			neighbourBeat := peers.Heartbeat{From: newMember(1)}
+			neighbourHeartbeat := peers.Heartbeat{From: newMember(1)}
 			for i := 1; i < entriesPerZone; i++ {
-				neighbourBeat.ZoneLive = append(neighbourBeat.ZoneLive, newMember(i).ID)
+				neighbourHeartbeat.ZoneLive = append(neighbourHeartbeat.ZoneLive, newMember(i).ID)
 			}
-			neighbourBeat.ZoneSameView = neighbourBeat.ZoneLive
+			neighbourHeartbeat.ZoneSameView = neighbourHeartbeat.ZoneLive
 			bytes, calls := 0, 0
 			for b.Loop() {
 				set.Refresh(now)
 				for _, to := range set.Neighbours(now) {
-					beat := set.NewHeartbeat(now, 7, to.Zone)
-					body, _ := msgpack.Marshal(&beat)
-					answer := neighbourBeat
+					heartbeat := set.NewHeartbeat(now, 7, to.Zone)
+					body, _ := msgpack.Marshal(&heartbeat)
+					answer := neighbourHeartbeat
 					answer.From = to
 					if to.Zone == newMember(0).Zone {
 						answer.ZoneLive, answer.ZoneSameView = nil, nil
@@ -99,13 +99,13 @@
 				seq, bytes := uint64(0), 0
 				for b.Loop() {
 					seq++
-					a := slots.LeaseRequest{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, newMember(0).StartID), Pool: "pool-001", Seq: seq, Full: true, WantedQuick: 1}
+					req := slots.LeaseRequest{Holder: fmt.Sprintf("entry-%03d/%s", int(seq)%holders, newMember(0).StartID), Pool: "pool-001", Seq: seq, Full: true, WantedQuick: 1}
 					share := max(1, hosts*8/holders/2)
 					for i := range min(share, hosts) {
-						a.Slots = append(a.Slots, slots.HostSlots{Host: f.Hosts[(int(seq)+i)%hosts].Host, Quick: 1})
+						req.Slots = append(req.Slots, slots.HostSlots{Host: f.Hosts[(int(seq)+i)%hosts].Host, Quick: 1})
 					}
-					g, _ := owner.HandleRequest(now, a)
-					request, _ := msgpack.Marshal(&a)
+					g, _ := owner.HandleRequest(now, req)
+					request, _ := msgpack.Marshal(&req)
 					grant, _ := msgpack.Marshal(&g)
 					bytes += len(request) + len(grant) + 2*frameOverhead
 				}
@@ -137,7 +137,7 @@
 	return s.WithIndex()
 }
 
-func sightingsOf(s gauge.State) gauge.HostList {
+func hostListOf(s gauge.State) gauge.HostList {
 	var out gauge.HostList
 	for _, h := range s.Hosts() {
 		out = append(out, gauge.ListedHost{ID: h.ID, Addr: h.Addr, Zone: h.Zone, Rack: h.Rack, Slots: 8, Status: gauge.StatusLive})
@@ -181,7 +181,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range fleetSizes() {
 		s := newState(n.hosts, n.pools)
-		list := sightingsOf(s)
+		list := hostListOf(s)
 		in := plan.Input{State: s, List: list, ListByHost: list.ByID(), IsQuiesced: func(gauge.Host) bool { return true }, IsLost: func(gauge.Host) bool { return false }}
 		p := plan.New(plan.Config{})
 		b.Run(fmt.Sprintf("hosts=%d/fleet", n.hosts), func(b *testing.B) {
@@ -245,7 +245,7 @@
 				group.Go(func() {
 					for range each {
 						k, _ := gauge.ParseIdempotencyKey(time.Now(), "t", uuid.Must(uuid.NewV7()).String())
-						if _, mine, err := c.Insert(context.Background(), k, gauge.ClaimRunning, 1, nil); err != nil || !mine {
+						if _, inserted, err := c.Insert(context.Background(), k, gauge.ClaimRunning, 1, nil); err != nil || !inserted {
 							b.Error(err)
 						}
 					}
@@ -266,10 +266,10 @@
 	delay time.Duration
 }
 
-func (d *localPeers) Call(ctx context.Context, addr, _ string, req, resp any) error {
-	d.mu.RLock()
-	k := d.nodes[addr]
-	d.mu.RUnlock()
+func (p *localPeers) Call(ctx context.Context, addr, _ string, req, resp any) error {
+	p.mu.RLock()
+	k := p.nodes[addr]
+	p.mu.RUnlock()
 	if k == nil {
 		return gauge.Errorf(gauge.KindOutage, "no node")
 	}
@@ -277,12 +277,12 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(d.delay)
+	time.Sleep(p.delay)
 	back, err := k.Handle(ctx, body)
 	if err != nil {
 		return err
 	}
-	time.Sleep(d.delay)
+	time.Sleep(p.delay)
 	raw, err := frame.Encode(back)
 	if err != nil {
 		return err
--- a/test/soak/config_test.go
+++ b/test/soak/config_test.go
@@ -17,12 +17,12 @@
 	maxApplyDelay = 2 * time.Second
 	// cutOffDuration is how long an entry is cut off from the table while the configuration
 	// changes.
-	cutOffDuration = maxApplyDelay + 2*time.Second
-	askInterval    = 10 * time.Millisecond
-	// askStream and changeStream select random streams of their own, so that the schedule of
+	cutOffDuration  = maxApplyDelay + 2*time.Second
+	requestInterval = 10 * time.Millisecond
+	// requestStream and changeStream select random streams of their own, so that the schedule of
 	// disturbances is the same as without them.
-	askStream    = 1 << 32
-	changeStream = 2 << 32
+	requestStream = 1 << 32
+	changeStream  = 2 << 32
 )
 
 // configurations holds the newest version of the configuration, and when the storing of each
@@ -56,11 +56,11 @@
 }
 
 // requestNewQueues asks randomly chosen entries, also disturbed ones, for the newest queue that
-// has to be in force by now. An entry that can't know may refuse or not answer, but must not say
+// has to be in force by now. An entry that doesn't know may refuse or not answer, but must not say
 // that the queue is missing. This holds however slow the machine is: an entry counts the time
 // from when it last heard from the table.
 func (s *soak) requestNewQueues(ctx context.Context) {
-	random := rand.New(rand.NewPCG(s.seed, askStream))
+	random := rand.New(rand.NewPCG(s.seed, requestStream))
 	for ctx.Err() == nil {
 		if version := s.stored.dueVersion(); version > 0 {
 			e := s.entries[random.IntN(len(s.entries))]
@@ -68,7 +68,7 @@
 			s.queueRequests++
 			assert.Check(s.t, status != http.StatusNotFound, "seed %d: %s answers that the queue of version %d is missing", s.seed, e.name, version)
 		}
-		sleep(ctx, askInterval)
+		sleep(ctx, requestInterval)
 	}
 }
 
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -23,7 +23,7 @@
 // slowDelay is the delay of each chunk of bytes.
 const slowDelay = 60 * time.Millisecond
 
-// link is a TCP proxy on the path from an entry to the table, which the test disturbs.
+// link is a TCP proxy between an entry and the table, which the test disturbs.
 type link struct {
 	tableAddr string
 	listen    net.Listener
@@ -37,69 +37,69 @@
 func newLink(t *testing.T, to string) *link {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	w := &link{tableAddr: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
-	t.Cleanup(func() { _ = l.Close(); w.set(modeReset) })
+	k := &link{tableAddr: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
+	t.Cleanup(func() { _ = l.Close(); k.set(modeReset) })
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			go w.forward(c)
+			go k.forward(c)
 		}
 	}()
-	return w
+	return k
 }
 
-func (w *link) addr() string { return w.listen.Addr().String() }
+func (k *link) addr() string { return k.listen.Addr().String() }
 
 // set changes the mode. Connections that were open while the mode was silent stay silent.
-func (w *link) set(m mode) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.mode = m
-	for c := range w.conns {
+func (k *link) set(m mode) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	k.mode = m
+	for c := range k.conns {
 		switch m {
 		case modeReset:
 			_ = c.Close()
 		case modeSilent:
-			w.lost[c] = true
+			k.lost[c] = true
 		}
 	}
 }
 
-func (w *link) forward(entryConn net.Conn) {
-	tableConn, err := net.Dial("tcp", w.tableAddr)
-	w.mu.Lock()
-	refused := err != nil || w.mode == modeReset
+func (k *link) forward(entryConn net.Conn) {
+	tableConn, err := net.Dial("tcp", k.tableAddr)
+	k.mu.Lock()
+	refused := err != nil || k.mode == modeReset
 	if !refused {
-		w.conns[entryConn], w.conns[tableConn] = true, true
-		w.lost[entryConn], w.lost[tableConn] = w.mode == modeSilent, w.mode == modeSilent
+		k.conns[entryConn], k.conns[tableConn] = true, true
+		k.lost[entryConn], k.lost[tableConn] = k.mode == modeSilent, k.mode == modeSilent
 	}
-	w.mu.Unlock()
+	k.mu.Unlock()
 	if refused {
 		_ = entryConn.Close()
 		return
 	}
-	go w.copy(tableConn, entryConn, false)
-	w.copy(entryConn, tableConn, true)
+	go k.copy(tableConn, entryConn, false)
+	k.copy(entryConn, tableConn, true)
 }
 
 // copy forwards bytes until either end closes.
-func (w *link) copy(to, from net.Conn, answers bool) {
+func (k *link) copy(to, from net.Conn, answers bool) {
 	defer func() {
 		_, _ = to.Close(), from.Close()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		delete(w.conns, to)
-		delete(w.lost, to)
+		k.mu.Lock()
+		defer k.mu.Unlock()
+		delete(k.conns, to)
+		delete(k.lost, to)
 	}()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		w.mu.Lock()
-		m, lost := w.mode, w.lost[to]
-		w.mu.Unlock()
+		k.mu.Lock()
+		m, lost := k.mode, k.lost[to]
+		k.mu.Unlock()
 		if m == modeSlow {
 			time.Sleep(slowDelay)
 		}
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -1,5 +1,5 @@
 // Package soak_test runs the real programs as separate processes and disturbs them from outside:
-// signals, network links that are slow, cut or silent, a platform that misbehaves or is paused,
+// signals, network links that are slow, broken or silent, a platform that misbehaves or is paused,
 // and configuration changes and a maintenance wave meanwhile. Each seed gives one schedule. The
 // guarantees are checked from what callers and workers see; no check depends on how long anything
 // takes, except that a stop has to end within its grace period.
@@ -50,7 +50,7 @@
 			// A refused job ran: an entry that had just started sent it to the table itself and
 			// couldn't notify the pool's owner, which refused the next attempt.
 			{seed: 55, entries: defaultEntries, seconds: defaultSeconds},
-			// An entry said that a queue is missing more than two seconds after it was added.
+			// An entry answered that a queue is missing more than two seconds after it was added.
 			{seed: 201, entries: defaultEntries, seconds: defaultSeconds, changes: true},
 			{seed: 301, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
 			// A healthy long-running job was failed: its workers lost power together while their
@@ -92,11 +92,11 @@
 	stopTimeout = (graceS + 4) * time.Second
 )
 
-func envInt(name string, missing int) int {
+func envInt(name string, defaultValue int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
-	return missing
+	return defaultValue
 }
 
 func TestSoak(t *testing.T) {
@@ -122,7 +122,7 @@
 	crashes       bool
 	crashJobs     crashJobs
 	queueRequests int            // requests for a queue that had to be in force
-	disturbances  sync.WaitGroup // disturbances that go on
+	disturbances  sync.WaitGroup // disturbances in progress
 }
 
 func newSoak(t *testing.T, program string, p runConfig) *soak {
@@ -174,13 +174,13 @@
 	s.checkOutcomes()
 }
 
-// disturb begins one disturbance; several may go on at a time.
+// disturb begins one disturbance; several may be in progress at a time.
 func (s *soak) disturb() {
 	e := s.entries[s.random.IntN(len(s.entries))]
 	duration := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
 	afterwards := func(do func()) {
 		s.disturbances.Go(func() {
-			time.Sleep(duration) // how long the schedule has the disturbance last
+			time.Sleep(duration) // the duration that the schedule gives the disturbance
 			do()
 		})
 	}
--- a/test/soak/standin_test.go
+++ b/test/soak/standin_test.go
@@ -20,28 +20,28 @@
 	"sapphiregauge/platform/fakes"
 )
 
-// The platform's stand-ins (table, operator, machine service and workers) run in a process of
-// their own, so that it can be paused: this test's program, started again with standinEnv set.
+// The fakes of the platform (table, operator, machine service and workers) run in a process of
+// their own, so that it can be paused: this test's program, started again with fakesEnv set.
 // The test controls them through an HTTP address.
 
-const standinEnv = "SOAK_STANDIN"
+const fakesEnv = "SOAK_STANDIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(standinEnv) != "" {
-		runStandins()
+	if os.Getenv(fakesEnv) != "" {
+		runFakes()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// addresses is what the stand-ins print once they listen.
+// addresses is what the fakes print once they listen.
 type addresses struct {
 	Table    string `json:"table"`
 	Machines string `json:"machines"`
 	Control  string `json:"control"`
 }
 
-// verdict is what the stand-ins have observed.
+// verdict is what the fakes have observed.
 type verdict struct {
 	Faults         []string       `json:"faults"`
 	Starts         map[string]int `json:"starts"`
@@ -67,7 +67,7 @@
 	return list
 }
 
-func runStandins() {
+func runFakes() {
 	table, journal := fakes.NewTable(), fakes.NewJournal()
 	service := fakes.NewMachines(table, journal)
 	var ids []string
@@ -133,7 +133,7 @@
 	}
 }
 
-// platform is the process of the stand-ins.
+// platform is the process of the fakes.
 type platform struct {
 	t       *testing.T
 	process *exec.Cmd
@@ -144,7 +144,7 @@
 	program, err := os.Executable()
 	assert.NilError(t, err)
 	p := &platform{t: t, process: exec.Command(program)}
-	p.process.Env = append(os.Environ(), standinEnv+"=1")
+	p.process.Env = append(os.Environ(), fakesEnv+"=1")
 	p.process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	p.process.Stderr = os.Stderr
 	out, err := p.process.StdoutPipe()
@@ -172,7 +172,7 @@
 	}
 }
 
-// tryRequest sends a request that may fail while the stand-ins are paused.
+// tryRequest sends a request that may fail while the fakes are paused.
 func (p *platform) tryRequest(path string) {
 	if resp, err := http.Get("http://" + p.addrs.Control + path); err == nil { //nolint:noctx // ends with the process
 		_ = resp.Body.Close()
--- a/test/whole/bench_test.go
+++ b/test/whole/bench_test.go
@@ -67,7 +67,7 @@
 	return h
 }
 
-// BenchmarkOverhead measures the time of a request sent directly to a worker stand-in and through
+// BenchmarkOverhead measures the time of a request sent directly to a fake worker and through
 // an entry, both in one run, with 8 concurrent callers.
 func BenchmarkOverhead(b *testing.B) {
 	const callers, requestsEach = 8, 1000
--- a/test/whole/pause_test.go
+++ b/test/whole/pause_test.go
@@ -13,9 +13,9 @@
 	"sapphiregauge/pkg/client"
 )
 
-// Guards against a paused entry that keeps the others from serving, and against a request that
-// runs twice after it resumes, through slots, control or a claim that only the paused entry can
-// give up. Each entry in turn is paused while it has a request in flight that must not be
+// Guards against a paused entry that keeps the others from serving, and against a request that runs
+// twice after it resumes, because only the paused entry can give up its slots, its control of a
+// unit or a claim. Each entry in turn is paused while it has a request in flight that must not be
 // repeated; the others are sent the same request and further ones; then the entry resumes.
 func TestPausedEntryBlocksAndDuplicatesNothing(t *testing.T) {
 	s := newSite(t, 3, 6)
--- a/test/whole/site_test.go
+++ b/test/whole/site_test.go
@@ -235,7 +235,7 @@
 	})
 }
 
-// workerStatus is what a worker stand-in reports to have done.
+// workerStatus is what a fake worker reports to have done.
 type workerStatus struct {
 	Running int            `json:"running"`
 	Peak    int            `json:"peak"`
--- a/test/whole/whole_test.go
+++ b/test/whole/whole_test.go
@@ -88,8 +88,8 @@
 	assert.Equal(t, s.entries[1].cmd.ProcessState.ExitCode(), 0)
 }
 
-// Guards against an accepted long run that never ends. An entry accepts the run, starts it and is
-// killed; without the index of claims no other entry would know of it.
+// Guards against an accepted asynchronous request that never ends. An entry accepts it, starts it
+// and is killed; without the index of claims no other entry would know of it.
 func TestKilledEntryLosesNoAcceptedRun(t *testing.T) {
 	s := newSite(t, 3, 4)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
@@ -138,9 +138,8 @@
 pools: [brakes]
 `
 
-// A maintenance wave covers the whole pool while its controller is killed and there is a table
-// outage for a while; whenever it is checked, the pool has at least the promised number of
-// serving hosts.
+// A maintenance wave covers the whole pool although its controller is killed and the table has an
+// outage; whenever it is checked, the pool has at least the promised number of serving hosts.
 func TestWaveWithKilledEntryAndTableOutage(t *testing.T) {
 	s := newSite(t, 3, 6)
 	res := s.apply(apply.File{Name: "records.yaml", Text: records})
@@ -175,8 +174,7 @@
 	})
 }
 
-// controller returns the entry that controls a unit while all entries live, and one that does
-// not.
+// controller returns the entry that controls a unit while all entries are alive, and another one.
 func (s *site) controller(unit string) (controls, other *process) {
 	var all []gauge.Member
 	for i := range s.entries {
