--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -33,16 +33,16 @@
 
 // options holds the flags of both subcommands.
 type options struct {
-	listen, platform, id, zone, rack             string
-	slots, cores, memoryGiB, accelerators        int
-	listLag, goneAfter, bootTime, reportInterval time.Duration
+	listen, platform, id, zone, rack                string
+	slots, cores, memoryGiB, accelerators           int
+	listMaxAge, goneAfter, bootTime, reportInterval time.Duration
 }
 
 func run(args []string) error {
 	o := options{
 		listen: "127.0.0.1:0", platform: "127.0.0.1:8090", id: "worker", zone: "zone-1", rack: "rack-1",
 		slots: 8, cores: 16, memoryGiB: 64,
-		listLag: time.Second, goneAfter: 3 * time.Second, bootTime: 2 * time.Second, reportInterval: 200 * time.Millisecond,
+		listMaxAge: time.Second, goneAfter: 3 * time.Second, bootTime: 2 * time.Second, reportInterval: 200 * time.Millisecond,
 	}
 	parser := flaggy.NewParser("standin")
 	parser.Description = "stand-ins for the platform and the workers"
@@ -54,7 +54,7 @@
 		sc.String(&o.listen, "", "listen", "ip:port")
 		parser.AttachSubcommand(sc, 1)
 	}
-	platform.Duration(&o.listLag, "", "lag", "how old the host list may be")
+	platform.Duration(&o.listMaxAge, "", "lag", "how old the host list may be")
 	platform.Duration(&o.goneAfter, "", "gone", "silence after which a host is listed as gone")
 	worker.String(&o.platform, "", "platform", "ip:port of the platform stand-in")
 	worker.String(&o.id, "", "id", "name of the host")
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	s := stand.New(stand.Config{Lag: o.listLag, Gone: o.goneAfter, Clock: time.Now})
+	s := stand.New(stand.Config{Lag: o.listMaxAge, Gone: o.goneAfter, Clock: time.Now})
 	stopOnSignal(s.Close)
 	return s.Serve(l)
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -315,7 +315,7 @@
 	return o.slots.HandleRequest(b.conf.Clock(), request)
 }
 
-// pushGrants sends slots that came free to an entry that waits for some.
+// pushGrants sends slots that became free to an entry that waits for some.
 func (b *Broker) pushGrants(ctx context.Context, holder string, g *grantMsg, view member.View) {
 	if holder == b.holderName() {
 		b.applyGrants(*g)
@@ -333,7 +333,7 @@
 	}
 }
 
-// currentOwner returns the owner of a pool. It is created anew if this entry wasn't the owner all
+// currentOwner returns the owner of a pool. It is created again if this entry wasn't the owner all
 // the time up to now, and then waits until the leases of the previous owner have expired. An entry
 // that was paused still has old leases in memory, while another may have been the owner; a gap of
 // more than a lease duration shows that.
@@ -354,7 +354,7 @@
 }
 
 // updateOwners determines in every round which pools are this entry's, so that the wait for the
-// previous owner's leases is over before the first request comes.
+// previous owner's leases is over before the first request arrives.
 func (b *Broker) updateOwners(view member.View) {
 	b.mu.RLock()
 	byName := b.leasableByName
@@ -368,8 +368,8 @@
 	}
 }
 
-// dropOwner forgets a pool that another entry owns now. Its holders know what was granted here and
-// report it to the new owner.
+// dropOwner drops the state of a pool that another entry owns now. Its holders know what was
+// granted here and report it to the new owner.
 func (b *Broker) dropOwner(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -9,7 +9,7 @@
 	gauge "sapphiregauge"
 )
 
-// Minutes is how many minutes back the counts are kept.
+// Minutes is the number of minutes for which counts are retained.
 const Minutes = 6 * 60
 
 // Count is the number of good and bad responses in one minute.
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -1,6 +1,6 @@
 // Package ctrl carries out plans. There is one unit of control for each pool and one for the whole
 // fleet; each is controlled by one entry at a time, which holds the unit's lease and writes the
-// steps that package plan decides. A step is written before the platform is asked to act, and its
+// steps that package plan decides. A step is written before the platform is called, and its
 // result is read from the platform's host list, so that if the controller dies at any moment, the
 // next one can continue.
 package ctrl
--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -101,7 +101,7 @@
 
 // Guards against a wave that stops for good or goes over a host twice, because an action wasn't
 // written before it began or its result wasn't read back. The controller meets each fault at each
-// of its calls to the table, and in half of the cases dies there, so that another takes over.
+// of its calls to the table, and in half of the cases dies there, so that another one takes over.
 func TestWaveCompletesAfterEachFault(t *testing.T) {
 	const calls = 24
 	for _, fault := range []flaky.Fault{flaky.Refused, flaky.ResponseLost, flaky.RequestLost, flaky.Outage} {
@@ -158,8 +158,7 @@
 	assert.Equal(t, done, all)
 }
 
-// leavingHost brings a host of a pool into the leaving state, with an entry that doesn't know it
-// yet.
+// leavingHost brings a host of a pool into the leaving state, while one entry hasn't learned of it.
 func leavingHost(t *testing.T) (s *site, first, lagging *entry, host string) {
 	s = newSite(2, 8, 2)
 	s.appendRecords(t, pool("a", 2, gauge.PreferSpeed))
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Pool        string
 	Holder      string // ID and start ID of this entry
-	MaxWaiting  int    // most requests that wait here
+	MaxWaiting  int    // maximum number of requests that wait here
 	Clock       gauge.Clock
 	Random      *rand.Rand
 	RequestSoon func() // called when slots are needed, to send a lease request soon
--- a/internal/eject/eject.go
+++ b/internal/eject/eject.go
@@ -45,7 +45,7 @@
 	probing   bool      // one request is in flight to find out whether the host works again
 }
 
-// New returns an Ejector that has seen no outcomes.
+// New returns an Ejector without recorded outcomes.
 func New(c Config) *Ejector {
 	fill.Zero(&c.MinOutcomes, defaultMinOutcomes)
 	fill.Zero(&c.FailureRatio, defaultFailureRatio)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -61,22 +61,22 @@
 
 // Entry is one entry process.
 type Entry struct {
-	conf   Config
-	mesh   *mesh.Node
-	member *member.Keeper
-	follow *follow.Follower
-	broker *broker.Broker
-	claims *claim.Claims
-	sender *send.Sender
-	server *serve.Server
-	apply  *apply.Applier
-	orphan *orphan.Finder
-	ctrl   *ctrl.Controller
-	meter  *meter.Meter
-	burn   *burn.Recorder
-	holds  *holds.Recorder
-	log    *revlog.Log
-	app    *fiber.App
+	conf     Config
+	mesh     *mesh.Node
+	member   *member.Keeper
+	follow   *follow.Follower
+	broker   *broker.Broker
+	claims   *claim.Claims
+	sender   *send.Sender
+	server   *serve.Server
+	apply    *apply.Applier
+	orphan   *orphan.Finder
+	ctrl     *ctrl.Controller
+	meter    *meter.Meter
+	burn     *burn.Recorder
+	promises *holds.Recorder
+	log      *revlog.Log
+	app      *fiber.App
 
 	filled   map[string]bool // pools that once had the promised hosts; used only by watchHosts
 	draining atomic.Bool
@@ -98,7 +98,7 @@
 	c.Self.Peer = c.Peer.Addr().String()
 	e := &Entry{
 		conf: c, meter: meter.New(), log: revlog.New(c.Table),
-		burn: burn.New(c.Clock), holds: holds.New(c.Clock), filled: make(map[string]bool),
+		burn: burn.New(c.Clock), promises: holds.New(c.Clock), filled: make(map[string]bool),
 	}
 	e.hostList.Store(&hostList{})
 	e.mesh = mesh.New(mesh.Config{Key: c.PeerKey, Limit: maxFrame})
@@ -119,7 +119,7 @@
 	e.sender = send.New(send.Config{MaxAnswer: maxAnswer, Clock: c.Clock})
 	e.server = serve.New(serve.Config{
 		Clock: c.Clock, Logs: c.Logs.WithName("serve"), State: e.follow.State, IsStateCurrent: e.follow.IsCurrent, Allocator: e.broker.Allocator,
-		Dispatcher: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Holds: e.holds, MayBeAlive: e.mayBeAlive,
+		Dispatcher: e.sender, Claims: e.claims, Meter: e.meter, Burn: e.burn, Promises: e.promises, MayBeAlive: e.mayBeAlive,
 	})
 	e.apply = apply.New(apply.Config{Log: e.log, State: e.follow.State, Decoder: schema.New(), Notices: place.New().Unplaceable})
 	e.orphan = orphan.New(orphan.Config{
@@ -161,8 +161,8 @@
 	}
 	e.meter.SetState("", "revision", float64(s.Revision))
 	evidence := fmt.Sprintf("revision %d in force here at most %s after its acceptance", s.Revision, delay.Round(time.Millisecond))
-	e.holds.RecordCheck(holds.PromptConfig, delay <= inForceLimit, evidence)
-	e.holds.RecordCheck(holds.NoWorkWhenLeaving, delay <= inForceLimit, evidence)
+	e.promises.RecordCheck(holds.PromptConfig, delay <= inForceLimit, evidence)
+	e.promises.RecordCheck(holds.NoWorkWhenLeaving, delay <= inForceLimit, evidence)
 	// Every entry that adopts a revision notifies its peers, so that the notification also
 	// reaches those that the accepting entry can't connect to.
 	go e.member.SendHeartbeats(context.Background())
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), e.conf.ShutdownTimeout)
 	defer cancel()
 	err := e.server.Drain(ctx)
-	e.holds.RecordCheck(holds.GracefulShutdown, err == nil, "shutdown")
+	e.promises.RecordCheck(holds.GracefulShutdown, err == nil, "shutdown")
 	if err != nil {
 		e.conf.Logs.Error(err, "stopped before all requests were done")
 	}
@@ -259,7 +259,7 @@
 	for _, w := range e.waves() {
 		e.meter.SetState(w.Pool, "wave_due", float64(w.Hosts-w.Done))
 	}
-	for _, r := range e.holds.Results() {
+	for _, r := range e.promises.Results() {
 		if r.Checks > 0 { // an entry that doesn't check a promise must not report zero breaches
 			e.meter.SetState("", "breaches_"+string(r.Promise), float64(r.Breaches))
 		}
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -26,7 +26,7 @@
 }
 
 func (e *Entry) handleReport(context.Context, []byte) (any, error) {
-	return &reportResp{Series: e.burn.Series(), Results: e.holds.Results()}, nil
+	return &reportResp{Series: e.burn.Series(), Results: e.promises.Results()}, nil
 }
 
 const reportTimeout = 2 * time.Second
@@ -35,7 +35,7 @@
 func (e *Entry) collectReports(ctx context.Context) []reportResp {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	all := []reportResp{{Series: e.burn.Series(), Results: e.holds.Results()}}
+	all := []reportResp{{Series: e.burn.Series(), Results: e.promises.Results()}}
 	var mu sync.Mutex
 	var group conc.WaitGroup
 	for _, m := range e.member.View().Live {
@@ -99,10 +99,10 @@
 			e.filled[pool] = working >= promised // no breach while a new pool is first filled
 			continue
 		}
-		e.holds.RecordCheck(holds.AvailabilityBudget, working >= promised, fmt.Sprintf("pool %s: %d hosts work, %d are promised", pool, working, promised))
+		e.promises.RecordCheck(holds.AvailabilityBudget, working >= promised, fmt.Sprintf("pool %s: %d hosts work, %d are promised", pool, working, promised))
 	}
 	if s.Revision > 0 && len(s.ByHost) > 0 {
-		e.holds.RecordCheck(holds.SinglePool, listings == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listings))
+		e.promises.RecordCheck(holds.SinglePool, listings == len(counted), fmt.Sprintf("revision %d: %d hosts, counted %d times in declared pools or free", s.Revision, len(counted), listings))
 	}
 }
 
--- a/internal/exch/exch.go
+++ b/internal/exch/exch.go
@@ -25,8 +25,8 @@
 type Config struct {
 	DialTimeout    time.Duration // timeout for connecting; default 1 s
 	IdleTimeout    time.Duration // an idle connection is closed after this time; default 20 s
-	MaxBody        int           // greatest size of a response body, in bytes; default 1 MiB
-	MaxIdlePerAddr int           // greatest number of idle connections per address; default 16
+	MaxBody        int           // maximum size of a response body, in bytes; default 1 MiB
+	MaxIdlePerAddr int           // maximum number of idle connections per address; default 16
 	Clock          gauge.Clock
 }
 
@@ -68,11 +68,11 @@
 	return &Pool{conf: c, idle: make(map[string][]*conn)}
 }
 
-// Do sends req to addr and reads the whole answer into resp before ctx ends. Sent is
-// false only if no byte of the request left this process; the error is then of
-// KindOutage, otherwise of KindUnknown. With fresh set a new connection is made: this
-// tells a silent connection from a silent host, and it is the only safe way for a
-// request that isn't idempotent, since the other end may have closed an idle connection.
+// Do sends req to addr and reads the whole answer into resp before ctx ends. Sent is false only if
+// no byte of the request left this process; the error is then of KindOutage, otherwise of
+// KindUnknown. With fresh set a new connection is made: this distinguishes an unresponsive
+// connection from an unresponsive host, and it is the only safe way for a request that isn't
+// idempotent, since the other end may have closed an idle connection.
 func (p *Pool) Do(ctx context.Context, addr string, req *fasthttp.Request, resp *fasthttp.Response, fresh bool) (sent bool, err error) {
 	c, err := p.connect(ctx, addr, fresh)
 	if err != nil {
@@ -109,8 +109,8 @@
 	return true, nil
 }
 
-// CloseIdle closes all idle connections to an address. It is for an address where one of them was
-// silent while a new connection worked.
+// CloseIdle closes all idle connections to an address. Callers use it after one of them gave no
+// answer, as the others are often broken too.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	old := p.idle[addr]
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -32,7 +32,7 @@
 	requestedAt  time.Time   // when that request was sent
 	renewed      bool        // that request was answered
 	maxUsed      int         // most slots to use while other entries have too few; 0: no limit
-	maxIdle      int         // most idle slots of a class to keep
+	maxIdle      int         // maximum number of idle slots of a class to keep
 	wanted       classCounts // slots wanted, as the owner knows
 	becomingLong []*gauge.Slot
 	used         int
@@ -177,16 +177,16 @@
 	if !h.HasLease(now) {
 		return slots.LeaseRequest{}, false
 	}
-	back := h.giveBack(waitingQuick, waitingLong)
+	returned := h.giveBack(waitingQuick, waitingLong)
 	want := h.wantedCounts(waitingQuick, waitingLong)
 	more := classCounts{want.quick - h.wanted.quick, want.long - h.wanted.long}
-	if len(back) == 0 && more == (classCounts{}) {
+	if len(returned) == 0 && more == (classCounts{}) {
 		return slots.LeaseRequest{}, false
 	}
 	h.wanted = want
 	h.seq++
 	return slots.LeaseRequest{
-		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Slots: back,
+		Holder: h.conf.Name, Pool: h.conf.Pool, Seq: h.seq, Slots: returned,
 		WantedQuick: more.quick, WantedLong: more.long,
 	}, true
 }
@@ -194,12 +194,12 @@
 // HasLease reports whether a renewed lease is in force, so that a delta request may be sent.
 func (h *Holder) HasLease(now time.Time) bool { return h.renewed && now.Before(h.leaseExpires) }
 
-// IsScarce reports whether slots are scarce, so that those that come free should be given back at
-// once.
+// IsScarce reports whether slots are scarce, so that those that become free should be given back
+// at once.
 func (h *Holder) IsScarce() bool { return h.maxUsed > 0 || h.maxIdle == 0 }
 
 // dropIdle drops the idle slots after the lease expired. Those in use are still named in requests,
-// since they are occupied whatever the lease says.
+// since they are occupied even without a lease.
 func (h *Holder) dropIdle() {
 	for host, l := range h.byHost {
 		l.quick, l.long = l.usedQuick, l.usedLong
@@ -267,20 +267,20 @@
 // giveBack drops idle slots and returns them: all on hosts that take no new requests, those in
 // excess of twice the reserve, and those over the owner's limit.
 func (h *Holder) giveBack(waitingQuick, waitingLong int) []slots.HostSlots {
-	back := make(map[string]slots.HostSlots)
-	h.giveBackClass(gauge.ClassQuick, waitingQuick, back)
-	h.giveBackClass(gauge.ClassLong, waitingLong, back)
-	out := make([]slots.HostSlots, 0, len(back))
-	for _, host := range sortedKeys(back) {
-		out = append(out, back[host])
+	returned := make(map[string]slots.HostSlots)
+	h.giveBackClass(gauge.ClassQuick, waitingQuick, returned)
+	h.giveBackClass(gauge.ClassLong, waitingLong, returned)
+	out := make([]slots.HostSlots, 0, len(returned))
+	for _, host := range sortedKeys(returned) {
+		out = append(out, returned[host])
 	}
 	return out
 }
 
-func (h *Holder) giveBackClass(c gauge.Class, waiting int, back map[string]slots.HostSlots) {
+func (h *Holder) giveBackClass(c gauge.Class, waiting int, returned map[string]slots.HostSlots) {
 	for _, host := range sortedKeys(h.byHost) {
 		if _, serves := h.targets[host]; !serves {
-			h.dropSlots(host, c, h.byHost[host].idleCount(c), back)
+			h.dropSlots(host, c, h.byHost[host].idleCount(c), returned)
 		}
 	}
 	used, idle := h.countSlots(c)
@@ -293,16 +293,16 @@
 			return
 		}
 		n := min(excess, h.byHost[host].idleCount(c))
-		h.dropSlots(host, c, n, back)
+		h.dropSlots(host, c, n, returned)
 		excess -= n
 	}
 }
 
-func (h *Holder) dropSlots(host string, c gauge.Class, n int, back map[string]slots.HostSlots) {
+func (h *Holder) dropSlots(host string, c gauge.Class, n int, returned map[string]slots.HostSlots) {
 	if n <= 0 {
 		return
 	}
-	l, b := h.byHost[host], back[host]
+	l, b := h.byHost[host], returned[host]
 	b.Host = host
 	if c == gauge.ClassLong {
 		l.long -= n
@@ -311,7 +311,7 @@
 		l.quick -= n
 		b.Quick += n
 	}
-	back[host] = b
+	returned[host] = b
 	h.deleteIfEmpty(host, l)
 }
 
--- a/internal/holds/holds.go
+++ b/internal/holds/holds.go
@@ -1,5 +1,5 @@
-// Package holds records how well the promises to users are kept: for each, how often it was
-// checked, whether and when this entry saw it broken, and the evidence.
+// Package holds records how well the promises to users are kept: for each, how often it was checked,
+// whether and when this entry found it broken, and the evidence.
 package holds
 
 import (
@@ -29,7 +29,7 @@
 	return []Promise{AvailabilityBudget, SinglePool, WholeAnswers, TrueNotRun, AtMostOnce, NoWorkWhenLeaving, GracefulShutdown, PromptConfig}
 }
 
-// Result is what one entry has seen of a promise.
+// Result is one entry's record of a promise.
 type Result struct {
 	Promise  Promise   `json:"promise" msgpack:"p"`
 	Checks   int64     `json:"checks" msgpack:"c"`   // number of checks that could have found it broken
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,7 +16,7 @@
 type Config struct {
 	Entry string // ID/start ID of this entry
 	Table gauge.Table
-	Lives func(entry string) bool
+	Lives func(entry string) bool // whether an entry may still be alive
 }
 
 // Leases takes and checks leases.
--- a/internal/local/local.go
+++ b/internal/local/local.go
@@ -43,7 +43,7 @@
 	coresPerWorker     = 16
 	memoryPerWorkerGiB = 64
 	zoneCount          = 3
-	listLag            = 500 * time.Millisecond
+	listMaxAge         = 500 * time.Millisecond
 	goneAfter          = 3 * time.Second
 	bootTime           = 2 * time.Second
 	reportInterval     = 200 * time.Millisecond
@@ -52,7 +52,7 @@
 // Run serves until ctx is done.
 func (s *Site) Run(ctx context.Context) error {
 	store := memdb.New()
-	hosts := roster.New(roster.Config{MaxAge: listLag, GoneAfter: goneAfter, Clock: time.Now})
+	hosts := roster.New(roster.Config{MaxAge: listMaxAge, GoneAfter: goneAfter, Clock: time.Now})
 	httpListener, err := net.Listen("tcp", s.conf.HTTP)
 	if err != nil {
 		return err
--- a/internal/logs/line.go
+++ b/internal/logs/line.go
@@ -36,7 +36,7 @@
 const (
 	// initialLineSize is the initial capacity of a line's buffer, in bytes.
 	initialLineSize = 512
-	// maxPooledLine is the greatest capacity of a buffer that is reused, in bytes.
+	// maxPooledLine is the maximum capacity of a buffer that is reused, in bytes.
 	maxPooledLine = 16 << 10
 )
 
@@ -67,19 +67,19 @@
 
 // WithValues implements logr.LogSink.
 func (s *sink) WithValues(fields ...any) logr.LogSink {
-	with := *s
-	with.fields = appendFields(append([]byte(nil), s.fields...), fields)
-	return &with
+	derived := *s
+	derived.fields = appendFields(append([]byte(nil), s.fields...), fields)
+	return &derived
 }
 
 // WithName implements logr.LogSink.
 func (s *sink) WithName(name string) logr.LogSink {
-	with := *s
+	derived := *s
 	if s.name != "" {
 		name = s.name + "/" + name
 	}
-	with.name = name
-	return &with
+	derived.name = name
+	return &derived
 }
 
 func (s *sink) write(level slog.Level, msg string, err error, fields []any) {
--- a/internal/mesh/handshake.go
+++ b/internal/mesh/handshake.go
@@ -12,7 +12,7 @@
 
 const (
 	nonceSize    = 16
-	maxProofSize = 256 // greatest size of a handshake frame, in bytes
+	maxProofSize = 256 // maximum size of a handshake frame, in bytes
 )
 
 // proof is one message of the handshake: a nonce for the other end, if it has yet to prove the key,
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -21,7 +21,7 @@
 // Config sets up a Node.
 type Config struct {
 	Key   []byte        // shared by all entries
-	Limit int           // greatest size of a frame, in bytes; default 1 MiB
+	Limit int           // maximum size of a frame, in bytes; default 1 MiB
 	Dial  time.Duration // timeout of the handshake; default 1 s
 	// Connect is the timeout for establishing a TCP connection; default 250 ms. A host
 	// without power doesn't answer, and the kernel retransmits the request only after a second:
--- a/internal/naive/naive.go
+++ b/internal/naive/naive.go
@@ -22,8 +22,9 @@
 func New(c Config) *Planner { return &Planner{conf: c} }
 
 // Pool plans the steps of a pool's hosts. It advances hosts through their states as package plan
-// does; if there is nothing to advance, it takes out the next host of a wave, provided that no
-// other host of the pool is out and more are serving than were promised.
+// does; if there is nothing to advance, it starts the maintenance of the next host of a wave,
+// provided that no other host of the pool is in maintenance and more are serving than were
+// promised.
 func (p *Planner) Pool(in plan.Input, pool string) plan.Plan {
 	out := plan.New(plan.Config{}).HostSteps(in, pool)
 	if len(out.Steps) > 0 {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// recordRelayed records what a heartbeat says of a third entry. A recent direct
-// heartbeat of that entry holds more, and takes precedence.
+// recordRelayed records what a heartbeat says of a third entry. A recent direct heartbeat of that
+// entry has more information, and takes precedence.
 func (s *Set) recordRelayed(now time.Time, id string, h Heartbeat) {
 	p := s.known[id]
 	if p == nil || now.Sub(p.lastDirect) <= s.conf.Silence {
@@ -181,7 +181,7 @@
 }
 
 // hash returns the hash of a set of live entries. It covers their incarnations too, as a
-// restarted entry has forgotten what it granted.
+// restarted entry has lost its record of what it granted.
 func (s *Set) hash(live []gauge.Member) uint64 {
 	h := xxhash.New()
 	for _, m := range live {
@@ -191,10 +191,9 @@
 	return h.Sum64()
 }
 
-// Share returns how many entries have the same view as this one, itself included, and
-// how many entries are known. An entry that knows others but receives no heartbeat
-// of them, and can't read the table either, has no share at all: the others may
-// have deleted its row and forgotten it.
+// Share returns how many entries have the same view as this one, itself included, and how many
+// entries are known. An entry that knows others but receives no heartbeat of them, and can't read
+// the table either, has no share at all: the others may have deleted its row and dropped it.
 func (s *Set) Share(now time.Time) (same, known int) {
 	same, known = 1, 1+len(s.known)
 	isolated := true
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -28,46 +28,46 @@
 }
 
 func newCluster(n, mesh int) *cluster {
-	g := &cluster{now: time.Unix(1000, 0)}
+	c := &cluster{now: time.Unix(1000, 0)}
 	var rows []gauge.Member
 	for i := range n {
 		rows = append(rows, entry(i))
 	}
 	for i := range n {
 		s := peers.New(peers.Config{Self: entry(i), Mesh: mesh})
-		s.UpdateRows(g.now, rows)
-		g.sets = append(g.sets, s)
-		g.links = append(g.links, make([]bool, n))
+		s.UpdateRows(c.now, rows)
+		c.sets = append(c.sets, s)
+		c.links = append(c.links, make([]bool, n))
 		for j := range n {
-			g.links[i][j] = true
+			c.links[i][j] = true
 		}
 	}
-	return g
+	return c
 }
 
-func (g *cluster) readRows() {
+func (c *cluster) readRows() {
 	var rows []gauge.Member
-	for i := range g.sets {
+	for i := range c.sets {
 		m := entry(i)
-		m.WriteCount = g.now.Unix()
+		m.WriteCount = c.now.Unix()
 		rows = append(rows, m)
 	}
-	for _, s := range g.sets {
-		s.UpdateRows(g.now, rows)
+	for _, s := range c.sets {
+		s.UpdateRows(c.now, rows)
 	}
 }
 
-func (g *cluster) exchangeHeartbeats() {
-	for i, s := range g.sets {
-		s.Refresh(g.now)
-		for _, m := range s.Neighbours(g.now) {
+func (c *cluster) exchangeHeartbeats() {
+	for i, s := range c.sets {
+		s.Refresh(c.now)
+		for _, m := range s.Neighbours(c.now) {
 			var j int
 			_, _ = fmt.Sscanf(m.ID, "e%d", &j)
-			if g.links[i][j] {
-				g.sets[j].Receive(g.now, s.NewHeartbeat(g.now, 1, m.Zone))
+			if c.links[i][j] {
+				c.sets[j].Receive(c.now, s.NewHeartbeat(c.now, 1, m.Zone))
 			}
-			if g.links[i][j] && g.links[j][i] {
-				s.Receive(g.now, g.sets[j].NewHeartbeat(g.now, 1, entry(i).Zone))
+			if c.links[i][j] && c.links[j][i] {
+				s.Receive(c.now, c.sets[j].NewHeartbeat(c.now, 1, entry(i).Zone))
 			}
 		}
 	}
@@ -80,25 +80,25 @@
 	for _, mesh := range []int{16, 2} {
 		rapid.Check(t, func(t *rapid.T) {
 			const n = 6
-			g := newCluster(n, mesh)
+			c := newCluster(n, mesh)
 			pick := func() int { return rapid.IntRange(0, n-1).Draw(t, "i") }
 			t.Repeat(map[string]func(*rapid.T){
-				"cut":    func(*rapid.T) { g.links[pick()][pick()] = false },
-				"repair": func(*rapid.T) { g.links[pick()][pick()] = true },
+				"cut":    func(*rapid.T) { c.links[pick()][pick()] = false },
+				"repair": func(*rapid.T) { c.links[pick()][pick()] = true },
 				"run": func(*rapid.T) {
 					for range 8 { // longer than the heartbeat timeout: every view has converged
-						g.now = g.now.Add(time.Second)
-						g.readRows()
-						g.exchangeHeartbeats()
-						g.exchangeHeartbeats()
+						c.now = c.now.Add(time.Second)
+						c.readRows()
+						c.exchangeHeartbeats()
+						c.exchangeHeartbeats()
 					}
 				},
 				"": func(t *rapid.T) {
 					total, known := 0, n
-					for i, s := range g.sets {
-						_, live := s.Refresh(g.now)
+					for i, s := range c.sets {
+						_, live := s.Refresh(c.now)
 						if peers.Owner(live, "pool").ID == entry(i).ID {
-							same, k := s.Share(g.now)
+							same, k := s.Share(c.now)
 							total += same
 							known = k
 						}
@@ -116,16 +116,16 @@
 // also where entries learn of others only through a third.
 func TestViewsAgreeWhileAllLinksWork(t *testing.T) {
 	for _, mesh := range []int{16, 2} {
-		g := newCluster(9, mesh)
+		c := newCluster(9, mesh)
 		for range 6 {
-			g.now = g.now.Add(time.Second)
-			g.exchangeHeartbeats()
-			g.exchangeHeartbeats()
+			c.now = c.now.Add(time.Second)
+			c.exchangeHeartbeats()
+			c.exchangeHeartbeats()
 		}
-		for _, s := range g.sets {
-			_, live := s.Refresh(g.now)
+		for _, s := range c.sets {
+			_, live := s.Refresh(c.now)
 			assert.Equal(t, len(live), 9)
-			same, known := s.Share(g.now)
+			same, known := s.Share(c.now)
 			assert.Equal(t, same, 9)
 			assert.Equal(t, known, 9)
 		}
@@ -137,23 +137,23 @@
 // too writes its row a moment later than it is read. The time of the outage must not count
 // towards the term.
 func TestOutageMakesNoRowStale(t *testing.T) {
-	g := newCluster(2, 16)
-	s := g.sets[0]
+	c := newCluster(2, 16)
+	s := c.sets[0]
 	old := []gauge.Member{entry(0), entry(1)}
-	g.now = g.now.Add(time.Hour)
-	assert.Equal(t, len(s.UpdateRows(g.now, old)), 0)
-	g.now = g.now.Add(10 * time.Second)
-	assert.Equal(t, len(s.UpdateRows(g.now, old)), 0, "the term starts at the end of the outage")
-	g.now = g.now.Add(6 * time.Second)
-	assert.Equal(t, len(s.UpdateRows(g.now, old)), 1, "unchanged for a term while the table was readable: stale")
+	c.now = c.now.Add(time.Hour)
+	assert.Equal(t, len(s.UpdateRows(c.now, old)), 0)
+	c.now = c.now.Add(10 * time.Second)
+	assert.Equal(t, len(s.UpdateRows(c.now, old)), 0, "the term starts at the end of the outage")
+	c.now = c.now.Add(6 * time.Second)
+	assert.Equal(t, len(s.UpdateRows(c.now, old)), 1, "unchanged for a term while the table was readable: stale")
 }
 
 // An entry that can reach neither the table nor a peer grants nothing and is
 // not ready.
 func TestIsolatedEntryHasNoShare(t *testing.T) {
-	g := newCluster(3, 16)
-	g.now = g.now.Add(20 * time.Second)
-	same, _ := g.sets[0].Share(g.now)
+	c := newCluster(3, 16)
+	c.now = c.now.Add(20 * time.Second)
+	same, _ := c.sets[0].Share(c.now)
 	assert.Equal(t, same, 0)
-	assert.Assert(t, !g.sets[0].IsConnected(g.now))
+	assert.Assert(t, !c.sets[0].IsConnected(c.now))
 }
--- a/internal/revlog/revlog.go
+++ b/internal/revlog/revlog.go
@@ -19,24 +19,24 @@
 const RetainedRevisions = 4096
 
 const (
-	headKey    = "head"
-	recPrefix  = "rec/"
-	hostPrefix = "host/"
+	headKey      = "head"
+	recordPrefix = "rec/"
+	hostPrefix   = "host/"
 )
 
-func revKey(r int64) string { return fmt.Sprintf("rev/%020d", r) }
+func revisionKey(r int64) string { return fmt.Sprintf("rev/%020d", r) }
 
-func recKey(id gauge.RecordID) string { return recPrefix + id.String() }
+func recordKey(id gauge.RecordID) string { return recordPrefix + id.String() }
 
 func hostKey(id string) string { return hostPrefix + id }
 
-func subKey(id string) string { return "sub/" + id }
+func submissionKey(id string) string { return "sub/" + id }
 
 type headRow struct {
 	Revision int64 `json:"revision"`
 }
 
-type subRow struct {
+type submissionRow struct {
 	Revision int64 `json:"revision"`
 }
 
@@ -73,7 +73,7 @@
 // doesn't exist yet.
 func (l *Log) Change(ctx context.Context, rev int64) (gauge.Change, error) {
 	var c gauge.Change
-	row, err := l.table.Get(ctx, revKey(rev))
+	row, err := l.table.Get(ctx, revisionKey(rev))
 	if err != nil {
 		return c, err
 	}
@@ -86,11 +86,11 @@
 // SubmissionRevision returns the revision that a submission was accepted as, or 0 if it wasn't
 // accepted or was trimmed since.
 func (l *Log) SubmissionRevision(ctx context.Context, id string) (int64, error) {
-	row, err := l.table.Get(ctx, subKey(id))
+	row, err := l.table.Get(ctx, submissionKey(id))
 	if err != nil || row.Version == 0 {
 		return 0, err
 	}
-	var s subRow
+	var s submissionRow
 	return s.Revision, decode(row, &s)
 }
 
@@ -132,7 +132,7 @@
 }
 
 func (l *Log) records(ctx context.Context) (map[gauge.RecordID]gauge.Record, error) {
-	rows, err := l.table.Scan(ctx, recPrefix)
+	rows, err := l.table.Scan(ctx, recordPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -237,18 +237,18 @@
 func (l *Log) buildTxn(ctx context.Context, head gauge.Row, c gauge.Change) (gauge.Txn, error) {
 	t := gauge.Txn{Checks: []gauge.Check{
 		{Key: headKey, Version: head.Version},
-		{Key: subKey(c.Submission), Version: 0},
+		{Key: submissionKey(c.Submission), Version: 0},
 	}}
 	var b batch
 	b.put(headKey, headRow{Revision: c.Revision})
-	b.put(revKey(c.Revision), c)
-	b.put(subKey(c.Submission), subRow{Revision: c.Revision})
+	b.put(revisionKey(c.Revision), c)
+	b.put(submissionKey(c.Submission), submissionRow{Revision: c.Revision})
 	for _, r := range c.Records {
 		if r.Deleted {
-			b.delete(recKey(r.ID()))
+			b.delete(recordKey(r.ID()))
 			continue
 		}
-		b.put(recKey(r.ID()), r)
+		b.put(recordKey(r.ID()), r)
 	}
 	for _, h := range c.Hosts {
 		b.put(hostKey(h.ID), h)
@@ -272,8 +272,8 @@
 	if err != nil {
 		return err
 	}
-	b.delete(revKey(rev))
-	b.delete(subKey(old.Submission))
+	b.delete(revisionKey(rev))
+	b.delete(submissionKey(old.Submission))
 	return nil
 }
 
--- a/internal/revlog/revlog_test.go
+++ b/internal/revlog/revlog_test.go
@@ -108,13 +108,13 @@
 	beforeCommit func()
 }
 
-func (r *hookedTable) Commit(ctx context.Context, t gauge.Txn) error {
-	if r.beforeCommit != nil {
-		beforeCommit := r.beforeCommit
-		r.beforeCommit = nil
+func (h *hookedTable) Commit(ctx context.Context, t gauge.Txn) error {
+	if h.beforeCommit != nil {
+		beforeCommit := h.beforeCommit
+		h.beforeCommit = nil
 		beforeCommit()
 	}
-	return r.Table.Commit(ctx, t)
+	return h.Table.Commit(ctx, t)
 }
 
 // Guards against the loss of one of two accepted changes: both read the head, then both commit,
@@ -146,7 +146,7 @@
 	}
 	var peerState gauge.State
 	var peerErr error
-	table := &switchedTable{Table: db}
+	table := &switchableTable{Table: db}
 	f := follow.New(follow.Config{
 		Log: revlog.New(table), Clock: time.Now, Logs: logr.Discard(),
 		FetchFromPeers: func(context.Context) (gauge.State, error) { return peerState, peerErr },
@@ -170,21 +170,21 @@
 	assert.Equal(t, f.State().Revision, int64(5))
 }
 
-// switchedTable is a table that can be exchanged or made unreachable.
-type switchedTable struct {
+// switchableTable is a table that can be replaced or made unreachable.
+type switchableTable struct {
 	gauge.Table
 	unreachable bool
 }
 
-func (s *switchedTable) Get(ctx context.Context, key string) (gauge.Row, error) {
+func (s *switchableTable) Get(ctx context.Context, key string) (gauge.Row, error) {
 	if s.unreachable {
 		return gauge.Row{}, gauge.Errorf(gauge.KindOutage, "out")
 	}
 	return s.Table.Get(ctx, key)
 }
 
-// A follower that is behind the oldest change that is kept loads the whole state again. Rows
-// that change while it reads do no harm.
+// A follower that is behind the oldest retained change loads the whole state again, also if rows
+// change while it reads them.
 func TestFollowerLoadsStateWhenChangesAreTrimmed(t *testing.T) {
 	ctx := context.Background()
 	db := memdb.New()
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -24,14 +24,14 @@
 type Roster struct {
 	conf         Config
 	mu           sync.Mutex
-	hosts        map[string]*hostEntry
+	hosts        map[string]*hostState
 	rebootTokens map[string]bool // tokens of past reboot requests, so that a retry doesn't reboot twice
 	lastList     gauge.HostList
 	snapshotAt   time.Time
 }
 
-// hostEntry is a host's last report, its time, and whether a reboot is pending.
-type hostEntry struct {
+// hostState is a host's last report, its time, and whether a reboot is pending.
+type hostState struct {
 	report        gauge.ListedHost
 	reportedAt    time.Time
 	rebootPending bool
@@ -39,22 +39,22 @@
 
 // New makes an empty Roster.
 func New(c Config) *Roster {
-	return &Roster{conf: c, hosts: make(map[string]*hostEntry), rebootTokens: make(map[string]bool)}
+	return &Roster{conf: c, hosts: make(map[string]*hostState), rebootTokens: make(map[string]bool)}
 }
 
 // Report records a host's report and returns whether the host is to reboot now.
 func (r *Roster) Report(s gauge.ListedHost) (reboot bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.hosts[s.ID]
-	if e == nil {
-		e = &hostEntry{}
-		r.hosts[s.ID] = e
+	h := r.hosts[s.ID]
+	if h == nil {
+		h = &hostState{}
+		r.hosts[s.ID] = h
 	}
-	e.report = s
-	e.reportedAt = r.conf.Clock()
-	reboot = e.rebootPending
-	e.rebootPending = false
+	h.report = s
+	h.reportedAt = r.conf.Clock()
+	reboot = h.rebootPending
+	h.rebootPending = false
 	return reboot
 }
 
@@ -79,23 +79,23 @@
 func (r *Roster) Reboot(_ context.Context, host, token string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.hosts[host]
-	if e == nil {
+	h := r.hosts[host]
+	if h == nil {
 		return gauge.Errorf(gauge.KindNotFound, "host %s", host)
 	}
 	if r.rebootTokens[token] {
 		return nil
 	}
 	r.rebootTokens[token] = true
-	e.rebootPending = true
+	h.rebootPending = true
 	return nil
 }
 
 func (r *Roster) snapshot(now time.Time) gauge.HostList {
 	out := make(gauge.HostList, 0, len(r.hosts))
-	for _, e := range r.hosts {
-		s := e.report
-		s.Age = now.Sub(e.reportedAt)
+	for _, h := range r.hosts {
+		s := h.report
+		s.Age = now.Sub(h.reportedAt)
 		if s.Age >= r.conf.GoneAfter {
 			s.Status = gauge.StatusGone
 		}
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return key, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.AcceptedRequest{
+	row, inserted, err := s.claim(ctx, key, gauge.ClaimAccepted, r, &gauge.AcceptedRequest{
 		Service: r.Service, Path: r.Path, Type: r.Type, Class: c.declared, Repeatable: r.Repeatable,
 		Timeout: r.Deadline.Sub(c.began), Body: r.Body,
 	})
@@ -44,15 +44,15 @@
 		return key, err
 	}
 	if !inserted {
-		return key, s.checkReuse(held, requestHash(r))
+		return key, s.checkReuse(row, requestHash(r))
 	}
-	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
+	s.inBackground(func(context.Context) { s.runAccepted(c, row) })
 	return key, nil
 }
 
 // checkReuse returns an error of KindKeyReused if the claim belongs to a request with another hash.
-func (s *Server) checkReuse(h claim.Row, hash uint64) error {
-	if h.Claim.Hash != hash {
+func (s *Server) checkReuse(row claim.Row, hash uint64) error {
+	if row.Claim.Hash != hash {
 		return gauge.Refuse(nil, gauge.KindKeyReused, "the idempotency key belongs to another request", 0)
 	}
 	return nil
@@ -60,21 +60,21 @@
 
 // runAccepted runs an accepted request to its end. Before anything is dispatched it moves
 // the claim to the state running; if another entry has taken the claim over, it does nothing.
-func (s *Server) runAccepted(c *call, held claim.Row) {
+func (s *Server) runAccepted(c *call, row claim.Row) {
 	ctx, cancel := context.WithDeadline(context.Background(), c.req.Deadline)
 	defer cancel()
-	moved, owned, err := s.conf.Claims.Transition(ctx, held, gauge.ClaimRunning)
+	running, owned, err := s.conf.Claims.Transition(ctx, row, gauge.ClaimRunning)
 	if err != nil || !owned {
 		// The claim stays in the state accepted; the search for orphaned claims finds it.
-		s.conf.Logs.Info("accepted request not started here", "request", held.Key.ID, "mine", owned)
+		s.conf.Logs.Info("accepted request not started here", "request", row.Key.ID, "mine", owned)
 		return
 	}
 	resp, _, err := s.run(ctx, c)
 	s.recordEnd(c, resp, err)
 	store, stop := context.WithTimeout(context.Background(), storeTimeout)
 	defer stop()
-	if err := s.conf.Claims.StoreOutcome(store, moved, outcomeOf(resp, err)); err != nil {
-		s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
+	if err := s.conf.Claims.StoreOutcome(store, running, outcomeOf(resp, err)); err != nil {
+		s.conf.Logs.Error(err, "answer not stored", "request", row.Key.ID)
 	}
 }
 
@@ -87,28 +87,28 @@
 		return err
 	}
 	defer s.running.Done()
-	held, err := s.conf.Claims.Read(ctx, key)
+	row, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return err
 	}
-	a := held.Claim.Accept
-	if a == nil || held.Claim.State == gauge.ClaimDone || s.conf.MayBeAlive(held.Claim.Entry) {
+	a := row.Claim.Accept
+	if a == nil || row.Claim.State == gauge.ClaimDone || s.conf.MayBeAlive(row.Claim.Entry) {
 		return nil
 	}
-	if held.Claim.State == gauge.ClaimRunning && !a.Repeatable {
-		moved, owned, err := s.conf.Claims.Transition(ctx, held, gauge.ClaimRunning)
+	if row.Claim.State == gauge.ClaimRunning && !a.Repeatable {
+		running, owned, err := s.conf.Claims.Transition(ctx, row, gauge.ClaimRunning)
 		if err != nil || !owned {
 			return err
 		}
 		lost := gauge.Errorf(gauge.KindUnknown, "the entry that ran the request is gone")
-		return s.conf.Claims.StoreOutcome(ctx, moved, outcomeOf(gauge.Response{}, lost))
+		return s.conf.Claims.StoreOutcome(ctx, running, outcomeOf(gauge.Response{}, lost))
 	}
 	c, err := s.restore(ctx, key, a)
 	if err != nil {
 		return err
 	}
-	s.conf.Logs.Info("request taken over", "request", key.ID, "from", held.Claim.Entry)
-	s.inBackground(func(context.Context) { s.runAccepted(c, held) })
+	s.conf.Logs.Info("request taken over", "request", key.ID, "from", row.Claim.Entry)
+	s.inBackground(func(context.Context) { s.runAccepted(c, row) })
 	return nil
 }
 
@@ -132,25 +132,25 @@
 	if err != nil {
 		return gauge.Response{}, err
 	}
-	held, err := s.conf.Claims.Read(ctx, key)
+	row, err := s.conf.Claims.Read(ctx, key)
 	if err != nil {
 		return gauge.Response{}, gauge.Errorf(gauge.KindOutage, "the platform's table does not answer").WithCause(err).WithRetryAfter(time.Second)
 	}
-	if held.Claim.State == "" {
+	if row.Claim.State == "" {
 		return gauge.Response{}, gauge.Errorf(gauge.KindNotFound, "no request is known by that key")
 	}
-	return s.answerFromClaim(ctx, held, held.Claim.Hash)
+	return s.answerFromClaim(ctx, row, row.Claim.Hash)
 }
 
 // answerFromClaim answers a request from a claim that another request or entry inserted.
-func (s *Server) answerFromClaim(ctx context.Context, h claim.Row, hash uint64) (gauge.Response, error) {
-	if err := s.checkReuse(h, hash); err != nil {
+func (s *Server) answerFromClaim(ctx context.Context, row claim.Row, hash uint64) (gauge.Response, error) {
+	if err := s.checkReuse(row, hash); err != nil {
 		return gauge.Response{}, err
 	}
-	if h.Claim.State == gauge.ClaimDone {
-		return s.storedAnswer(ctx, h.Claim.Result)
+	if row.Claim.State == gauge.ClaimDone {
+		return s.storedAnswer(ctx, row.Claim.Result)
 	}
-	if h.Claim.Accept == nil && !s.conf.MayBeAlive(h.Claim.Entry) {
+	if row.Claim.Accept == nil && !s.conf.MayBeAlive(row.Claim.Entry) {
 		return gauge.Response{}, gauge.Errorf(gauge.KindUnknown, "the entry that ran the request is gone")
 	}
 	return gauge.Response{}, gauge.Errorf(gauge.KindInProgress, "the request is running").WithRetryAfter(time.Second)
--- a/internal/serve/harness_test.go
+++ b/internal/serve/harness_test.go
@@ -180,7 +180,7 @@
 		Dispatcher: h.worker,
 		Claims:     claim.New(claim.Config{Entry: name, Table: table, Objects: h.db, Clock: time.Now}),
 		Meter:      meter.New(), MayBeAlive: h.isAlive, IsStateCurrent: func() bool { return h.current },
-		Burn: burn.New(time.Now), Holds: holds.New(time.Now),
+		Burn: burn.New(time.Now), Promises: holds.New(time.Now),
 	})
 }
 
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -69,7 +69,7 @@
 	}
 	s.conf.Meter.CountAttempt(c.svc.Pool, err)
 	if err == nil {
-		s.conf.Holds.RecordEvent(holds.WholeAnswers, "the last answer was whole and bore its request's id")
+		s.conf.Promises.RecordEvent(holds.WholeAnswers, "the last answer was whole and bore its request's id")
 	}
 	if counted, failed := workerOutcome(a, err); counted && c.slots.RecordOutcome(slot.Target.Host, failed) {
 		s.conf.Meter.CountEjection(c.svc.Pool)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -32,7 +32,7 @@
 	Claims         *claim.Claims
 	Meter          *meter.Meter
 	Burn           *burn.Recorder
-	Holds          *holds.Recorder
+	Promises       *holds.Recorder
 	// MayBeAlive reports whether an entry (ID/start ID) may still be running requests.
 	MayBeAlive func(entry string) bool
 }
@@ -116,7 +116,7 @@
 	s.conf.Meter.ObserveRequest(c.req.Service, c.req.Class, s.conf.Clock().Sub(c.began), err)
 	s.conf.Burn.RecordResponse(c.req.Service, err)
 	if err != nil && gauge.AsError(err).Ran() == gauge.RanNo {
-		s.conf.Holds.RecordEvent(holds.TrueNotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
+		s.conf.Promises.RecordEvent(holds.TrueNotRun, "the last refusal ("+string(gauge.KindOf(err))+") was of a request of which no byte was accepted")
 	}
 }
 
@@ -181,41 +181,41 @@
 	if err != nil {
 		return gauge.Response{}, gauge.Refuse(nil, gauge.KindInvalid, gauge.AsError(err).Reason, 0)
 	}
-	held, inserted, err := s.claim(ctx, key, gauge.ClaimRunning, c.req, nil)
+	row, inserted, err := s.claim(ctx, key, gauge.ClaimRunning, c.req, nil)
 	if err != nil {
 		return gauge.Response{}, err
 	}
 	if !inserted {
-		return s.answerFromClaim(ctx, held, requestHash(c.req))
+		return s.answerFromClaim(ctx, row, requestHash(c.req))
 	}
-	return s.runClaimed(ctx, c, held)
+	return s.runClaimed(ctx, c, row)
 }
 
 // claim inserts the claim of a request and reports whether it did; otherwise it returns the
 // existing claim. On an error nothing was dispatched.
 func (s *Server) claim(ctx context.Context, key gauge.ClaimKey, state gauge.ClaimState, r *gauge.Request, a *gauge.AcceptedRequest) (claim.Row, bool, error) {
-	held, inserted, err := s.conf.Claims.Insert(ctx, key, state, requestHash(r), a)
+	row, inserted, err := s.conf.Claims.Insert(ctx, key, state, requestHash(r), a)
 	if err == nil {
-		s.conf.Holds.RecordEvent(holds.AtMostOnce, "the last claim was confirmed before anything was sent")
-		return held, inserted, nil
+		s.conf.Promises.RecordEvent(holds.AtMostOnce, "the last claim was confirmed before anything was sent")
+		return row, inserted, nil
 	}
-	if held.Claim.Token != "" {
-		s.inBackground(func(ctx context.Context) { s.conf.Claims.Abandon(ctx, held) })
+	if row.Claim.Token != "" {
+		s.inBackground(func(ctx context.Context) { s.conf.Claims.Abandon(ctx, row) })
 	}
 	s.conf.Logs.Info("claim failed", "request", key.ID, "reason", err.Error())
-	return held, false, gauge.Refuse(nil, gauge.KindOutage, "the platform's table does not confirm claims", time.Second)
+	return row, false, gauge.Refuse(nil, gauge.KindOutage, "the platform's table does not confirm claims", time.Second)
 }
 
 // runClaimed runs a claimed request and stores its outcome.
-func (s *Server) runClaimed(ctx context.Context, c *call, held claim.Row) (gauge.Response, error) {
+func (s *Server) runClaimed(ctx context.Context, c *call, row claim.Row) (gauge.Response, error) {
 	resp, attempts, err := s.run(ctx, c)
 	if err != nil && !attempts.MayHaveRun() {
-		s.inBackground(func(ctx context.Context) { _ = s.conf.Claims.Delete(ctx, held) })
+		s.inBackground(func(ctx context.Context) { _ = s.conf.Claims.Delete(ctx, row) })
 		return resp, err
 	}
 	s.inBackground(func(ctx context.Context) {
-		if err := s.conf.Claims.StoreOutcome(ctx, held, outcomeOf(resp, err)); err != nil {
-			s.conf.Logs.Error(err, "answer not stored", "request", held.Key.ID)
+		if err := s.conf.Claims.StoreOutcome(ctx, row, outcomeOf(resp, err)); err != nil {
+			s.conf.Logs.Error(err, "answer not stored", "request", row.Key.ID)
 		}
 	})
 	return resp, err
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -93,7 +93,7 @@
 // Guards against an accepted request that never ends, or runs twice. One entry accepts it and
 // meets each fault at each of its calls to the table; it is declared dead at some moment,
 // although it may only be paused, and another entry takes over. A takeover that doesn't fence
-// the first entry, or an acceptance that only the first entry knows of, fails here.
+// the first entry, or an acceptance that only the first entry has recorded, fails here.
 func TestAcceptedRequestRunsOnceAcrossTakeover(t *testing.T) {
 	for _, repeatable := range []bool{true, false} {
 		for _, fault := range append(flaky.Faults(), flaky.None) {
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -63,7 +63,7 @@
 	expires time.Time
 }
 
-// New returns an Owner that knows of no lease. Leases granted by a previous owner may still be in
+// New returns an Owner without leases. Leases granted by a previous owner may still be in
 // force, so for one lease duration it grants nothing and learns of them from the holders' requests.
 func New(c Config) *Owner {
 	return &Owner{conf: c, leased: make(map[string]classCounts), holders: make(map[string]*holderState)}
@@ -133,8 +133,8 @@
 func (o *Owner) applyDelta(h *holderState, req LeaseRequest) {
 	for _, l := range req.Slots {
 		leased := h.byHost[l.Host]
-		back := classCounts{min(max(0, l.Quick), leased.quick), min(max(0, l.Long), leased.long)}
-		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
+		returned := classCounts{min(max(0, l.Quick), leased.quick), min(max(0, l.Long), leased.long)}
+		o.addLease(h, l.Host, classCounts{-returned.quick, -returned.long})
 	}
 	h.wanted = classCounts{max(0, h.wanted.quick+req.WantedQuick), max(0, h.wanted.long+req.WantedLong)}
 }
@@ -196,7 +196,7 @@
 	return granted
 }
 
-// freeHost is what is left to lease on a host.
+// freeHost holds the numbers of slots that may still be leased on a host.
 type freeHost struct {
 	host  string
 	total int
@@ -234,21 +234,21 @@
 	return slots * o.fleet.SameViewCount / o.fleet.KnownCount
 }
 
-// classLimit is the limit of one class: the total less the slots kept for the other class, but at
-// least one, so that neither class is left without slots when the share is small.
-func classLimit(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
+// classLimit is the limit of one class: the total less the slots reserved for the other class, but
+// at least one, so that neither class is left without slots when the share is small.
+func classLimit(limit, reserved int) int { return max(limit-reserved, min(limit, 1)) }
 
-func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, unit classCounts, granted map[string]classCounts) (given int) {
+func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, one classCounts, granted map[string]classCounts) (given int) {
 	for given < want {
 		before := given
 		for i := range hosts {
 			if given == want {
 				return given
 			}
-			if hosts[i].reserve(unit) {
-				o.addLease(h, hosts[i].host, unit)
+			if hosts[i].reserve(one) {
+				o.addLease(h, hosts[i].host, one)
 				sum := granted[hosts[i].host]
-				granted[hosts[i].host] = classCounts{sum.quick + unit.quick, sum.long + unit.long}
+				granted[hosts[i].host] = classCounts{sum.quick + one.quick, sum.long + one.long}
 				given++
 			}
 		}
@@ -259,13 +259,13 @@
 	return given
 }
 
-func (r *freeHost) reserve(unit classCounts) bool {
-	if r.total < 1 || (unit.quick > 0 && r.quick < 1) || (unit.long > 0 && r.long < 1) {
+func (r *freeHost) reserve(one classCounts) bool {
+	if r.total < 1 || (one.quick > 0 && r.quick < 1) || (one.long > 0 && r.long < 1) {
 		return false
 	}
 	r.total--
-	r.quick -= unit.quick
-	r.long -= unit.long
+	r.quick -= one.quick
+	r.long -= one.long
 	return true
 }
 
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -29,7 +29,7 @@
 	slot    *gauge.Slot
 	holder  int
 	ends    time.Time
-	endSeen bool // its holder has seen its end
+	endSeen bool // its holder has learned that it ended
 }
 
 // world has several holders, one owner at a time, and messages that may be lost, delayed or
@@ -69,7 +69,7 @@
 	return w
 }
 
-// changeOwner makes another entry the owner, which knows of no lease.
+// changeOwner makes another entry the owner, which has no record of any lease.
 func (w *world) changeOwner() {
 	w.owner = slots.New(slots.Config{Pool: "p", LeaseDuration: leaseDuration, MaxRunTime: maxRunTime, OwnerSince: w.now})
 	w.requests = nil // they were sent to the previous owner
@@ -279,9 +279,9 @@
 	}
 }
 
-// Guards against one entry keeping all the slots while the others' requests wait for ever. The
-// first entry takes everything for an endless flow of requests before the others ask; without a
-// fair share, each slot that comes free would go back to its last holder.
+// Guards against one entry keeping all the slots while the others' requests wait for ever. The first
+// entry takes all slots for an endless flow of requests before the others request any; without a
+// fair share, each slot that becomes free would go back to its last holder.
 func TestFairShare(t *testing.T) {
 	w := newWorld(3)
 	w.passFirstLease()
--- a/internal/slots/wire.go
+++ b/internal/slots/wire.go
@@ -22,10 +22,10 @@
 	WantedLong  int         `msgpack:"l,omitempty"`
 }
 
-// Grant answers a lease request, or is sent when slots come free for a holder that wants some.
+// Grant answers a lease request, or is sent when slots become free for a holder that wants some.
 type Grant struct {
 	Pool          string        `msgpack:"p"`
-	Seq           uint64        `msgpack:"s"`           // of the newest request that the owner had seen
+	Seq           uint64        `msgpack:"s"`           // of the newest request that the owner had received
 	Full          bool          `msgpack:"f,omitempty"` // the lease is renewed, counted from before the request was sent
 	Slots         []HostSlots   `msgpack:"h,omitempty"` // additional slots
 	LeaseDuration time.Duration `msgpack:"t,omitempty"`
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -105,8 +105,8 @@
 	})
 }
 
-// counts is the response of /stand/status: the runs in progress, the most at a time, and the number
-// of runs by request ID.
+// counts is the response of /stand/status: the runs in progress, their maximum so far, and the
+// number of runs by request ID.
 type counts struct {
 	Running int            `json:"running"`
 	Peak    int            `json:"peak"`
--- a/test/machines/count_test.go
+++ b/test/machines/count_test.go
@@ -36,7 +36,7 @@
 
 // Guards against a stale count of queued jobs: 0 jobs were reported where hundreds waited. An
 // entry no longer receives changes from the table while jobs are submitted at the others; it
-// reported the last count that it had seen, however old.
+// reported the last count that it had read, however old.
 func TestCountThatIsStaleIsFetchedFromOwner(t *testing.T) {
 	t.Parallel()
 	s, cutOff := newSiteWithCutOffEntry(t)
--- a/test/machines/link_test.go
+++ b/test/machines/link_test.go
@@ -257,7 +257,7 @@
 }
 
 // Guards against an entry, cut off from the table, that answers all submissions with 504 after a
-// pool has changed hands: it went on asking the owner that it had seen last, as it learned the
+// pool has changed hands: it kept asking the last owner that it had learned of, as it learned the
 // owners from the table only.
 func TestEntryCutOffFromTableFindsNewOwner(t *testing.T) {
 	t.Parallel()
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -66,7 +66,7 @@
 // Guards against a slow start of many entries: after all of some hundred entries were killed
 // nothing was served for eight seconds, counts were wrong, and workers that leave were reported
 // late. Each entry read the rows of all others with a call for each, as each row had a partition
-// of the table of its own. Together that was more than the table takes, and what it refused was
+// of the table of its own. Together that was more than the table can serve, and what it refused was
 // read again from the start.
 func TestStartingEntryReadsOtherEntriesInFewCalls(t *testing.T) {
 	t.Parallel()
--- a/test/machines/rebalance_test.go
+++ b/test/machines/rebalance_test.go
@@ -187,7 +187,7 @@
 	offers   atomic.Int32
 }
 
-// startFakePeer starts a peer that is ready for any lease and reports to hold some already. It
+// startFakePeer starts a peer that accepts any lease and reports that it holds some already. It
 // answers probes once after is closed; nil: at once.
 func (s *site) startFakePeer(name string, capacity float64, leases int, after <-chan struct{}) *fakePeer {
 	p := &fakePeer{mesh: mesh.New(mesh.Config{}), answered: make(chan struct{})}
--- a/test/soak/config_test.go
+++ b/test/soak/config_test.go
@@ -58,7 +58,7 @@
 // requestNewQueues asks randomly chosen entries, also disturbed ones, for the newest queue that
 // has to be in force by now. An entry that doesn't know may refuse or not answer, but must not say
 // that the queue is missing. This holds however slow the machine is: an entry counts the time
-// from when it last heard from the table.
+// since its last answer from the table.
 func (s *soak) requestNewQueues(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.seed, requestStream))
 	for ctx.Err() == nil {
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -45,7 +45,7 @@
 			{seed: 1, entries: defaultEntries, seconds: defaultSeconds},
 			{seed: 2, entries: defaultEntries, seconds: defaultSeconds},
 			// An entry still ran long after its grace period: a caller's connection didn't close,
-			// and the server of the readiness check went on.
+			// and the server of the readiness check kept running.
 			{seed: 17, entries: 8, seconds: 30},
 			// A refused job ran: an entry that had just started sent it to the table itself and
 			// couldn't notify the pool's owner, which refused the next attempt.
