--- a/cmd/rounds/table.go
+++ b/cmd/rounds/table.go
@@ -136,8 +136,8 @@
 	return lines
 }
 
-// PairedDifferences lists how much more worth the second tree earned than the first, for each day and
-// seed that both have played.
+// PairedDifferences lists how much more worth the second tree earned than the first, for each day
+// and seed that both have played.
 func PairedDifferences(plays []*Play, first, second string) []float64 {
 	var diffs []float64
 	for _, pair := range groupBy(plays, func(p *Play) string { return fmt.Sprint(p.Site, p.Day, p.Seed) }) {
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -31,7 +31,7 @@
 	fullSeq      uint64      // sequence number of the last full request
 	requestedAt  time.Time   // when that request was sent
 	renewed      bool        // that request was answered
-	maxUsed      int         // most slots to use while other entries have too few; 0: no limit
+	maxUsed      int         // maximum number of slots to use while other entries have too few; 0: no limit
 	maxIdle      int         // maximum number of idle slots of a class to keep
 	wanted       classCounts // slots wanted, as the owner knows
 	becomingLong []*gauge.Slot
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -18,7 +18,7 @@
 // Config sets up an Owner.
 type Config struct {
 	Pool          string
-	LeaseDuration time.Duration // of a lease
+	LeaseDuration time.Duration
 	MaxRunTime    time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
 	OwnerSince    time.Time     // when this entry became the owner
 }
@@ -111,8 +111,8 @@
 	g.Full, g.LeaseDuration = req.Full, o.conf.LeaseDuration
 	delete(granted, req.Holder)
 	var pushes []Push
-	for name, granted := range granted {
-		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], granted, maxUsed)})
+	for name, byHost := range granted {
+		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], byHost, maxUsed)})
 	}
 	return g, pushes
 }
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -35,15 +35,15 @@
 // world has several holders, one owner at a time, and messages that may be lost, delayed or
 // reordered.
 type world struct {
-	now      time.Time
-	owner    *slots.Owner
-	holders  []*hold.Holder
-	requests []slots.LeaseRequest
-	grants   []addressedGrant
-	running  []*request
-	hosts    int
-	size     int
-	keptLong int // slots of each worker kept for long requests, and half of those kept for quick ones
+	now          time.Time
+	owner        *slots.Owner
+	holders      []*hold.Holder
+	requests     []slots.LeaseRequest
+	grants       []addressedGrant
+	running      []*request
+	hosts        int
+	size         int
+	reservedLong int // slots of each worker reserved for long requests; twice as many are reserved for quick ones
 }
 
 type addressedGrant struct {
@@ -53,8 +53,8 @@
 
 func newWorld(holders int) *world { return newSized(holders, 3, slotsPerWorker, 1) }
 
-func newSized(holders, hosts, size, kept int) *world {
-	w := &world{now: time.Unix(1_000_000, 0), hosts: hosts, size: size, keptLong: kept}
+func newSized(holders, hosts, size, reserved int) *world {
+	w := &world{now: time.Unix(1_000_000, 0), hosts: hosts, size: size, reservedLong: reserved}
 	targets := make(map[string]gauge.Target)
 	for i := range hosts {
 		id := fmt.Sprintf("w%d", i)
@@ -76,7 +76,7 @@
 }
 
 func (w *world) fleet() slots.Fleet {
-	f := slots.Fleet{Reserve: 2 * w.keptLong, Floor: w.keptLong, SameViewCount: 1, KnownCount: 1}
+	f := slots.Fleet{Reserve: 2 * w.reservedLong, Floor: w.reservedLong, SameViewCount: 1, KnownCount: 1}
 	for i := range w.hosts {
 		f.Hosts = append(f.Hosts, slots.HostCapacity{Host: fmt.Sprintf("w%d", i), Slots: w.size})
 	}
--- a/internal/slots/wire.go
+++ b/internal/slots/wire.go
@@ -29,7 +29,7 @@
 	Full          bool          `msgpack:"f,omitempty"` // the lease is renewed, counted from before the request was sent
 	Slots         []HostSlots   `msgpack:"h,omitempty"` // additional slots
 	LeaseDuration time.Duration `msgpack:"t,omitempty"`
-	MaxUsed       int           `msgpack:"c,omitempty"` // most slots to use while other holders have too few; 0: no limit
+	MaxUsed       int           `msgpack:"c,omitempty"` // maximum number of slots to use while other holders have too few; 0: no limit
 	MaxIdle       int           `msgpack:"r,omitempty"` // idle slots that the holder may keep
 	Rejected      bool          `msgpack:"n,omitempty"` // rejected: not the owner, overtaken, or a full request must come first
 }
