--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -182,7 +182,7 @@
 }
 
 // Run makes rounds until ctx ends: leases are renewed at each tick, and changes are sent as soon as
-// there are some.
+// they arise.
 func (b *Broker) Run(ctx context.Context) {
 	tick := time.NewTicker(b.conf.Round)
 	defer tick.Stop()
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -150,9 +150,9 @@
 }
 
 // assignIdle gives idle slots to the waiting requests. A retry can't use slots of the hosts where
-// it was tried: it is passed over for the requests behind it and counted, so that slots of other
-// hosts are requested although some are idle. Otherwise it would wait next to idle slots until its
-// deadline.
+// it was tried. The requests behind it then go first, and it is counted in blockedRetries, so that
+// slots of other hosts are requested although some are idle. Otherwise it would wait until its
+// deadline while slots are idle.
 func (a *Allocator) assignIdle() {
 	now := a.conf.Clock()
 	a.blockedRetries = 0
@@ -178,7 +178,7 @@
 }
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
-// slots, as many more are counted as there are idle ones.
+// slots, it adds the number of idle slots, as the owner would otherwise grant no further ones.
 func (a *Allocator) waitingCounts() (quick, long int) {
 	quick, long = a.queue.Len(gauge.ClassQuick), a.queue.Len(gauge.ClassLong)
 	if a.blockedRetries == 0 {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -193,7 +193,7 @@
 
 // Share returns how many entries have the same view as this one, itself included, and how many
 // entries are known. An entry that knows others but receives no heartbeat of them, and can't read
-// the table either, has no share at all: the others may have deleted its row and dropped it.
+// the table either, has no share at all: the others may have deleted its row and no longer know it.
 func (s *Set) Share(now time.Time) (same, known int) {
 	same, known = 1, 1+len(s.known)
 	isolated := true
@@ -248,10 +248,10 @@
 	return h
 }
 
-// Neighbours returns the entries to send heartbeats to: all while there are few,
-// otherwise all of the own data centre and one of each other, chosen by hashing so
-// that the links spread over its entries. Entries that don't answer stay included
-// until their row expires, so that a repaired link is noticed.
+// Neighbours returns the entries to send heartbeats to: all while there are few, otherwise all
+// entries of its own data centre and one entry of each other data centre, chosen by hashing so that
+// the links spread over the entries there. Entries that don't answer stay included until their row
+// expires, so that a repaired link is noticed.
 func (s *Set) Neighbours(now time.Time) []gauge.Member {
 	var neighbours []gauge.Member
 	byZone := make(map[string]gauge.Member)
@@ -303,8 +303,8 @@
 	return true
 }
 
-// Owner returns which of the live entries is responsible for a key, by
-// rendezvous hashing: when an entry joins or leaves, only its own keys move.
+// Owner returns which of the live entries is responsible for a key, by rendezvous hashing: when an
+// entry joins or leaves, only the keys of that entry move.
 func Owner(live []gauge.Member, key string) gauge.Member {
 	var best gauge.Member
 	var bestWeight uint64
--- a/internal/slots/doubt.go
+++ b/internal/slots/doubt.go
@@ -53,8 +53,8 @@
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return !now.Before(u.until) })
 }
 
-// clearUnconfirmed drops the unconfirmed slots of a holder that is back: its request names those
-// that it still uses.
+// clearUnconfirmed drops the unconfirmed slots of a holder that requests slots again: its request
+// names those that it still uses.
 func (o *Owner) clearUnconfirmed(holder string) {
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return u.holder == holder })
 }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -147,8 +147,8 @@
 	return g
 }
 
-// grantFree grants free slots to the holders that want some: those with the fewest first, and to
-// none more than its fair share while others are below theirs.
+// grantFree grants free slots to the holders that want some. Those with the fewest slots come first,
+// and none gets more than its fair share while others have less than theirs.
 func (o *Owner) grantFree(fair int) map[string]map[string]classCounts {
 	given := make(map[string]map[string]classCounts)
 	names := o.waitingHolders()
@@ -172,7 +172,7 @@
 	return given
 }
 
-// waitingHolders lists the holders that want slots, those with the fewest first.
+// waitingHolders lists the holders that want slots, those that have the fewest first.
 func (o *Owner) waitingHolders() []string {
 	var names []string
 	for name, h := range o.holders {
@@ -234,8 +234,8 @@
 	return slots * o.fleet.SameViewCount / o.fleet.KnownCount
 }
 
-// classLimit is the limit of one class: the total less the slots reserved for the other class, but
-// at least one, so that neither class is left without slots when the share is small.
+// classLimit returns the limit of one class: the total less the slots reserved for the other class,
+// but at least one, so that neither class is left without slots when the share is small.
 func classLimit(limit, reserved int) int { return max(limit-reserved, min(limit, 1)) }
 
 func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, one classCounts, granted map[string]classCounts) (given int) {
@@ -301,7 +301,8 @@
 // InUse returns how many slots of a host are leased, or unconfirmed after a lease expired.
 func (o *Owner) InUse(host string) int { return o.leased[host].total() + o.unconfirmedAt(host) }
 
-// fairShare is an equal part of all slots for each holder that has or wants some.
+// fairShare returns the number of slots of each holder if all slots were shared equally among the
+// holders that have or want some.
 func (o *Owner) fairShare() int {
 	active := 0
 	for _, h := range o.holders {
@@ -328,7 +329,7 @@
 // stays with the owner for the next entry that requests slots.
 const idleDivisor = 2
 
-// maxIdle is how many idle slots each holder may keep.
+// maxIdle returns how many idle slots each holder may keep.
 func (o *Owner) maxIdle() int {
 	return max(0, (o.capacity-o.leasedCount)/(idleDivisor*max(1, len(o.holders))))
 }
