--- a/cmd/sapphiregauge/apply.go
+++ b/cmd/sapphiregauge/apply.go
@@ -106,8 +106,8 @@
 	InForce  map[string]int64 `json:"inforce"`
 }
 
-// behind lists the entries that don't have the revision in force yet.
-func (b entriesBody) behind(revision int64) []string {
+// entriesBehind lists the entries that don't have the revision in force yet.
+func (b entriesBody) entriesBehind(revision int64) []string {
 	var out []string
 	for id, r := range b.InForce {
 		if r < revision {
@@ -125,13 +125,13 @@
 	for {
 		var b entriesBody
 		err := cl.Get(ctx, "/entries", &b)
-		if err == nil && len(b.behind(revision)) == 0 {
+		if err == nil && len(b.entriesBehind(revision)) == 0 {
 			fmt.Printf("in force on %d entries after %s\n", len(b.InForce), time.Since(began).Round(time.Millisecond))
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return gauge.Errorf(gauge.KindOutage, "revision %d is not yet in force on %s", revision, strings.Join(b.behind(revision), ", "))
+			return gauge.Errorf(gauge.KindOutage, "revision %d is not yet in force on %s", revision, strings.Join(b.entriesBehind(revision), ", "))
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/burn/burn.go
+++ b/internal/burn/burn.go
@@ -70,7 +70,7 @@
 		r = &ring{}
 		rc.services[service] = r
 	}
-	c := r.at(rc.minute())
+	c := r.countAt(rc.minute())
 	if bad {
 		c.Bad++
 		return
@@ -80,8 +80,8 @@
 
 func (rc *Recorder) minute() int64 { return rc.clock().Unix() / 60 }
 
-// at returns a minute's count and resets the counts of the minutes since the newest one.
-func (r *ring) at(minute int64) *Count {
+// countAt returns a minute's count and resets the counts of the minutes since the newest one.
+func (r *ring) countAt(minute int64) *Count {
 	for ; r.minute < minute; r.minute++ {
 		if minute-r.minute > Minutes {
 			r.minute = minute - Minutes
@@ -98,7 +98,7 @@
 	now := rc.minute()
 	var out []Series
 	for name, r := range rc.services {
-		r.at(now)
+		r.countAt(now)
 		s := Series{Service: name, Minute: now, Counts: make([]Count, Minutes)}
 		for i := range s.Counts {
 			s.Counts[i] = r.counts[(now-int64(Minutes-1-i)+Minutes)%Minutes]
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -176,8 +176,8 @@
 }
 
 // StoreOutcome stores the outcome of a claim. It retries during a table outage until ctx ends: the
-// request has run, and a repeated request must get its answer. A claim that another entry took over
-// meanwhile is left alone.
+// request has run, and a retry by the caller must get its answer. A claim that another entry took
+// over meanwhile is left alone.
 func (c *Claims) StoreOutcome(ctx context.Context, row Row, o gauge.Outcome) error {
 	if err := c.storeLongOutcome(ctx, row.Key, &o); err != nil {
 		return err
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -178,7 +178,7 @@
 }
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
-// slots, it adds the number of idle slots, as the owner would otherwise grant no further ones.
+// slots, it adds the number of idle slots, as package hold deducts idle slots from what it requests.
 func (a *Allocator) waitingCounts() (quick, long int) {
 	quick, long = a.queue.Len(gauge.ClassQuick), a.queue.Len(gauge.ClassLong)
 	if a.blockedRetries == 0 {
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -245,7 +245,7 @@
 			if given == want {
 				return given
 			}
-			if hosts[i].reserve(one) {
+			if hosts[i].take(one) {
 				o.addLease(h, hosts[i].host, one)
 				sum := granted[hosts[i].host]
 				granted[hosts[i].host] = classCounts{sum.quick + one.quick, sum.long + one.long}
@@ -259,13 +259,13 @@
 	return given
 }
 
-func (r *freeHost) reserve(one classCounts) bool {
-	if r.total < 1 || (one.quick > 0 && r.quick < 1) || (one.long > 0 && r.long < 1) {
+func (h *freeHost) take(one classCounts) bool {
+	if h.total < 1 || (one.quick > 0 && h.quick < 1) || (one.long > 0 && h.long < 1) {
 		return false
 	}
-	r.total--
-	r.quick -= one.quick
-	r.long -= one.long
+	h.total--
+	h.quick -= one.quick
+	h.long -= one.long
 	return true
 }
 
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// overfull returns a worker that runs more requests than it has slots, or an empty string.
-func (w *world) overfull() string {
+// overfullWorker returns a worker that runs more requests than it has slots, or an empty string.
+func (w *world) overfullWorker() string {
 	running := make(map[string]int)
 	for _, r := range w.running {
 		if w.now.Before(r.ends) {
@@ -226,7 +226,7 @@
 			"report": func(*rapid.T) { w.report() },
 			"change": func(*rapid.T) { w.changeOwner() },
 			"": func(t *rapid.T) {
-				if host := w.overfull(); host != "" {
+				if host := w.overfullWorker(); host != "" {
 					t.Fatalf("%s is overfull", host)
 				}
 			},
@@ -354,7 +354,7 @@
 		w.report()
 		for w.take(1, gauge.ClassQuick, maxRunTime) {
 		}
-		assert.Equal(t, w.overfull(), "")
+		assert.Equal(t, w.overfullWorker(), "")
 	}
 	assert.Assert(t, w.holders[1].UsedCount() > 0)
 }
