--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -28,7 +28,7 @@
 	View  func() member.View
 	Clock gauge.Clock
 	Logs  logr.Logger
-	Term  time.Duration // of a lease; default 3 s
+	Term  time.Duration // duration of a lease; default 3 s
 	Round time.Duration // between two rounds; default 1 s
 	Seed  uint64
 }
@@ -40,8 +40,8 @@
 )
 
 const (
-	defaultTerm  = 3 * time.Second
-	defaultRound = time.Second
+	defaultLeaseDuration = 3 * time.Second
+	defaultRoundInterval = time.Second
 	// requestDelay is the pause between a need for slots and the lease request, so that the needs
 	// of a burst go into one message.
 	requestDelay = 2 * time.Millisecond
@@ -56,7 +56,7 @@
 	Grants []slots.Grant `msgpack:"g"`
 }
 
-// emptyReply answers a message that needs no answer.
+// emptyReply answers a message whose answer carries nothing.
 type emptyReply struct{}
 
 // Broker has the allocators of this entry and the owners of the pools that it owns.
@@ -89,8 +89,8 @@
 
 // New returns a Broker without allocators.
 func New(c Config) *Broker {
-	fill.Zero(&c.Term, defaultTerm)
-	fill.Zero(&c.Round, defaultRound)
+	fill.Zero(&c.Term, defaultLeaseDuration)
+	fill.Zero(&c.Round, defaultRoundInterval)
 	return &Broker{
 		conf: c, wake: make(chan struct{}, 1),
 		allocators: make(map[string]*desk.Allocator), owners: make(map[string]*owner),
@@ -152,15 +152,15 @@
 func (b *Broker) allocatorFor(pool string, maxWaiting int) *desk.Allocator {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	d := b.allocators[pool]
-	if d == nil {
-		d = desk.New(desk.Config{
+	a := b.allocators[pool]
+	if a == nil {
+		a = desk.New(desk.Config{
 			Pool: pool, Holder: b.holderName(), MaxWaiting: max(1, maxWaiting), Clock: b.conf.Clock,
 			Random: rand.New(rand.NewPCG(b.conf.Seed, uint64(len(b.allocators)))), RequestSoon: b.requestSoon,
 		})
-		b.allocators[pool] = d
+		b.allocators[pool] = a
 	}
-	return d
+	return a
 }
 
 // Allocator returns a pool's allocator; nil if there is no such pool.
@@ -175,14 +175,14 @@
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	out := make([]desk.Counts, 0, len(b.allocators))
-	for _, d := range b.allocators {
-		out = append(out, d.Counts())
+	for _, a := range b.allocators {
+		out = append(out, a.Counts())
 	}
 	return out
 }
 
 // Run makes rounds until ctx ends: leases are renewed at each tick, and changes are sent as soon as
-// there are some.
+// they arise.
 func (b *Broker) Run(ctx context.Context) {
 	tick := time.NewTicker(b.conf.Round)
 	defer tick.Stop()
@@ -207,8 +207,8 @@
 	view := b.conf.View()
 	byOwner := make(map[string]*requestMsg)
 	addrs := make(map[string]string)
-	for pool, d := range b.allAllocators() {
-		request, ok := nextRequest(d)
+	for pool, a := range b.allAllocators() {
+		request, ok := nextRequest(a)
 		if !ok {
 			continue
 		}
@@ -234,8 +234,8 @@
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	out := make(map[string]*desk.Allocator, len(b.allocators))
-	for pool, d := range b.allocators {
-		out[pool] = d
+	for pool, a := range b.allocators {
+		out[pool] = a
 	}
 	return out
 }
@@ -254,8 +254,8 @@
 
 func (b *Broker) applyGrants(g grantMsg) {
 	for _, grant := range g.Grants {
-		if d := b.Allocator(grant.Pool); d != nil {
-			d.ApplyGrant(grant)
+		if a := b.Allocator(grant.Pool); a != nil {
+			a.ApplyGrant(grant)
 		}
 	}
 }
@@ -270,7 +270,7 @@
 	return &reply, nil
 }
 
-// HandleGrant takes in slots that an owner grants after it answered the request.
+// HandleGrant adds slots that an owner grants some time after it answered the request.
 func (b *Broker) HandleGrant(_ context.Context, body []byte) (any, error) {
 	var msg grantMsg
 	if err := frame.Decode(body, &msg); err != nil {
@@ -315,7 +315,7 @@
 	return o.slots.HandleRequest(b.conf.Clock(), request)
 }
 
-// pushGrants sends slots that came free to an entry that waits for some.
+// pushGrants sends slots that became free to an entry that waits for some.
 func (b *Broker) pushGrants(ctx context.Context, holder string, g *grantMsg, view member.View) {
 	if holder == b.holderName() {
 		b.applyGrants(*g)
@@ -333,7 +333,7 @@
 	}
 }
 
-// currentOwner returns the owner of a pool. It is created anew if this entry wasn't the owner all
+// currentOwner returns the owner of a pool. It is created again if this entry wasn't the owner all
 // the time up to now, and then waits until the leases of the previous owner have expired. An entry
 // that was paused still has old leases in memory, while another may have been the owner; a gap of
 // more than a lease duration shows that.
@@ -354,7 +354,7 @@
 }
 
 // updateOwners determines in every round which pools are this entry's, so that the wait for the
-// previous owner's leases is over before the first request comes.
+// previous owner's leases is over before the first request arrives.
 func (b *Broker) updateOwners(view member.View) {
 	b.mu.RLock()
 	byName := b.leasableByName
@@ -368,8 +368,8 @@
 	}
 }
 
-// dropOwner forgets a pool that another entry owns now. Its holders know what was granted here and
-// report it to the new owner.
+// dropOwner drops the state of a pool that another entry owns now. Its holders know what was
+// granted here and report it to the new owner.
 func (b *Broker) dropOwner(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -387,8 +387,8 @@
 	now := b.conf.Clock()
 	for _, o := range owners {
 		o.mu.Lock()
-		for _, s := range list {
-			o.slots.ObserveUsage(s.ID, s.Used, now.Add(-s.Age))
+		for _, h := range list {
+			o.slots.ObserveUsage(h.ID, h.Used, now.Add(-h.Age))
 		}
 		o.mu.Unlock()
 	}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,7 +16,7 @@
 type Config struct {
 	Entry string // ID/start ID of this entry
 	Table gauge.Table
-	Lives func(entry string) bool
+	Lives func(entry string) bool // whether an entry may still be alive
 }
 
 // Leases takes and checks leases.
@@ -35,7 +35,7 @@
 const prefix = "lease/"
 
 // Acquire returns the check that this entry's writes for a unit must carry. It takes the lease if
-// that is free or its holder is gone, and then returns false until the next call reads the new
+// that is free or its holder is dead, and then returns false until the next call reads the new
 // version back. It also returns false if another live entry has the lease.
 func (l *Leases) Acquire(ctx context.Context, unit string) (gauge.Check, bool, error) {
 	key := prefix + unit
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -18,7 +18,7 @@
 // Config sets up an Owner.
 type Config struct {
 	Pool          string
-	LeaseDuration time.Duration // of a lease
+	LeaseDuration time.Duration
 	MaxRunTime    time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
 	OwnerSince    time.Time     // when this entry became the owner
 }
@@ -41,14 +41,14 @@
 
 // Owner leases out the slots of one pool.
 type Owner struct {
-	conf          Config
-	fleet         Fleet
-	leased        map[string]classCounts  // by host
-	holders       map[string]*holderState // by entry
-	unconfirmed   []unconfirmedSlots
-	firstTermOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
-	capacity      int  // slots that this owner may lease out
-	leasedCount   int  // slots leased
+	conf           Config
+	fleet          Fleet
+	leased         map[string]classCounts  // by host
+	holders        map[string]*holderState // by entry
+	unconfirmed    []unconfirmedSlots
+	firstLeaseOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
+	capacity       int  // slots that this owner may lease out
+	leasedCount    int  // slots leased
 }
 
 type classCounts struct{ quick, long int }
@@ -63,7 +63,7 @@
 	expires time.Time
 }
 
-// New returns an Owner that knows of no lease. Leases granted by a previous owner may still be in
+// New returns an Owner without leases. Leases granted by a previous owner may still be in
 // force, so for one lease duration it grants nothing and learns of them from the holders' requests.
 func New(c Config) *Owner {
 	return &Owner{conf: c, leased: make(map[string]classCounts), holders: make(map[string]*holderState)}
@@ -79,8 +79,8 @@
 }
 
 // HandleRequest records what a holder has, gives back and wants. It returns the answer, and the
-// grants that this makes possible for other holders. A request whose sequence number isn't above
-// the last one seen was overtaken on the way: it changes nothing and is rejected.
+// grants for other holders that this makes possible. A request whose sequence number isn't above
+// the last one seen was overtaken by a later one: it changes nothing and is rejected.
 func (o *Owner) HandleRequest(now time.Time, req LeaseRequest) (Grant, []Push) {
 	o.expireLeases(now)
 	h := o.holders[req.Holder]
@@ -111,8 +111,8 @@
 	g.Full, g.LeaseDuration = req.Full, o.conf.LeaseDuration
 	delete(granted, req.Holder)
 	var pushes []Push
-	for name, granted := range granted {
-		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], granted, maxUsed)})
+	for name, byHost := range granted {
+		pushes = append(pushes, Push{Holder: name, Grant: o.grantFor(o.holders[name], byHost, maxUsed)})
 	}
 	return g, pushes
 }
@@ -132,9 +132,9 @@
 // applyDelta applies a request that names only what changed since the one before it.
 func (o *Owner) applyDelta(h *holderState, req LeaseRequest) {
 	for _, l := range req.Slots {
-		had := h.byHost[l.Host]
-		back := classCounts{min(max(0, l.Quick), had.quick), min(max(0, l.Long), had.long)}
-		o.addLease(h, l.Host, classCounts{-back.quick, -back.long})
+		leased := h.byHost[l.Host]
+		returned := classCounts{min(max(0, l.Quick), leased.quick), min(max(0, l.Long), leased.long)}
+		o.addLease(h, l.Host, classCounts{-returned.quick, -returned.long})
 	}
 	h.wanted = classCounts{max(0, h.wanted.quick+req.WantedQuick), max(0, h.wanted.long+req.WantedLong)}
 }
@@ -147,12 +147,12 @@
 	return g
 }
 
-// grantFree grants free slots to the holders that want some: those with the fewest first, and to
-// none more than its fair share while others are below theirs.
+// grantFree grants free slots to the holders that want some. Those with the fewest slots come first,
+// and none gets more than its fair share while others have less than theirs.
 func (o *Owner) grantFree(fair int) map[string]map[string]classCounts {
 	given := make(map[string]map[string]classCounts)
 	names := o.waitingHolders()
-	if !o.firstTermOver || len(names) == 0 || o.leasedCount >= o.capacity {
+	if !o.firstLeaseOver || len(names) == 0 || o.leasedCount >= o.capacity {
 		return given
 	}
 	hosts := o.freeHosts()
@@ -172,7 +172,7 @@
 	return given
 }
 
-// waitingHolders lists the holders that want slots, those with the fewest first.
+// waitingHolders lists the holders that want slots, those that have the fewest first.
 func (o *Owner) waitingHolders() []string {
 	var names []string
 	for name, h := range o.holders {
@@ -196,7 +196,7 @@
 	return granted
 }
 
-// freeHost is what is left to lease on a host.
+// freeHost holds the numbers of slots that may still be leased on a host.
 type freeHost struct {
 	host  string
 	total int
@@ -234,21 +234,21 @@
 	return slots * o.fleet.SameViewCount / o.fleet.KnownCount
 }
 
-// classLimit is the limit of one class: the total less the slots kept for the other class, but at
-// least one, so that a small share shuts out neither class.
-func classLimit(limit, kept int) int { return max(limit-kept, min(limit, 1)) }
+// classLimit returns the limit of one class: the total less the slots reserved for the other class,
+// but at least one, so that neither class is left without slots when the share is small.
+func classLimit(limit, reserved int) int { return max(limit-reserved, min(limit, 1)) }
 
-func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, unit classCounts, granted map[string]classCounts) (given int) {
+func (o *Owner) grantClass(h *holderState, hosts []freeHost, want int, one classCounts, granted map[string]classCounts) (given int) {
 	for given < want {
 		before := given
 		for i := range hosts {
 			if given == want {
 				return given
 			}
-			if hosts[i].reserve(unit) {
-				o.addLease(h, hosts[i].host, unit)
+			if hosts[i].take(one) {
+				o.addLease(h, hosts[i].host, one)
 				sum := granted[hosts[i].host]
-				granted[hosts[i].host] = classCounts{sum.quick + unit.quick, sum.long + unit.long}
+				granted[hosts[i].host] = classCounts{sum.quick + one.quick, sum.long + one.long}
 				given++
 			}
 		}
@@ -259,13 +259,13 @@
 	return given
 }
 
-func (r *freeHost) reserve(unit classCounts) bool {
-	if r.total < 1 || (unit.quick > 0 && r.quick < 1) || (unit.long > 0 && r.long < 1) {
+func (h *freeHost) take(one classCounts) bool {
+	if h.total < 1 || (one.quick > 0 && h.quick < 1) || (one.long > 0 && h.long < 1) {
 		return false
 	}
-	r.total--
-	r.quick -= unit.quick
-	r.long -= unit.long
+	h.total--
+	h.quick -= one.quick
+	h.long -= one.long
 	return true
 }
 
@@ -279,7 +279,7 @@
 	o.leasedCount += t.total()
 }
 
-// addCounts adds to an entry of a map, and deletes the entry when it becomes zero.
+// addCounts adds to the counts of a host, and deletes them from the map when they become zero.
 func addCounts(m map[string]classCounts, host string, t classCounts) {
 	sum := classCounts{m[host].quick + t.quick, m[host].long + t.long}
 	if sum == (classCounts{}) {
@@ -301,7 +301,8 @@
 // InUse returns how many slots of a host are leased, or unconfirmed after a lease expired.
 func (o *Owner) InUse(host string) int { return o.leased[host].total() + o.unconfirmedAt(host) }
 
-// fairShare is an equal part of all slots for each holder that has or wants some.
+// fairShare returns the number of slots of each holder if all slots were shared equally among the
+// holders that have or want some.
 func (o *Owner) fairShare() int {
 	active := 0
 	for _, h := range o.holders {
@@ -325,10 +326,10 @@
 }
 
 // idleDivisor determines which part of the free slots the holders together may keep idle; the rest
-// stays with the owner for whichever entry asks next.
+// stays with the owner for the next entry that requests slots.
 const idleDivisor = 2
 
-// maxIdle is how many idle slots each holder may keep.
+// maxIdle returns how many idle slots each holder may keep.
 func (o *Owner) maxIdle() int {
 	return max(0, (o.capacity-o.leasedCount)/(idleDivisor*max(1, len(o.holders))))
 }
--- a/test/machines/reads_test.go
+++ b/test/machines/reads_test.go
@@ -66,7 +66,7 @@
 // Guards against a slow start of many entries: after all of some hundred entries were killed
 // nothing was served for eight seconds, counts were wrong, and workers that leave were reported
 // late. Each entry read the rows of all others with a call for each, as each row had a partition
-// of the table of its own. Together that was more than the table takes, and what it refused was
+// of the table of its own. Together that was more than the table can serve, and what it refused was
 // read again from the start.
 func TestStartingEntryReadsOtherEntriesInFewCalls(t *testing.T) {
 	t.Parallel()
@@ -109,7 +109,7 @@
 	assert.Assert(t, s.submit(2, twoSteps(20)))
 	s.waitCompleted([]int{2})
 	assert.Assert(t, calls.total(workers, "rows-get") > 0)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
 
 // Guards against a task that runs twice at once after the owner of its pool was killed: the owner
@@ -133,5 +133,5 @@
 		return s.countLogged("lease taken", `"pool"="`+poolName+`"`, before) == 1
 	})
 	assert.Equal(t, s.countLogged("lease taken", `"pool"="`+poolName+`"`, before, `"workers"=1 `), 1)
-	s.checkNoFaults()
+	s.checkNoViolations()
 }
