--- a/internal/owner/heartbeat.go
+++ b/internal/owner/heartbeat.go
@@ -22,16 +22,16 @@
 
 // heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is
 // over.
-func (o *Owner) heartbeatLoop(l gauge.Incarnation) {
+func (o *Owner) heartbeatLoop(incarnation gauge.Incarnation) {
 	defer func() {
 		o.mu.Lock()
-		delete(o.orderSlots, l)
-		delete(o.stopSlots, l)
+		delete(o.orderSlots, incarnation)
+		delete(o.stopSlots, incarnation)
 		o.mu.Unlock()
 	}()
 	for o.ctx.Err() == nil {
 		now := o.conf.Now()
-		w, call, ok := o.nextHeartbeat(l, now)
+		w, call, ok := o.nextHeartbeat(incarnation, now)
 		if !ok {
 			return
 		}
@@ -41,61 +41,61 @@
 			return
 		}
 		if gauge.IsKind(err, gauge.KindFenced) {
-			if !o.isOutdated(l, call.Fence) {
+			if !o.isOutdated(incarnation, call.Fence) {
 				o.loseLease("a worker has seen a newer fencing token")
 				return
 			}
 		}
-		if err == nil && !o.applyReport(l, call, rep) {
+		if err == nil && !o.applyReport(incarnation, call, rep) {
 			err = gauge.Errorf(gauge.KindUnknown, "the answer is from an earlier incarnation of the worker")
 		}
 		if err != nil {
-			o.update(func(now time.Duration) { o.pool.HeartbeatFailed(l, err, now) })
+			o.update(func(now time.Duration) { o.pool.HeartbeatFailed(incarnation, err, now) })
 			o.pause(nil, heartbeatRetryDelay)
 			continue
 		}
 		if len(rep.Ended) > 0 {
-			o.waitForWrittenEnds(l)
+			o.waitForWrittenEnds(incarnation)
 		}
 	}
 }
 
 // applyReport applies the answer to a heartbeat. It reports false if the answer is from an
 // incarnation that is over.
-func (o *Owner) applyReport(l gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport) (applied bool) {
-	o.update(func(now time.Duration) { applied = o.pool.HandleReport(l, call, rep, now) })
+func (o *Owner) applyReport(incarnation gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport) (applied bool) {
+	o.update(func(now time.Duration) { applied = o.pool.HandleReport(incarnation, call, rep, now) })
 	o.startHeartbeats()
 	return applied
 }
 
 // isOutdated reports whether a call was refused because of a fencing token that this owner itself
 // has replaced, or because its incarnation of the worker is over.
-func (o *Owner) isOutdated(l gauge.Incarnation, sent gauge.FencingToken) bool {
+func (o *Owner) isOutdated(incarnation gauge.Incarnation, sent gauge.FencingToken) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.pool.IsOutdated(l, sent)
+	return o.pool.IsOutdated(incarnation, sent)
 }
 
 // nextHeartbeat returns the next heartbeat for an incarnation of a worker. It reports false if
 // there is none any more.
-func (o *Owner) nextHeartbeat(l gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
+func (o *Owner) nextHeartbeat(incarnation gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.stopping {
 		return gauge.Worker{}, gauge.Heartbeat{}, false
 	}
-	return o.pool.NextHeartbeat(l, now)
+	return o.pool.NextHeartbeat(incarnation, now)
 }
 
 // waitForWrittenEnds waits, for at most ackTimeout, until the ended runs that a worker has reported
 // are written to the table. A heartbeat that doesn't acknowledge them would be answered at once and
 // report them again.
-func (o *Owner) waitForWrittenEnds(l gauge.Incarnation) {
+func (o *Owner) waitForWrittenEnds(incarnation gauge.Incarnation) {
 	ctx, cancel := context.WithTimeout(o.ctx, ackTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
-		behind, writeDone := o.pool.HasUnstoredEnds(l), o.writeDone
+		behind, writeDone := o.pool.HasUnstoredEnds(incarnation), o.writeDone
 		o.mu.Unlock()
 		if !behind {
 			return
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -236,8 +236,8 @@
 		row.UnrecordedOwners++
 	}
 	row.RemainingLeases, row.DrainedFor = make(map[string]int64), make(map[string]int64)
-	for l, left := range o.pool.RemainingLeases(now) {
-		row.RemainingLeases[l.String()] = left.Milliseconds() + 1
+	for incarnation, left := range o.pool.RemainingLeases(now) {
+		row.RemainingLeases[incarnation.String()] = left.Milliseconds() + 1
 	}
 	for id, left := range o.pool.DrainedWorkers(now) {
 		row.DrainedFor[id] = left.Milliseconds() + 1
@@ -357,11 +357,9 @@
 // DrainWorker requests that a worker is drained: for some seconds from now on it gets no starts. It
 // reports whether nothing runs there. With force, tasks that don't end by themselves are stopped.
 // It returns false without a valid lease, because the next owner may have started tasks there.
-func (o *Owner) DrainWorker(worker string, force bool) bool {
+func (o *Owner) DrainWorker(id string, force bool) bool {
 	empty := false
-	o.update(func(now time.Duration) {
-		empty = o.pool.DrainWorker(worker, force, now) && o.isServing() && !o.stopping
-	})
+	o.update(func(now time.Duration) { empty = o.pool.DrainWorker(id, force, now) && o.isServing() && !o.stopping })
 	return empty
 }
 
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -197,8 +197,8 @@
 
 func incarnationNames(incarnations []gauge.Incarnation) []string {
 	names := make([]string, len(incarnations))
-	for i, l := range incarnations {
-		names[i] = l.String()
+	for i, incarnation := range incarnations {
+		names[i] = incarnation.String()
 	}
 	return names
 }
--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -28,7 +28,7 @@
 	}
 	j := &job{
 		id: a.ID, queue: a.Queue, spec: a.Spec, row: *a.Row, version: a.Version, arrived: a.Arrived, inherited: a.Inherited,
-		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.CompletedOccurrences, longestChain: longestChain(a.Spec), index: &p.index,
+		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.CompletedOccurrences, criticalPath: criticalPath(a.Spec), index: &p.index,
 	}
 	p.jobs[a.ID] = j
 	p.adoptedWork += estimatedWork(a.Spec)
@@ -42,7 +42,7 @@
 		j.occurrence(0, now)
 		j.nextOccurrence = 1
 	}
-	p.cancelEarly(j)
+	p.applyEarlyCancel(j)
 	if a.Inherited && p.jobsMissing {
 		// Reports about its runs were ignored so far, also those that came while it was being read.
 		p.RequireFreshReports()
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -84,9 +84,9 @@
 		a.tickets, a.queriedAt = make(map[gauge.Incarnation]ticket), make(map[gauge.Incarnation]time.Duration)
 	}
 	byWorker := make(map[string]gauge.Incarnation, len(o.incarnations))
-	for _, l := range o.incarnations {
-		a.queriedAt[l], byWorker[l.Worker] = queriedAt, l
-		delete(a.tickets, l)
+	for _, incarnation := range o.incarnations {
+		a.queriedAt[incarnation], byWorker[incarnation.Worker] = queriedAt, incarnation
+		delete(a.tickets, incarnation)
 	}
 	for _, t := range tickets {
 		a.tickets[byWorker[t.Worker]] = ticket{text: t.Text, expiresAt: queriedAt + valid}
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -17,11 +17,11 @@
 		return
 	}
 	if r.worker.info.Incarnation() != o.Worker.Incarnation() {
-		p.answeredTooLate(o, err, now)
+		p.answeredAfterRestart(o, err, now)
 		return
 	}
 	if (clock > 0 || err == nil) && r.worker.clockRegressed(clock, r.orderedAt) {
-		p.answeredByAnother(o)
+		p.answeredByLaterIncarnation(o)
 		return
 	}
 	r.worker.readClock(clock, now)
@@ -53,10 +53,10 @@
 	}
 }
 
-// answeredTooLate handles the outcome of an order to an incarnation that is dead. Which incarnation
+// answeredAfterRestart handles the outcome of an order to an incarnation that is dead. Which incarnation
 // has answered isn't known. Only a refusal says something about the run, as nothing was started
 // then.
-func (p *Pool) answeredTooLate(o Order, err error, now time.Duration) {
+func (p *Pool) answeredAfterRestart(o Order, err error, now time.Duration) {
 	r := o.run
 	kind := gauge.KindOf(err)
 	switch {
@@ -65,7 +65,7 @@
 	case o.Kind == OrderPace:
 		r.paceInFlight = false
 	case err != nil && kind != gauge.KindUnknown && kind != gauge.KindInternal && r.worker.runs[r]:
-		p.markNotLost(r)
+		p.revokeLoss(r)
 		p.endRun(r, now)
 	}
 	p.conf.Logs.Info("order to an earlier life", "order", o.Kind, "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number,
@@ -92,14 +92,14 @@
 	return w.clock > 0 && clock < w.minClockAt(orderedAt)-clockSlack
 }
 
-// answeredByAnother handles an order that a later incarnation than the known one has carried out.
+// answeredByLaterIncarnation handles an order that a later incarnation than the known one has carried out.
 // Nothing is known of the run until its next report.
-func (p *Pool) answeredByAnother(o Order) {
+func (p *Pool) answeredByLaterIncarnation(o Order) {
 	r := o.run
 	r.stopInFlight, r.paceInFlight = false, false
 	if o.Kind == OrderStart {
 		p.removeInFlight(r)
-		r.phase, r.unanswered, r.startDeadline = phaseUnsure, true, math.MaxInt64
+		r.phase, r.unanswered, r.startDeadline = phaseUnanswered, true, math.MaxInt64
 		r.worker.startUnanswered = true
 	}
 	p.probe(r.worker)
@@ -107,13 +107,13 @@
 		"worker", o.Worker.ID, "born", o.Worker.StartedAt)
 }
 
-// markNotLost corrects a run that was taken for lost with a dead incarnation: its order reached the
+// revokeLoss corrects a run that was taken for lost with a dead incarnation: its order reached the
 // next incarnation, or none.
-func (p *Pool) markNotLost(r *run) {
+func (p *Pool) revokeLoss(r *run) {
 	if !r.lost {
 		return
 	}
-	r.lost, r.notLost = false, true
+	r.lost, r.lossRevoked = false, true
 	p.dropUnconfirmed(r.task, r.number)
 }
 
@@ -123,7 +123,7 @@
 	if !r.lost {
 		return
 	}
-	p.markNotLost(r)
+	p.revokeLoss(r)
 	if !r.stopInFlight && !r.task.done && r.task.job.isOpen() {
 		r.toStop = false
 		delete(p.toStop, r)
@@ -154,7 +154,7 @@
 	}
 	switch gauge.KindOf(err) {
 	case gauge.KindUnknown, gauge.KindInternal:
-		r.phase, r.unanswered = phaseUnsure, true
+		r.phase, r.unanswered = phaseUnanswered, true
 		r.worker.startUnanswered = true // otherwise it would be the first choice for the next start
 		p.probe(r.worker)
 	case gauge.KindStale:
@@ -174,7 +174,7 @@
 		r.worker.backoffUntil = now + refusalBackoff
 	}
 	if r.task.stage.spec.Gang {
-		p.endGang(r.task, gauge.EndReport{Run: r.number})
+		p.stopGang(r.task, gauge.EndReport{Run: r.number})
 	}
 }
 
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -33,7 +33,7 @@
 		if j.isDirty() {
 			b.UnwrittenChanges++
 		}
-		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedChanges), int64(j.changes), now))
+		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedRevision), int64(j.revision), now))
 	}
 	for _, w := range p.workers {
 		if w.listed {
--- a/internal/sched/barrier.go
+++ b/internal/sched/barrier.go
@@ -66,10 +66,10 @@
 // heartbeats sent since: whatever ran there has ended.
 func (p *Pool) expireAwaited(now time.Duration) {
 	p.loseReplaced(now)
-	for id, l := range p.unreported {
-		if now > p.previousRunsEnd(l) {
+	for id, incarnation := range p.unreported {
+		if now > p.previousRunsEnd(incarnation) {
 			delete(p.unreported, id)
-			p.loseUnreported(l, now)
+			p.loseUnreported(incarnation, now)
 		}
 	}
 	for _, b := range slices.Clone(p.barriers) {
@@ -95,5 +95,5 @@
 
 // mayHaveUnreportedRun reports whether a run of the task may exist that no worker has reported.
 func (p *Pool) mayHaveUnreportedRun(t *task) bool {
-	return t.job.inherited && (p.inheritedWait || t.job.barrier.isOpen())
+	return t.job.inherited && (p.inheritedTasksWait || t.job.barrier.isOpen())
 }
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -10,12 +10,12 @@
 
 // Change is one job's row as it is to be written.
 type Change struct {
-	Job     string
-	Queue   string
-	Row     []byte
-	Version int64 // that the table is expected to have
-	Final   bool  // nothing runs any more: spec and marker can be dropped
-	changes int
+	Job      string
+	Queue    string
+	Row      []byte
+	Version  int64 // that the table is expected to have
+	Final    bool  // nothing runs any more: spec and marker can be dropped
+	revision int
 }
 
 // Batch is a set of changes for one transaction.
@@ -26,10 +26,10 @@
 }
 
 const (
-	// jobEntries is how many entries of a transaction a job's change takes: its check and its
-	// write. endEntries is how many more it takes to drop spec and marker.
-	jobEntries = 2
-	endEntries = 2
+	// jobOperations is how many entries of a transaction a job's change takes: its check and its
+	// write. dropOperations is how many more it takes to drop spec and marker.
+	jobOperations  = 2
+	dropOperations = 2
 	// batchBytes bounds the rows of a batch. A transaction may have 1 MB in all, and rows grow by a
 	// third when encoded, but over an entry's slow link this much takes 0.3 s.
 	batchBytes = 256 << 10
@@ -39,24 +39,24 @@
 // many as fit into a transaction with the given number of entries. Queues to avoid are left out:
 // their partition doesn't answer, and would delay the others. Now is the table's clock in
 // milliseconds. It fails if a row can't be encoded.
-func (p *Pool) NextBatch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
+func (p *Pool) NextBatch(operations int, now int64, avoid func(queue string) bool) (Batch, error) {
 	b := Batch{}
 	waiting := p.writable(avoid)
 	if len(waiting) == 0 {
 		return b, nil
 	}
 	b.Queue = slices.MinFunc(waiting, byUrgency).queue
-	due, left, size := 0, entries, 0
+	due, left, size := 0, operations, 0
 	for _, j := range waiting {
-		due += j.entryCount(j.row.State.IsFinal())
+		due += j.operationCount(j.row.State.IsFinal())
 	}
-	b.HasMore = due > entries
-	for _, j := range firstOf(waiting, b.Queue, max(1, entries/jobEntries)) {
+	b.HasMore = due > operations
+	for _, j := range firstOf(waiting, b.Queue, max(1, operations/jobOperations)) {
 		c, err := j.change(now)
 		if err != nil {
 			return b, err
 		}
-		left -= j.entryCount(c.Final)
+		left -= j.operationCount(c.Final)
 		size += len(c.Row)
 		if len(b.Changes) > 0 && (left < 0 || size > batchBytes) {
 			b.HasMore = true
@@ -67,12 +67,12 @@
 	return b, nil
 }
 
-// entryCount is how many entries of a transaction the job's change takes.
-func (j *job) entryCount(final bool) int {
+// operationCount is how many entries of a transaction the job's change takes.
+func (j *job) operationCount(final bool) int {
 	if final {
-		return jobEntries + endEntries
+		return jobOperations + dropOperations
 	}
-	return jobEntries
+	return jobOperations
 }
 
 // change returns the job's row as it is to be written.
@@ -86,7 +86,7 @@
 	}
 	return Change{
 		Job: j.id, Queue: j.queue, Row: row, Version: j.version,
-		Final: j.row.State.IsFinal() && len(j.liveRuns()) == 0, changes: j.changes,
+		Final: j.row.State.IsFinal() && len(j.liveRuns()) == 0, revision: j.revision,
 	}, nil
 }
 
@@ -151,7 +151,7 @@
 			continue
 		}
 		j.version = version
-		j.savedChanges = max(j.savedChanges, c.changes)
+		j.savedRevision = max(j.savedRevision, c.revision)
 		if !j.isDirty() {
 			j.urgent = false
 		}
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -93,7 +93,7 @@
 	if j.policy != nil {
 		stretch, target = j.policy.Stretch, j.policy.Target
 	}
-	j.objective = time.Duration(stretch*float64(j.longestChain)) + target
+	j.objective = time.Duration(stretch*float64(j.criticalPath)) + target
 	return j.policy
 }
 
@@ -132,7 +132,7 @@
 	case p.conf.Disabled.Has(gauge.MechanismTimely):
 	case left < -j.objective*(lateFactor-1):
 		r.lateness = 2
-	case left < o.chain()/2:
+	case left < o.remainingCriticalPath()/2:
 		r.lateness = 1
 	}
 	return r
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -28,7 +28,7 @@
 			if o.task.job == r.task.job {
 				continue
 			}
-			if o.lived < proof.StartPhase && r.lived >= proof.StartPhase || o.task.suspectRuns().CrashCount() > r.task.suspectRuns().CrashCount() {
+			if o.minRunTime < proof.StartPhase && r.minRunTime >= proof.StartPhase || o.task.suspectRuns().CrashCount() > r.task.suspectRuns().CrashCount() {
 				tasks[r.task] = true
 			}
 		}
@@ -56,7 +56,7 @@
 	c.rackBusy += boolToInt(sameRack && busy)
 }
 
-func (p *Pool) correlatedLosses(l *loss, now time.Duration) correlatedLosses {
+func (p *Pool) countCorrelatedLosses(l *loss, now time.Duration) correlatedLosses {
 	c := correlatedLosses{}
 	for _, w := range p.workers {
 		if !w.reported || w.dead || w.info.ID == l.incarnation.Worker || w.knownSince >= l.noticedAt || w.silent && w.isLeaving(w.silentSince) {
@@ -78,12 +78,12 @@
 	return c
 }
 
-// areCorrelated reports whether a worker was lost together with others that no task can have
+// hasExternalCause reports whether a worker was lost together with others that no task can have
 // crashed: then the cause was the rack, the power or a network partition. A single idle worker says
 // nothing unless the whole rack is gone, because machines move to other pools all the time and
 // their workers stay listed for seconds afterwards. Workers on which a task began recently say
 // nothing, either: several tasks that crash their workers may come at once.
-func (c correlatedLosses) areCorrelated() bool {
+func (c correlatedLosses) hasExternalCause() bool {
 	return c.ruledOut || c.idle > 1 || c.rackIdle > 0 && c.rackAlive == 0 || c.isMassLoss()
 }
 
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -35,16 +35,16 @@
 	return left
 }
 
-// soonSpan is how long a worker is expected to be drained soon after each announcement. The
+// expectDrainSpan is how long a worker is expected to be drained soon after each announcement. The
 // announcement is repeated several times a second.
-const soonSpan = 2 * time.Second
+const expectDrainSpan = 2 * time.Second
 
 // ExpectDrain announces workers that will be drained before long: long-running tasks that start now
 // avoid them if they can.
 func (p *Pool) ExpectDrain(ids []string, now time.Duration) {
 	for _, id := range ids {
 		if w := p.workers[id]; w != nil {
-			w.drainSoonUntil = now + soonSpan
+			w.drainSoonUntil = now + expectDrainSpan
 		}
 	}
 }
--- a/internal/sched/endreports.go
+++ b/internal/sched/endreports.go
@@ -9,12 +9,12 @@
 
 // unstoredEnd is a received end report whose job's row isn't written yet.
 type unstoredEnd struct {
-	number  int64
-	job     *job
-	changes int // of the job's row, including the one made by the end report
+	number   int64
+	job      *job
+	revision int // of the job's row, including the one made by the end report
 }
 
-func (u unstoredEnd) isStored() bool { return u.job.savedChanges >= u.changes || u.job.dropped }
+func (u unstoredEnd) isStored() bool { return u.job.savedRevision >= u.revision || u.job.dropped }
 
 // recordEnd records a received end report. If the job's row has any unwritten changes, the report
 // waits for them, also for one made by another worker's end report, which may be the only other
@@ -23,7 +23,7 @@
 	w.lastEnd = number
 	if j != nil && j.isDirty() {
 		j.urgent = true // the end reports after this one wait for it as well
-		w.unstoredEnds = append(w.unstoredEnds, unstoredEnd{number: number, job: j, changes: j.changes})
+		w.unstoredEnds = append(w.unstoredEnds, unstoredEnd{number: number, job: j, revision: j.revision})
 	}
 	w.updateStored()
 }
@@ -46,8 +46,8 @@
 func (w *worker) isSettled() bool { return w.lastStoredEnd == w.lastEnd && !w.endsPending }
 
 // HasUnstoredEnds reports whether a worker has listed end reports that the table doesn't have yet.
-func (p *Pool) HasUnstoredEnds(l gauge.Incarnation) bool {
-	w := p.current(l)
+func (p *Pool) HasUnstoredEnds(incarnation gauge.Incarnation) bool {
+	w := p.current(incarnation)
 	return w != nil && w.lastStoredEnd < w.lastEnd
 }
 
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -11,12 +11,12 @@
 
 // Recounted holds what the pool tracks incrementally, computed by a walk over all jobs instead.
 type Recounted struct {
-	Depths      map[string]int
-	Urgent      bool
-	Changed     []string // jobs that are to be written
-	Waiting     []string // steps with tasks that may start
-	WrongChains []string // occurrences whose cached chain of remaining steps is wrong
-	Load        gauge.PoolLoad
+	Depths             map[string]int
+	Urgent             bool
+	Changed            []string // jobs that are to be written
+	Waiting            []string // steps with tasks that may start
+	WrongCriticalPaths []string // occurrences whose cached chain of remaining steps is wrong
+	Load               gauge.PoolLoad
 }
 
 // Recount goes over all jobs and workers.
@@ -43,7 +43,7 @@
 					lasting++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), LongRunning: lasting, AcceptsRuns: worker.takesStarts(now), RemainingTime: worker.busyFor(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), LongRunning: lasting, AcceptsRuns: worker.takesStarts(now), RemainingTime: worker.remainingTime(now)})
 		}
 	}
 	slices.Sort(w.Changed)
@@ -53,8 +53,8 @@
 
 func (w *Recounted) addJob(p *Pool, j *job, now time.Duration) {
 	for _, o := range j.occurrences {
-		if known := o.chain(); known != o.uncachedChain() {
-			w.WrongChains = append(w.WrongChains, fmt.Sprintf("%s.%d", j.id, o.number))
+		if known := o.remainingCriticalPath(); known != o.uncachedCriticalPath() {
+			w.WrongCriticalPaths = append(w.WrongCriticalPaths, fmt.Sprintf("%s.%d", j.id, o.number))
 		}
 		for i, st := range o.steps {
 			idle, remaining := 0, 0
@@ -123,7 +123,7 @@
 	return names
 }
 
-// uncachedChain computes the chain without its cached value.
-func (o *occurrence) uncachedChain() time.Duration {
-	return (&occurrence{number: o.number, steps: o.steps, remaining: o.remaining, chainStale: true}).chain()
+// uncachedCriticalPath computes the chain without its cached value.
+func (o *occurrence) uncachedCriticalPath() time.Duration {
+	return (&occurrence{number: o.number, steps: o.steps, remaining: o.remaining, criticalPathStale: true}).remainingCriticalPath()
 }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -14,9 +14,9 @@
 
 // current returns the worker of an incarnation; nil if that incarnation isn't known or isn't the
 // newest.
-func (p *Pool) current(l gauge.Incarnation) *worker {
-	w := p.workers[l.Worker]
-	if w == nil || w.info.Incarnation() != l {
+func (p *Pool) current(incarnation gauge.Incarnation) *worker {
+	w := p.workers[incarnation.Worker]
+	if w == nil || w.info.Incarnation() != incarnation {
 		return nil
 	}
 	return w
@@ -28,9 +28,9 @@
 	w := p.workers[info.ID]
 	switch {
 	case w == nil:
-		return p.begin(info)
+		return p.addIncarnation(info)
 	case w.info.Incarnation().IsBefore(info.Incarnation()):
-		return p.succeed(w, info, p.lastTick)
+		return p.replaceIncarnation(w, info, p.lastTick)
 	case info.Incarnation().IsBefore(w.info.Incarnation()):
 		return nil
 	default:
@@ -50,7 +50,7 @@
 
 // answering returns the worker whose incarnation has answered a call; nil if it is dead or no
 // longer the newest.
-func (p *Pool) answering(incarnation gauge.Incarnation, startedAt int64, now time.Duration) *worker {
+func (p *Pool) workerThatAnswered(incarnation gauge.Incarnation, startedAt int64, now time.Duration) *worker {
 	w := p.workers[incarnation.Worker]
 	if w == nil {
 		return nil
@@ -59,7 +59,7 @@
 	switch known := w.info.Incarnation(); {
 	case known.IsBefore(answered):
 		// What it is and has is known only from its own entry in the list.
-		return p.succeed(w, gauge.Worker{ID: w.info.ID, StartedAt: startedAt, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
+		return p.replaceIncarnation(w, gauge.Worker{ID: w.info.ID, StartedAt: startedAt, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
 	case answered.IsBefore(known):
 		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", startedAt, "newest", known.StartedAt)
 		return nil
@@ -71,14 +71,14 @@
 }
 
 // begin adds an incarnation of a worker.
-func (p *Pool) begin(info gauge.Worker) *worker {
+func (p *Pool) addIncarnation(info gauge.Worker) *worker {
 	w := &worker{
 		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Incarnation()), knownSince: p.lastTick, drainUntil: p.conf.DrainedUntil[info.ID],
 	}
 	w.info.Draining = false // handled with its entry in the platform's list
 	p.raiseFence(w)
 	previous, awaited := p.unreported[info.ID]
-	if w.restarted = awaited && previous != info.Incarnation(); w.restarted {
+	if w.staleCallsPossible = awaited && previous != info.Incarnation(); w.staleCallsPossible {
 		p.replacedUnreported = append(p.replacedUnreported, previous)
 		p.lostUnreported = true
 	}
@@ -91,9 +91,9 @@
 // succeed records that a worker has restarted: the previous incarnation is dead, and what is known
 // of it no longer applies. Only what concerns the worker in any incarnation goes on: it is to be
 // drained, for an order to its machine.
-func (p *Pool) succeed(previous *worker, info gauge.Worker, now time.Duration) *worker {
-	w := p.begin(info)
-	w.restarted = true
+func (p *Pool) replaceIncarnation(previous *worker, info gauge.Worker, now time.Duration) *worker {
+	w := p.addIncarnation(info)
+	w.staleCallsPossible = true
 	w.leaseExpiry = max(w.leaseExpiry, now+p.conf.MaxWorkerLease)
 	w.drainUntil, w.forceDrain, w.drainSoonUntil = previous.drainUntil, previous.forceDrain, previous.drainSoonUntil
 	w.fence, w.fencePending = p.fence(previous), previous.fencePending
@@ -102,14 +102,14 @@
 	}
 	p.conf.Logs.Info("worker started again", "pool", p.conf.Name, "worker", info.ID, "born", info.StartedAt, "before", previous.info.StartedAt,
 		"runs", len(previous.runs), "kept", previous.lastStoredEnd, "ends", previous.lastEnd)
-	p.passOn(previous, w)
+	p.passOnUnlistedRuns(previous, w)
 	p.markDead(previous, "restarted", now)
 	return w
 }
 
-// passOn lets the next incarnation settle orders to the previous one whose runs it never listed.
+// passOnUnlistedRuns lets the next incarnation settle orders to the previous one whose runs it never listed.
 // Such an order may reach the next incarnation, and its deadline means nothing on another clock.
-func (p *Pool) passOn(previous, next *worker) {
+func (p *Pool) passOnUnlistedRuns(previous, next *worker) {
 	if previous.dead {
 		return
 	}
@@ -120,9 +120,9 @@
 		p.removeInFlight(r)
 		p.endIsolation(r)
 		previous.removeRun(r)
-		previous.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0, passedOn: r})
+		previous.addLost(lostRun{task: r.task, number: r.number, minRunTime: r.minRunTime(), reported: r.reportedAt > 0, passedOn: r})
 		r.lost = true
-		r.worker, r.phase, r.unanswered, r.startDeadline, r.confirmedAt = next, phaseUnsure, true, math.MaxInt64, 0
+		r.worker, r.phase, r.unanswered, r.startDeadline, r.confirmedAt = next, phaseUnanswered, true, math.MaxInt64, 0
 		next.addRun(r)
 		p.requestStop(r)
 	}
@@ -148,8 +148,8 @@
 // refusal of such a call doesn't show that this pool has another owner. An incarnation that has
 // never reported may have been called by the owner of another pool, which had its previous
 // incarnation.
-func (p *Pool) IsOutdated(l gauge.Incarnation, sent gauge.FencingToken) bool {
-	w := p.current(l)
+func (p *Pool) IsOutdated(incarnation gauge.Incarnation, sent gauge.FencingToken) bool {
+	w := p.current(incarnation)
 	return w == nil || !w.reported || sent < p.fence(w)
 }
 
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -11,14 +11,14 @@
 )
 
 // incarnationAt is the incarnation of a worker that started at a given time.
-func incarnationAt(id string, born int64) gauge.Incarnation {
-	return gauge.Incarnation{Worker: id, StartedAt: born}
+func incarnationAt(id string, startedAt int64) gauge.Incarnation {
+	return gauge.Incarnation{Worker: id, StartedAt: startedAt}
 }
 
 // workerRow is the platform's row of an incarnation of a worker.
-func workerRow(id string, born int64) gauge.Worker {
+func workerRow(id string, startedAt int64) gauge.Worker {
 	w := newWorker(id)
-	w.StartedAt = born
+	w.StartedAt = startedAt
 	return w
 }
 
@@ -31,9 +31,9 @@
 
 // answerHeartbeat has an incarnation of a worker answer the heartbeat that the owner sent to
 // another one, or to the same.
-func (g *harness) answerHeartbeat(asked gauge.Incarnation, born int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
+func (g *harness) answerHeartbeat(asked gauge.Incarnation, startedAt int64, clock time.Duration, running []gauge.RunReport, ended ...gauge.EndReport) bool {
 	_, call, _ := g.pool.NextHeartbeat(asked, g.now)
-	return g.pool.HandleReport(asked, call, &gauge.WorkerReport{StartedAt: born, Clock: clock, Running: running, Ended: ended}, g.now)
+	return g.pool.HandleReport(asked, call, &gauge.WorkerReport{StartedAt: startedAt, Clock: clock, Running: running, Ended: ended}, g.now)
 }
 
 // newHarnessWithRun is a harness with a worker in its first incarnation that has had a run of a
@@ -44,7 +44,7 @@
 }
 
 // newHarnessWithRunOf is the same with a run that is as old as given.
-func newHarnessWithRunOf(t *testing.T, lived time.Duration) (*harness, sched.Order) {
+func newHarnessWithRunOf(t *testing.T, runTime time.Duration) (*harness, sched.Order) {
 	t.Helper()
 	g := newHarness(t, func(c *sched.Config) { c.MaxWorkerLease = maxLease })
 	g.listRows(200, workerRow("w1", 1))
@@ -54,8 +54,8 @@
 	g.adopt(1, false, s)
 	start := g.planStarts()[0]
 	g.confirm([]sched.Order{start})
-	g.now += lived
-	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+lived, []gauge.RunReport{runReport(start)})
+	g.now += runTime
+	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour+runTime, []gauge.RunReport{runReport(start)})
 	return g, start
 }
 
@@ -77,8 +77,8 @@
 }
 
 // failHeartbeatOf has a heartbeat to an incarnation of a worker get no answer.
-func (g *harness) failHeartbeatOf(l gauge.Incarnation) {
-	g.pool.HeartbeatFailed(l, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
+func (g *harness) failHeartbeatOf(incarnation gauge.Incarnation) {
+	g.pool.HeartbeatFailed(incarnation, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
 }
 
 // Guards against ends that are lost because a worker numbers them from 1 in each incarnation: the
@@ -314,8 +314,8 @@
 		other := workerRow("w1", 2)
 		other.Pool = "other"
 		g.listRows(300, other)
-		for born := range int64(3) {
-			_, _, held := g.pool.NextHeartbeat(incarnationAt("w1", born), g.now)
+		for startedAt := range int64(3) {
+			_, _, held := g.pool.NextHeartbeat(incarnationAt("w1", startedAt), g.now)
 			assert.Assert(t, !held)
 		}
 		g.listRows(301, workerRow("w2", 1))
--- a/internal/sched/index_test.go
+++ b/internal/sched/index_test.go
@@ -38,7 +38,7 @@
 	depths := w.pool.QueueDepths()
 	assert.Assert(w.t, maps.Equal(depths, walk.Depths), "depths %v, want %v", depths, walk.Depths)
 	assert.Equal(w.t, w.pool.HasUrgent(), walk.Urgent)
-	assert.Equal(w.t, len(walk.WrongChains), 0, "%v", walk.WrongChains)
+	assert.Equal(w.t, len(walk.WrongCriticalPaths), 0, "%v", walk.WrongCriticalPaths)
 	waiting := w.pool.Waiting(w.now)
 	assert.Assert(w.t, slices.Equal(waiting, walk.Waiting), "waiting steps %v, want %v", waiting, walk.Waiting)
 	changed := w.pool.Changed()
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -101,23 +101,21 @@
 }
 
 // isRecorded reports whether the table has all that is known of a suspect.
-func (t *task) isRecorded() bool { return t.job.savedChanges >= t.requiredChange }
+func (t *task) isRecorded() bool { return t.job.savedRevision >= t.requiredRevision }
 
-// isolatedOnly reports whether a suspect has lost so many workers, or has so few starts left, that
+// prefersIsolation reports whether a suspect has lost so many workers, or has so few starts left, that
 // it starts only in isolation and only once the table has the record of it.
-func (t *task) isolatedOnly() bool { return t.evidence().HasRepeatedCrashes() || t.fewLeft() }
+func (t *task) prefersIsolation() bool { return t.evidence().HasRepeatedCrashes() || t.fewLeft() }
 
 // fewLeft reports whether few starts are left until the task's job is failed.
-func (t *task) fewLeft() bool {
-	return t.evidence().HasFewStartsLeft(t.unattributedLosses + t.undecidedRuns)
-}
+func (t *task) fewLeft() bool { return t.evidence().HasFewStartsLeft(t.pendingLosses + t.unclearRuns) }
 
 // maxIsolationWait is how long a suspect waits for a worker that is free of other work.
 func (t *task) maxIsolationWait() time.Duration {
 	switch {
 	case t.fewLeft():
 		return lastStartsTimeout
-	case t.isolatedOnly():
+	case t.prefersIsolation():
 		return isolationTimeout
 	default:
 		return 0
@@ -129,10 +127,10 @@
 // and the crash wouldn't know of the run. After the first crash it suffices that this crash is
 // known, since the successor allows for one more.
 func (p *Pool) reserve(t *task, now time.Duration) {
-	p.allowForUnrecorded(t)
+	p.presumeUnrecorded(t)
 	c := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
 	res := &reservation{number: t.nextRun(), expiresAt: now + reservationSpan}
-	if t.isolatedOnly() || p.maySetAside(now) {
+	if t.prefersIsolation() || p.maySetAside(now) {
 		res.workers, res.soleJob = p.pickIsolated(t, &c, now), true
 	}
 	if res.workers == nil && now-t.readyAt < t.maxIsolationWait() {
@@ -147,7 +145,7 @@
 		return
 	}
 	// A worker that others use is closed to them only for a task that is likely the cause.
-	res.closed = res.soleJob || t.isolatedOnly()
+	res.closed = res.soleJob || t.prefersIsolation()
 	t.reservation = res
 	recorded := make(map[*worker]bool)
 	for _, w := range res.workers {
@@ -226,7 +224,7 @@
 		p.cancelReservation(t)
 		return
 	}
-	if t.isolatedOnly() && !t.isRecorded() {
+	if t.prefersIsolation() && !t.isRecorded() {
 		return
 	}
 	p.releaseReservation(t)
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -18,16 +18,16 @@
 	arrived        time.Duration // when it was accepted, on the local clock
 	occurrences    map[int]*occurrence
 	nextOccurrence int            // first occurrence that isn't created yet
-	longestChain   time.Duration  // estimated duration of the longest chain of steps
+	criticalPath   time.Duration  // estimated duration of the longest chain of steps
 	startOrdered   bool           // a start of one of its tasks was ordered
 	started        bool           // a worker has reported a run of it
 	inherited      bool           // it was there before this owner took over
 	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
 
-	changes      int  // grows with each change of the row
-	savedChanges int  // changes that the table has
-	urgent       bool // the changes justify a write of their own
-	dropped      bool // its spec and marker are dropped from the table
+	revision      int  // grows with each change of the row
+	savedRevision int  // changes that the table has
+	urgent        bool // the changes justify a write of their own
+	dropped       bool // its spec and marker are dropped from the table
 
 	index     *poolIndex    // of its pool
 	site      *gauge.Site   // configuration in which its queue was looked up ...
@@ -42,8 +42,8 @@
 	steps     []*stage
 	remaining int // tasks that aren't done
 
-	longestChain time.Duration // result of the last call of chain
-	chainStale   bool          // the result has to be computed again
+	criticalPath      time.Duration // result of the last call of chain
+	criticalPathStale bool          // the result has to be computed again
 }
 
 // stage is one step of one occurrence.
@@ -74,12 +74,12 @@
 
 	isSuspect          bool         // it may crash the worker that starts it
 	recordedBefore     bool         // previous owners recorded a run of it
-	unrecordedAllowed  bool         // unrecorded crashes before this owner are allowed for
+	unrecordedPresumed bool         // unrecorded crashes before this owner are allowed for
 	countedRun         int          // last run that was counted as an unattributed start
 	hasUnsettledRuns   bool         // previous owners recorded runs whose outcome isn't known
-	undecidedRuns      int          // runs lost on workers that may have crashed or only be cut off
-	unattributedLosses int          // lost workers whose loss isn't attributed yet
-	requiredChange     int          // change of the job's row that has to be in the table before a suspect starts
+	unclearRuns        int          // runs lost on workers that may have crashed or only be cut off
+	pendingLosses      int          // lost workers whose loss isn't attributed yet
+	requiredRevision   int          // change of the job's row that has to be in the table before a suspect starts
 	reservation        *reservation // where it is to start, while it is a suspect
 }
 
@@ -118,12 +118,12 @@
 
 // touch records a change of the row.
 func (j *job) touch(urgent bool) {
-	j.changes++
+	j.revision++
 	j.urgent = j.urgent || urgent
 	j.index.changed[j] = true
 }
 
-func (j *job) isDirty() bool { return j.changes > j.savedChanges }
+func (j *job) isDirty() bool { return j.revision > j.savedRevision }
 
 // isOpen reports whether tasks of the job may still start.
 func (j *job) isOpen() bool { return !j.row.State.IsFinal() }
@@ -133,7 +133,7 @@
 	if o := j.occurrences[number]; o != nil {
 		return o
 	}
-	o := &occurrence{number: number, chainStale: true}
+	o := &occurrence{number: number, criticalPathStale: true}
 	done := j.row.Done[number]
 	for i := range j.spec.Steps {
 		st := &stage{spec: &j.spec.Steps[i], job: j, occ: o, earliestReady: now}
@@ -186,7 +186,7 @@
 
 // release records when the tasks of steps that waited for this one became ready. If that were
 // counted from the job's arrival, it wouldn't show how long a task has waited for room.
-func (o *occurrence) release(done *stage, now time.Duration) {
+func (o *occurrence) markReady(done *stage, now time.Duration) {
 	for _, st := range o.steps {
 		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.isReady(st) {
 			continue
@@ -215,8 +215,8 @@
 	t.stage.remaining--
 	o.remaining--
 	if t.stage.remaining == 0 {
-		o.chainStale = true
-		o.release(t.stage, now)
+		o.criticalPathStale = true
+		o.markReady(t.stage, now)
 		o.enqueue() // other steps may have waited for this one
 	}
 	if j.row.Done == nil {
@@ -288,9 +288,9 @@
 
 // chain is the estimated duration of the longest chain of steps that are left. It changes only when
 // a step is done.
-func (o *occurrence) chain() time.Duration {
-	if !o.chainStale {
-		return o.longestChain
+func (o *occurrence) remainingCriticalPath() time.Duration {
+	if !o.criticalPathStale {
+		return o.criticalPath
 	}
 	ends := make([]time.Duration, len(o.steps))
 	var longest time.Duration
@@ -303,12 +303,12 @@
 		}
 		longest = max(longest, ends[i])
 	}
-	o.longestChain, o.chainStale = longest, false
+	o.criticalPath, o.criticalPathStale = longest, false
 	return longest
 }
 
-// longestChain is the estimated duration of the longest chain of a job's steps.
-func longestChain(spec *gauge.JobSpec) time.Duration {
+// criticalPath is the estimated duration of the longest chain of a job's steps.
+func criticalPath(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
 	for i := range spec.Steps {
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -32,7 +32,7 @@
 		if w.dead || !w.listed {
 			continue
 		}
-		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), LongRunning: w.longRunning, AcceptsRuns: w.takesStarts(now), RemainingTime: w.busyFor(now)})
+		l.Workers = append(l.Workers, gauge.WorkerLoad{ID: w.info.ID, Runs: len(w.runs), LongRunning: w.longRunning, AcceptsRuns: w.takesStarts(now), RemainingTime: w.remainingTime(now)})
 	}
 	return l
 }
@@ -82,8 +82,8 @@
 // taken longer than estimated. Estimates are off by half.
 const overrunShare = 0.25
 
-// busyFor is how much longer the runs on the worker go on by estimates, without long-running ones.
-func (w *worker) busyFor(now time.Duration) time.Duration {
+// remainingTime is how much longer the runs on the worker go on by estimates, without long-running ones.
+func (w *worker) remainingTime(now time.Duration) time.Duration {
 	var longest time.Duration
 	for r := range w.runs {
 		if r.task.stage.spec.LongRunning {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -21,15 +21,15 @@
 
 // lostRun is a run that ended with its worker's incarnation or lease.
 type lostRun struct {
-	task     *task
-	number   int
-	lived    time.Duration
-	reported bool // its worker has reported it
-	passedOn *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
+	task       *task
+	number     int
+	minRunTime time.Duration
+	reported   bool // its worker has reported it
+	passedOn   *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
 }
 
-// isNotLost reports whether the run turned out not to be lost.
-func (l lostRun) isNotLost() bool { return l.passedOn != nil && l.passedOn.notLost }
+// isRevoked reports whether the run turned out not to be lost.
+func (l lostRun) isRevoked() bool { return l.passedOn != nil && l.passedOn.lossRevoked }
 
 // loss is a worker whose incarnation is dead.
 type loss struct {
@@ -53,15 +53,15 @@
 func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
 	p.conf.CountEvent(EventLost)
 	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
-		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", others, "reason", reason)
-	r.worker.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0})
+		"addr", r.worker.info.Addr, "lived", r.minRunTime(), "started", now-r.orderedAt, "with", others, "reason", reason)
+	r.worker.addLost(lostRun{task: r.task, number: r.number, minRunTime: r.minRunTime(), reported: r.reportedAt > 0})
 	r.lost = true
 	p.endRun(r, now)
 }
 
 // addLost keeps a lost run until it is known what became of the worker.
 func (w *worker) addLost(l lostRun) {
-	l.task.undecidedRuns++
+	l.task.unclearRuns++
 	w.lostRuns = append(w.lostRuns, l)
 }
 
@@ -85,7 +85,9 @@
 }
 
 // lived is how long the run has lived at least, up to its worker's last report of it.
-func (r *run) lived() time.Duration { return r.livedBefore + max(0, r.reportedAt-r.orderedAt) }
+func (r *run) minRunTime() time.Duration {
+	return r.minRunTimeWhenFound + max(0, r.reportedAt-r.orderedAt)
+}
 
 // recordAtRisk records the runs on a worker that has stopped answering. Otherwise a successor would
 // start their tasks again without knowing that the worker has crashed: an owner learns that only by
@@ -98,7 +100,7 @@
 	singleJob := w.runsSingleJob()
 	for r := range w.runs {
 		if r.isolatedFor == nil && r.task.job.isOpen() {
-			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: singleJob && r.reportedAt > 0, RunTime: r.lived()})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: singleJob && r.reportedAt > 0, RunTime: r.minRunTime()})
 		}
 	}
 }
@@ -131,7 +133,7 @@
 		}
 	}
 	for _, l := range w.lostRuns {
-		l.task.undecidedRuns--
+		l.task.unclearRuns--
 		p.dropUnconfirmed(l.task, l.number)
 	}
 	w.atRiskRecorded, w.lostRuns = false, nil
@@ -158,12 +160,12 @@
 // tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
 func (w *worker) tasksRuledOut() bool {
 	for r := range w.runs {
-		if r.lived() < proof.StartPhase || r.isolatedFor != nil || r.task.leadTask().isSuspect {
+		if r.minRunTime() < proof.StartPhase || r.isolatedFor != nil || r.task.leadTask().isSuspect {
 			return false
 		}
 	}
 	for _, l := range w.lostRuns {
-		if l.lived < proof.StartPhase || l.task.leadTask().isSuspect {
+		if l.minRunTime < proof.StartPhase || l.task.leadTask().isSuspect {
 			return false
 		}
 	}
@@ -183,11 +185,11 @@
 	// Machines are ordered to leave only when they are empty.
 	l.planned = w.info.Draining || len(l.runs) == 0 && w.isLeaving(l.noticedAt)
 	for _, r := range l.runs {
-		r.task.undecidedRuns--
-		r.task.unattributedLosses++
+		r.task.unclearRuns--
+		r.task.pendingLosses++
 		if !l.planned && !r.task.done && r.task.job.isOpen() {
 			// The successor has to know, should this owner not get to attribute the loss.
-			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, SoleJob: l.singleJob && r.reported, RunTime: r.lived})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, SoleJob: l.singleJob && r.reported, RunTime: r.minRunTime})
 		}
 	}
 	w.lostRuns = nil
@@ -209,8 +211,8 @@
 }
 
 func (p *Pool) attributeLoss(l *loss, now time.Duration) {
-	others := p.correlatedLosses(l, now)
-	correlated := others.areCorrelated()
+	others := p.countCorrelatedLosses(l, now)
+	correlated := others.hasExternalCause()
 	if len(l.runs) > 0 {
 		p.conf.CountEvent(EventCrashed)
 		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.StartedAt, "runs", len(l.runs), "alone", l.singleJob,
@@ -218,13 +220,13 @@
 	}
 	likelierCause := l.tasksWithLikelierCause()
 	for _, r := range l.runs {
-		r.task.unattributedLosses--
-		if r.isNotLost() {
+		r.task.pendingLosses--
+		if r.isRevoked() {
 			p.dropUnconfirmed(r.task, r.number)
 			continue
 		}
 		if correlated || l.planned {
-			p.excuse(r.task, r.number, r.lived)
+			p.recordUnattributed(r.task, r.number, r.minRunTime)
 			continue
 		}
 		if r.task.done || !r.task.job.isOpen() {
@@ -232,7 +234,7 @@
 		}
 		p.recordSuspectRun(r.task, gauge.SuspectRun{
 			Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, Crashed: true, SoleJob: !others.isAmbiguous() && l.provesCrash(r),
-			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.lived,
+			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.minRunTime,
 		})
 		p.failIfCause(r.task)
 	}
@@ -241,7 +243,7 @@
 // provesCrash reports whether nothing but the task can have crashed its worker: the run ended as
 // soon after its start as those before, and no other job's task was there.
 func (l *loss) provesCrash(r lostRun) bool {
-	return l.singleJob && r.reported && r.lived < r.task.probation(r.number)
+	return l.singleJob && r.reported && r.minRunTime < r.task.probation(r.number)
 }
 
 // lossOf is the loss of a worker that never reported to this owner.
@@ -256,18 +258,18 @@
 
 // loseUnreported records that a worker of a previous owner, which has never reported to this one,
 // can't run anything any more.
-func (p *Pool) loseUnreported(l gauge.Incarnation, now time.Duration) {
+func (p *Pool) loseUnreported(incarnation gauge.Incarnation, now time.Duration) {
 	p.lostUnreported = true
-	if p.workers[l.Worker] == nil {
-		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	if p.workers[incarnation.Worker] == nil {
+		p.losses = append(p.losses, &loss{incarnation: incarnation, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 }
 
 // loseReplaced records the loss of incarnations that were replaced before they reported to this
 // owner. Why they were lost isn't known.
 func (p *Pool) loseReplaced(now time.Duration) {
-	for _, l := range p.replacedUnreported {
-		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	for _, incarnation := range p.replacedUnreported {
+		p.losses = append(p.losses, &loss{incarnation: incarnation, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 	p.replacedUnreported = nil
 }
@@ -277,7 +279,7 @@
 func (p *Pool) unreportedWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
-		n += boolToInt(o.isCorrelatedWith(l) && !p.isolatedBefore[o.incarnation])
+		n += boolToInt(o.isCorrelatedWith(l) && !p.suspectWorkers[o.incarnation])
 	}
 	return n
 }
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// cancelEarly cancels a job that was just adopted if its cancellation came first.
-func (p *Pool) cancelEarly(j *job) {
+// applyEarlyCancel cancels a job that was just adopted if its cancellation came first.
+func (p *Pool) applyEarlyCancel(j *job) {
 	c, ok := p.earlyCancels[j.id]
 	if !ok {
 		return
--- a/internal/sched/perworker_test.go
+++ b/internal/sched/perworker_test.go
@@ -37,13 +37,13 @@
 // crashWorkersAfterStarts has two workers start all waiting tasks, and crash right after.
 func (g *harness) crashWorkersAfterStarts(n int) {
 	g.t.Helper()
-	born := int64(n + 1)
-	g.listRows(int64(200+10*n), workerRow("w1", born), workerRow("w2", born))
+	startedAt := int64(n + 1)
+	g.listRows(int64(200+10*n), workerRow("w1", startedAt), workerRow("w2", startedAt))
 	var runs []sched.Order
 	for range 30 {
 		g.advance(100 * time.Millisecond)
 		for _, id := range []string{"w1", "w2"} {
-			g.answerHeartbeat(incarnationAt(id, born), born, time.Hour+g.now, runReportsOn(runs, id))
+			g.answerHeartbeat(incarnationAt(id, startedAt), startedAt, time.Hour+g.now, runReportsOn(runs, id))
 		}
 		orders := g.planStarts()
 		g.confirm(orders)
@@ -55,12 +55,12 @@
 	}
 	assert.Equal(g.t, len(runs), 3)
 	for _, id := range []string{"w1", "w2"} {
-		g.answerHeartbeat(incarnationAt(id, born), born, time.Hour+g.now, runReportsOn(runs, id))
-		g.failHeartbeatOf(incarnationAt(id, born))
+		g.answerHeartbeat(incarnationAt(id, startedAt), startedAt, time.Hour+g.now, runReportsOn(runs, id))
+		g.failHeartbeatOf(incarnationAt(id, startedAt))
 	}
 	g.pool.UpdateWorkers(nil)
 	for _, id := range []string{"w1", "w2"} {
-		g.pool.HeartbeatFailed(incarnationAt(id, born), gauge.Errorf(gauge.KindReplaced, "another worker answers"), g.now)
+		g.pool.HeartbeatFailed(incarnationAt(id, startedAt), gauge.Errorf(gauge.KindReplaced, "another worker answers"), g.now)
 	}
 	for range 15 {
 		g.advance(100 * time.Millisecond)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -129,9 +129,9 @@
 	// scoreInterference keeps best-effort tasks away from tasks with a bound on their tail latency,
 	// which they disturb.
 	scoreInterference = 10.0
-	// scoreSoon keeps long-running tasks off workers that are to be drained soon, where they would
+	// scoreDrainSoon keeps long-running tasks off workers that are to be drained soon, where they would
 	// have to leave again. It outweighs scoreGather and any free capacity.
-	scoreSoon = 8.0
+	scoreDrainSoon = 8.0
 )
 
 // score rates how well a worker suits; larger is better. The fullest worker with room is the best,
@@ -150,7 +150,7 @@
 		}
 		score -= scoreInterference * float64(w.interfering(st.spec.BestEffort))
 		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
-			score -= scoreSoon
+			score -= scoreDrainSoon
 		}
 		if w.longRunning > 0 && !disabled.Has(gauge.MechanismGather) {
 			score += scoreGather
@@ -161,8 +161,8 @@
 
 // interfering counts the runs that a task would disturb or be disturbed by: for a best-effort task
 // those that serve, and vice versa.
-func (w *worker) interfering(fills bool) int {
-	if fills {
+func (w *worker) interfering(bestEffort bool) int {
+	if bestEffort {
 		return w.longRunning - w.longRunningBestEffort
 	}
 	return w.longRunningBestEffort
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -89,7 +89,7 @@
 		p.keepRoom(r, round, now)
 		return false
 	}
-	if !w.info.Draining && st.MaxUnplaced > 0 && r.task.stage.unavailable(r.task, now) >= st.MaxUnplaced {
+	if !w.info.Draining && st.MaxUnplaced > 0 && r.task.stage.countNotServing(r.task, now) >= st.MaxUnplaced {
 		p.probeStarting(r.task.stage, now)
 		return false
 	}
@@ -113,7 +113,7 @@
 		switch {
 		case now < w.longRunningOnlyUntil:
 			return // one at a time
-		case !w.info.Capacity.Minus(w.longRunningRoom()).Contains(need) || !w.info.HasLabel(st.spec.Label):
+		case !w.info.Capacity.Minus(w.longRunningUsed()).Contains(need) || !w.info.HasLabel(st.spec.Label):
 		case st.spec.PerWorker > 0 && perWorker[w] >= st.spec.PerWorker:
 		case best == nil || w.free().MilliCPU > best.free().MilliCPU:
 			best = w
@@ -144,7 +144,7 @@
 }
 
 // unavailable counts the other tasks of a long-running stage that aren't certainly serving.
-func (st *stage) unavailable(except *task, now time.Duration) int {
+func (st *stage) countNotServing(except *task, now time.Duration) int {
 	n := 0
 	for _, t := range st.tasks {
 		if t != except && !t.isServing(now) {
@@ -202,7 +202,7 @@
 	if p.isWindowFull() {
 		return
 	}
-	p.inheritedWait = p.mayHaveUnreportedRuns(now)
+	p.inheritedTasksWait = p.awaitsReports(now)
 	p.startSuspects(now)
 	round := p.newRound(now)
 	if len(round.workers) == 0 {
@@ -299,7 +299,7 @@
 	t.attach(r)
 	w.addRun(r)
 	p.addInFlight(r)
-	if p.mayHaveCrashed(t) {
+	if p.mayHaveUnrecordedCrashes(t) {
 		p.recordRoutineRun(r)
 	}
 	if !t.job.startOrdered {
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -24,14 +24,14 @@
 	t.countUnattributed()
 }
 
-// allowForUnrecorded allows for crashes that previous owners may have failed to record, once a
+// presumeUnrecorded allows for crashes that previous owners may have failed to record, once a
 // crash of the task is known.
-func (p *Pool) allowForUnrecorded(t *task) {
+func (p *Pool) presumeUnrecorded(t *task) {
 	lead := t.leadTask()
-	if lead.unrecordedAllowed {
+	if lead.unrecordedPresumed {
 		return
 	}
-	lead.unrecordedAllowed = true
+	lead.unrecordedPresumed = true
 	if !t.job.inherited {
 		return
 	}
@@ -44,10 +44,10 @@
 	}
 }
 
-// mayHaveCrashed reports whether several previous owners in a row may have lost runs of a task of
+// mayHaveUnrecordedCrashes reports whether several previous owners in a row may have lost runs of a task of
 // which nothing is known. From then on its starts are recorded. Otherwise owners that are replaced
 // one after the other, each before it notices a crash, would start the task again without limit.
-func (p *Pool) mayHaveCrashed(t *task) bool {
+func (p *Pool) mayHaveUnrecordedCrashes(t *task) bool {
 	return t.job.inherited && !t.leadTask().isSuspect && p.conf.UnrecordedOwners > 0
 }
 
@@ -71,14 +71,14 @@
 		if t == nil || t.done {
 			continue
 		}
-		t.unrecordedAllowed = len(records) >= maxPresumed
+		t.unrecordedPresumed = len(records) >= maxPresumed
 		t.recordedBefore = len(records) > 0
 		for _, record := range records {
 			t.lastRun = max(t.lastRun, record.Run)
 			if !record.Crashed {
 				t.hasUnsettledRuns = true
 				if !record.Routine {
-					p.isolatedBefore[record.Incarnation()] = true
+					p.suspectWorkers[record.Incarnation()] = true
 				}
 			}
 		}
@@ -105,7 +105,7 @@
 		case w.reported && !w.silent:
 			p.dropUnconfirmed(t, record.Run) // it is alive and doesn't have the run
 		default:
-			w.addLost(lostRun{task: t, number: record.Run, lived: record.RunTime, reported: true})
+			w.addLost(lostRun{task: t, number: record.Run, minRunTime: record.RunTime, reported: true})
 		}
 	}
 }
@@ -116,7 +116,7 @@
 		// Why these were lost isn't known. That excuses no task that has already lost two workers,
 		// but it proves nothing, either.
 		if !t.evidence().HasRepeatedCrashes() {
-			p.excuse(t, record.Run, record.RunTime)
+			p.recordUnattributed(t, record.Run, record.RunTime)
 			return
 		}
 		record.SoleJob, record.Isolated = false, false
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -18,19 +18,19 @@
 // checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
 // it has lived long enough.
 func (p *Pool) checkProbation(r *run) {
-	if r.onProbation && !r.survivalRecorded && r.lived() >= proof.StartPhase {
+	if r.onProbation && !r.survivalRecorded && r.minRunTime() >= proof.StartPhase {
 		// If it is lost from now on, the start wasn't the cause, for the successor either.
 		r.survivalRecorded = true
-		p.recordLived(r)
+		p.recordRunTime(r)
 	}
-	if r.onProbation && r.lived() >= r.task.probation(r.number) {
+	if r.onProbation && r.minRunTime() >= r.task.probation(r.number) {
 		r.onProbation = false
-		p.conf.Logs.Info("task survived", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID, "lived", r.lived())
+		p.conf.Logs.Info("task survived", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID, "lived", r.minRunTime())
 		p.endIsolation(r)
 		r.task.forgetUnattributed()
 		p.dropUnconfirmed(r.task, r.number)
 	}
-	if r.lived() >= proof.ClearAfter {
+	if r.minRunTime() >= proof.ClearAfter {
 		p.clearSuspicion(r.task)
 	}
 }
@@ -39,13 +39,13 @@
 func (p *Pool) inheritProbation(r *run) {
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
 	// while, and most runs of other tasks have lived for as long.
-	r.livedBefore = proof.StartPhase
+	r.minRunTimeWhenFound = proof.StartPhase
 	for _, record := range r.task.suspectRuns() {
 		if record.Run != r.number || record.Crashed {
 			continue
 		}
-		r.onProbation, r.livedBefore = true, record.RunTime
-		if r.task.isolatedOnly() {
+		r.onProbation, r.minRunTimeWhenFound = true, record.RunTime
+		if r.task.prefersIsolation() {
 			r.closeWorker(r.task.leadTask())
 		}
 		return
@@ -72,12 +72,12 @@
 	r.isolatedFor = nil
 }
 
-// recordLived records how long a run on probation has lived so far.
-func (p *Pool) recordLived(r *run) {
+// recordRunTime records how long a run on probation has lived so far.
+func (p *Pool) recordRunTime(r *run) {
 	records := slices.Clone(r.task.suspectRuns())
 	for i := range records {
 		if records[i].Run == r.number && !records[i].Crashed {
-			records[i].RunTime = r.lived()
+			records[i].RunTime = r.minRunTime()
 		}
 	}
 	r.task.setSuspectRuns(records, false)
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -9,15 +9,15 @@
 // HandleReport handles the answer to a heartbeat to an incarnation of a worker; false if the
 // incarnation no longer counts.
 func (p *Pool) HandleReport(incarnation gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport, now time.Duration) bool {
-	w := p.answering(incarnation, rep.StartedAt, now)
+	w := p.workerThatAnswered(incarnation, rep.StartedAt, now)
 	if w == nil {
 		return false
 	}
 	id := w.info.ID
-	if w.restarted && !w.fencePending && call.Fence >= w.fence {
+	if w.staleCallsPossible && !w.fencePending && call.Fence >= w.fence {
 		// From now on no call that was meant for the previous incarnation is carried out. Until now
 		// one may have extended the lease.
-		w.restarted = false
+		w.staleCallsPossible = false
 		w.leaseExpiry = max(w.leaseExpiry, now+p.conf.MaxWorkerLease)
 	}
 	if w.silent {
@@ -91,7 +91,7 @@
 	p.pruneOrphans(w, rep.Running)
 	for r := range w.runs {
 		listed := r.lastReport == w.reportCount
-		if !listed && r.phase == phaseUnsure {
+		if !listed && r.phase == phaseUnanswered {
 			// Once a stop is answered the start can't be carried out any more, which is known
 			// sooner than that its own deadline has passed.
 			p.requestStop(r)
@@ -166,7 +166,7 @@
 	var took time.Duration
 	if r != nil {
 		took = now - r.orderedAt
-		p.markNotLost(r)
+		p.revokeLoss(r)
 		p.endRun(r, now)
 	}
 	p.conf.CountEvent("run " + string(e.Ending))
@@ -177,7 +177,7 @@
 		j.saveCheckpoint(t, e.Checkpoint)
 	}
 	if r != nil && r.onProbation && t == t.leadTask() && (e.Ending == gauge.EndStopped || e.Ending == gauge.EndGangIncomplete) && t.fewLeft() {
-		p.countStart(t, e.Run, true)
+		p.countUnprovenStart(t, e.Run, true)
 		p.failIfCause(t)
 	}
 	p.recordOutcome(w, j.id, e.Ending, now)
@@ -189,7 +189,7 @@
 		p.handleFailure(j, t, e.Run)
 	}
 	if t.stage.spec.Gang {
-		p.endGang(t, e)
+		p.stopGang(t, e)
 	}
 }
 
@@ -243,8 +243,8 @@
 	}
 }
 
-// endGang stops the runs of the other members: they can't work without it.
-func (p *Pool) endGang(t *task, e gauge.EndReport) {
+// stopGang stops the runs of the other members: they can't work without it.
+func (p *Pool) stopGang(t *task, e gauge.EndReport) {
 	for _, m := range t.stage.tasks {
 		for _, r := range m.runs {
 			if r.number == e.Run {
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -20,14 +20,14 @@
 		if !w.takesStarts(now) || w.isSetAside(now) || w.longRunning > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Contains(t.stage.spec.Reservation()) {
 			continue
 		}
-		if best == nil || w.busyFor(now) < best.busyFor(now) {
+		if best == nil || w.remainingTime(now) < best.remainingTime(now) {
 			best = w
 		}
 	}
 	if best == nil {
 		return
 	}
-	best.asideUntil = now + setAsideSpan
+	best.setAsideUntil = now + setAsideSpan
 	p.conf.Logs.Info("worker set aside", "pool", p.conf.Name, "worker", best.info.ID, "runs", len(best.runs), "job", t.job.id, "task", t.id.String())
 }
 
@@ -47,7 +47,9 @@
 
 // isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
 // reservation, or is to get one.
-func (w *worker) isSetAside(now time.Duration) bool { return w.numSuspects() > 0 || now < w.asideUntil }
+func (w *worker) isSetAside(now time.Duration) bool {
+	return w.numSuspects() > 0 || now < w.setAsideUntil
+}
 
 // numSuspects counts the suspects that run in isolation or have a reservation on a worker.
 func (w *worker) numSuspects() int { return len(w.isolated) + len(w.reservations) }
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -72,14 +72,14 @@
 	suspects           map[*task]bool             // tasks that may crash their workers
 	losses             []*loss                    // workers lost recently
 	replacedUnreported []gauge.Incarnation        // ended before they reported to this owner, and not among the losses yet
-	isolatedBefore     map[gauge.Incarnation]bool // workers on which previous owners isolated suspects
+	suspectWorkers     map[gauge.Incarnation]bool // workers on which previous owners isolated suspects
 	earlyCancels       map[string]earlyCancel     // cancellations of unknown jobs
 	lastTick           time.Duration              // time of the last tick
 	resumedAt          time.Duration              // time of the last tick that followed a pause of this process
 	adoptedWork        float64                    // core-seconds of all jobs adopted so far
 	adoptedJobs        int                        // number of jobs adopted so far
-	inheritedWait      bool                       // inherited tasks have to wait for reports, in this round of starts
-	startsInFlight     int                        // starts that have no answer yet
+	inheritedTasksWait bool                       // inherited tasks have to wait for reports, in this round of starts
+	inFlight           int                        // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
 
@@ -98,11 +98,11 @@
 	p := &Pool{
 		conf: c, jobs: make(map[string]*job), endedJobs: make(map[string]endedJob), toStop: make(map[*run]bool), workers: make(map[string]*worker),
 		unreported: make(map[string]gauge.Incarnation), site: &gauge.Site{}, index: newPoolIndex(), orphans: make(map[*orphanRun]bool), earlyCancels: make(map[string]earlyCancel),
-		suspects: make(map[*task]bool), isolatedBefore: make(map[gauge.Incarnation]bool),
+		suspects: make(map[*task]bool), suspectWorkers: make(map[gauge.Incarnation]bool),
 	}
-	for _, l := range c.PreviousWorkers {
-		if !l.IsBefore(p.unreported[l.Worker]) {
-			p.unreported[l.Worker] = l
+	for _, incarnation := range c.PreviousWorkers {
+		if !incarnation.IsBefore(p.unreported[incarnation.Worker]) {
+			p.unreported[incarnation.Worker] = incarnation
 		}
 	}
 	return p
@@ -149,16 +149,16 @@
 // inheritedExpiry is when all grants of previous owners to a worker have certainly expired. A
 // worker has a single lease for all its runs, which never gets shorter, so their grants also cover
 // what this owner starts.
-func (p *Pool) inheritedExpiry(l gauge.Incarnation) time.Duration {
+func (p *Pool) inheritedExpiry(incarnation gauge.Incarnation) time.Duration {
 	if p.conf.Term == 0 {
 		return 0
 	}
-	return p.previousRunsEnd(l)
+	return p.previousRunsEnd(incarnation)
 }
 
 // previousRunsEnd is when everything that previous owners ordered on a worker has certainly ended.
-func (p *Pool) previousRunsEnd(l gauge.Incarnation) time.Duration {
-	if end, ok := p.conf.WorkerRunsEnd[l]; ok {
+func (p *Pool) previousRunsEnd(incarnation gauge.Incarnation) time.Duration {
+	if end, ok := p.conf.WorkerRunsEnd[incarnation]; ok {
 		return min(end, p.conf.PreviousRunsEnd)
 	}
 	return p.conf.PreviousRunsEnd
@@ -167,12 +167,12 @@
 // RemainingLeases returns how much longer anything may run on each worker that doesn't answer.
 func (p *Pool) RemainingLeases(now time.Duration) map[gauge.Incarnation]time.Duration {
 	left := make(map[gauge.Incarnation]time.Duration)
-	for _, l := range p.unreported {
-		left[l] = max(0, p.previousRunsEnd(l)-now)
+	for _, incarnation := range p.unreported {
+		left[incarnation] = max(0, p.previousRunsEnd(incarnation)-now)
 	}
 	for _, w := range p.workers {
-		if l := w.info.Incarnation(); w.silent && !w.dead {
-			left[l] = max(0, w.leaseExpiry-now, left[l])
+		if incarnation := w.info.Incarnation(); w.silent && !w.dead {
+			left[incarnation] = max(0, w.leaseExpiry-now, left[incarnation])
 		}
 	}
 	return left
@@ -198,16 +198,16 @@
 	}
 	for id := range awaited {
 		if p.workers[id] == nil {
-			incarnations = append(incarnations, p.earlierIncarnation(id))
+			incarnations = append(incarnations, p.awaitedIncarnation(id))
 		}
 	}
 	return incarnations
 }
 
-// earlierIncarnation is the incarnation of an unlisted worker as previous owners knew it.
-func (p *Pool) earlierIncarnation(id string) gauge.Incarnation {
-	if l, ok := p.unreported[id]; ok {
-		return l
+// awaitedIncarnation is the incarnation of an unlisted worker as previous owners knew it.
+func (p *Pool) awaitedIncarnation(id string) gauge.Incarnation {
+	if incarnation, ok := p.unreported[id]; ok {
+		return incarnation
 	}
 	return gauge.Incarnation{Worker: id}
 }
@@ -221,8 +221,8 @@
 			p.raiseFence(w)
 		}
 	}
-	for _, l := range incarnations {
-		w := p.current(l)
+	for _, incarnation := range incarnations {
+		w := p.current(incarnation)
 		if w != nil {
 			w.inLeaseRow = true
 		}
@@ -230,8 +230,8 @@
 }
 
 // NextHeartbeat returns the next heartbeat for an incarnation of a worker; false if it is dead.
-func (p *Pool) NextHeartbeat(l gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
-	w := p.current(l)
+func (p *Pool) NextHeartbeat(incarnation gauge.Incarnation, now time.Duration) (gauge.Worker, gauge.Heartbeat, bool) {
+	w := p.current(incarnation)
 	if w == nil || w.dead {
 		return gauge.Worker{}, gauge.Heartbeat{}, false
 	}
@@ -249,8 +249,8 @@
 }
 
 // HeartbeatFailed records that a heartbeat to an incarnation of a worker got no answer.
-func (p *Pool) HeartbeatFailed(l gauge.Incarnation, err error, now time.Duration) {
-	w := p.current(l)
+func (p *Pool) HeartbeatFailed(incarnation gauge.Incarnation, err error, now time.Duration) {
+	w := p.current(incarnation)
 	if w == nil {
 		return
 	}
@@ -259,7 +259,7 @@
 		return
 	}
 	if !w.silent {
-		p.conf.Logs.Info("worker silent", "pool", p.conf.Name, "worker", l.Worker, "born", l.StartedAt, "runs", len(w.runs),
+		p.conf.Logs.Info("worker silent", "pool", p.conf.Name, "worker", incarnation.Worker, "born", incarnation.StartedAt, "runs", len(w.runs),
 			"expires", w.leaseExpiry-now, "error", err.Error())
 		w.silentSince = now
 	} else {
@@ -274,8 +274,8 @@
 
 // IsSilent reports whether the last heartbeat to an incarnation got no answer, or the incarnation
 // is dead.
-func (p *Pool) IsSilent(l gauge.Incarnation) bool {
-	w := p.current(l)
+func (p *Pool) IsSilent(incarnation gauge.Incarnation) bool {
+	w := p.current(incarnation)
 	return w == nil || w.silent
 }
 
@@ -385,10 +385,10 @@
 	}
 }
 
-// mayHaveUnreportedRuns reports whether runs or end reports may exist that this owner hasn't
+// awaitsReports reports whether runs or end reports may exist that this owner hasn't
 // received: the previous owner may have started a task on a worker that hasn't answered yet, or
 // that has more end reports to deliver.
-func (p *Pool) mayHaveUnreportedRuns(now time.Duration) bool {
+func (p *Pool) awaitsReports(now time.Duration) bool {
 	if len(p.unreported) > 0 {
 		return true
 	}
--- a/internal/sched/simulation_events_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -68,8 +68,8 @@
 		return
 	}
 	w.applyHeartbeat(m, w.withAck(m, w.connectedTo[m.id], call))
-	w.connectedTo[m.id] = m.born
-	r := &gauge.WorkerReport{StartedAt: m.born, Clock: w.workerClock(m), Ended: append([]gauge.EndReport(nil), m.ends...)}
+	w.connectedTo[m.id] = m.startedAt
+	r := &gauge.WorkerReport{StartedAt: m.startedAt, Clock: w.workerClock(m), Ended: append([]gauge.EndReport(nil), m.ends...)}
 	for task, run := range m.runs {
 		r.Running = append(r.Running, gauge.RunReport{Task: task, Run: run})
 	}
@@ -78,8 +78,8 @@
 
 // withAck is a heartbeat as an incarnation receives it: ends are acknowledged only on a connection
 // on which the same incarnation has answered.
-func (w *simulation) withAck(m *simWorker, born int64, call gauge.Heartbeat) gauge.Heartbeat {
-	if born != m.born {
+func (w *simulation) withAck(m *simWorker, startedAt int64, call gauge.Heartbeat) gauge.Heartbeat {
+	if startedAt != m.startedAt {
 		call.LastSeenEnd = 0
 	}
 	return call
@@ -237,7 +237,7 @@
 // another one before anything delayed reaches the worker; its answer may be late or lost.
 func (w *simulation) restartWorker(m *simWorker) {
 	next := &simWorker{
-		id: m.id, born: m.born + 1, previousBorn: m.born, alive: true, startedAt: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
+		id: m.id, startedAt: m.startedAt + 1, previousStartedAt: m.startedAt, alive: true, clockZeroAt: w.now - time.Duration(rapid.IntRange(0, 7200).Draw(w.t, "clock"))*time.Second,
 		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int), capacity: taskCapacity{tasks: fullCapacity},
 	}
 	w.pool.HeartbeatFailed(w.heartbeatsTo[m.id], gauge.Errorf(gauge.KindUnknown, "no answer"), w.now)
@@ -245,8 +245,8 @@
 	previous, pending := w.reports[m.id]
 	if _, call, ok := w.pool.NextHeartbeat(w.heartbeatsTo[m.id], w.now); ok {
 		w.applyHeartbeat(next, w.withAck(next, w.connectedTo[m.id], call))
-		w.connectedTo[m.id] = next.born
-		w.reports[m.id] = heartbeatAnswer{w.heartbeatsTo[m.id], call, &gauge.WorkerReport{StartedAt: next.born, Clock: w.workerClock(next)}}
+		w.connectedTo[m.id] = next.startedAt
+		w.reports[m.id] = heartbeatAnswer{w.heartbeatsTo[m.id], call, &gauge.WorkerReport{StartedAt: next.startedAt, Clock: w.workerClock(next)}}
 	}
 	if pending && rapid.Bool().Draw(w.t, "answer of the previous incarnation") {
 		w.reports[m.id] = previous
@@ -302,7 +302,7 @@
 	w.delayedOrders = nil
 	for _, h := range w.delayedHeartbeats {
 		if m := w.workers[h.id]; m.alive {
-			w.applyHeartbeat(m, w.withAck(m, h.born, h.call))
+			w.applyHeartbeat(m, w.withAck(m, h.startedAt, h.call))
 		}
 	}
 	w.delayedHeartbeats = nil
--- a/internal/sched/simulation_recovery_test.go
+++ b/internal/sched/simulation_recovery_test.go
@@ -16,8 +16,8 @@
 	// message is lost for that long, no run of a cancelled job may be left.
 	faultFreeStep  = 100 * time.Millisecond
 	faultFreeSteps = 34
-	// scanInterval is the number of steps between scans that find the cancels in the table.
-	scanInterval = 15
+	// stepsPerScan is the number of steps between scans that find the cancels in the table.
+	stepsPerScan = 15
 )
 
 // hideJobs has a new owner miss some of the jobs that the table has, as if a partition of it didn't
@@ -76,7 +76,7 @@
 		w.now += faultFreeStep
 		w.expireLeases()
 		w.pool.Tick(w.now, time.Unix(0, 0))
-		if i%scanInterval == 0 {
+		if i%stepsPerScan == 0 {
 			w.scanCancels()
 		}
 		w.listWorkers()
--- a/internal/sched/simulation_test.go
+++ b/internal/sched/simulation_test.go
@@ -17,18 +17,18 @@
 
 // simWorker is the true state of one incarnation of a worker.
 type simWorker struct {
-	id           string
-	born         int64
-	previousBorn int64         // start time of the previous incarnation; 0: there is none
-	startedAt    time.Duration // when its clock showed zero
-	alive        bool
-	fence        gauge.FencingToken
-	leaseEnd     time.Duration // end of its lease, on its clock
-	runs         map[gauge.TaskID]int
-	stopped      map[gauge.TaskID]int
-	ends         []gauge.EndReport
-	lastEnd      int64 // number of its last end
-	capacity     taskCapacity
+	id                string
+	startedAt         int64
+	previousStartedAt int64         // start time of the previous incarnation; 0: there is none
+	clockZeroAt       time.Duration // when its clock showed zero
+	alive             bool
+	fence             gauge.FencingToken
+	leaseEnd          time.Duration // end of its lease, on its clock
+	runs              map[gauge.TaskID]int
+	stopped           map[gauge.TaskID]int
+	ends              []gauge.EndReport
+	lastEnd           int64 // number of its last end
+	capacity          taskCapacity
 }
 
 // taskCapacity is how many tasks a worker holds.
@@ -88,9 +88,9 @@
 
 // delayedHeartbeat is a heartbeat that got no answer and is executed later.
 type delayedHeartbeat struct {
-	id   string
-	born int64 // incarnation that answered last on the connection
-	call gauge.Heartbeat
+	id        string
+	startedAt int64 // incarnation that answered last on the connection
+	call      gauge.Heartbeat
 }
 
 // heartbeatAnswer is a worker's report, and the heartbeat that it answers.
@@ -101,7 +101,7 @@
 }
 
 func (m *simWorker) incarnation() gauge.Incarnation {
-	return gauge.Incarnation{Worker: m.id, StartedAt: m.born}
+	return gauge.Incarnation{Worker: m.id, StartedAt: m.startedAt}
 }
 
 func newSimulation(t *rapid.T) *simulation {
@@ -167,10 +167,10 @@
 // workerRow is a worker's row, sometimes still that of its previous incarnation.
 func (w *simulation) workerRow(m *simWorker) gauge.Worker {
 	row := newWorker(m.id)
-	row.StartedAt = m.born
+	row.StartedAt = m.startedAt
 	row.Capacity.MilliCPU = m.capacity.tasks * newStep(1).Needs.MilliCPU
-	if !w.faultFree && m.previousBorn > 0 && rapid.IntRange(0, 3).Draw(w.t, "stale row") == 0 {
-		row.StartedAt = m.previousBorn
+	if !w.faultFree && m.previousStartedAt > 0 && rapid.IntRange(0, 3).Draw(w.t, "stale row") == 0 {
+		row.StartedAt = m.previousStartedAt
 	}
 	return row
 }
@@ -192,14 +192,14 @@
 func (w *simulation) addWorker() {
 	w.joined++
 	m := &simWorker{
-		id: fmt.Sprintf("w%d", w.joined), born: 1, startedAt: w.now - time.Hour, alive: true, capacity: taskCapacity{tasks: fullCapacity},
+		id: fmt.Sprintf("w%d", w.joined), startedAt: 1, clockZeroAt: w.now - time.Hour, alive: true, capacity: taskCapacity{tasks: fullCapacity},
 		runs: make(map[gauge.TaskID]int), stopped: make(map[gauge.TaskID]int),
 	}
 	w.workers[m.id] = m
 	w.listWorkers()
 }
 
-func (w *simulation) workerClock(m *simWorker) time.Duration { return w.now - m.startedAt }
+func (w *simulation) workerClock(m *simWorker) time.Duration { return w.now - m.clockZeroAt }
 
 func (w *simulation) pickWorker() *simWorker {
 	ids := make([]string, 0, len(w.workers))
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -132,22 +132,22 @@
 	g.answerHeartbeat(incarnationAt("w1", 1), 1, time.Hour, nil)
 	id := g.inheritJob(newStep(1), storedCrashes(3, 0, 0))
 	starts := 0
-	for born := int64(1); born < 6; born++ {
+	for startedAt := int64(1); startedAt < 6; startedAt++ {
 		orders := g.startsAfterWrites()
 		starts += len(orders)
 		for _, o := range orders {
 			g.pool.OrderAnswered(o, 0, gauge.Errorf(gauge.KindUnknown, "no answer"), g.now)
-			g.failHeartbeatOf(incarnationAt("w1", born))
-			g.answerHeartbeat(incarnationAt("w1", born), born+1, time.Second, []gauge.RunReport{runReport(o)})
-			g.listRows(300+born, workerRow("w1", born+1))
+			g.failHeartbeatOf(incarnationAt("w1", startedAt))
+			g.answerHeartbeat(incarnationAt("w1", startedAt), startedAt+1, time.Second, []gauge.RunReport{runReport(o)})
+			g.listRows(300+startedAt, workerRow("w1", startedAt+1))
 			g.confirm(g.planStops())
 			g.advance(50 * time.Millisecond)
-			g.answerHeartbeat(incarnationAt("w1", born+1), born+1, 2*time.Second, nil, g.endReport("w1", o.Start.Task, o.Start.Run, gauge.EndStopped))
+			g.answerHeartbeat(incarnationAt("w1", startedAt+1), startedAt+1, 2*time.Second, nil, g.endReport("w1", o.Start.Task, o.Start.Run, gauge.EndStopped))
 			g.ends = make(map[string]int64) // the next incarnation numbers its ends from 1
 		}
 		for range 40 {
 			g.advance(100 * time.Millisecond)
-			g.answerHeartbeat(incarnationAt("w1", born+1), born+1, 3*time.Second+g.now, nil)
+			g.answerHeartbeat(incarnationAt("w1", startedAt+1), startedAt+1, 3*time.Second+g.now, nil)
 		}
 	}
 	g.writeAll(900)
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -43,7 +43,7 @@
 		j.row.SuspectRuns[t.leadTask().key()] = records
 	}
 	j.touch(urgent)
-	t.leadTask().requiredChange = j.changes
+	t.leadTask().requiredRevision = j.revision
 }
 
 // evidence is what is known against the task.
@@ -68,7 +68,7 @@
 func (t *task) countUnattributed() {
 	t.job.row.Unattributed = increment(t.job.row.Unattributed, t.leadTask().key())
 	t.job.touch(true)
-	t.leadTask().requiredChange = t.job.changes
+	t.leadTask().requiredRevision = t.job.revision
 }
 
 func increment(counts map[string]int, key string) map[string]int {
@@ -93,18 +93,18 @@
 
 // excuse records that a run was lost with its worker for another reason, as far as that can be
 // known.
-func (p *Pool) excuse(t *task, run int, lived time.Duration) {
+func (p *Pool) recordUnattributed(t *task, run int, minRunTime time.Duration) {
 	isolated := t.suspectRuns().HasOpenIsolatedRun(run)
-	if lived < proof.StartPhase || isolated && lived < t.probation(run) {
-		p.countStart(t, run, isolated)
+	if minRunTime < proof.StartPhase || isolated && minRunTime < t.probation(run) {
+		p.countUnprovenStart(t, run, isolated)
 	}
 	p.dropUnconfirmed(t, run)
 	p.failIfCause(t)
 }
 
-// countStart counts a run that ended before its task had shown that it survives, and whether it was
+// countUnprovenStart counts a run that ended before its task had shown that it survives, and whether it was
 // isolated. All members of a gang report the same run.
-func (p *Pool) countStart(t *task, run int, isolated bool) {
+func (p *Pool) countUnprovenStart(t *task, run int, isolated bool) {
 	lead := t.leadTask()
 	if t.done || !t.job.isOpen() || lead.countedRun == run {
 		return
@@ -120,7 +120,7 @@
 
 // recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
 func (p *Pool) recordSuspectRun(t *task, record gauge.SuspectRun) {
-	p.allowForUnrecorded(t)
+	p.presumeUnrecorded(t)
 	records := slices.Clone(t.suspectRuns())
 	i := slices.IndexFunc(records, func(o gauge.SuspectRun) bool { return o.Run == record.Run && o.Incarnation() == record.Incarnation() })
 	if i < 0 {
@@ -206,12 +206,12 @@
 // waitsForAttribution reports whether a task has lost one worker after the other and the last
 // losses aren't attributed yet. After the first loss it starts again at once.
 func (t *task) waitsForAttribution(now time.Duration) bool {
-	lost := t.unattributedLosses + t.undecidedRuns
+	lost := t.pendingLosses + t.unclearRuns
 	if lost == 0 {
 		return false
 	}
 	if evidence := t.evidence(); lost+evidence.SuspectRuns.CrashCount() < attributionThreshold && !evidence.HasFewStartsLeft(lost) {
 		return false
 	}
-	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
+	return t.pendingLosses > 0 || t.unclearRuns > 0 && now < t.readyAt+attributionTimeout
 }
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -60,10 +60,10 @@
 // the same moment.
 func TestCrashAmongOtherLossesCountsAsUnattributed(t *testing.T) {
 	for _, tt := range []struct {
-		lived time.Duration
-		want  int
+		runTime time.Duration
+		want    int
 	}{{time.Millisecond, 1}, {2 * time.Second, 0}} {
-		g, start := newHarnessWithRunOf(t, tt.lived)
+		g, start := newHarnessWithRunOf(t, tt.runTime)
 		g.listRows(210, workerRow("w1", 1), workerRow("w2", 1), workerRow("w3", 1))
 		for _, id := range []string{"w2", "w3"} {
 			g.answerHeartbeat(incarnationAt(id, 1), 1, time.Hour, nil)
@@ -102,7 +102,7 @@
 func TestPresumedCrashBeforeATakeoverCountsAsUnattributed(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
-		born       int64 // the incarnation that answers this owner
+		startedAt  int64 // the incarnation that answers this owner
 		unrecorded int   // number of previous owners that may have failed to write crashes
 		want       int
 	}{
@@ -115,15 +115,15 @@
 			g := newHarness(t, withPredecessor("w1"), func(c *sched.Config) {
 				c.PreviousWorkers, c.UnrecordedOwners = []gauge.Incarnation{incarnationAt("w1", 1)}, tt.unrecorded
 			})
-			g.listRows(300, workerRow("w1", tt.born))
+			g.listRows(300, workerRow("w1", tt.startedAt))
 			id := g.inheritJob(longRunningStep(1), &gauge.JobRow{})
-			g.answerHeartbeat(incarnationAt("w1", tt.born), tt.born, time.Hour, nil)
+			g.answerHeartbeat(incarnationAt("w1", tt.startedAt), tt.startedAt, time.Hour, nil)
 			starts := g.planStarts()
 			assert.Equal(t, len(starts), 1)
 			g.confirm(starts)
 			g.advance(50 * time.Millisecond)
-			g.failHeartbeatOf(incarnationAt("w1", tt.born))
-			g.answerHeartbeat(incarnationAt("w1", tt.born), tt.born+1, time.Second, nil)
+			g.failHeartbeatOf(incarnationAt("w1", tt.startedAt))
+			g.answerHeartbeat(incarnationAt("w1", tt.startedAt), tt.startedAt+1, time.Second, nil)
 			row := g.unwrittenRow(id)
 			assert.Equal(t, len(row.SuspectRuns[firstTaskKey]), 1)
 			assert.Equal(t, row.Unattributed[firstTaskKey], tt.want)
@@ -180,11 +180,11 @@
 // lost twice by chance.
 func TestLongRunningTaskFailsItsJobLater(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		step  gauge.Step
-		alone bool
-		count int
-		want  gauge.JobState
+		name    string
+		step    gauge.Step
+		soleJob bool
+		count   int
+		want    gauge.JobState
 	}{
 		{"long-running, two crashes alone on the worker", longRunningStep(2), true, 2, gauge.JobRunning},
 		{"long-running, three crashes alone", longRunningStep(2), true, 3, gauge.JobFailed},
@@ -196,11 +196,11 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var suspectRuns gauge.SuspectRuns
 			for run := range tt.count {
-				suspectRuns = append(suspectRuns, gauge.SuspectRun{Run: run + 1, Worker: "w0", Crashed: true, SoleJob: tt.alone})
+				suspectRuns = append(suspectRuns, gauge.SuspectRun{Run: run + 1, Worker: "w0", Crashed: true, SoleJob: tt.soleJob})
 			}
 			g := newHarness(t)
 			row := &gauge.JobRow{SuspectRuns: map[string]gauge.SuspectRuns{firstTaskKey: suspectRuns}}
-			if !tt.alone {
+			if !tt.soleJob {
 				row.Unattributed = map[string]int{firstTaskKey: 3}
 			}
 			id := g.inheritJob(tt.step, row)
--- a/internal/sched/window.go
+++ b/internal/sched/window.go
@@ -6,23 +6,21 @@
 // few unreachable workers would hold up the starts on all others.
 
 // isWindowFull reports whether no more starts may be in flight.
-func (p *Pool) isWindowFull() bool {
-	return p.conf.StartWindow > 0 && p.startsInFlight >= p.conf.StartWindow
-}
+func (p *Pool) isWindowFull() bool { return p.conf.StartWindow > 0 && p.inFlight >= p.conf.StartWindow }
 
 // withinWorkerWindow excludes workers that have as many starts in flight as one may have.
 func (p *Pool) withinWorkerWindow(allowed func(*worker) bool) func(*worker) bool {
 	if p.conf.WorkerStartWindow == 0 {
 		return allowed
 	}
-	return func(w *worker) bool { return w.startsInFlight < p.conf.WorkerStartWindow && allowed(w) }
+	return func(w *worker) bool { return w.inFlight < p.conf.WorkerStartWindow && allowed(w) }
 }
 
 // addInFlight counts a start that is sent.
 func (p *Pool) addInFlight(r *run) {
 	r.inFlight = true
-	r.worker.startsInFlight++
-	p.startsInFlight++
+	r.worker.inFlight++
+	p.inFlight++
 }
 
 // removeInFlight stops counting a start as in flight: it was answered, or nobody waits for its
@@ -32,6 +30,6 @@
 		return
 	}
 	r.inFlight = false
-	r.worker.startsInFlight--
-	p.startsInFlight--
+	r.worker.inFlight--
+	p.inFlight--
 }
--- a/internal/sched/window_test.go
+++ b/internal/sched/window_test.go
@@ -10,8 +10,8 @@
 	"sapphiregauge/internal/sched"
 )
 
-// withStartLimit limits the starts without an answer in the whole pool.
-func withStartLimit(starts int) option {
+// withStartWindow limits the starts without an answer in the whole pool.
+func withStartWindow(starts int) option {
 	return func(c *sched.Config) { c.StartWindow = starts }
 }
 
@@ -20,7 +20,7 @@
 // for each were sent at once, they would fill the link for longer than the timeout of a call, with
 // heartbeats and lease renewals queued behind them.
 func TestUnansweredStartsAreLimited(t *testing.T) {
-	g := newHarness(t, withStartLimit(5))
+	g := newHarness(t, withStartWindow(5))
 	g.listWorkers("a", "b", "c")
 	for _, id := range []string{"a", "b", "c"} {
 		g.report(id, nil)
@@ -43,7 +43,7 @@
 // Guards against a gang larger than the limit of unanswered starts that never starts: its starts go
 // out all or none, so that the limit can't be applied to them one by one.
 func TestGangLargerThanTheLimitStartsWhole(t *testing.T) {
-	g := newHarness(t, withStartLimit(2))
+	g := newHarness(t, withStartWindow(2))
 	g.listWorkers("a")
 	g.report("a", nil)
 	s := newStep(4)
@@ -55,7 +55,7 @@
 // Guards against a pool that starts nothing under a limit of unanswered starts: a worker ends
 // before it has answered its starts, which would count for ever.
 func TestStartsOfADeadWorkerStopCounting(t *testing.T) {
-	g := newHarness(t, withStartLimit(2))
+	g := newHarness(t, withStartWindow(2))
 	g.listWorkers("a")
 	g.report("a", nil)
 	g.adopt(1, false, newStep(4))
@@ -70,8 +70,8 @@
 	assert.Equal(t, len(g.planStarts()), 2)
 }
 
-// withWorkerStartLimit limits the starts without an answer on one worker.
-func withWorkerStartLimit(starts int) option {
+// withWorkerStartWindow limits the starts without an answer on one worker.
+func withWorkerStartWindow(starts int) option {
 	return func(c *sched.Config) { c.WorkerStartWindow = starts }
 }
 
@@ -79,7 +79,7 @@
 // workers of ten become unreachable; starts go there first, as they are the fullest, and would use
 // up a limit of unanswered starts that is only set for the whole pool.
 func TestUnansweredStartsOfOneWorkerDoNotBlockOthers(t *testing.T) {
-	g := newHarness(t, withStartLimit(4), withWorkerStartLimit(2))
+	g := newHarness(t, withStartWindow(4), withWorkerStartWindow(2))
 	g.listWorkers("a", "b")
 	g.report("a", nil)
 	g.report("b", nil)
@@ -101,7 +101,7 @@
 // worker's incarnation is known to have ended, or a heartbeat to it got no answer.
 func TestStartsOnASilentOrDeadWorkerDoNotCount(t *testing.T) {
 	for _, kind := range []gauge.Kind{gauge.KindReplaced, gauge.KindUnknown} {
-		g := newHarness(t, withStartLimit(2))
+		g := newHarness(t, withStartWindow(2))
 		g.listWorkers("a")
 		g.report("a", nil)
 		g.adopt(1, false, newStep(8))
@@ -137,7 +137,7 @@
 // Guards against a link that is full of starts which workers refuse as too late. A start waits in
 // the owner's process until its deadline has passed or its job is cancelled, so that it has to be
 // checked again before it is sent.
-func TestStartIsVoidAfterItsDeadlineOrACancel(t *testing.T) {
+func TestStartIsObsoleteAfterDeadlineOrCancellation(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("a")
 	g.report("a", nil)
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -11,58 +11,58 @@
 
 // The phases of a run.
 const (
-	phaseSent     phase = "sent"     // the start is sent
-	phaseUnsure   phase = "unsure"   // the start got no answer, and may still be carried out
-	phaseLive     phase = "live"     // the worker has confirmed the run
-	phaseStopping phase = "stopping" // the worker has confirmed a stop
+	phaseSent       phase = "sent"     // the start is sent
+	phaseUnanswered phase = "unsure"   // the start got no answer, and may still be carried out
+	phaseLive       phase = "live"     // the worker has confirmed the run
+	phaseStopping   phase = "stopping" // the worker has confirmed a stop
 )
 
 // run is one start of a task that may exist on a worker. It is removed only when it is certainly
 // over and can't begin any more: a start before that might run the task twice at once.
 type run struct {
-	task             *task
-	worker           *worker
-	number           int
-	phase            phase
-	resources        gauge.Resources
-	orderedAt        time.Duration // when it was ordered, or found
-	inherited        bool          // a previous owner started it
-	inFlight         bool          // its start has no answer yet, and counts for the start window
-	startDeadline    time.Duration // on the worker's clock: the start is refused if it arrives later
-	confirmedAt      time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
-	livedBefore      time.Duration // how long it had lived at least when this owner found it
-	reportedAt       time.Duration // when its worker last reported it
-	toStop           bool          // it is to end
-	unanswered       bool          // its start got no answer
-	nextStopAt       time.Duration // no stop is sent before
-	stopInFlight     bool          // a stop is in flight
-	progress         int           // percent of its work done; 100: a long-running task serves
-	pace             int           // percent of full speed that it was last told to work at
-	load             int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
-	paceInFlight     bool          // a change of pace is in flight
-	lastReport       int           // number of the last report that listed it
-	onProbation      bool          // it is a run of a suspect, and still on probation
-	survivalRecorded bool          // the row has that it has lived for proof.StartPhase
-	isolatedFor      *task         // the suspect that it is a run of, while its worker is closed to other jobs
-	lost             bool          // it ended with its worker's incarnation or lease
-	notLost          bool          // it was taken for lost, and wasn't
+	task                *task
+	worker              *worker
+	number              int
+	phase               phase
+	resources           gauge.Resources
+	orderedAt           time.Duration // when it was ordered, or found
+	inherited           bool          // a previous owner started it
+	inFlight            bool          // its start has no answer yet, and counts for the start window
+	startDeadline       time.Duration // on the worker's clock: the start is refused if it arrives later
+	confirmedAt         time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
+	minRunTimeWhenFound time.Duration // how long it had lived at least when this owner found it
+	reportedAt          time.Duration // when its worker last reported it
+	toStop              bool          // it is to end
+	unanswered          bool          // its start got no answer
+	nextStopAt          time.Duration // no stop is sent before
+	stopInFlight        bool          // a stop is in flight
+	progress            int           // percent of its work done; 100: a long-running task serves
+	pace                int           // percent of full speed that it was last told to work at
+	load                int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
+	paceInFlight        bool          // a change of pace is in flight
+	lastReport          int           // number of the last report that listed it
+	onProbation         bool          // it is a run of a suspect, and still on probation
+	survivalRecorded    bool          // the row has that it has lived for proof.StartPhase
+	isolatedFor         *task         // the suspect that it is a run of, while its worker is closed to other jobs
+	lost                bool          // it ended with its worker's incarnation or lease
+	lossRevoked         bool          // it was taken for lost, and wasn't
 }
 
 // worker is one incarnation of a worker as this owner sees it.
 type worker struct {
-	info            gauge.Worker
-	listed          bool               // it is on the platform's list
-	listedHere      bool               // it has been listed in this pool
-	knownSince      time.Duration      // when this owner first learnt of it
-	inLeaseRow      bool               // the lease row names it: a successor asks it first
-	fence           gauge.FencingToken // for this worker, see Pool.fence
-	fencePending    bool               // earlier calls may still be carried out: its token has to rise
-	restarted       bool               // its worker had orders in an earlier incarnation
-	reported        bool               // it has answered a call with this owner's fencing token
-	startUnanswered bool               // a start got no answer, and no report has come since
-	startsInFlight  int                // starts that have no answer yet
-	silent          bool               // its last heartbeat got no answer
-	dead            bool               // it is certainly over
+	info               gauge.Worker
+	listed             bool               // it is on the platform's list
+	listedHere         bool               // it has been listed in this pool
+	knownSince         time.Duration      // when this owner first learnt of it
+	inLeaseRow         bool               // the lease row names it: a successor asks it first
+	fence              gauge.FencingToken // for this worker, see Pool.fence
+	fencePending       bool               // earlier calls may still be carried out: its token has to rise
+	staleCallsPossible bool               // its worker had orders in an earlier incarnation
+	reported           bool               // it has answered a call with this owner's fencing token
+	startUnanswered    bool               // a start got no answer, and no report has come since
+	inFlight           int                // starts that have no answer yet
+	silent             bool               // its last heartbeat got no answer
+	dead               bool               // it is certainly over
 
 	runs map[*run]bool
 	used gauge.Resources
@@ -98,18 +98,18 @@
 	lostRuns             []lostRun     // runs that ended with its lease: it may have crashed or be cut off
 	isolated             map[*task]int // suspects that run here in isolation: number of runs
 	reservations         map[*task]int // suspects with a reservation here: number of tasks
-	asideUntil           time.Duration // until then it is kept free for a suspect
+	setAsideUntil        time.Duration // until then it is kept free for a suspect
 	failures             int           // consecutive failures, of different jobs
 	lastFailedJob        string        // job of the last failure
 }
 
-// slowClock is the least rate of a worker's clock: it shows at least 98 % of the time that passes
+// minClockRate is the least rate of a worker's clock: it shows at least 98 % of the time that passes
 // here, as the users specify.
-const slowClock = 0.98
+const minClockRate = 0.98
 
 // minClockAt is the least that the worker's clock may show now.
 func (w *worker) minClockAt(now time.Duration) time.Duration {
-	return w.clock + time.Duration(float64(now-w.clockReadAt)*slowClock)
+	return w.clock + time.Duration(float64(now-w.clockReadAt)*minClockRate)
 }
 
 // grant returns a deadline on the worker's clock that has certainly passed after a span from now,
@@ -119,7 +119,7 @@
 		return 0
 	}
 	w.leaseExpiry = max(w.leaseExpiry, now+span)
-	return w.minClockAt(now) + time.Duration(float64(span)*slowClock)
+	return w.minClockAt(now) + time.Duration(float64(span)*minClockRate)
 }
 
 // readClock records a reading of the worker's clock.
@@ -159,8 +159,8 @@
 
 func (w *worker) free() gauge.Resources { return w.info.Capacity.Minus(w.used) }
 
-// longRunningRoom is the capacity that its long-running tasks use.
-func (w *worker) longRunningRoom() gauge.Resources {
+// longRunningUsed is the capacity that its long-running tasks use.
+func (w *worker) longRunningUsed() gauge.Resources {
 	var sum gauge.Resources
 	for r := range w.runs {
 		if r.task.stage.spec.LongRunning {
