--- a/internal/sched/acknowledge_test.go
+++ b/internal/sched/acknowledge_test.go
@@ -43,9 +43,9 @@
 	assert.Equal(t, len(g.planStarts()), 1)
 }
 
-// Guards against tasks of a cancelled job that start. The notification of the cancel is lost; the
-// owner's next write of the job's row is refused as the row has changed, and must not overwrite the
-// cancel.
+// Guards against tasks of a cancelled job that start. The notification of the cancellation is lost;
+// the owner's next write of the job's row is refused as the row has changed, and must not overwrite
+// the cancellation.
 func TestCancelFoundByAWriteConflictEndsTheJob(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -132,7 +132,7 @@
 		return "", false
 	}
 	if j.row.State.IsFinal() && j.row.State != gauge.JobCancelled && j.isDirty() {
-		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
+		return gauge.JobRunning, true // a final state is reported only once the table has it; it always has a cancellation
 	}
 	if j.startOrdered && !j.row.State.IsFinal() {
 		return gauge.JobRunning, true
@@ -140,7 +140,7 @@
 	return j.row.State, true
 }
 
-// maxAttempts is how often a task of the job may fail.
+// maxAttempts returns the number of failures of one task with which its job fails.
 func (p *Pool) maxAttempts(j *job) int {
 	if q := p.policy(j); q != nil && q.MaxAttempts > 0 {
 		return q.MaxAttempts
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -8,10 +8,13 @@
 	gauge "sapphiregauge"
 )
 
+// An advice service decides on which workers the steps of some queues may run; a ticket is its
+// permission for one step on one incarnation of a worker.
+
 // stageAdvice holds the tickets that a stage has for workers, if its queue requires advice.
 type stageAdvice struct {
 	queryInFlight bool
-	tickets       map[gauge.Incarnation]ticket        // each holds for one incarnation of a worker
+	tickets       map[gauge.Incarnation]ticket        // by incarnation of a worker
 	queriedAt     map[gauge.Incarnation]time.Duration // when each worker was last asked about
 }
 
@@ -21,8 +24,9 @@
 }
 
 const (
-	// maxAdviceWorkers is how many workers a query covers at most: the advice service takes time
-	// for each, and callers' objectives allow for one query about thirty.
+	// maxAdviceWorkers is how many workers a query covers at most: the advice service's response
+	// time grows with the number of workers, and callers' objectives leave time for one query about
+	// thirty workers.
 	maxAdviceWorkers = 30
 	// adviceRetryDelay is the least time between two queries about a worker: the policy for a step
 	// doesn't change, but tickets expire.
--- a/internal/sched/answer.go
+++ b/internal/sched/answer.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// answeredAfterRestart handles the outcome of an order to an incarnation that is dead. Which incarnation
-// has answered isn't known. Only a refusal says something about the run, as nothing was started
-// then.
+// answeredAfterRestart handles the outcome of an order whose run has been passed on to the worker's
+// next incarnation since. Which incarnation has answered isn't known. Only a refusal says something
+// about the run, as nothing was started then.
 func (p *Pool) answeredAfterRestart(o Order, err error, now time.Duration) {
 	r := o.run
 	kind := gauge.KindOf(err)
@@ -92,8 +92,8 @@
 	return w.clock > 0 && clock < w.minClockAt(orderedAt)-clockSlack
 }
 
-// answeredByLaterIncarnation handles an order that a later incarnation than the known one has carried out.
-// Nothing is known of the run until its next report.
+// answeredByLaterIncarnation handles an order that a later incarnation than the known one has
+// carried out. Nothing is known of the run until its next report.
 func (p *Pool) answeredByLaterIncarnation(o Order) {
 	r := o.run
 	r.stopInFlight, r.paceInFlight = false, false
@@ -107,8 +107,8 @@
 		"worker", o.Worker.ID, "born", o.Worker.StartedAt)
 }
 
-// revokeLoss corrects a run that was taken for lost with a dead incarnation: its order reached the
-// next incarnation, or none.
+// revokeLoss corrects the record of a run that was taken for lost with a dead incarnation: its
+// order reached the next incarnation, or none.
 func (p *Pool) revokeLoss(r *run) {
 	if !r.lost {
 		return
@@ -131,7 +131,7 @@
 }
 
 // IsObsolete reports whether a start that hasn't been sent yet is pointless: its run is to end, or
-// it would certainly arrive too late. Its outcome is then KindPastDeadline.
+// it would certainly arrive too late. The caller then reports its outcome as KindPastDeadline.
 func (p *Pool) IsObsolete(o Order, now time.Duration) bool {
 	if o.Kind != OrderStart {
 		return false
@@ -178,8 +178,9 @@
 	}
 }
 
-// probe asks a worker at once for its runs: a run that never began there has no end that would end
-// a waiting heartbeat. It acknowledges no end reports, as heartbeats do that.
+// probe asks a worker at once for its runs: a run that never began there reports no end, so that an
+// open heartbeat would be answered only after its wait. It acknowledges no end reports, as
+// heartbeats do that.
 func (p *Pool) probe(w *worker) {
 	p.orders = append(p.orders, Order{
 		Kind: OrderProbe, Worker: w.info, Probe: gauge.Heartbeat{Fence: p.fence(w)},
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -13,7 +13,7 @@
 	at    time.Duration
 }
 
-// age returns how long items between the two counts have waited at least.
+// age returns how long the items that are in all but not in settled have waited at least.
 func (m *ageTracker) age(settled, all int64, now time.Duration) time.Duration {
 	if settled >= all {
 		*m = ageTracker{}
--- a/internal/sched/barrier.go
+++ b/internal/sched/barrier.go
@@ -7,7 +7,7 @@
 )
 
 // reportBarrier makes jobs that are read late wait for fresh reports: workers may have reported
-// runs of theirs before the jobs were known, and such runs were ignored.
+// runs of these jobs before the jobs were known, and such runs were ignored.
 type reportBarrier struct {
 	missing  map[string]bool // workers that haven't reported since
 	reported bool            // some workers have reported since
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -14,8 +14,8 @@
 	Queue    string
 	Row      []byte
 	Version  int64 // that the table is expected to have
-	Final    bool  // nothing runs any more: spec and marker can be dropped
-	revision int
+	Final    bool  // nothing runs any more: spec and open-job mark can be dropped
+	revision int   // of the row that was encoded
 }
 
 // Batch is a set of changes for one transaction.
@@ -26,8 +26,8 @@
 }
 
 const (
-	// jobOperations is how many entries of a transaction a job's change takes: its check and its
-	// write. dropOperations is how many more it takes to drop spec and marker.
+	// jobOperations is how many operations of a transaction a job's change takes: its check and its
+	// write. dropOperations is how many more it takes to drop spec and open-job mark.
 	jobOperations  = 2
 	dropOperations = 2
 	// batchBytes bounds the rows of a batch. A transaction may have 1 MB in all, and rows grow by a
@@ -36,7 +36,7 @@
 )
 
 // NextBatch returns changes of one queue that the table doesn't have yet, urgent ones first, as
-// many as fit into a transaction with the given number of entries. Queues to avoid are left out:
+// many as fit into a transaction with the given number of operations. Queues to avoid are left out:
 // their partition doesn't answer, and would delay the others. Now is the table's clock in
 // milliseconds. It fails if a row can't be encoded.
 func (p *Pool) NextBatch(operations int, now int64, avoid func(queue string) bool) (Batch, error) {
@@ -67,7 +67,7 @@
 	return b, nil
 }
 
-// operationCount is how many entries of a transaction the job's change takes.
+// operationCount is how many operations of a transaction the job's change takes.
 func (j *job) operationCount(final bool) int {
 	if final {
 		return jobOperations + dropOperations
@@ -90,7 +90,8 @@
 	}, nil
 }
 
-// HasUrgent reports whether a change waits that justifies a write of its own.
+// HasUrgent reports whether something waits that is to be written at once: an urgent change, an end
+// report, or a worker for the lease row.
 func (p *Pool) HasUrgent() bool {
 	if p.index.hasUrgent() {
 		return true
@@ -137,8 +138,8 @@
 	return first
 }
 
-// isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
-// table.
+// isDroppable reports whether a job that has ended has nothing left but its spec and open-job mark
+// in the table.
 func (j *job) isDroppable() bool {
 	return j.row.State.IsFinal() && !j.dropped && len(j.liveRuns()) == 0
 }
@@ -167,8 +168,8 @@
 }
 
 // RowConflicted handles a row as the table has it, after a batch was refused. A row that a caller's
-// cancellation has changed ends the job here. A row that was changed by an earlier batch without an
-// answer is merely newer.
+// cancellation has changed ends the job here. If an earlier batch that got no answer has changed
+// the row, only its version is taken over.
 func (p *Pool) RowConflicted(id string, row *gauge.JobRow, version int64) {
 	j := p.jobs[id]
 	if j == nil || version <= j.version {
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -53,7 +53,7 @@
 // Push implements heap.Interface; nothing is added later.
 func (h *candidateHeap) Push(any) {}
 
-// Pop implements heap.Interface. What it returns has been read already.
+// Pop implements heap.Interface. It returns nil: next reads the first element before it calls Pop.
 func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -19,8 +19,9 @@
 	confirmedSilence = 700 * time.Millisecond
 )
 
-// tasksWithLikelierCause are the tasks that were lost next to a likelier cause: a task of another
-// job that had begun recently, when they had not, or one that has lost more workers.
+// tasksWithLikelierCause returns the tasks that were lost together with another job's task that is
+// the likelier cause: one that had started less than proof.StartPhase before while they had not, or
+// that has crashed more workers.
 func (l *loss) tasksWithLikelierCause() map[*task]bool {
 	tasks := make(map[*task]bool)
 	for _, r := range l.runs {
@@ -36,7 +37,7 @@
 	return tasks
 }
 
-// correlatedLosses counts what else was lost at about the time of a loss.
+// correlatedLosses holds the counts of what else was lost at about the time of a loss.
 type correlatedLosses struct {
 	ruledOut  bool // one was a worker with runs, none of which can be the cause
 	idle      int  // workers without runs
@@ -78,17 +79,18 @@
 	return c
 }
 
-// hasExternalCause reports whether a worker was lost together with others that no task can have
-// crashed: then the cause was the rack, the power or a network partition. A single idle worker says
-// nothing unless the whole rack is gone, because machines move to other pools all the time and
-// their workers stay listed for seconds afterwards. Workers on which a task began recently say
-// nothing, either: several tasks that crash their workers may come at once.
+// hasExternalCause reports whether a worker was lost for a cause other than its tasks, because it
+// was lost together with others that no task can have crashed: then the cause was the rack, the
+// power or a network partition. A single idle worker says nothing unless the whole rack is gone,
+// because machines move to other pools all the time and their workers stay listed for seconds
+// afterwards. Workers on which a task began recently say nothing, either: several tasks that crash
+// their workers may come at once.
 func (c correlatedLosses) hasExternalCause() bool {
 	return c.ruledOut || c.idle > 1 || c.rackIdle > 0 && c.rackAlive == 0 || c.isMassLoss()
 }
 
-// massLosses other workers lost at one moment, or one fewer on the same rack, are more than tasks
-// are likely to crash at once.
+// massLosses is the number of workers lost with this one from which tasks are unlikely to be the
+// cause; one fewer on the same rack suffices.
 const massLosses = 3
 
 // isMassLoss reports whether all of a rack, or nearly all workers, were lost at one moment: then
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxCrashes is the bound on a task's crashes: after the third, two more starts are allowed,
-	// which may crash as well.
+	// maxCrashes is the most workers that a task may crash: after three crashes it may be started
+	// twice more.
 	maxCrashes = 5
 	// maxCrashesIsolated is the bound where the task can be started on a worker without other work.
 	maxCrashesIsolated = 3
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -35,7 +35,7 @@
 	return left
 }
 
-// expectDrainSpan is how long a worker is expected to be drained soon after each announcement. The
+// expectDrainSpan is how long after each announcement a worker is expected to be drained. The
 // announcement is repeated several times a second.
 const expectDrainSpan = 2 * time.Second
 
--- a/internal/sched/endreports.go
+++ b/internal/sched/endreports.go
@@ -11,14 +11,14 @@
 type unstoredEnd struct {
 	number   int64
 	job      *job
-	revision int // of the job's row, including the one made by the end report
+	revision int // of the job's row, including the change made by the end report
 }
 
 func (u unstoredEnd) isStored() bool { return u.job.savedRevision >= u.revision || u.job.dropped }
 
 // recordEnd records a received end report. If the job's row has any unwritten changes, the report
-// waits for them, also for one made by another worker's end report, which may be the only other
-// trace of the same fact.
+// waits for them. Changes that another worker's report has made count as well: this report may say
+// the same, and has then changed nothing itself.
 func (w *worker) recordEnd(number int64, j *job) {
 	w.lastEnd = number
 	if j != nil && j.isDirty() {
--- a/internal/sched/harness_test.go
+++ b/internal/sched/harness_test.go
@@ -168,5 +168,5 @@
 	return gauge.RunReport{Task: o.Start.Task, Run: o.Start.Run}
 }
 
-// skipNone is the NextBatch filter that skips no queue.
+// skipNone is a filter for NextBatch that leaves out no queue.
 func skipNone(string) bool { return false }
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -7,10 +7,10 @@
 	gauge "sapphiregauge"
 )
 
-// A worker is identified by its incarnation. Whatever names a worker to this package (an entry of
-// the platform's list, an answer, a row of a previous owner) goes through this file, which decides
-// which incarnation is meant, so that what is known of one is never applied to another. The newest
-// known incarnation counts; anything from an earlier one is too late.
+// A worker is identified by its incarnation. Whatever names a worker to this package (a row of the
+// platform's list, an answer, a lease row of a previous owner) goes through this file, which
+// decides which incarnation is meant, so that what is known of one is never applied to another. The
+// newest known incarnation counts; anything from an earlier one is too late.
 
 // current returns the worker of an incarnation; nil if that incarnation isn't known or isn't the
 // newest.
@@ -22,7 +22,7 @@
 	return w
 }
 
-// listedAs returns the worker that an entry of the platform's list names; nil if the entry is of an
+// listedAs returns the worker that a row of the platform's list names; nil if the row is of an
 // earlier incarnation than is known, or doesn't say of which, so that it names no usable worker.
 func (p *Pool) listedAs(info gauge.Worker) *worker {
 	w := p.workers[info.ID]
@@ -48,8 +48,8 @@
 	p.retireWorker(w, "restarted in another pool", p.lastTick)
 }
 
-// answering returns the worker whose incarnation has answered a call; nil if it is dead or no
-// longer the newest.
+// workerThatAnswered returns the worker whose incarnation has answered a call; nil if the
+// incarnation is dead or no longer the newest.
 func (p *Pool) workerThatAnswered(incarnation gauge.Incarnation, startedAt int64, now time.Duration) *worker {
 	w := p.workers[incarnation.Worker]
 	if w == nil {
@@ -58,7 +58,7 @@
 	answered := gauge.Incarnation{Worker: incarnation.Worker, StartedAt: startedAt}
 	switch known := w.info.Incarnation(); {
 	case known.IsBefore(answered):
-		// What it is and has is known only from its own entry in the list.
+		// Its capacity and state are known only from its own row in the platform's list.
 		return p.replaceIncarnation(w, gauge.Worker{ID: w.info.ID, StartedAt: startedAt, Pool: w.info.Pool, Addr: w.info.Addr, Zone: w.info.Zone, Labels: w.info.Labels}, now)
 	case answered.IsBefore(known):
 		p.conf.Logs.Info("answer of an earlier life", "pool", p.conf.Name, "worker", incarnation.Worker, "born", startedAt, "newest", known.StartedAt)
@@ -70,12 +70,12 @@
 	}
 }
 
-// begin adds an incarnation of a worker.
+// addIncarnation adds an incarnation of a worker.
 func (p *Pool) addIncarnation(info gauge.Worker) *worker {
 	w := &worker{
 		info: info, runs: make(map[*run]bool), leaseExpiry: p.inheritedExpiry(info.Incarnation()), knownSince: p.lastTick, drainUntil: p.conf.DrainedUntil[info.ID],
 	}
-	w.info.Draining = false // handled with its entry in the platform's list
+	w.info.Draining = false // handled with its row in the platform's list
 	p.raiseFence(w)
 	previous, awaited := p.unreported[info.ID]
 	if w.staleCallsPossible = awaited && previous != info.Incarnation(); w.staleCallsPossible {
@@ -88,9 +88,9 @@
 	return w
 }
 
-// succeed records that a worker has restarted: the previous incarnation is dead, and what is known
-// of it no longer applies. Only what concerns the worker in any incarnation goes on: it is to be
-// drained, for an order to its machine.
+// replaceIncarnation records that a worker has restarted: the previous incarnation is dead, and
+// what is known of it no longer applies. Only drain requests, which concern its machine, the
+// fencing token and runs that it never listed (passOnUnlistedRuns) are carried over.
 func (p *Pool) replaceIncarnation(previous *worker, info gauge.Worker, now time.Duration) *worker {
 	w := p.addIncarnation(info)
 	w.staleCallsPossible = true
@@ -107,8 +107,8 @@
 	return w
 }
 
-// passOnUnlistedRuns lets the next incarnation settle orders to the previous one whose runs it never listed.
-// Such an order may reach the next incarnation, and its deadline means nothing on another clock.
+// passOnUnlistedRuns moves runs that the previous incarnation never listed to the next one, which
+// may receive their orders: their deadlines mean nothing on its clock.
 func (p *Pool) passOnUnlistedRuns(previous, next *worker) {
 	if previous.dead {
 		return
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -11,10 +11,10 @@
 // jobs each time would take the owner of a thousand jobs more processor time than all else.
 type poolIndex struct {
 	depths    map[string]int // by queue: open jobs of which no worker has reported a run
-	changed   map[*job]bool  // jobs with something to write, and some that had
-	scheduled map[*job]bool  // open jobs with occurrences to come, and some that had
+	changed   map[*job]bool  // superset of the jobs with something to write; pruned by unwrittenJobs
+	scheduled map[*job]bool  // superset of the open jobs with occurrences to come; pruned by createDue
 
-	waiting []*stage        // stages with tasks that may start, and some that had
+	waiting []*stage        // superset of the stages with tasks that may start; pruned by pruneWaiting
 	minNeed gauge.Resources // none of their tasks needs less of any resource
 }
 
@@ -31,7 +31,7 @@
 		x.scheduled[j] = true
 	}
 	if !j.isOpen() {
-		x.changed[j] = true // its spec and marker are to be dropped
+		x.changed[j] = true // its spec and open-job mark are to be dropped
 	}
 }
 
@@ -51,7 +51,7 @@
 	j.started = true
 }
 
-// close ends the job for good.
+// close sets the job's final state.
 func (j *job) close(state gauge.JobState) {
 	if !j.started && j.isOpen() {
 		j.index.decrementDepth(j.queue)
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -8,13 +8,14 @@
 	gauge "sapphiregauge"
 )
 
-// A suspect starts in isolation: on a worker where no other job has a task, and no task of another
-// job starts there until its run has lived long enough. If the worker crashes again, nobody else's
-// work is lost with it, and only one task can be the cause.
+// A suspect starts in isolation if possible: on a worker where no other job has a task, and no task
+// of another job starts there until its run has lived long enough. If the worker crashes again,
+// nobody else's work is lost with it, and only one task can be the cause. Otherwise it starts on a
+// shared worker, which is closed to further jobs' tasks if the suspect is likely the cause.
 
 const (
 	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is
-	// free of other work. It must not stand still for longer, even if no such worker is available.
+	// free of other work. It must not be delayed for longer, even if no such worker is available.
 	isolationTimeout = 2 * time.Second
 	// lastStartsTimeout is the same once few of its starts are left: next to other tasks each start
 	// would prove nothing.
@@ -103,8 +104,9 @@
 // isRecorded reports whether the table has all that is known of a suspect.
 func (t *task) isRecorded() bool { return t.job.savedRevision >= t.requiredRevision }
 
-// prefersIsolation reports whether a suspect has lost so many workers, or has so few starts left, that
-// it starts only in isolation and only once the table has the record of it.
+// prefersIsolation reports whether a suspect has lost so many workers, or has so few starts left,
+// that it waits for a worker of its own for some time, and starts only once the table has the
+// record of it.
 func (t *task) prefersIsolation() bool { return t.evidence().HasRepeatedCrashes() || t.fewLeft() }
 
 // fewLeft reports whether few starts are left until the task's job is failed.
@@ -124,8 +126,8 @@
 
 // reserve finds workers for a suspect, and has the table record it. A task that has lost two
 // workers waits until the table has the record: otherwise an owner that took over between the start
-// and the crash wouldn't know of the run. After the first crash it suffices that this crash is
-// known, since the successor allows for one more.
+// and the crash wouldn't know of the run. After the first crash it starts without waiting for the
+// record of this run: the crash itself is in the table already.
 func (p *Pool) reserve(t *task, now time.Duration) {
 	p.presumeUnrecorded(t)
 	c := candidate{job: t.job, stage: t.stage, advice: p.advice(t.job)}
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -18,22 +18,22 @@
 	arrived        time.Duration // when it was accepted, on the local clock
 	occurrences    map[int]*occurrence
 	nextOccurrence int            // first occurrence that isn't created yet
-	criticalPath   time.Duration  // estimated duration of the longest chain of steps
+	criticalPath   time.Duration  // estimated duration of the steps on the critical path
 	startOrdered   bool           // a start of one of its tasks was ordered
 	started        bool           // a worker has reported a run of it
 	inherited      bool           // it was there before this owner took over
 	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
 
-	revision      int  // grows with each change of the row
-	savedRevision int  // changes that the table has
+	revision      int  // of the row: grows with each change
+	savedRevision int  // that the table has
 	urgent        bool // the changes justify a write of their own
-	dropped       bool // its spec and marker are dropped from the table
+	dropped       bool // its spec and open-job mark are dropped from the table
 
 	index     *poolIndex    // of its pool
 	site      *gauge.Site   // configuration in which its queue was looked up ...
 	policy    *gauge.Queue  // ... its queue there ...
 	objective time.Duration // ... and how long after its arrival it should be done
-	changeAge ageTracker    // of changes, for Backlog
+	changeAge ageTracker    // of changes, for Pool.Backlog
 }
 
 // occurrence is one execution of a job's steps; a scheduled job has several.
@@ -42,7 +42,7 @@
 	steps     []*stage
 	remaining int // tasks that aren't done
 
-	criticalPath      time.Duration // result of the last call of chain
+	criticalPath      time.Duration // result of the last call of remainingCriticalPath
 	criticalPathStale bool          // the result has to be computed again
 }
 
@@ -74,12 +74,12 @@
 
 	isSuspect          bool         // it may crash the worker that starts it
 	recordedBefore     bool         // previous owners recorded a run of it
-	unrecordedPresumed bool         // unrecorded crashes before this owner are allowed for
+	unrecordedPresumed bool         // crashes that previous owners may have failed to record have been presumed
 	countedRun         int          // last run that was counted as an unattributed start
 	hasUnsettledRuns   bool         // previous owners recorded runs whose outcome isn't known
 	unclearRuns        int          // runs lost on workers that may have crashed or only be cut off
 	pendingLosses      int          // lost workers whose loss isn't attributed yet
-	requiredRevision   int          // change of the job's row that has to be in the table before a suspect starts
+	requiredRevision   int          // revision of the job's row that has to be in the table before a suspect starts
 	reservation        *reservation // where it is to start, while it is a suspect
 }
 
@@ -184,8 +184,9 @@
 	return true
 }
 
-// release records when the tasks of steps that waited for this one became ready. If that were
-// counted from the job's arrival, it wouldn't show how long a task has waited for room.
+// markReady records when tasks became ready whose steps waited for this one. Their waiting time
+// counts from then, not from the job's arrival, so that it shows how long they have waited for
+// room.
 func (o *occurrence) markReady(done *stage, now time.Duration) {
 	for _, st := range o.steps {
 		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.isReady(st) {
@@ -242,7 +243,7 @@
 	j.advance()
 }
 
-// advance moves the mark of completed occurrences, and completes the job with the last of them.
+// advance updates the count of completed occurrences, and completes the job with the last of them.
 func (j *job) advance() {
 	for {
 		o := j.occurrences[j.row.CompletedOccurrences]
@@ -258,7 +259,7 @@
 	}
 }
 
-// fail ends the job for good.
+// fail ends an open job as failed.
 func (j *job) fail() {
 	if j.isOpen() {
 		j.close(gauge.JobFailed)
@@ -286,8 +287,8 @@
 	return rs
 }
 
-// chain is the estimated duration of the longest chain of steps that are left. It changes only when
-// a step is done.
+// remainingCriticalPath returns the estimated duration of the longest chain of steps that are left.
+// It changes only when a step is done.
 func (o *occurrence) remainingCriticalPath() time.Duration {
 	if !o.criticalPathStale {
 		return o.criticalPath
@@ -307,7 +308,7 @@
 	return longest
 }
 
-// criticalPath is the estimated duration of the longest chain of a job's steps.
+// criticalPath returns the estimated duration of the longest chain of a job's steps.
 func criticalPath(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -82,7 +82,8 @@
 // taken longer than estimated. Estimates are off by half.
 const overrunShare = 0.25
 
-// remainingTime is how much longer the runs on the worker go on by estimates, without long-running ones.
+// remainingTime returns the estimated time until all runs on the worker have ended, except
+// long-running ones.
 func (w *worker) remainingTime(now time.Duration) time.Duration {
 	var longest time.Duration
 	for r := range w.runs {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -12,8 +12,8 @@
 	// attributionDelay is the time after a worker's loss until others that were lost with it are
 	// known. Before, the loss can't be attributed, and the lost tasks wait.
 	attributionDelay = time.Second
-	// pauseThreshold without a tick, of which there are ten a second, means that this process stood
-	// still and noticed no losses meanwhile.
+	// pauseThreshold without a tick, of which there are ten a second, means that this process was
+	// suspended and noticed no losses meanwhile.
 	pauseThreshold = 500 * time.Millisecond
 	// lossRetention is how long a loss is remembered, to be compared with others.
 	lossRetention = 10 * time.Second
@@ -28,10 +28,10 @@
 	passedOn   *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
 }
 
-// isRevoked reports whether the run turned out not to be lost.
+// isRevoked reports whether the run turned out not to be lost with its worker.
 func (l lostRun) isRevoked() bool { return l.passedOn != nil && l.passedOn.lossRevoked }
 
-// loss is a worker whose incarnation is dead.
+// loss is the loss of a worker's incarnation: it is dead, or silent and no longer listed.
 type loss struct {
 	incarnation gauge.Incarnation
 	rack        string
@@ -47,7 +47,7 @@
 	unreported bool
 }
 
-// lose ends a run together with its worker. The log line says how long the run lived at least and
+// lose ends a run together with its worker. The log line says how long the run lasted at least and
 // how many others were lost with it: a task that crashes its workers shows as runs that are lost
 // soon after their starts, on one worker after the other.
 func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
@@ -84,7 +84,7 @@
 	}
 }
 
-// lived is how long the run has lived at least, up to its worker's last report of it.
+// minRunTime returns how long the run has lasted at least, up to its worker's last report of it.
 func (r *run) minRunTime() time.Duration {
 	return r.minRunTimeWhenFound + max(0, r.reportedAt-r.orderedAt)
 }
@@ -120,7 +120,8 @@
 	return silent <= 1 || fewDivisor*silent <= all
 }
 
-// fewDivisor: at most a quarter of the workers count as few.
+// fewDivisor is the divisor of the number of workers up to which workers count as few: at most one
+// in four.
 const fewDivisor = 4
 
 // clearAtRisk takes back what was recorded for a worker that answers again: it hasn't crashed.
@@ -172,7 +173,7 @@
 	return len(w.runs)+len(w.lostRuns) > 0
 }
 
-// recordLoss records that a worker is dead, with the runs that were lost there. The loss is
+// recordLoss records the loss of a worker, with the runs that were lost there. The loss is
 // attributed a little later.
 func (p *Pool) recordLoss(w *worker, now time.Duration) {
 	l := &loss{
@@ -240,13 +241,14 @@
 	}
 }
 
-// provesCrash reports whether nothing but the task can have crashed its worker: the run ended as
-// soon after its start as those before, and no other job's task was there.
+// provesCrash reports whether nothing but the task can have crashed its worker: the run ended
+// within its probation, and no other job's task was there.
 func (l *loss) provesCrash(r lostRun) bool {
 	return l.singleJob && r.reported && r.minRunTime < r.task.probation(r.number)
 }
 
-// lossOf is the loss of a worker that never reported to this owner.
+// lossOf returns the recorded loss of an incarnation, or else one as of now that counts as
+// unreported.
 func (p *Pool) lossOf(incarnation gauge.Incarnation, now time.Duration) *loss {
 	for _, l := range p.losses {
 		if l.incarnation == incarnation {
@@ -274,8 +276,8 @@
 	p.replacedUnreported = nil
 }
 
-// unreportedWith counts the workers without a suspect that didn't report either: one may have left
-// the pool meanwhile, several are a rack.
+// unreportedWith counts the workers without a suspect that didn't report either: a single one may
+// have left the pool meanwhile; several were probably lost together, as with a rack.
 func (p *Pool) unreportedWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
--- a/internal/sched/order.go
+++ b/internal/sched/order.go
@@ -15,11 +15,11 @@
 	OrderStop  OrderKind = "stop"
 	OrderPace  OrderKind = "pace"
 	OrderProbe OrderKind = "look" // asks at once what runs on the worker
-	// OrderAdvise queries the advice service. Its outcome goes to AdviceAnswered.
+	// OrderAdvise queries the advice service. Its outcome goes to Pool.AdviceAnswered instead.
 	OrderAdvise OrderKind = "advise"
 )
 
-// Order is one call to a worker. Its outcome goes to OrderAnswered.
+// Order is one call to a worker. Its outcome goes to Pool.OrderAnswered.
 type Order struct {
 	Kind          OrderKind
 	Worker        gauge.Worker
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -77,7 +77,7 @@
 		listed[orphanKey{rr.Task, rr.Run}] = true
 	}
 	for k, o := range w.orphans {
-		// A run whose job has been read since is known as the job's.
+		// Once its job has been read, the run belongs to that job and is no orphan any more.
 		if !listed[k] || w.knowsRun(p, k) {
 			p.forgetOrphan(o)
 		}
@@ -160,7 +160,7 @@
 	}
 }
 
-// applyEarlyCancel cancels a job that was just adopted if its cancellation came first.
+// applyEarlyCancel cancels a job that was just adopted if its cancellation was received before it.
 func (p *Pool) applyEarlyCancel(j *job) {
 	c, ok := p.earlyCancels[j.id]
 	if !ok {
--- a/internal/sched/orphan_test.go
+++ b/internal/sched/orphan_test.go
@@ -120,7 +120,7 @@
 }
 
 // Guards against a task of a cancelled job that runs on after a takeover: the new owner can't read
-// the job's queue yet when the job is cancelled, and must not forget the cancel.
+// the job's queue yet when the job is cancelled, and must not forget the cancellation.
 func TestRunOfAJobCancelledBeforeItWasReadIsStopped(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
 	g.pool.SetJobsMissing(true)
@@ -133,8 +133,8 @@
 }
 
 // Guards against tasks of a cancelled job that start. The job is cancelled after a new owner read
-// its row and before the owner adopts it, or the notification of the cancel overtakes that of the
-// job.
+// its row and before the owner adopts it, or the notification of the cancellation overtakes that of
+// the job.
 func TestCancelBeforeItsJobIsKept(t *testing.T) {
 	for _, inherited := range []bool{true, false} {
 		g := newHarness(t)
--- a/internal/sched/pace.go
+++ b/internal/sched/pace.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// slowDownShare is the share of its latency target above which a serving task's tail has the
-	// best-effort tasks beside it slowed down, well before the target is exceeded.
+	// slowDownShare is the share of a serving task's tail-latency target from which best-effort
+	// tasks on the same worker are slowed down, well before the target is exceeded.
 	slowDownShare = 0.8
 	// speedUpShare is the share below which they speed up again, a little at a time.
 	speedUpShare   = 0.5
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -129,8 +129,8 @@
 	// scoreInterference keeps best-effort tasks away from tasks with a bound on their tail latency,
 	// which they disturb.
 	scoreInterference = 10.0
-	// scoreDrainSoon keeps long-running tasks off workers that are to be drained soon, where they would
-	// have to leave again. It outweighs scoreGather and any free capacity.
+	// scoreDrainSoon keeps long-running tasks off workers that are to be drained soon, where they
+	// would have to leave again. It outweighs scoreGather and any free capacity.
 	scoreDrainSoon = 8.0
 )
 
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -46,8 +46,9 @@
 }
 
 // evacuate moves long-running tasks away from workers that are being drained or are leaving. No
-// more of a step are moved at once than may be unavailable, and only where there is room: a task
-// that is stopped without a new place is unavailable until one is found.
+// more of a step are moved at once than MaxUnplaced, which bounds the tasks that aren't serving,
+// and only where there is room: a task that is stopped without a new place doesn't serve until one
+// is found.
 func (p *Pool) evacuate(now time.Duration) {
 	var round *placementRound
 	for _, w := range p.workersByID() {
@@ -79,7 +80,7 @@
 func (p *Pool) mayEvacuate(w *worker, r *run, round *placementRound, now time.Duration) bool {
 	st := r.task.stage.spec
 	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
-		return false // the start would prove nothing
+		return false // stopping a run on probation would use up one of the last starts without a result
 	}
 	if !st.LongRunning {
 		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
@@ -131,7 +132,7 @@
 
 // keepTargetSpan is how long the room found for a long-running task is kept while the task is
 // stopped on its old worker: a stop takes 0.4 s at most, and its end is reported within 0.1 s. If
-// other work took the room meanwhile, the task would be unavailable until some run ends.
+// other work took the room meanwhile, the task would not serve until some run ends.
 const keepTargetSpan = 700 * time.Millisecond
 
 // leavesBefore reports whether a leaving worker is gone before a run there has ended, by estimates.
@@ -143,7 +144,7 @@
 	return now+left > w.leavesAt
 }
 
-// unavailable counts the other tasks of a long-running stage that aren't certainly serving.
+// countNotServing counts the other tasks of a long-running stage that aren't certainly serving.
 func (st *stage) countNotServing(except *task, now time.Duration) int {
 	n := 0
 	for _, t := range st.tasks {
@@ -177,7 +178,7 @@
 // foundRunDelay is how long a run that a previous owner started must have been known before it
 // counts as serving. That owner may have stopped it just before, and then its worker lists it until
 // the stop is complete, a second at most as the users specify. If another task were stopped
-// meanwhile, one too many would be unavailable.
+// meanwhile, one too many would not be serving.
 const foundRunDelay = 3 * time.Second
 
 // isServing reports whether a long-running task certainly serves its users now: its worker has
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -8,10 +8,10 @@
 )
 
 // What an owner knew of crashes and couldn't write is lost with it. So owners tell their successor
-// in the lease row that there may be some, and the successor allows for them by presuming crashes.
-// It also finds out what became of the runs that previous owners recorded.
+// in the lease row that there may be some, and the successor makes up for them by presuming
+// crashes. It also finds out what became of the runs that previous owners recorded.
 
-// maxPresumed bounds how many unseen crashes of a task an owner may presume.
+// maxPresumed bounds how many unrecorded crashes of a task are presumed, by all owners together.
 const maxPresumed = 2
 
 // presumeCrash counts a crash that previous owners may have failed to record.
@@ -24,7 +24,7 @@
 	t.countUnattributed()
 }
 
-// presumeUnrecorded allows for crashes that previous owners may have failed to record, once a
+// presumeUnrecorded presumes the crashes that previous owners may have failed to record, once a
 // crash of the task is known.
 func (p *Pool) presumeUnrecorded(t *task) {
 	lead := t.leadTask()
@@ -44,9 +44,10 @@
 	}
 }
 
-// mayHaveUnrecordedCrashes reports whether several previous owners in a row may have lost runs of a task of
-// which nothing is known. From then on its starts are recorded. Otherwise owners that are replaced
-// one after the other, each before it notices a crash, would start the task again without limit.
+// mayHaveUnrecordedCrashes reports whether previous owners may have left crashes of a task
+// unrecorded of which nothing is known. If so, its starts are recorded. Otherwise owners that are
+// replaced one after the other, each before it notices a crash, would start the task again without
+// limit.
 func (p *Pool) mayHaveUnrecordedCrashes(t *task) bool {
 	return t.job.inherited && !t.leadTask().isSuspect && p.conf.UnrecordedOwners > 0
 }
@@ -113,8 +114,8 @@
 // recordPriorCrash records that a worker was dead before it reported to this owner.
 func (p *Pool) recordPriorCrash(t *task, record gauge.SuspectRun, now time.Duration) {
 	if others := p.unreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
-		// Why these were lost isn't known. That excuses no task that has already lost two workers,
-		// but it proves nothing, either.
+		// Why these were lost isn't known. For a task that has already lost two workers the loss
+		// counts as a crash all the same, but it proves nothing.
 		if !t.evidence().HasRepeatedCrashes() {
 			p.recordUnattributed(t, record.Run, record.RunTime)
 			return
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -7,19 +7,19 @@
 	"sapphiregauge/internal/proof"
 )
 
-// A run of a suspect is on probation: its worker is closed to other jobs until the run has lived
-// for longer than one that crashes its worker would.
+// A run of a suspect is on probation until it has lasted for longer than one that crashes its
+// worker would. If it is isolated, its worker is closed to other jobs until then.
 
-// probation is how long a run of the task has to live, given what is known of its other runs.
+// probation returns how long a run of the task has to last, given what is known of its other runs.
 func (t *task) probation(run int) time.Duration {
 	return proof.Evidence{SuspectRuns: t.suspectRuns().WithoutRun(run)}.Probation()
 }
 
 // checkProbation handles a worker's report of a suspect's run. Other tasks may start beside it once
-// it has lived long enough.
+// it has lasted long enough.
 func (p *Pool) checkProbation(r *run) {
 	if r.onProbation && !r.survivalRecorded && r.minRunTime() >= proof.StartPhase {
-		// If it is lost from now on, the start wasn't the cause, for the successor either.
+		// From now on its loss isn't attributed to its start, by a successor either.
 		r.survivalRecorded = true
 		p.recordRunTime(r)
 	}
@@ -37,8 +37,8 @@
 
 // inheritProbation continues the probation of a run that a previous owner started in isolation.
 func (p *Pool) inheritProbation(r *run) {
-	// The time of its start isn't known. Each run of a suspect is recorded until it has lived for a
-	// while, and most runs of other tasks have lived for as long.
+	// The time of its start isn't known. Each run of a suspect is recorded until it has lasted for
+	// a while, and most runs of other tasks have lasted for as long.
 	r.minRunTimeWhenFound = proof.StartPhase
 	for _, record := range r.task.suspectRuns() {
 		if record.Run != r.number || record.Crashed {
@@ -72,7 +72,7 @@
 	r.isolatedFor = nil
 }
 
-// recordRunTime records how long a run on probation has lived so far.
+// recordRunTime records how long a run on probation has lasted so far.
 func (p *Pool) recordRunTime(r *run) {
 	records := slices.Clone(r.task.suspectRuns())
 	for i := range records {
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -29,8 +29,8 @@
 		p.conf.Logs.Info("first report of worker", "pool", p.conf.Name, "worker", id, "born", rep.StartedAt, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
 	w.silent, w.startUnanswered, w.reported, w.answeredAt = false, false, true, now
-	// It is compared only with earlier reports: answers to orders overtake reports all the time at
-	// a busy worker, and what they say is recorded with each run.
+	// The report's clock is compared only with those of earlier reports: answers to orders overtake
+	// reports all the time at a busy worker, and what they say is recorded with each run.
 	newest := rep.Clock >= w.reportClock
 	w.readClock(rep.Clock, now)
 	endsPending := len(rep.Ended) >= maxEndsListed // there may be more
@@ -243,7 +243,8 @@
 	}
 }
 
-// stopGang stops the runs of the other members: they can't work without it.
+// stopGang stops the runs of a gang of which a member has ended, as the others can't work without
+// it, and takes over the checkpoint for all members.
 func (p *Pool) stopGang(t *task, e gauge.EndReport) {
 	for _, m := range t.stage.tasks {
 		for _, r := range m.runs {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -35,11 +35,11 @@
 	CountEvent func(event string) // counts events for operators; nil: they aren't counted
 
 	// PreviousWorkers are the workers to which the previous owner may have given orders.
-	// PreviousRunsEnd is when everything that it ordered has certainly ended.
 	PreviousWorkers []gauge.Incarnation
+	// PreviousRunsEnd is when everything that the previous owner ordered has certainly ended.
 	PreviousRunsEnd time.Duration
 	// WorkerRunsEnd is that time for each worker that didn't answer the previous owner. Without it
-	// each owner would wait a full term again for the same silent workers.
+	// each owner would wait a full lease duration again for the same silent workers.
 	WorkerRunsEnd map[gauge.Incarnation]time.Duration
 	// UnrecordedOwners is how many recent owners may have lost workers whose crashes aren't in the
 	// table.
@@ -61,7 +61,7 @@
 	workers         map[string]*worker           // by id: there is one incarnation at a time
 	unreported      map[string]gauge.Incarnation // workers of the previous owner that haven't reported yet
 	newIncarnations []gauge.Worker               // incarnations without heartbeats yet
-	leaseRowVersion gauge.FencingToken           // version of the newest write of the lease row
+	leaseRowVersion gauge.FencingToken           // version of the newest write of the lease row; the next fencing token that a worker can get, see fence
 	// barriers are the open report barriers; newestBarrier is the latest of them.
 	barriers           []*reportBarrier
 	newestBarrier      *reportBarrier
@@ -72,13 +72,13 @@
 	suspects           map[*task]bool             // tasks that may crash their workers
 	losses             []*loss                    // workers lost recently
 	replacedUnreported []gauge.Incarnation        // ended before they reported to this owner, and not among the losses yet
-	suspectWorkers     map[gauge.Incarnation]bool // workers on which previous owners isolated suspects
+	suspectWorkers     map[gauge.Incarnation]bool // workers for which previous owners recorded a suspect run whose outcome they didn't know
 	earlyCancels       map[string]earlyCancel     // cancellations of unknown jobs
 	lastTick           time.Duration              // time of the last tick
 	resumedAt          time.Duration              // time of the last tick that followed a pause of this process
 	adoptedWork        float64                    // core-seconds of all jobs adopted so far
 	adoptedJobs        int                        // number of jobs adopted so far
-	inheritedTasksWait bool                       // inherited tasks have to wait for reports, in this round of starts
+	inheritedTasksWait bool                       // inherited tasks have to wait for reports, as of the last round of starts
 	inFlight           int                        // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
@@ -180,12 +180,13 @@
 
 // LeaseRowWorkers returns the workers for the lease row: those to which this owner, or a previous
 // one whose runs aren't all known yet, may have given orders. A successor asks all of them before
-// it restarts anything that it inherits.
+// it restarts anything that it inherits. It also excludes from starts the workers that it leaves
+// out, until LeaseRowWritten names them again.
 //
 // Workers that run nothing, take no starts and have all their end reports in the table are left
-// out, and get no start before they are named again. Machines change pools several times a minute.
-// If workers of machines that have left stayed listed until their leases expire, a successor would
-// wait seconds for them, with the whole pool's work.
+// out. Machines change pools several times a minute. If workers of machines that have left stayed
+// listed until their leases expire, a successor would wait seconds for them, with the whole pool's
+// work.
 func (p *Pool) LeaseRowWorkers() []gauge.Incarnation {
 	incarnations := make([]gauge.Incarnation, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
@@ -204,7 +205,8 @@
 	return incarnations
 }
 
-// awaitedIncarnation is the incarnation of an unlisted worker as previous owners knew it.
+// awaitedIncarnation returns the incarnation of an awaited worker that this owner has no state of;
+// without a start time if previous owners didn't name it.
 func (p *Pool) awaitedIncarnation(id string) gauge.Incarnation {
 	if incarnation, ok := p.unreported[id]; ok {
 		return incarnation
@@ -279,8 +281,8 @@
 	return w == nil || w.silent
 }
 
-// retireWorker ends an incarnation when no other one of the same worker answers at its address:
-// nothing runs there.
+// retireWorker marks an incarnation dead after another one has answered at its address or appeared
+// in another pool, and no longer waits for its report: none of its runs can exist any more.
 func (p *Pool) retireWorker(w *worker, reason string, now time.Duration) {
 	if w.dead {
 		return
@@ -335,7 +337,7 @@
 			p.expireRuns(w, now)
 		}
 		if len(w.lostRuns) > 0 && w.silent && !w.listed {
-			p.recordLoss(w, now) // no entry of the platform's list says any more that it is alive
+			p.recordLoss(w, now) // the platform no longer lists it as alive
 		}
 		if !w.listed && now > w.leaseExpiry && len(w.runs) == 0 && (w.dead || w.silent && w.lastStoredEnd == w.lastEnd) {
 			p.forgetOrphans(w)
@@ -385,9 +387,9 @@
 	}
 }
 
-// awaitsReports reports whether runs or end reports may exist that this owner hasn't
-// received: the previous owner may have started a task on a worker that hasn't answered yet, or
-// that has more end reports to deliver.
+// awaitsReports reports whether some workers haven't reported everything that previous owners
+// started there: the previous owner may have started a task on a worker that hasn't answered yet,
+// or that has more end reports to deliver.
 func (p *Pool) awaitsReports(now time.Duration) bool {
 	if len(p.unreported) > 0 {
 		return true
--- a/internal/sched/simulation_events_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -310,10 +310,11 @@
 	w.plan()
 }
 
-// Whatever is lost, late, overtaken, crashed, cancelled or taken over, in any order: no task has
-// two runs at once, or starts after one has ended done (except for ends that were lost with a
-// crashed worker), no worker has more than it holds, none is called drained that isn't, nothing
-// panics, and after a while without faults no task of a cancelled job runs.
+// Checks invariants under any order of lost, late and overtaking messages, crashes, cancellations
+// and handovers: no task has two runs at once, or starts after a run has ended done (except for
+// ends that were lost with a crashed worker), no worker exceeds its capacity, no worker is reported
+// as drained that isn't, nothing panics, and after a while without faults no task of a cancelled
+// job runs.
 func TestInvariantsHoldInAnyOrderOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newSimulation(t)
--- a/internal/sched/simulation_recovery_test.go
+++ b/internal/sched/simulation_recovery_test.go
@@ -16,7 +16,7 @@
 	// message is lost for that long, no run of a cancelled job may be left.
 	faultFreeStep  = 100 * time.Millisecond
 	faultFreeSteps = 34
-	// stepsPerScan is the number of steps between scans that find the cancels in the table.
+	// stepsPerScan is the number of steps between scans that find the cancellations in the table.
 	stepsPerScan = 15
 )
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// scanCancels reports the cancels in the table to the owner.
+// scanCancels reports the cancellations in the table to the owner.
 func (w *simulation) scanCancels() {
 	for i := range len(w.specs) {
 		if id := jobID(i); w.cancelled[id] && w.rows[id] != nil {
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -13,8 +13,8 @@
 // callers' work with it each time. So runs that were lost with a worker are recorded in the job's
 // row. A task that may be the cause is a suspect: it starts in isolation, which tells it from tasks
 // that merely ran beside it, and its job is failed when it must be the cause. Workers that are lost
-// together, or with no recently begun runs, were lost for another reason, which isn't held against
-// their tasks.
+// together, or with no recently begun runs, were lost for another reason, and their loss isn't
+// attributed to their tasks.
 
 // leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
 func (t *task) leadTask() *task {
@@ -46,7 +46,7 @@
 	t.leadTask().requiredRevision = j.revision
 }
 
-// evidence is what is known against the task.
+// evidence returns what is known of the task's starts and crashes.
 func (t *task) evidence() proof.Evidence {
 	c := proof.Evidence{SuspectRuns: t.suspectRuns(), Unattributed: t.unattributed(), LongRunning: t.stage.spec.LongRunning}
 	if c.Unattributed > 0 {
@@ -56,7 +56,7 @@
 }
 
 // unattributed counts the starts of the task that ended before it had shown that it survives, and
-// aren't held against it.
+// aren't attributed to it.
 func (t *task) unattributed() int {
 	if len(t.job.row.Unattributed) == 0 {
 		return 0
@@ -91,8 +91,8 @@
 	t.job.touch(false)
 }
 
-// excuse records that a run was lost with its worker for another reason, as far as that can be
-// known.
+// recordUnattributed records that a run was lost with its worker for a cause other than its task,
+// as far as that can be known.
 func (p *Pool) recordUnattributed(t *task, run int, minRunTime time.Duration) {
 	isolated := t.suspectRuns().HasOpenIsolatedRun(run)
 	if minRunTime < proof.StartPhase || isolated && minRunTime < t.probation(run) {
@@ -102,8 +102,8 @@
 	p.failIfCause(t)
 }
 
-// countUnprovenStart counts a run that ended before its task had shown that it survives, and whether it was
-// isolated. All members of a gang report the same run.
+// countUnprovenStart counts a run that ended before its task had shown that it survives, and
+// whether the run was isolated. All members of a gang report the same run.
 func (p *Pool) countUnprovenStart(t *task, run int, isolated bool) {
 	lead := t.leadTask()
 	if t.done || !t.job.isOpen() || lead.countedRun == run {
@@ -189,8 +189,8 @@
 	p.requestJobStop(t.job)
 }
 
-// needsIsolation reports whether a task must not start beside others: it is a suspect, or may be
-// one.
+// needsIsolation reports whether the normal start of a task must leave it out: startSuspects starts
+// it, or its last losses aren't attributed yet.
 func (t *task) needsIsolation(now time.Duration) bool {
 	return t.leadTask().isSuspect || t.waitsForAttribution(now)
 }
--- a/internal/sched/waittime_test.go
+++ b/internal/sched/waittime_test.go
@@ -9,9 +9,8 @@
 	gauge "sapphiregauge"
 )
 
-// Guards against log lines by which tasks have waited for seconds in a pool with free cores: a step
-// waits for an earlier one, which takes three seconds, and its wait must not be measured from the
-// job's arrival.
+// Guards against reported waits of seconds in a pool with free cores: a step waits for an earlier
+// one, which takes three seconds, and its wait must not be measured from the job's arrival.
 func TestWaitIsMeasuredFromWhenAStepIsReady(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -30,7 +30,7 @@
 	inFlight            bool          // its start has no answer yet, and counts for the start window
 	startDeadline       time.Duration // on the worker's clock: the start is refused if it arrives later
 	confirmedAt         time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
-	minRunTimeWhenFound time.Duration // how long it had lived at least when this owner found it
+	minRunTimeWhenFound time.Duration // how long it had run at least when this owner found it
 	reportedAt          time.Duration // when its worker last reported it
 	toStop              bool          // it is to end
 	unanswered          bool          // its start got no answer
@@ -41,11 +41,11 @@
 	load                int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
 	paceInFlight        bool          // a change of pace is in flight
 	lastReport          int           // number of the last report that listed it
-	onProbation         bool          // it is a run of a suspect, and still on probation
-	survivalRecorded    bool          // the row has that it has lived for proof.StartPhase
+	onProbation         bool          // the row has a record of this run, which is dropped once the run has lasted for its probation
+	survivalRecorded    bool          // the row has that it has lasted for proof.StartPhase
 	isolatedFor         *task         // the suspect that it is a run of, while its worker is closed to other jobs
 	lost                bool          // it ended with its worker's incarnation or lease
-	lossRevoked         bool          // it was taken for lost, and wasn't
+	lossRevoked         bool          // it was recorded as lost, but its order reached the next incarnation or none
 }
 
 // worker is one incarnation of a worker as this owner sees it.
@@ -57,7 +57,7 @@
 	inLeaseRow         bool               // the lease row names it: a successor asks it first
 	fence              gauge.FencingToken // for this worker, see Pool.fence
 	fencePending       bool               // earlier calls may still be carried out: its token has to rise
-	staleCallsPossible bool               // its worker had orders in an earlier incarnation
+	staleCallsPossible bool               // calls for an earlier incarnation may still be carried out and extend its lease
 	reported           bool               // it has answered a call with this owner's fencing token
 	startUnanswered    bool               // a start got no answer, and no report has come since
 	inFlight           int                // starts that have no answer yet
@@ -88,7 +88,7 @@
 	lastStoredEnd        int64         // end reports up to this number are in the table
 	unstoredEnds         []unstoredEnd // received end reports that wait for a job's row, in order
 	endsPending          bool          // some end reports aren't received, or there may be more than it listed
-	endAge               ageTracker    // of end reports, for Backlog
+	endAge               ageTracker    // of end reports, for Pool.Backlog
 	drainUntil           time.Duration // it gets no starts before, as it is drained for maintenance or a move
 	longRunningOnlyUntil time.Duration // until then only long-running tasks start here
 	forceDrain           bool          // runs that don't end by themselves are to be stopped as well
@@ -103,8 +103,8 @@
 	lastFailedJob        string        // job of the last failure
 }
 
-// minClockRate is the least rate of a worker's clock: it shows at least 98 % of the time that passes
-// here, as the users specify.
+// minClockRate is the slowest that a worker's clock may run compared with the local one: it shows
+// at least 98 % of the time that passes here, as the users specify.
 const minClockRate = 0.98
 
 // minClockAt is the least that the worker's clock may show now.
@@ -112,8 +112,9 @@
 	return w.clock + time.Duration(float64(now-w.clockReadAt)*minClockRate)
 }
 
-// grant returns a deadline on the worker's clock that has certainly passed after a span from now,
-// and records when that is. It returns 0 as long as the worker's clock isn't known.
+// grant returns a deadline on the worker's clock that has certainly passed once span has elapsed on
+// the local clock, and extends leaseExpiry to that time. It returns 0 as long as the worker's clock
+// isn't known.
 func (w *worker) grant(now, span time.Duration) time.Duration {
 	if w.clock == 0 || span <= 0 {
 		return 0
@@ -159,7 +160,7 @@
 
 func (w *worker) free() gauge.Resources { return w.info.Capacity.Minus(w.used) }
 
-// longRunningUsed is the capacity that its long-running tasks use.
+// longRunningUsed returns the capacity that its long-running tasks use.
 func (w *worker) longRunningUsed() gauge.Resources {
 	var sum gauge.Resources
 	for r := range w.runs {
@@ -181,7 +182,8 @@
 }
 
 // omittable reports whether the lease row may leave the worker out: nothing runs there, it gets no
-// starts, and no end report is missing. A dead incarnation can't be asked for any.
+// starts, and the table has all its end reports. A dead incarnation is left out even without them,
+// as it can't be asked any more.
 func (w *worker) omittable() bool {
 	if !w.reported || len(w.runs) > 0 || w.orphanCount > 0 {
 		return false
