--- a/internal/sched/bench_test.go
+++ b/internal/sched/bench_test.go
@@ -73,7 +73,7 @@
 				b.StopTimer()
 				p := newPoolWithEndedJobs(jobs)
 				b.StartTimer()
-				batch, err := p.NextBatch(batchEntries, 1, skipNone)
+				batch, err := p.NextBatch(batchOperations, 1, skipNone)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -85,9 +85,9 @@
 	}
 }
 
-// batchEntries is the size of the batches that an owner asks for, in entries. A job that has ended
-// takes four.
-const batchEntries = 98
+// batchOperations is the size of the batches that an owner asks for, in operations. A job that has
+// ended takes four.
+const batchOperations = 98
 
 // newPoolWithEndedJobs returns a pool with jobs that have just ended and must be written.
 func newPoolWithEndedJobs(jobs int) *sched.Pool {
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -102,8 +102,8 @@
 }
 
 // isAmbiguous reports whether other workers were lost that may have the same cause: those with
-// tasks on the rack, or most of the workers, as in a power failure. Then a crash proves nothing,
-// but it counts, since several tasks that crash their workers may come at once.
+// tasks on the rack, or most of the workers, as in a power failure. Then a crash doesn't show its
+// cause, but it counts, since several tasks that crash their workers may come at once.
 func (c correlatedLosses) isAmbiguous() bool { return c.rackBusy > 0 || c.lost > c.alive }
 
 func boolToInt(holds bool) int {
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -164,8 +164,8 @@
 	assert.Equal(t, w.jobState(others[2]), gauge.JobCompleted)
 }
 
-// Guards against failing a sound job whose workers are lost again and again right after its starts:
-// alone, with their rack, or with all other workers.
+// Guards against failing a healthy job whose workers are lost again and again right after its
+// starts: alone, with their rack, or with all other workers.
 func TestHealthyJobIsNotFailed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
--- a/internal/sched/endreports_test.go
+++ b/internal/sched/endreports_test.go
@@ -193,8 +193,8 @@
 
 // Guards against an owner with hundreds of ends a second that falls further and further behind: a
 // transaction must not be limited to the number of jobs that would fit if all of them had ended.
-func TestTransactionUsesAllItsEntries(t *testing.T) {
-	const entries = 98
+func TestTransactionUsesAllItsOperations(t *testing.T) {
+	const operations = 98
 	for name, ended := range map[string]bool{"starts": false, "ended jobs": true} {
 		t.Run(name, func(t *testing.T) {
 			g := newHarness(t)
@@ -218,7 +218,7 @@
 					g.report(o.Worker.ID, nil, g.endReport(o.Worker.ID, o.Start.Task, 1, gauge.EndDone))
 				}
 			}
-			b, err := g.pool.NextBatch(entries, 1, skipNone)
+			b, err := g.pool.NextBatch(operations, 1, skipNone)
 			assert.NilError(t, err)
 			used, each := 0, 0
 			for _, c := range b.Changes {
@@ -228,8 +228,8 @@
 				}
 				used += each
 			}
-			assert.Assert(t, used <= entries, "%d entries", used)
-			assert.Assert(t, used+each > entries, "%d entries, another change would fit", used)
+			assert.Assert(t, used <= operations, "%d operations", used)
+			assert.Assert(t, used+each > operations, "%d operations, another change would fit", used)
 		})
 	}
 }
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -15,7 +15,7 @@
 	Urgent             bool
 	Changed            []string // jobs that are to be written
 	Waiting            []string // steps with tasks that may start
-	WrongCriticalPaths []string // occurrences whose cached chain of remaining steps is wrong
+	WrongCriticalPaths []string // occurrences whose cached critical path is wrong
 	Load               gauge.PoolLoad
 }
 
@@ -123,7 +123,7 @@
 	return names
 }
 
-// uncachedCriticalPath computes the chain without its cached value.
+// uncachedCriticalPath computes the remaining critical path without its cached value.
 func (o *occurrence) uncachedCriticalPath() time.Duration {
 	return (&occurrence{number: o.number, steps: o.steps, remaining: o.remaining, criticalPathStale: true}).remainingCriticalPath()
 }
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -280,7 +280,7 @@
 	assert.Equal(t, again[0].Worker.StartedAt, int64(2))
 }
 
-// Guards against a sound task that is taken for the cause of a crash: the next owner finds all
+// Guards against a healthy task that is taken for the cause of a crash: the next owner finds all
 // workers in new incarnations and learns of no loss.
 func TestCorrelatedLossesBeforeATakeoverAreUnattributed(t *testing.T) {
 	g, start := newHarnessWithRunOf(t, time.Millisecond)
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -9,7 +9,7 @@
 )
 
 // A suspect starts in isolation if possible: on a worker where no other job has a task, and no task
-// of another job starts there until its run has lived long enough. If the worker crashes again,
+// of another job starts there until its run has lasted long enough. If the worker crashes again,
 // nobody else's work is lost with it, and only one task can be the cause. Otherwise it starts on a
 // shared worker, which is closed to further jobs' tasks if the suspect is likely the cause.
 
@@ -17,8 +17,8 @@
 	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is
 	// free of other work. It must not be delayed for longer, even if no such worker is available.
 	isolationTimeout = 2 * time.Second
-	// lastStartsTimeout is the same once few of its starts are left: next to other tasks each start
-	// would prove nothing.
+	// lastStartsTimeout is the same once few of its starts are left: a start beside other jobs'
+	// tasks would be inconclusive.
 	lastStartsTimeout = 6 * time.Second
 	// reservationSpan is how long a reservation is kept until the table has the record of the
 	// isolated run. A write takes about 10 ms, and 60 times as long when the table is slow.
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -85,9 +85,7 @@
 }
 
 // minRunTime returns how long the run has lasted at least, up to its worker's last report of it.
-func (r *run) minRunTime() time.Duration {
-	return r.minRunTimeWhenFound + max(0, r.reportedAt-r.orderedAt)
-}
+func (r *run) minRunTime() time.Duration { return r.priorRunTime + max(0, r.reportedAt-r.orderedAt) }
 
 // recordAtRisk records the runs on a worker that has stopped answering. Otherwise a successor would
 // start their tasks again without knowing that the worker has crashed: an owner learns that only by
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -135,7 +135,8 @@
 // other work took the room meanwhile, the task would not serve until some run ends.
 const keepTargetSpan = 700 * time.Millisecond
 
-// leavesBefore reports whether a leaving worker is gone before a run there has ended, by estimates.
+// leavesBefore reports whether a leaving worker has left before a run there has ended, by
+// estimates.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -39,12 +39,12 @@
 func (p *Pool) inheritProbation(r *run) {
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lasted for
 	// a while, and most runs of other tasks have lasted for as long.
-	r.minRunTimeWhenFound = proof.StartPhase
+	r.priorRunTime = proof.StartPhase
 	for _, record := range r.task.suspectRuns() {
 		if record.Run != r.number || record.Crashed {
 			continue
 		}
-		r.onProbation, r.minRunTimeWhenFound = true, record.RunTime
+		r.onProbation, r.priorRunTime = true, record.RunTime
 		if r.task.prefersIsolation() {
 			r.closeWorker(r.task.leadTask())
 		}
--- a/internal/sched/probation_test.go
+++ b/internal/sched/probation_test.go
@@ -9,7 +9,7 @@
 	gauge "sapphiregauge"
 )
 
-// Guards against a run that has to live three times as long as the earlier runs to pass its
+// Guards against a run that has to last three times as long as the earlier runs to pass its
 // probation, because its own duration is counted among theirs.
 func TestProbationDependsOnOtherRunsOnly(t *testing.T) {
 	g := newHarness(t)
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -27,7 +27,7 @@
 	if best == nil {
 		return
 	}
-	best.setAsideUntil = now + setAsideSpan
+	best.asideUntil = now + setAsideSpan
 	p.conf.Logs.Info("worker set aside", "pool", p.conf.Name, "worker", best.info.ID, "runs", len(best.runs), "job", t.job.id, "task", t.id.String())
 }
 
@@ -47,9 +47,7 @@
 
 // isSetAside reports whether a worker is kept for suspects: one runs there in isolation or has a
 // reservation, or is to get one.
-func (w *worker) isSetAside(now time.Duration) bool {
-	return w.numSuspects() > 0 || now < w.setAsideUntil
-}
+func (w *worker) isSetAside(now time.Duration) bool { return w.numSuspects() > 0 || now < w.asideUntil }
 
 // numSuspects counts the suspects that run in isolation or have a reservation on a worker.
 func (w *worker) numSuspects() int { return len(w.isolated) + len(w.reservations) }
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -156,7 +156,7 @@
 	assert.Equal(t, starts, 2)
 }
 
-// Guards against failing a sound long-running job because all workers lost power again and again
+// Guards against failing a healthy long-running job because all workers lost power again and again
 // while each of them had tasks that had just started.
 func TestSoundJobIsNotFailedForPowerLosses(t *testing.T) {
 	w := newCrashHarness(t, 6)
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -64,7 +64,8 @@
 	return t.job.row.Unattributed[t.leadTask().key()]
 }
 
-// countUnattributed counts one more start that proved nothing.
+// countUnattributed counts one more start that ended before the task had shown that it survives,
+// and isn't attributed to it.
 func (t *task) countUnattributed() {
 	t.job.row.Unattributed = increment(t.job.row.Unattributed, t.leadTask().key())
 	t.job.touch(true)
--- a/internal/sched/suspect_test.go
+++ b/internal/sched/suspect_test.go
@@ -143,7 +143,8 @@
 	assert.Assert(t, !g.pool.HasUnrecordedCrashes())
 }
 
-// Guards against a task whose job fails for crashes from before the task has proved sound.
+// Guards against a task whose job fails for crashes from before a run of the task has shown that it
+// doesn't crash its worker.
 func TestLongRunClearsUnattributedCrashes(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -176,7 +177,7 @@
 	assert.Assert(t, !suspectRuns.AnyEndedWithin(time.Second))
 }
 
-// Guards against a sound long-running job that is stopped as a whole because one of its tasks was
+// Guards against a healthy long-running job that is stopped as a whole because one of its tasks was
 // lost twice by chance.
 func TestLongRunningTaskFailsItsJobLater(t *testing.T) {
 	for _, tt := range []struct {
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -20,32 +20,32 @@
 // run is one start of a task that may exist on a worker. It is removed only when it is certainly
 // over and can't begin any more: a start before that might run the task twice at once.
 type run struct {
-	task                *task
-	worker              *worker
-	number              int
-	phase               phase
-	resources           gauge.Resources
-	orderedAt           time.Duration // when it was ordered, or found
-	inherited           bool          // a previous owner started it
-	inFlight            bool          // its start has no answer yet, and counts for the start window
-	startDeadline       time.Duration // on the worker's clock: the start is refused if it arrives later
-	confirmedAt         time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
-	minRunTimeWhenFound time.Duration // how long it had run at least when this owner found it
-	reportedAt          time.Duration // when its worker last reported it
-	toStop              bool          // it is to end
-	unanswered          bool          // its start got no answer
-	nextStopAt          time.Duration // no stop is sent before
-	stopInFlight        bool          // a stop is in flight
-	progress            int           // percent of its work done; 100: a long-running task serves
-	pace                int           // percent of full speed that it was last told to work at
-	load                int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
-	paceInFlight        bool          // a change of pace is in flight
-	lastReport          int           // number of the last report that listed it
-	onProbation         bool          // the row has a record of this run, which is dropped once the run has lasted for its probation
-	survivalRecorded    bool          // the row has that it has lasted for proof.StartPhase
-	isolatedFor         *task         // the suspect that it is a run of, while its worker is closed to other jobs
-	lost                bool          // it ended with its worker's incarnation or lease
-	lossRevoked         bool          // it was recorded as lost, but its order reached the next incarnation or none
+	task             *task
+	worker           *worker
+	number           int
+	phase            phase
+	resources        gauge.Resources
+	orderedAt        time.Duration // when it was ordered, or found
+	inherited        bool          // a previous owner started it
+	inFlight         bool          // its start has no answer yet, and counts for the start window
+	startDeadline    time.Duration // on the worker's clock: the start is refused if it arrives later
+	confirmedAt      time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
+	priorRunTime     time.Duration // how long it had run at least when this owner found it
+	reportedAt       time.Duration // when its worker last reported it
+	toStop           bool          // it is to end
+	unanswered       bool          // its start got no answer
+	nextStopAt       time.Duration // no stop is sent before
+	stopInFlight     bool          // a stop is in flight
+	progress         int           // percent of its work done; 100: a long-running task serves
+	pace             int           // percent of full speed that it was last told to work at
+	load             int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
+	paceInFlight     bool          // a change of pace is in flight
+	lastReport       int           // number of the last report that listed it
+	onProbation      bool          // the row has a record of this run, which is dropped once the run has lasted for its probation
+	survivalRecorded bool          // the row has that it has lasted for proof.StartPhase
+	isolatedFor      *task         // the suspect that it is a run of, while its worker is closed to other jobs
+	lost             bool          // it ended with its worker's incarnation or lease
+	lossRevoked      bool          // it was recorded as lost, but its order reached the next incarnation or none
 }
 
 // worker is one incarnation of a worker as this owner sees it.
@@ -98,7 +98,7 @@
 	lostRuns             []lostRun     // runs that ended with its lease: it may have crashed or be cut off
 	isolated             map[*task]int // suspects that run here in isolation: number of runs
 	reservations         map[*task]int // suspects with a reservation here: number of tasks
-	setAsideUntil        time.Duration // until then it is kept free for a suspect
+	asideUntil           time.Duration // until then it is set aside for a suspect
 	failures             int           // consecutive failures, of different jobs
 	lastFailedJob        string        // job of the last failure
 }
