--- a/internal/owner/chunk.go
+++ b/internal/owner/chunk.go
@@ -15,7 +15,7 @@
 
 // A large queue is read in chunks, and each chunk is adopted as soon as it arrives, so that a read
 // that fails or takes too long on a slow link loses only that chunk. What is read first are the
-// marks: one small row for each open job, in gauge.TableOpen.
+// open-job marks: one small row for each open job, in gauge.TableOpen.
 
 const (
 	// maxChunkMarks is the maximum number of marks that a chunk spans: 40 specs of 2.4 KB are about
@@ -26,8 +26,8 @@
 	maxConcurrentReads = 3
 )
 
-// queueLoad tracks the open jobs of one queue that this owner hasn't read yet.
-type queueLoad struct {
+// queueRead tracks the open jobs of one queue that this owner hasn't read yet.
+type queueRead struct {
 	queue        string
 	chunks       [][]string   // job keys in ascending order
 	unreadChunks atomic.Int64 // chunks that haven't been adopted yet
@@ -36,59 +36,59 @@
 
 // chunk is one chunk of a queue's unread jobs.
 type chunk struct {
-	load *queueLoad
+	read *queueRead
 	keys []string
 }
 
-// loadQueues reads the jobs that the queues had before this owner, starting with the smallest
+// readQueues reads the jobs that the queues had before this owner, starting with the smallest
 // queues, until ctx ends. It returns how many jobs it adopted, and whether any read was answered.
-func (o *Owner) loadQueues(ctx context.Context, queues []string) (jobs int64, answered bool) {
-	markReads := iter.Iterator[*queueLoad]{MaxGoroutines: maxConcurrentReads}
-	loads := make([]*queueLoad, len(queues))
-	markReads.ForEachIdx(loads, func(i int, b **queueLoad) { *b = o.newQueueLoad(ctx, queues[i]) })
-	loads = slices.DeleteFunc(loads, func(b *queueLoad) bool { return b == nil })
-	slices.SortFunc(loads, func(a, b *queueLoad) int { return cmp.Compare(len(a.chunks), len(b.chunks)) })
+func (o *Owner) readQueues(ctx context.Context, queues []string) (jobs int64, answered bool) {
+	markReads := iter.Iterator[*queueRead]{MaxGoroutines: maxConcurrentReads}
+	reads := make([]*queueRead, len(queues))
+	markReads.ForEachIdx(reads, func(i int, q **queueRead) { *q = o.newQueueRead(ctx, queues[i]) })
+	reads = slices.DeleteFunc(reads, func(q *queueRead) bool { return q == nil })
+	slices.SortFunc(reads, func(a, b *queueRead) int { return cmp.Compare(len(a.chunks), len(b.chunks)) })
 	var chunks []chunk
-	for _, b := range loads {
-		if len(b.chunks) == 0 {
-			o.markRead(b.queue)
+	for _, q := range reads {
+		if len(q.chunks) == 0 {
+			o.markRead(q.queue)
 		}
-		for _, keys := range b.chunks {
-			chunks = append(chunks, chunk{b, keys})
+		for _, keys := range q.chunks {
+			chunks = append(chunks, chunk{q, keys})
 		}
 	}
 	var n atomic.Int64
 	chunkReads := iter.Iterator[chunk]{MaxGoroutines: maxConcurrentReads}
-	chunkReads.ForEach(chunks, func(p *chunk) { n.Add(o.loadChunk(ctx, p)) })
-	return n.Load(), len(loads) > 0
+	chunkReads.ForEach(chunks, func(c *chunk) { n.Add(o.readChunk(ctx, c)) })
+	return n.Load(), len(reads) > 0
 }
 
-// newQueueLoad reads the marks of a queue's open jobs. It returns nil if they can't be read.
-func (o *Owner) newQueueLoad(ctx context.Context, queue string) *queueLoad {
+// newQueueRead reads the marks of a queue's open jobs. It returns nil if they can't be read.
+func (o *Owner) newQueueRead(ctx context.Context, queue string) *queueRead {
 	marks, _, err := o.conf.Store.Range(ctx, gauge.TableOpen, queue, "", "")
 	if err != nil {
 		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", queue, "error", err.Error())
 		return nil
 	}
-	b := &queueLoad{queue: queue, chunks: o.unknownJobs(marks)}
-	b.unreadChunks.Store(int64(len(b.chunks)))
-	return b
+	q := &queueRead{queue: queue, chunks: o.unknownJobs(marks)}
+	q.unreadChunks.Store(int64(len(q.chunks)))
+	return q
 }
 
-// loadChunk reads and adopts one chunk and returns how many new jobs it had.
-func (o *Owner) loadChunk(ctx context.Context, p *chunk) int64 {
-	if ctx.Err() != nil || p.load.failed.Load() {
+// readChunk reads and adopts one chunk and returns how many new jobs it had.
+func (o *Owner) readChunk(ctx context.Context, c *chunk) int64 {
+	if ctx.Err() != nil || c.read.failed.Load() {
 		return 0
 	}
-	n, err := o.adoptKeys(ctx, p.load.queue, p.keys, true)
+	n, err := o.adoptKeys(ctx, c.read.queue, c.keys, true)
 	if err != nil {
-		p.load.failed.Store(true)
-		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", p.load.queue, "pieces", len(p.load.chunks),
-			"left", p.load.unreadChunks.Load(), "error", err.Error())
+		c.read.failed.Store(true)
+		o.conf.Logs.Info("queue not loaded", "pool", o.conf.Pool, "queue", c.read.queue, "pieces", len(c.read.chunks),
+			"left", c.read.unreadChunks.Load(), "error", err.Error())
 		return 0
 	}
-	if p.load.unreadChunks.Add(-1) == 0 {
-		o.markRead(p.load.queue)
+	if c.read.unreadChunks.Add(-1) == 0 {
+		o.markRead(c.read.queue)
 	}
 	return int64(n)
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -42,14 +42,14 @@
 func (o *Owner) dispatchOrders() {
 	orders, urgent := o.planOrders()
 	for _, order := range orders {
-		shared, own := o.slotsFor(&order)
+		shared, stopsOnly := o.slotsFor(&order)
 		o.waitingOrders.Add(1)
 		o.spawn(func() {
 			slot := shared
 			select {
 			case shared <- struct{}{}:
-			case own <- struct{}{}:
-				slot = own
+			case stopsOnly <- struct{}{}:
+				slot = stopsOnly
 			}
 			o.waitingOrders.Add(-1)
 			defer func() { <-slot }()
@@ -75,8 +75,8 @@
 	return orders, o.pool.HasUrgent()
 }
 
-// spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: somebody may
-// be waiting for the group, and joining a group that has just finished panics.
+// spawn starts a goroutine of this owner. Once the owner has ended it starts nothing: Run may be
+// waiting for the group, and adding to it while Wait returns panics.
 func (o *Owner) spawn(work func()) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -87,7 +87,7 @@
 
 // endOnPanic ends the owner when its work panics, because its state may be half changed. Otherwise
 // the group would keep the panic until all work has ended, which never happens, and the pool would
-// stand still under a lease that is still renewed. Once the owner has ended, another entry claims
+// start nothing under a lease that is still renewed. Once the owner has ended, another entry claims
 // the pool.
 func (o *Owner) endOnPanic(work func()) func() {
 	return func() {
@@ -104,15 +104,15 @@
 // slotsFor returns the semaphores that bound the concurrent orders to one worker: each order takes
 // a connection, and new connections are billed. Stops have extra slots beside the shared ones;
 // otherwise, when orders take long, they would wait behind starts and a cancelled task would run
-// on. For other orders own is nil.
-func (o *Owner) slotsFor(order *sched.Order) (shared, own chan struct{}) {
+// on. For other orders stopsOnly is nil.
+func (o *Owner) slotsFor(order *sched.Order) (shared, stopsOnly chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	shared = semaphoreOf(o.orderSlots, order.Worker.Incarnation(), maxConcurrentOrders)
 	if order.Kind == sched.OrderStop {
-		own = semaphoreOf(o.stopSlots, order.Worker.Incarnation(), extraConcurrentStops)
+		stopsOnly = semaphoreOf(o.stopSlots, order.Worker.Incarnation(), extraConcurrentStops)
 	}
-	return shared, own
+	return shared, stopsOnly
 }
 
 func semaphoreOf(semaphores map[gauge.Incarnation]chan struct{}, incarnation gauge.Incarnation, slots int) chan struct{} {
--- a/internal/owner/freshness.go
+++ b/internal/owner/freshness.go
@@ -21,8 +21,8 @@
 	failed map[string]time.Duration // ... except those whose last read failed
 }
 
-// of returns when a queue was last read.
-func (s *readTimes) of(queue string) time.Duration {
+// readAt returns when a queue was last read.
+func (s *readTimes) readAt(queue string) time.Duration {
 	if at, failed := s.failed[queue]; failed {
 		return at
 	}
@@ -30,13 +30,15 @@
 }
 
 // isOld reports whether a queue was read too long ago to report its count.
-func (s *readTimes) isOld(queue string, now time.Duration) bool { return now-s.of(queue) > countTTL }
+func (s *readTimes) isOld(queue string, now time.Duration) bool {
+	return now-s.readAt(queue) > countTTL
+}
 
 // recordScan records a scan that began at the given time, and the queues for which it failed.
 func (s *readTimes) recordScan(began time.Duration, failed []string) {
 	lastReads := make(map[string]time.Duration, len(failed))
 	for _, queue := range failed {
-		lastReads[queue] = s.of(queue)
+		lastReads[queue] = s.readAt(queue)
 	}
 	s.all, s.failed = began, lastReads
 }
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -43,7 +43,7 @@
 		const tasks = 300
 		g := newBusyHarness(t, tasks)
 		defer g.end()
-		g.site.endRuns(tasks)
+		g.workers.endRuns(tasks)
 		g.advance(time.Millisecond)
 		took := g.stop()
 		assert.Equal(t, g.table.completedJobs(), tasks)
@@ -67,9 +67,9 @@
 		g.table.delay = 50 * time.Millisecond
 		g.table.mu.Unlock()
 		g.advance(time.Second)
-		g.site.endRuns(1)
+		g.workers.endRuns(1)
 		g.advance(10 * time.Millisecond)
-		before, _ := g.site.callCounts()
+		before, _ := g.workers.callCounts()
 		assert.Equal(t, before, room+1, "one start waited for free capacity")
 		done := make(chan struct{})
 		go func() {
@@ -77,10 +77,10 @@
 			g.stop()
 		}()
 		synctest.Wait()
-		_, heartbeatsBefore := g.site.callCounts()
-		g.site.endRuns(5)
+		_, heartbeatsBefore := g.workers.callCounts()
+		g.workers.endRuns(5)
 		<-done
-		starts, heartbeats := g.site.callCounts()
+		starts, heartbeats := g.workers.callCounts()
 		assert.Equal(t, starts, room+1)
 		assert.Equal(t, heartbeats, heartbeatsBefore)
 		assert.Equal(t, len(g.table.jobs), room+1, "waiting jobs are unchanged")
@@ -92,19 +92,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newHarness(t)
 		defer g.end()
-		g.site.mu.Lock()
-		g.site.startDelay = 20 * time.Millisecond
-		g.site.mu.Unlock()
+		g.workers.mu.Lock()
+		g.workers.startDelay = 20 * time.Millisecond
+		g.workers.mu.Unlock()
 		g.table.mu.Lock()
 		g.table.delay = 100 * time.Millisecond
 		g.table.mu.Unlock()
 		g.adopt(t, 0, workerCount*workerSlots)
 		g.advance(50 * time.Millisecond)
-		before, _ := g.site.callCounts()
+		before, _ := g.workers.callCounts()
 		assert.Assert(t, before > 0)
 		took := g.stop()
 		assert.Assert(t, took > 50*time.Millisecond, "there was time to send more")
-		after, _ := g.site.callCounts()
+		after, _ := g.workers.callCounts()
 		assert.Equal(t, after, before)
 	})
 }
@@ -118,7 +118,7 @@
 		g.table.mu.Lock()
 		g.table.err = gauge.Errorf(gauge.KindOutage, "unreachable")
 		g.table.mu.Unlock()
-		g.site.endRuns(tasks)
+		g.workers.endRuns(tasks)
 		g.advance(time.Second)
 		assert.Equal(t, g.stop(), time.Duration(0))
 		assert.Assert(t, strings.Contains(g.handoverLine(), `"unwritten"=30`), g.handoverLine())
@@ -134,7 +134,7 @@
 		g.table.mu.Lock()
 		g.table.delay = time.Minute
 		g.table.mu.Unlock()
-		g.site.endRuns(tasks)
+		g.workers.endRuns(tasks)
 		g.advance(time.Millisecond)
 		took := g.stop()
 		assert.Assert(t, took < maxHandoverTime, "took %s", took)
@@ -150,13 +150,13 @@
 		const tasks = 400
 		g := newBusyHarness(t, tasks)
 		defer g.end()
-		g.site.endRuns(tasks)
+		g.workers.endRuns(tasks)
 		// Four entries for each job, of 98 per transaction, make 17 transactions of 10 ms, after
 		// one pause and a renewal that may be in progress.
 		g.advance(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
 		assert.Equal(t, g.table.completedJobs(), tasks)
 		g.advance(time.Second)
-		assert.Equal(t, g.site.reportedEnds, tasks, "each ended run is reported once")
+		assert.Equal(t, g.workers.reportedEnds, tasks, "each ended run is reported once")
 		assert.Assert(t, g.table.maxEntries <= 100, "%d entries", g.table.maxEntries)
 	})
 }
@@ -170,7 +170,7 @@
 		for i := range 100 {
 			g.adopt(t, i, 1)
 			g.advance(5 * time.Millisecond)
-			g.site.endRuns(1)
+			g.workers.endRuns(1)
 			g.advance(5 * time.Millisecond)
 		}
 		assert.Assert(t, g.table.txns-before <= 26, "%d transactions in a second", g.table.txns-before)
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -82,8 +82,8 @@
 	return n
 }
 
-// fakeSite has workers that run what they are told to until the test ends it.
-type fakeSite struct {
+// fakeWorkers runs tasks on its workers until the test ends them.
+type fakeWorkers struct {
 	gauge.Workers
 	began time.Time
 
@@ -103,9 +103,9 @@
 	lastEnd int64
 }
 
-func (s *fakeSite) clock() time.Duration { return time.Hour + time.Since(s.began) }
+func (s *fakeWorkers) clock() time.Duration { return time.Hour + time.Since(s.began) }
 
-func (s *fakeSite) worker(id string) *fakeWorker {
+func (s *fakeWorkers) worker(id string) *fakeWorker {
 	if s.workers[id] == nil {
 		s.workers[id] = new(fakeWorker)
 	}
@@ -113,7 +113,7 @@
 }
 
 // isSilent reports whether a worker answers nothing.
-func (s *fakeSite) isSilent(id string) bool {
+func (s *fakeWorkers) isSilent(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var n int
@@ -127,7 +127,7 @@
 	return gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
-func (s *fakeSite) Stop(_ context.Context, w *gauge.Worker, _ gauge.StopCall) (time.Duration, error) {
+func (s *fakeWorkers) Stop(_ context.Context, w *gauge.Worker, _ gauge.StopCall) (time.Duration, error) {
 	if s.isSilent(w.ID) {
 		return 0, noAnswerAfter(300 * time.Millisecond)
 	}
@@ -136,7 +136,7 @@
 
 // Heartbeat answers when a run has ended that isn't acknowledged, at the latest after the call's
 // wait.
-func (s *fakeSite) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
+func (s *fakeWorkers) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	if s.isSilent(w.ID) {
 		return nil, noAnswerAfter(800*time.Millisecond + c.Wait)
 	}
@@ -164,7 +164,7 @@
 	}, nil
 }
 
-func (s *fakeSite) Start(ctx context.Context, w *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
+func (s *fakeWorkers) Start(ctx context.Context, w *gauge.Worker, c gauge.StartCall) (time.Duration, error) {
 	s.mu.Lock()
 	s.starts++
 	delay := s.startDelay
@@ -184,7 +184,7 @@
 }
 
 // endRuns ends at most so many of the running tasks.
-func (s *fakeSite) endRuns(most int) {
+func (s *fakeWorkers) endRuns(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.workers {
@@ -201,7 +201,7 @@
 }
 
 // callCounts returns how many starts and heartbeats were sent.
-func (s *fakeSite) callCounts() (starts, heartbeats int) {
+func (s *fakeWorkers) callCounts() (starts, heartbeats int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.starts, s.heartbeats
@@ -211,7 +211,7 @@
 type harness struct {
 	owner        *owner.Owner
 	table        *fakeTable
-	site         *fakeSite
+	workers      *fakeWorkers
 	began        time.Time
 	mu           sync.Mutex
 	logs         []string
@@ -232,8 +232,8 @@
 func newHarnessStuckAfter(t *testing.T, after time.Duration) *harness {
 	now := time.Now()
 	g := &harness{
-		table: &fakeTable{delay: 10 * time.Millisecond, version: 2, jobs: make(map[string]*gauge.JobRow)},
-		site:  &fakeSite{began: now, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}, began: now,
+		table:   &fakeTable{delay: 10 * time.Millisecond, version: 2, jobs: make(map[string]*gauge.JobRow)},
+		workers: &fakeWorkers{began: now, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}, began: now,
 	}
 	log := funcr.New(func(_, line string) {
 		g.mu.Lock()
@@ -243,7 +243,7 @@
 	clock := func() int64 { return g.now().Milliseconds() }
 	ctx, cancel := context.WithCancel(t.Context())
 	g.owner = owner.New(ctx, owner.Config{
-		Pool: "p", Store: g.table, Workers: g.site, Logs: log, Now: g.now, WallClock: time.Now, Fence: 2,
+		Pool: "p", Store: g.table, Workers: g.workers, Logs: log, Now: g.now, WallClock: time.Now, Fence: 2,
 		Lease: tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: g.now(), Version: 2, Store: g.table, Now: g.now, TableClock: clock}),
 		Grace: 6 * time.Second, LeaseExtension: 4 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: clock, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
@@ -302,7 +302,7 @@
 	g := newHarness(t)
 	g.adopt(t, 0, tasks)
 	g.advance(5 * time.Second)
-	if n, _ := g.site.callCounts(); n != tasks {
+	if n, _ := g.workers.callCounts(); n != tasks {
 		t.Fatalf("%d tasks started, not %d", n, tasks)
 	}
 	return g
--- a/internal/owner/heartbeat.go
+++ b/internal/owner/heartbeat.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that is
-// over.
+// heartbeatLoop sends one heartbeat after the other to an incarnation of a worker until that
+// incarnation is dead.
 func (o *Owner) heartbeatLoop(incarnation gauge.Incarnation) {
 	defer func() {
 		o.mu.Lock()
@@ -61,7 +61,7 @@
 }
 
 // applyReport applies the answer to a heartbeat. It reports false if the answer is from an
-// incarnation that is over.
+// incarnation that is dead.
 func (o *Owner) applyReport(incarnation gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport) (applied bool) {
 	o.update(func(now time.Duration) { applied = o.pool.HandleReport(incarnation, call, rep, now) })
 	o.startHeartbeats()
@@ -69,7 +69,7 @@
 }
 
 // isOutdated reports whether a call was refused because of a fencing token that this owner itself
-// has replaced, or because its incarnation of the worker is over.
+// has replaced, or because its incarnation of the worker is dead.
 func (o *Owner) isOutdated(incarnation gauge.Incarnation, sent gauge.FencingToken) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/inherit_test.go
+++ b/internal/owner/inherit_test.go
@@ -15,7 +15,7 @@
 
 // newSuccessor returns an owner that has claimed a pool with one worker, with the given lease row
 // of the previous owner.
-func newSuccessor(t *testing.T, store *rowTable, w *fakeSite, term int, before gauge.LeaseRow) *owner.Owner {
+func newSuccessor(t *testing.T, store *rowTable, w *fakeWorkers, term int, before gauge.LeaseRow) *owner.Owner {
 	t.Helper()
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
 	clock := func() int64 { return now().Milliseconds() }
@@ -32,15 +32,15 @@
 	return o
 }
 
-func newFakeSite() *fakeSite {
-	return &fakeSite{began: time.Now(), workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}
+func newFakeWorkers() *fakeWorkers {
+	return &fakeWorkers{began: time.Now(), workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}
 }
 
 // Guards against tasks that are lost with their machine, because the next owner of a pool doesn't
 // know that the previous one has reported the worker as drained.
 func TestSuccessorKeepsWorkerDrained(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store, w := newRowTable(), newFakeSite()
+		store, w := newRowTable(), newFakeWorkers()
 		first := newSuccessor(t, store, w, 1, gauge.LeaseRow{})
 		assert.Assert(t, first.DrainWorker("w1", false))
 		first.Stop("the entry stops")
@@ -59,11 +59,11 @@
 	})
 }
 
-// Guards against missed crashes: two owners in a row couldn't record all crashes, and the third
-// hears of one of them only.
+// Guards against missed crashes: two owners in a row couldn't record all crashes, and the lease row
+// tells the third of one of them only.
 func TestOwnerHandsOnCountOfUnrecordedCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := newSuccessor(t, newRowTable(), newFakeSite(), 1, gauge.LeaseRow{UnrecordedOwners: 1})
+		o := newSuccessor(t, newRowTable(), newFakeWorkers(), 1, gauge.LeaseRow{UnrecordedOwners: 1})
 		row, _ := o.LeaseOffer()
 		assert.Equal(t, row.UnrecordedOwners, 1)
 		time.Sleep(30 * time.Second)
@@ -78,9 +78,9 @@
 func TestOwnerWritesThatCrashesMayBeUnrecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newRowTable()
-		newSuccessor(t, store, newFakeSite(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
+		newSuccessor(t, store, newFakeWorkers(), 1, gauge.LeaseRow{Workers: []string{"w1", "gone@1"}})
 		time.Sleep(8 * time.Second) // until nothing can run there any more
 		synctest.Wait()
-		assert.Equal(t, store.lastGrants().UnrecordedOwners, 1)
+		assert.Equal(t, store.lastHandover().UnrecordedOwners, 1)
 	})
 }
--- a/internal/owner/lag_test.go
+++ b/internal/owner/lag_test.go
@@ -17,9 +17,9 @@
 		const tasks = 400 // fills all workers
 		g := newBusyHarness(t, tasks)
 		defer g.end()
-		g.site.mu.Lock()
-		g.site.silentCount = 4
-		g.site.mu.Unlock()
+		g.workers.mu.Lock()
+		g.workers.silentCount = 4
+		g.workers.mu.Unlock()
 		g.advance(4 * time.Second) // none of the four has answered a heartbeat since
 		for i := range tasks {
 			g.owner.Cancel(fmt.Sprintf("%016x", firstJob+i), int64(5000+i))
--- a/internal/owner/load.go
+++ b/internal/owner/load.go
@@ -11,17 +11,17 @@
 	gauge "sapphiregauge"
 )
 
-// loadJobs reads the pool's open jobs once the lease is held: by then the table has all that
+// readJobs reads the pool's open jobs once the lease is held: by then the table has all that
 // previous owners have written, and they can't write any more. Queues in partitions of the table
-// that don't answer, and what a large queue has beyond initialLoadTimeout, are read later, because
+// that don't answer, and what a large queue has beyond initialReadTimeout, are read later, because
 // the pool's workers wait for an owner. It reports false if the lease was lost or given up
 // meanwhile.
-func (o *Owner) loadJobs() bool {
+func (o *Owner) readJobs() bool {
 	began := o.conf.Now()
 	for {
 		listedAt := o.conf.Now()
 		queues, err := o.conf.Store.Partitions(o.ctx, gauge.TableOpen)
-		if err == nil && o.loadAtStart(queues, began) {
+		if err == nil && o.readAtStart(queues, began) {
 			o.withLock(func() { o.readTimes.recordScan(listedAt, nil) })
 			return true
 		}
@@ -41,13 +41,13 @@
 	}
 }
 
-// loadAtStart reads as many jobs as it can within initialLoadTimeout. It reports false if no read
+// readAtStart reads as many jobs as it can within initialReadTimeout. It reports false if no read
 // was answered.
-func (o *Owner) loadAtStart(queues []string, began time.Duration) bool {
+func (o *Owner) readAtStart(queues []string, began time.Duration) bool {
 	o.resetUnread(queues)
-	ctx, cancel := context.WithTimeout(o.ctx, initialLoadTimeout)
+	ctx, cancel := context.WithTimeout(o.ctx, initialReadTimeout)
 	defer cancel()
-	n, answered := o.loadQueues(ctx, queues)
+	n, answered := o.readQueues(ctx, queues)
 	if len(queues) > 0 && !answered || o.ctx.Err() != nil {
 		return false
 	}
@@ -58,10 +58,10 @@
 }
 
 const (
-	// initialLoadTimeout bounds the first read of a pool's jobs: no heartbeats are sent before it
+	// initialReadTimeout bounds the first read of a pool's jobs: no heartbeats are sent before it
 	// is over, and the workers' leases last only 4.5 s beyond the last heartbeat. What a host with
 	// a slow link can't read in this time is read later, while the pool is running.
-	initialLoadTimeout = time.Second
+	initialReadTimeout = time.Second
 	// maxUnreadableTime is how long nothing can be read before the pool is left to another entry.
 	// The lease is renewed meanwhile; without this bound it would be renewed for ever.
 	maxUnreadableTime = 2 * time.Second
@@ -103,7 +103,7 @@
 	return slices.Sorted(maps.Keys(o.unread))
 }
 
-// scanLoop reads the queues that loadJobs couldn't, without a pause for as long as jobs arrive, and
+// scanLoop reads the queues that readJobs couldn't, without a pause for as long as jobs arrive, and
 // searches the table for jobs and cancellations whose notification was lost.
 func (o *Owner) scanLoop() {
 	progress := true
@@ -117,7 +117,7 @@
 		}
 		progress = false
 		if len(unread) > 0 {
-			n, _ := o.loadQueues(o.ctx, unread)
+			n, _ := o.readQueues(o.ctx, unread)
 			progress = n > 0
 			o.conf.Logs.Info("missing queues read", "pool", o.conf.Pool, "jobs", n, "missing", len(o.unreadQueues()))
 		}
@@ -177,10 +177,10 @@
 	return total, nil
 }
 
-// queuesToScan returns the names of the queuesToScan to scan. Most queuesToScan have no open jobs,
-// and each read of a queue is a billed call, so usually only this pool's queuesToScan with open
-// jobs are scanned. Every fullScanEvery scans all queuesToScan with open jobs are, because a queue
-// may have been routed to this pool and away again.
+// queuesToScan returns the names of the queues to scan. Most queues have no open jobs, and each
+// read of a queue is a billed call, so usually only this pool's queues with open jobs are scanned.
+// One in fullScanEvery scans covers all queues with open jobs, because a queue may have been routed
+// to this pool and away again.
 func (o *Owner) queuesToScan() ([]string, error) {
 	open, err := o.conf.Store.Partitions(o.ctx, gauge.TableOpen)
 	o.scanCount++
--- a/internal/owner/load_test.go
+++ b/internal/owner/load_test.go
@@ -18,7 +18,7 @@
 )
 
 // Guards against a pool that passes from entry to entry without anyone running it: reading the jobs
-// of a large pool takes longer than the lease's term, so that another entry claims the lease and
+// of a large pool takes longer than the lease duration, so that another entry claims the lease and
 // reads them again. The lease must be renewed while the pool loads.
 func TestLeaseIsRenewedWhilePoolLoads(t *testing.T) {
 	store := newRowTable()
@@ -210,8 +210,8 @@
 	return gauge.Worker{ID: id, Pool: "p", Capacity: gauge.Resources{MilliCPU: 1000, MemoryMB: 1000}}
 }
 
-// Guards against a pool standing still under a lease that is renewed: an entry claims the pool and
-// can write, but can't read any of its jobs.
+// Guards against a pool that starts nothing under a lease that is renewed: an entry claims the pool
+// and can write, but can't read any of its jobs.
 func TestUnreadablePoolIsGivenUp(t *testing.T) {
 	store := newRowTable()
 	store.addJob(t, "sheets", jobID(1), "p")
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -23,7 +23,7 @@
 type Config struct {
 	Pool            string
 	Lease           *tenure.Tenure
-	Term            int // number of owners before this one
+	Term            int // number of previous owners
 	Fence           gauge.FencingToken
 	PreviousWorkers []string       // incarnations of workers that the previous owner named
 	PreviousRow     gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
@@ -79,7 +79,7 @@
 	stopSlots        map[gauge.Incarnation]chan struct{} // additional semaphores of stops
 	orderLag         *lag.Meter                          // durations of orders
 	seekingSuccessor bool                                // a successor is being looked for
-	loaded           bool
+	loaded           bool                                // the first read of the pool's jobs is over
 	site             *gauge.Site
 	workerList       []gauge.Worker           // newest list of workers from the platform
 	scanCount        int                      // used by scanLoop only
@@ -121,7 +121,7 @@
 	// above. Together they use up the idle connections that are kept for a worker.
 	extraConcurrentStops = 1
 	// renewInterval is how often the lease is renewed when there is nothing else to write: four
-	// attempts within its term.
+	// attempts within the lease duration.
 	renewInterval = 400 * time.Millisecond
 	// minWriteInterval is the minimum time between two writes, so that runs that end in between
 	// share a transaction. A write takes about 10 ms, and each one is billed.
@@ -141,9 +141,10 @@
 	// ackTimeout bounds how long the next heartbeat is delayed until the ended runs of the last
 	// report are written.
 	ackTimeout = 400 * time.Millisecond
-	// maxBatchEntries is the number of transaction entries for changes of jobs. A transaction has
-	// at most 100 entries, and the lease needs three: its check and its two writes.
-	maxBatchEntries = 100 - 3
+	// maxBatchOperations is the number of a transaction's operations for changes of jobs. A
+	// transaction has at most 100 operations, and the lease needs three: its check and its two
+	// writes.
+	maxBatchOperations = 100 - 3
 )
 
 // New returns an Owner of a pool whose lease was just claimed. When ctx ends, all its work stops
@@ -169,12 +170,12 @@
 // runDeadlines returns, for each worker that didn't answer the previous owner, when nothing can run
 // there any more. The previous owner writes this when it gives up the lease; a row written while it
 // still held the lease doesn't cover what it granted later.
-func runDeadlines(before *gauge.LeaseRow, now time.Duration) map[gauge.Incarnation]time.Duration {
-	if before.Holder != "" {
+func runDeadlines(previous *gauge.LeaseRow, now time.Duration) map[gauge.Incarnation]time.Duration {
+	if previous.Holder != "" {
 		return nil
 	}
-	until := make(map[gauge.Incarnation]time.Duration, len(before.RemainingLeases))
-	for name, left := range before.RemainingLeases {
+	until := make(map[gauge.Incarnation]time.Duration, len(previous.RemainingLeases))
+	for name, left := range previous.RemainingLeases {
 		until[gauge.ParseIncarnation(name)] = now + time.Duration(left)*time.Millisecond + clockMargin
 	}
 	return until
@@ -182,18 +183,18 @@
 
 // drainedUntil returns until when a worker must not get starts because the previous owner reported
 // it as drained. The previous owner writes this when it gives up the lease.
-func drainedUntil(before *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
-	if before.Holder != "" {
+func drainedUntil(previous *gauge.LeaseRow, now time.Duration) map[string]time.Duration {
+	if previous.Holder != "" {
 		return nil
 	}
-	until := make(map[string]time.Duration, len(before.DrainedFor))
-	for id, left := range before.DrainedFor {
+	until := make(map[string]time.Duration, len(previous.DrainedFor))
+	for id, left := range previous.DrainedFor {
 		until[id] = now + time.Duration(left)*time.Millisecond
 	}
 	return until
 }
 
-// Run loads the pool's jobs and runs the pool until the lease is lost, Stop is called or the
+// Run reads the pool's jobs and runs the pool until the lease is lost, Stop is called or the
 // context given to New ends.
 func (o *Owner) Run(site *gauge.Site, workers []gauge.Worker) {
 	o.Configure(site)
@@ -207,9 +208,10 @@
 		<-o.ctx.Done()
 		o.end()
 	})
-	// The lease is renewed from here on, because reading the jobs may take longer than its term.
+	// The lease is renewed from here on, because reading the jobs may take longer than the lease
+	// duration.
 	o.spawn(o.writeLoop)
-	if !o.loadJobs() {
+	if !o.readJobs() {
 		o.end()
 		o.group.Wait()
 		return
@@ -320,7 +322,7 @@
 }
 
 // isServing reports whether the pool is loaded and the lease surely still held, so that no other
-// owner can know better. The lock is held.
+// owner can have newer state. The lock is held.
 func (o *Owner) isServing() bool { return !o.ended && o.loaded && o.conf.Now() < o.conf.Lease.Until() }
 
 // Adopt adds a job that this or another entry has just accepted. It reports false if this owner
@@ -355,8 +357,9 @@
 }
 
 // DrainWorker requests that a worker is drained: for some seconds from now on it gets no starts. It
-// reports whether nothing runs there. With force, tasks that don't end by themselves are stopped.
-// It returns false without a valid lease, because the next owner may have started tasks there.
+// reports whether nothing runs there and the table has all its end reports. With force, tasks that
+// don't end by themselves are stopped. It returns false without a valid lease, because the next
+// owner may have started tasks there.
 func (o *Owner) DrainWorker(id string, force bool) bool {
 	empty := false
 	o.update(func(now time.Duration) { empty = o.pool.DrainWorker(id, force, now) && o.isServing() && !o.stopping })
@@ -372,7 +375,7 @@
 }
 
 // JobState returns the state of a job. It reports false if the job isn't known here, or if another
-// owner may know better.
+// owner may have newer state.
 func (o *Owner) JobState(queue, id string) (gauge.JobState, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -383,7 +386,7 @@
 }
 
 // QueueDepth returns how many jobs of a queue have no task started. It reports false if this owner
-// hasn't read the queue lately, or if another owner may know better.
+// hasn't read the queue lately, or if another owner may have newer state.
 func (o *Owner) QueueDepth(queue string) (int, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/owner/rowtable_test.go
+++ b/internal/owner/rowtable_test.go
@@ -131,7 +131,7 @@
 	return slices.Clone(r.leases)
 }
 
-func (r *rowTable) lastGrants() gauge.HandoverRow {
+func (r *rowTable) lastHandover() gauge.HandoverRow {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.handover
--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -14,12 +14,12 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// siteWithSilentWorker has a worker that never answers.
-type siteWithSilentWorker struct{ *fakeSite }
+// workersWithOneSilent has a worker that never answers.
+type workersWithOneSilent struct{ *fakeWorkers }
 
-func (d siteWithSilentWorker) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
+func (d workersWithOneSilent) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
 	if w.ID != "dark" {
-		return d.fakeSite.Heartbeat(ctx, w, c)
+		return d.fakeWorkers.Heartbeat(ctx, w, c)
 	}
 	select {
 	case <-ctx.Done():
@@ -28,7 +28,7 @@
 	return nil, gauge.Errorf(gauge.KindUnknown, "no answer")
 }
 
-// Guards against long-running tasks standing still for sixteen seconds while there is room for
+// Guards against long-running tasks that don't run for sixteen seconds while there is room for
 // them: a rack fails and entries are stopped in turn, so that the pool is handed over every three
 // seconds. Each owner waits until whatever may have been granted to the silent workers has expired,
 // six seconds after it claimed the pool. The time at which that ends has to be handed over with the
@@ -41,7 +41,7 @@
 		clock := func() int64 { return now().Milliseconds() }
 		store := newRowTable()
 		store.addJob(t, "sheets", jobID(2), "p")
-		w := siteWithSilentWorker{&fakeSite{began: began, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}}
+		w := workersWithOneSilent{&fakeWorkers{began: began, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}}
 		take := func(term int, before gauge.LeaseRow) *owner.Owner {
 			return startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
 				c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), before.Workers, before, now, clock
--- a/internal/owner/stop.go
+++ b/internal/owner/stop.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// drainTimeout bounds how long a handover waits for unwritten changes: about 30 transactions, or
+// flushTimeout bounds how long a handover waits for unwritten changes: about 30 transactions, or
 // 1,000 ended jobs. An entry that stops has one second for all of its pools, and needs the rest to
 // find successors and get their answers.
-const drainTimeout = 400 * time.Millisecond
+const flushTimeout = 400 * time.Millisecond
 
 // maxFastWrite is the longest write while the table isn't slow: a write takes about 10 ms, and a
 // tenth of a second more when the CPU quota is used up.
@@ -16,7 +16,7 @@
 
 // IsTableFast reports whether a successor could take over quickly because the table answers and
 // isn't slow. Claiming a lease and reading a pool takes about five calls in sequence; with a table
-// 65 times slower than usual, a busy pool stood still for two to three seconds.
+// 65 times slower than usual, a busy pool started nothing for two to three seconds.
 func (o *Owner) IsTableFast() bool {
 	now := o.conf.Now()
 	o.mu.Lock()
@@ -30,7 +30,7 @@
 // if the owner had ended already.
 func (o *Owner) Stop(why string) bool {
 	began := o.conf.Now()
-	o.drain()
+	o.flushChanges()
 	if !o.end() {
 		return false
 	}
@@ -40,10 +40,10 @@
 	return true
 }
 
-// drain starts nothing new and waits until all changes are in the table, or for drainTimeout. It
-// doesn't wait if the table is unreachable.
-func (o *Owner) drain() {
-	ctx, cancel := context.WithTimeout(o.ctx, drainTimeout)
+// flushChanges starts nothing new and waits until all changes are in the table, or for
+// flushTimeout. It doesn't wait if the table is unreachable.
+func (o *Owner) flushChanges() {
+	ctx, cancel := context.WithTimeout(o.ctx, flushTimeout)
 	defer cancel()
 	for {
 		o.mu.Lock()
--- a/internal/owner/stop_test.go
+++ b/internal/owner/stop_test.go
@@ -10,9 +10,10 @@
 	gauge "sapphiregauge"
 )
 
-// Guards against a busy pool standing still for three seconds: the table gets 65 times slower, the
-// owner's entry is told to stop and hands the pool over at once, though it has seconds left, and
-// the successor claims the lease and reads the pool with calls that take a third of a second each.
+// Guards against a busy pool that starts nothing for three seconds: the table gets 65 times slower,
+// the owner's entry is told to stop and hands the pool over at once, though it has seconds left,
+// and the successor claims the lease and reads the pool with calls that take a third of a second
+// each.
 func TestOwnerReportsWhetherTableIsFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newBusyHarness(t, 10)
@@ -41,10 +42,10 @@
 	})
 }
 
-// Guards against a pool standing still for 1.5 s, twice while the table is slow: writes take 0.4 s,
-// one gets no answer, and the retry takes as long as the others. If writes count as failing after
-// half a second however long they usually take, the pool goes to an entry for which the table is as
-// slow.
+// Guards against a pool that starts nothing for 1.5 s, twice while the table is slow: writes take
+// 0.4 s, one gets no answer, and the retry takes as long as the others. If writes count as failing
+// after half a second however long they usually take, the pool goes to an entry for which the table
+// is as slow.
 func TestPoolIsLeftLaterWhileTableIsSlow(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -45,8 +45,8 @@
 	// slowWriteRetries is how many times the duration of the last successful write is added to the
 	// time before a pool whose writes fail is left, so that a failed write can be retried as often.
 	// While the table was slow, one lost answer and the retry took longer than that time, and the
-	// pool went to an entry for which the table was just as slow: the pool stood still for 1.5 s,
-	// and again 3 s later.
+	// pool went to an entry for which the table was just as slow: the pool started nothing for
+	// 1.5 s, and did so again 3 s later.
 	slowWriteRetries = 2
 	// maxSlowWriteDelay bounds that addition, because the pool has to be offered before its lease
 	// is over.
@@ -63,7 +63,7 @@
 	o.writeDone = make(chan struct{})
 }
 
-// isTableUnreachable reports whether the last write got no complete answer.
+// isTableUnreachable reports whether the last write that wasn't refused got no complete answer.
 func (o *Owner) isTableUnreachable() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -145,7 +145,7 @@
 func (o *Owner) prepareWrite() (pendingWrite, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	batch, err := o.pool.NextBatch(maxBatchEntries, o.conf.TableClock(), o.isHeldBack)
+	batch, err := o.pool.NextBatch(maxBatchOperations, o.conf.TableClock(), o.isHeldBack)
 	if err != nil {
 		return pendingWrite{}, err
 	}
@@ -166,7 +166,7 @@
 
 // leaseRow returns the lease row with this owner's counts or, before the pool is loaded, with those
 // of the previous owner, which are reported while they are recent enough. Queues that haven't been
-// read, or not for long, are listed as unread, because reporting them as empty would hide the jobs
+// read, or not recently, are listed as unread, because reporting them as empty would hide the jobs
 // that wait there.
 func (o *Owner) leaseRow(named []gauge.Incarnation) gauge.LeaseRow {
 	row := gauge.LeaseRow{Workers: incarnationNames(named), UnrecordedOwners: o.unrecordedCrashes()}
