--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -26,13 +26,13 @@
 	// FetchFromPeers fetches the newest state that any live peer has. It is called only while the
 	// table doesn't answer.
 	FetchFromPeers func(ctx context.Context) (gauge.State, error)
-	// OnAdopted is called after each newer state was adopted, one call at a time. Behind is how
-	// long that state may have been in force elsewhere before: the time since it was last confirmed
-	// that there was no newer one, or 0 for the first state.
+	// OnAdopted is called after each newer state was adopted, one call at a time. Behind is the
+	// longest time for which that state may already have been in force elsewhere: the time since
+	// the previous state was last confirmed, or 0 for the first state.
 	OnAdopted func(s gauge.State, behind time.Duration)
 }
 
-const defaultInterval = time.Second
+const defaultPollInterval = time.Second
 
 // Follower holds the state in force.
 type Follower struct {
@@ -46,7 +46,7 @@
 
 // New returns a Follower with no state in force.
 func New(c Config) *Follower {
-	fill.Zero(&c.PollInterval, defaultInterval)
+	fill.Zero(&c.PollInterval, defaultPollInterval)
 	f := &Follower{conf: c, wake: make(chan struct{}, 1)}
 	f.state.Store(&gauge.State{})
 	return f
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -3,9 +3,9 @@
 // be the cause, so that its job fails. It goes by the starts and crashes that a job's row has.
 //
 // The cause of a single crash is a guess that may be wrong, but starts can be counted. A start
-// counts if the task didn't run for long enough afterwards to prove sound, whatever the run was
-// lost for. Once few starts are left, the task starts only where nothing else can be the cause of
-// a crash.
+// counts if the task didn't run for long enough afterwards to be cleared, whatever the run was lost
+// for. Once few starts are left, the task waits longer for a worker where nothing else can be the
+// cause of a crash.
 package proof
 
 import (
@@ -22,8 +22,8 @@
 	// long a task runs isolated.
 	ClearAfter = 30 * time.Second
 
-	// suspectCrashes is the number of crashes that make a task a suspect, however long its runs
-	// lasted.
+	// suspectCrashes is the number of crashes, unattributed ones included, that make a task a
+	// suspect, however long its runs lasted.
 	suspectCrashes = 2
 	// soleJobCrashes is the number of crashes, each with no other job's task on the worker and as
 	// soon after the start as those before, that show that the task is the cause. A single one
@@ -38,64 +38,65 @@
 	// maxCrashes is the number of crashes at any time that show the same. By the users' rules a
 	// task may be started twice more after three crashes.
 	maxCrashes = 5
-	// lastStarts is how many of these starts, the last ones, must be conclusive: the task then
-	// starts isolated only.
+	// lastStarts is how many of these starts are the last ones, for which the task waits longer for
+	// a worker without other jobs' tasks.
 	lastStarts = 2
-	// maxUnattributed limits how many unattributed crashes, and crashes that no owner saw, count
-	// towards maxCrashes, unless one more occurred with the task isolated. Without the limit a
-	// sound task would be failed for the loss of racks, or with too few known crashes.
+	// maxUnattributed limits how many unattributed starts, including crashes that no owner saw, and
+	// crashes soon after a start that have a likelier cause, lower the number of likely crashes
+	// that fails the job. Without the limit a healthy task would be failed for the loss of racks,
+	// or with too few known crashes. All starts count once hasConclusiveStarts holds.
 	maxUnattributed = 2
 )
 
 // Evidence is what is known of a task's starts.
 type Evidence struct {
 	SuspectRuns gauge.SuspectRuns // runs that were, or may have been, lost in a crash
-	// Unattributed is the number of starts after which the run was lost before the task had proved
-	// sound, but which are not attributed to it.
+	// Unattributed is the number of starts after which the run was lost before it had lasted long
+	// enough to clear the task, but whose loss isn't attributed to the task.
 	Unattributed int
 	// UnattributedIsolated is how many of these runs were isolated from other jobs' tasks.
 	UnattributedIsolated int
 	LongRunning          bool // the task is a long-running one
 }
 
-// UnprovenStarts returns the number of starts after which the task has not proved sound.
-func (c Evidence) UnprovenStarts() int { return c.SuspectRuns.CrashCount() + c.Unattributed }
+// UnprovenStarts returns the number of starts after which the task didn't run for long enough to be
+// cleared.
+func (e Evidence) UnprovenStarts() int { return e.SuspectRuns.CrashCount() + e.Unattributed }
 
 // IsSuspect reports whether the task may be the cause of a crash.
-func (c Evidence) IsSuspect() bool {
-	return c.SuspectRuns.AnyEndedWithin(StartPhase) || c.UnprovenStarts() >= suspectCrashes
+func (e Evidence) IsSuspect() bool {
+	return e.SuspectRuns.AnyEndedWithin(StartPhase) || e.UnprovenStarts() >= suspectCrashes
 }
 
-// HasRepeatedCrashes reports whether the task has lost so many workers that a correlated loss of
-// other workers doesn't exonerate it.
-func (c Evidence) HasRepeatedCrashes() bool { return c.SuspectRuns.CrashCount() >= suspectCrashes }
+// HasRepeatedCrashes reports whether the task has crashed so many workers that a correlated loss of
+// other workers doesn't rule it out as the cause.
+func (e Evidence) HasRepeatedCrashes() bool { return e.SuspectRuns.CrashCount() >= suspectCrashes }
 
 // HasFewStartsLeft reports whether few starts are left, counting as starts the lost runs whose loss
 // is not attributed yet.
-func (c Evidence) HasFewStartsLeft(lost int) bool {
-	return c.UnprovenStarts()+lost >= maxCrashes-lastStarts
+func (e Evidence) HasFewStartsLeft(lost int) bool {
+	return e.UnprovenStarts()+lost >= maxCrashes-lastStarts
 }
 
 // IsCause reports whether the task must be the cause of crashes.
-func (c Evidence) IsCause() bool {
+func (e Evidence) IsCause() bool {
 	soleJob := soleJobCrashes
-	if c.LongRunning {
+	if e.LongRunning {
 		soleJob = soleJobCrashesLongRunning
 	}
-	soon := min(maxSoonCrashes, maxCrashes-min(c.Unattributed+c.SuspectRuns.UnlikelyCrashCountWithin(StartPhase), maxUnattributed))
-	return c.SuspectRuns.SoleJobCrashCount() >= soleJob || c.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= soon || c.SuspectRuns.LikelyCrashCount() >= maxCrashes ||
-		c.UnprovenStarts() >= maxCrashes && c.hasConclusiveStarts()
+	soon := min(maxSoonCrashes, maxCrashes-min(e.Unattributed+e.SuspectRuns.UnlikelyCrashCountWithin(StartPhase), maxUnattributed))
+	return e.SuspectRuns.SoleJobCrashCount() >= soleJob || e.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= soon || e.SuspectRuns.LikelyCrashCount() >= maxCrashes ||
+		e.UnprovenStarts() >= maxCrashes && e.hasConclusiveStarts()
 }
 
-// hasConclusiveStarts reports whether the last starts leave no doubt: at least one crash was that
-// of an isolated run, or the last starts were isolated and are unattributed, and two crashes soon
-// after a start had no likelier cause.
-func (c Evidence) hasConclusiveStarts() bool {
-	isolated := c.SuspectRuns.IsolatedCrashCount()
-	return isolated > 0 || c.UnattributedIsolated >= lastStarts && c.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= suspectCrashes
+// hasConclusiveStarts reports whether an isolated run crashed, or lastStarts unattributed runs were
+// isolated and two crashes soon after a start had no likelier cause.
+func (e Evidence) hasConclusiveStarts() bool {
+	isolated := e.SuspectRuns.IsolatedCrashCount()
+	return isolated > 0 || e.UnattributedIsolated >= lastStarts && e.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= suspectCrashes
 }
 
 // Probation returns how long a run must last before its worker counts as having survived it.
-func (c Evidence) Probation() time.Duration {
-	return min(2*c.SuspectRuns.LongestRunTime()+StartPhase, ClearAfter)
+func (e Evidence) Probation() time.Duration {
+	return min(2*e.SuspectRuns.LongestRunTime()+StartPhase, ClearAfter)
 }
--- a/internal/proof/proof_test.go
+++ b/internal/proof/proof_test.go
@@ -19,51 +19,51 @@
 	return tr
 }
 
-func asSoleJob(t *gauge.SuspectRun)         { t.SoleJob = true }
-func isolated(t *gauge.SuspectRun)          { t.Isolated = true }
-func withLikelierCause(t *gauge.SuspectRun) { t.LikelierCause = true }
-func lostLate(t *gauge.SuspectRun)          { t.RunTime = 4 * time.Second }
+func asSoleJob(r *gauge.SuspectRun)         { r.SoleJob = true }
+func isolated(r *gauge.SuspectRun)          { r.Isolated = true }
+func withLikelierCause(r *gauge.SuspectRun) { r.LikelierCause = true }
+func lostLate(r *gauge.SuspectRun)          { r.RunTime = 4 * time.Second }
 
-// Guards against a suspected cause that takes precedence over the number of starts, and against a
-// sound task that is failed for the crashes of others.
+// Guards against a guessed cause that outweighs the number of unproven starts, and against a
+// healthy task that is failed for the crashes of others.
 func TestDecisionsFromCrashesAndStarts(t *testing.T) {
 	for _, tt := range []struct {
 		name             string
-		of               proof.Evidence
+		evidence         proof.Evidence
 		suspect, fewLeft bool
 		cause            bool
 	}{
 		{name: "nothing"},
-		{name: "one crash long after the start", of: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate)}}},
-		{name: "one crash soon after the start", of: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true},
-		{name: "one unattributed", of: proof.Evidence{Unattributed: 1}},
-		{name: "two unattributed", of: proof.Evidence{Unattributed: 2}, suspect: true},
-		{name: "nine unattributed", of: proof.Evidence{Unattributed: 9}, suspect: true, fewLeft: true},
-		{name: "four unattributed, one crash isolated", of: proof.Evidence{Unattributed: 4, SuspectRuns: gauge.SuspectRuns{crashedRun(1, isolated)}}, suspect: true, fewLeft: true, cause: true},
-		{name: "four unattributed, one crash not isolated", of: proof.Evidence{Unattributed: 4, SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true, fewLeft: true},
-		{name: "three unattributed, one crash isolated", of: proof.Evidence{Unattributed: 3, SuspectRuns: gauge.SuspectRuns{crashedRun(1, isolated)}}, suspect: true, fewLeft: true},
+		{name: "one crash long after the start", evidence: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate)}}},
+		{name: "one crash soon after the start", evidence: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true},
+		{name: "one unattributed", evidence: proof.Evidence{Unattributed: 1}},
+		{name: "two unattributed", evidence: proof.Evidence{Unattributed: 2}, suspect: true},
+		{name: "nine unattributed", evidence: proof.Evidence{Unattributed: 9}, suspect: true, fewLeft: true},
+		{name: "four unattributed, one crash isolated", evidence: proof.Evidence{Unattributed: 4, SuspectRuns: gauge.SuspectRuns{crashedRun(1, isolated)}}, suspect: true, fewLeft: true, cause: true},
+		{name: "four unattributed, one crash not isolated", evidence: proof.Evidence{Unattributed: 4, SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true, fewLeft: true},
+		{name: "three unattributed, one crash isolated", evidence: proof.Evidence{Unattributed: 3, SuspectRuns: gauge.SuspectRuns{crashedRun(1, isolated)}}, suspect: true, fewLeft: true},
 		{
 			name: "four beside a likelier cause, one isolated", suspect: true, fewLeft: true, cause: true,
-			of: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, withLikelierCause), crashedRun(2, withLikelierCause), crashedRun(3, withLikelierCause), crashedRun(4, withLikelierCause), crashedRun(5, isolated)}},
+			evidence: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, withLikelierCause), crashedRun(2, withLikelierCause), crashedRun(3, withLikelierCause), crashedRun(4, withLikelierCause), crashedRun(5, isolated)}},
 		},
 		{
 			name: "three unattributed, two of them isolated, two crashes", suspect: true, fewLeft: true, cause: true,
-			of: proof.Evidence{Unattributed: 3, UnattributedIsolated: 2, SuspectRuns: gauge.SuspectRuns{crashedRun(1), crashedRun(2)}},
+			evidence: proof.Evidence{Unattributed: 3, UnattributedIsolated: 2, SuspectRuns: gauge.SuspectRuns{crashedRun(1), crashedRun(2)}},
 		},
-		{name: "four unattributed, two of them isolated, one crash", of: proof.Evidence{Unattributed: 4, UnattributedIsolated: 2, SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true, fewLeft: true},
-		{name: "two as the sole job", of: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true, cause: true},
-		{name: "two as the sole job, long-running", of: proof.Evidence{LongRunning: true, SuspectRuns: gauge.SuspectRuns{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true},
-		{name: "one run of a gang on two workers", of: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate), crashedRun(1, lostLate)}}},
+		{name: "four unattributed, two of them isolated, one crash", evidence: proof.Evidence{Unattributed: 4, UnattributedIsolated: 2, SuspectRuns: gauge.SuspectRuns{crashedRun(1)}}, suspect: true, fewLeft: true},
+		{name: "two as the sole job", evidence: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true, cause: true},
+		{name: "two as the sole job, long-running", evidence: proof.Evidence{LongRunning: true, SuspectRuns: gauge.SuspectRuns{crashedRun(1, asSoleJob), crashedRun(2, asSoleJob)}}, suspect: true},
+		{name: "one run of a gang on two workers", evidence: proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate), crashedRun(1, lostLate)}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			assert.Equal(t, tt.of.IsSuspect(), tt.suspect)
-			assert.Equal(t, tt.of.HasFewStartsLeft(0), tt.fewLeft)
-			assert.Equal(t, tt.of.IsCause(), tt.cause)
+			assert.Equal(t, tt.evidence.IsSuspect(), tt.suspect)
+			assert.Equal(t, tt.evidence.HasFewStartsLeft(0), tt.fewLeft)
+			assert.Equal(t, tt.evidence.IsCause(), tt.cause)
 		})
 	}
 }
 
-// Guards against a start that goes out before the last losses are attributed to a cause.
+// Guards against a start that is sent before the last losses are attributed to a cause.
 func TestPendingLossesCountAsStarts(t *testing.T) {
 	c := proof.Evidence{Unattributed: 1, SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate)}}
 	assert.Assert(t, !c.HasFewStartsLeft(0))
@@ -74,5 +74,5 @@
 func TestProbationIsBounded(t *testing.T) {
 	assert.Equal(t, proof.Evidence{}.Probation(), proof.StartPhase)
 	assert.Equal(t, proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, lostLate)}}.Probation(), 9*time.Second)
-	assert.Equal(t, proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, func(tr *gauge.SuspectRun) { tr.RunTime = time.Minute })}}.Probation(), proof.ClearAfter)
+	assert.Equal(t, proof.Evidence{SuspectRuns: gauge.SuspectRuns{crashedRun(1, func(r *gauge.SuspectRun) { r.RunTime = time.Minute })}}.Probation(), proof.ClearAfter)
 }
--- a/internal/tenure/tenure.go
+++ b/internal/tenure/tenure.go
@@ -41,7 +41,7 @@
 }
 
 // Until returns when the lease ends unless it is renewed; no other entry can have claimed it
-// before. The term counts from when the renewal was sent, however long the answer took.
+// before. The lease duration counts from when the renewal was sent, however long the answer took.
 func (t *Tenure) Until() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,14 +55,15 @@
 	return t.version
 }
 
-// IsLost reports whether the lease was given up, or another holder is known to have it.
+// IsLost reports whether this holder must not use the lease any more: the lease was given up, or
+// MarkLost was called.
 func (t *Tenure) IsLost() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lost
 }
 
-// MarkLost records that another holder has the lease.
+// MarkLost records that this holder must not use the lease any more.
 func (t *Tenure) MarkLost() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/tenure/tenure_test.go
+++ b/internal/tenure/tenure_test.go
@@ -69,7 +69,7 @@
 	return err
 }
 
-// The lease's term counts from when the renewal was sent, however long the answer took.
+// The lease duration counts from when the renewal was sent, however long the answer took.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
 	g := newFixture()
 	g.now = time.Second
@@ -101,10 +101,10 @@
 	assert.Assert(t, g.lease.IsLost())
 }
 
-// Guards against a pool without an owner for a whole term after SIGTERM: the lease is given up
-// while a renewal is in progress, which is carried out first. GiveUp is then refused because of the
-// version, and has to try again.
-func TestGivingUpOutlivesARenewalUnderWay(t *testing.T) {
+// Guards against a pool without an owner for a whole lease duration after SIGTERM: the lease is
+// given up while a renewal is in progress, which is carried out first. GiveUp is then refused
+// because of the version, and has to try again.
+func TestGiveUpIsRetriedAfterAConcurrentRenewal(t *testing.T) {
 	g := newFixture()
 	assert.NilError(t, g.commit())
 	raced := false
@@ -125,7 +125,7 @@
 
 // What only the next holder needs isn't rewritten with each renewal, because all entries read the
 // lease row: with 600 workers it is 15 KB.
-func TestWhatIsForTheNextHolderIsWrittenWhenItChanges(t *testing.T) {
+func TestHandoverRowIsWrittenOnlyWhenChanged(t *testing.T) {
 	g := newFixture()
 	commit := func(workers ...string) {
 		t.Helper()
@@ -154,7 +154,7 @@
 // Guards against a successor that doesn't call a worker with orders: a write that leaves a worker
 // out gets no answer but is carried out, and the worker is named again. What was written before the
 // unanswered write must not be taken for what the table has.
-func TestWhatIsForTheNextHolderIsWrittenAgainAfterAWriteWithoutAnAnswer(t *testing.T) {
+func TestHandoverRowIsRewrittenAfterUnansweredWrite(t *testing.T) {
 	g := newFixture()
 	commit := func(workers ...string) error {
 		_, _, err := g.lease.Commit(t.Context(), gauge.LeaseRow{Workers: workers}, gauge.PartitionTxn{})
@@ -171,7 +171,7 @@
 	assert.DeepEqual(t, row.Workers, []string{"a", "b"})
 }
 
-func TestRowOfAnOlderProgramHasWhatIsForTheNextHolder(t *testing.T) {
+func TestLeaseRowOfOlderVersionKeepsItsWorkers(t *testing.T) {
 	row := gauge.LeaseRow{Workers: []string{"a"}}
 	assert.NilError(t, tenure.ReadHandoverRow(t.Context(), &fakeTable{}, leaseKey, &row))
 	assert.DeepEqual(t, row.Workers, []string{"a"})
--- a/internal/terms/burden.go
+++ b/internal/terms/burden.go
@@ -28,14 +28,14 @@
 }
 
 // LoadWithOneMore returns the load per core with one more lease.
-func (b HostLoad) LoadWithOneMore() float64 { return float64(b.Leases+1) / b.Capacity }
+func (l HostLoad) LoadWithOneMore() float64 { return float64(l.Leases+1) / l.Capacity }
 
 // ShouldMoveTo reports whether a lease should move from this host to another one: the load of each
 // core here is at least twice what it would be there. Of two leases on one host and none on an
 // equal one, each host gets one. After a move the opposite isn't true, so that no lease moves back
 // and forth.
-func (b HostLoad) ShouldMoveTo(to HostLoad) bool {
-	return float64(b.Leases)/b.Capacity >= 2*to.LoadWithOneMore()
+func (l HostLoad) ShouldMoveTo(to HostLoad) bool {
+	return float64(l.Leases)/l.Capacity >= 2*to.LoadWithOneMore()
 }
 
 // Peer is another entry process that may own pools.
@@ -45,19 +45,19 @@
 }
 
 // SetEntry records the row of an entry and reports whether it has changed.
-func (b *LeaseView) SetEntry(name string, row gauge.EntryRow) bool {
-	if b.entries[name] == row {
+func (v *LeaseView) SetEntry(name string, row gauge.EntryRow) bool {
+	if v.entries[name] == row {
 		return false
 	}
-	b.entries[name] = row
+	v.entries[name] = row
 	return true
 }
 
 // LeaseCount returns the number of leases that name this entry as their holder.
-func (b *LeaseView) LeaseCount() int {
+func (v *LeaseView) LeaseCount() int {
 	n := 0
-	for _, s := range b.rows {
-		if s.row.Holder == b.conf.Holder {
+	for _, s := range v.rows {
+		if s.row.Holder == v.conf.Holder {
 			n++
 		}
 	}
@@ -67,23 +67,23 @@
 // Peers lists the other entries by their load with one more lease, the least loaded first. Entries
 // of equal load come in an order that differs by pool: otherwise several owners that leave at once
 // would all choose the same entry.
-func (b *LeaseView) Peers(pool string) []Peer {
+func (v *LeaseView) Peers(pool string) []Peer {
 	peers := make(map[string]Peer)
-	for _, e := range b.entries {
+	for _, e := range v.entries {
 		peers[e.Addr] = Peer{Addr: e.Addr, HostLoad: HostLoad{Capacity: e.Capacity}}
 	}
-	for _, s := range b.rows {
+	for _, s := range v.rows {
 		if s.row.Holder == "" {
 			continue
 		}
 		p, known := peers[s.row.Addr]
 		if !known { // the entry's own row hasn't arrived yet: assume a host like this one
-			p = Peer{Addr: s.row.Addr, HostLoad: HostLoad{Capacity: b.conf.Capacity}}
+			p = Peer{Addr: s.row.Addr, HostLoad: HostLoad{Capacity: v.conf.Capacity}}
 		}
 		p.Leases++
 		peers[p.Addr] = p
 	}
-	delete(peers, b.conf.Addr)
+	delete(peers, v.conf.Addr)
 	return slices.SortedFunc(maps.Values(peers), func(x, y Peer) int {
 		return cmp.Or(cmp.Compare(x.LoadWithOneMore(), y.LoadWithOneMore()), cmp.Compare(xxhash.Sum64String(pool+x.Addr), xxhash.Sum64String(pool+y.Addr)))
 	})
@@ -91,29 +91,29 @@
 
 // IsSmallHost reports whether this host is small: it has less than half of the capacity of the
 // largest known one.
-func (b *LeaseView) IsSmallHost() bool { return b.relativeCapacity() < smallHostShare }
+func (v *LeaseView) IsSmallHost() bool { return v.relativeCapacity() < smallHostShare }
 
 // smallHostShare is the share of the largest host's capacity below which a host is small.
 const smallHostShare = 0.5
 
 // relativeCapacity returns this host's capacity as a share of the largest one's. Known hosts may be
 // dead by now. While no other host is known, there may be one of full capacity.
-func (b *LeaseView) relativeCapacity() float64 {
+func (v *LeaseView) relativeCapacity() float64 {
 	largest := 0.0
-	for _, e := range b.entries {
-		if e.Addr != b.conf.Addr {
+	for _, e := range v.entries {
+		if e.Addr != v.conf.Addr {
 			largest = max(largest, e.Capacity)
 		}
 	}
 	if largest == 0 {
 		largest = DefaultCapacity
 	}
-	return min(1, b.conf.Capacity/largest)
+	return min(1, v.conf.Capacity/largest)
 }
 
 // smallHostDelay returns how much longer than the largest host this one waits before it claims a
-// pool, if it has a number of leases.
-func (b *LeaseView) smallHostDelay(held int) time.Duration {
-	wait := float64(held+1) * (1/b.relativeCapacity() - 1) * float64(b.conf.DelayPerLease)
+// pool, given how many leases it holds.
+func (v *LeaseView) smallHostDelay(held int) time.Duration {
+	wait := float64(held+1) * (1/v.relativeCapacity() - 1) * float64(v.conf.DelayPerLease)
 	return time.Duration(min(wait, float64(maxSmallHostDelay)))
 }
--- a/internal/terms/burden_test.go
+++ b/internal/terms/burden_test.go
@@ -18,22 +18,22 @@
 // otherHosts has the capacities of other hosts by the addresses of their entries.
 type otherHosts map[string]float64
 
-func newBoardWith(self string, capacity float64, known otherHosts) *terms.LeaseView {
-	b := terms.New(terms.Config{
-		Holder: self, Addr: "10.0.0.9:1", Capacity: capacity, LeaseDuration: term, ClaimSpread: spread, DelayPerLease: held, GracePeriod: regain,
+func newLeaseViewWith(self string, capacity float64, known otherHosts) *terms.LeaseView {
+	v := terms.New(terms.Config{
+		Holder: self, Addr: "10.0.0.9:1", Capacity: capacity, LeaseDuration: leaseDuration, ClaimSpread: spread, DelayPerLease: delayPerLease, GracePeriod: gracePeriod,
 	})
 	for addr, c := range known {
-		b.SetEntry("at "+addr, gauge.EntryRow{Addr: addr, Capacity: c})
+		v.SetEntry("at "+addr, gauge.EntryRow{Addr: addr, Capacity: c})
 	}
-	b.MarkTableRead()
-	return b
+	v.MarkTableRead()
+	return v
 }
 
-// claimDelay is how long after it sees a pool without an owner an entry with a number of leases
-// claims it.
-func claimDelay(b *terms.LeaseView, leases int) time.Duration {
+// claimDelay returns how long an entry with so many leases waits before it claims a pool without an
+// owner.
+func claimDelay(v *terms.LeaseView, leases int) time.Duration {
 	now := time.Duration(0)
-	for len(b.DueClaims([]string{"p"}, leases, now)) == 0 {
+	for len(v.DueClaims([]string{"p"}, leases, now)) == 0 {
 		now += time.Millisecond
 	}
 	return now
@@ -53,20 +53,20 @@
 		want     time.Duration // beyond the delay that differs by entry
 	}{
 		{"large among small", large, otherHosts{"a": small, "b": small}, 0, 0},
-		{"large with two leases", large, otherHosts{"a": small}, 2, 2 * held},
+		{"large with two leases", large, otherHosts{"a": small}, 2, 2 * delayPerLease},
 		{"equal", small, otherHosts{"a": small}, 0, 0},
-		{"equal with a lease", small, otherHosts{"a": small}, 1, held},
-		{"half as large", large / 2, otherHosts{"a": large}, 0, held},
-		{"half as large with a lease", large / 2, otherHosts{"a": large, "b": small}, 1, 3 * held},
+		{"equal with a lease", small, otherHosts{"a": small}, 1, delayPerLease},
+		{"half as large", large / 2, otherHosts{"a": large}, 0, delayPerLease},
+		{"half as large with a lease", large / 2, otherHosts{"a": large, "b": small}, 1, 3 * delayPerLease},
 		{"small beside large", small, otherHosts{"a": large}, 0, most},
-		{"small beside large, with a lease", small, otherHosts{"a": large}, 1, held + most},
+		{"small beside large, with a lease", small, otherHosts{"a": large}, 1, delayPerLease + most},
 		{"small, no other host known", small, nil, 0, most},
 		{"large, no other host known", large, nil, 0, 0},
-		{"own capacity unknown", 0, nil, 1, held},
+		{"own capacity unknown", 0, nil, 1, delayPerLease},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			least := claimDelay(newBoardWith("me", large, otherHosts{"a": large}), 0)
-			got := claimDelay(newBoardWith("me", tt.capacity, tt.known), tt.leases)
+			least := claimDelay(newLeaseViewWith("me", large, otherHosts{"a": large}), 0)
+			got := claimDelay(newLeaseViewWith("me", tt.capacity, tt.known), tt.leases)
 			assert.Equal(t, got-least, tt.want)
 		})
 	}
@@ -74,10 +74,10 @@
 
 // The entry's own row, also that of an earlier start, says nothing about other hosts.
 func TestEntryIsNotComparedWithItself(t *testing.T) {
-	b := newBoardWith("me", small, nil)
-	b.SetEntry("me", gauge.EntryRow{Addr: "10.0.0.9:1", Capacity: small})
-	assert.Assert(t, claimDelay(b, 0) >= 500*time.Millisecond)
-	assert.Equal(t, len(b.Peers("p")), 0)
+	v := newLeaseViewWith("me", small, nil)
+	v.SetEntry("me", gauge.EntryRow{Addr: "10.0.0.9:1", Capacity: small})
+	assert.Assert(t, claimDelay(v, 0) >= 500*time.Millisecond)
+	assert.Equal(t, len(v.Peers("p")), 0)
 }
 
 func addrs(peers []terms.Peer) []string {
@@ -88,32 +88,32 @@
 	return a
 }
 
-// holdLeases has an address named by the leases of pools.
-func holdLeases(b *terms.LeaseView, addr string, pools ...string) {
+// holdLeases sets leases of pools whose holder is at an address.
+func holdLeases(v *terms.LeaseView, addr string, pools ...string) {
 	for _, pool := range pools {
-		b.SetLease(pool, gauge.LeaseRow{Holder: addr + "/1", Addr: addr}, 5, 0, 0)
+		v.SetLease(pool, gauge.LeaseRow{Holder: addr + "/1", Addr: addr}, 5, 0, 0)
 	}
 }
 
 func TestPeersAreOrderedByLoad(t *testing.T) {
-	b := newBoardWith("me", small, otherHosts{"weak": small, "strong": large, "middle": large / 2})
-	assert.DeepEqual(t, addrs(b.Peers("p")), []string{"strong", "middle", "weak"})
-	holdLeases(b, "strong", "q", "r")
-	assert.DeepEqual(t, addrs(b.Peers("p")), []string{"middle", "strong", "weak"})
-	holdLeases(b, "middle", "s", "t", "u", "v")
-	holdLeases(b, "weak", "w")
-	assert.DeepEqual(t, addrs(b.Peers("p")), []string{"strong", "middle", "weak"})
+	v := newLeaseViewWith("me", small, otherHosts{"weak": small, "strong": large, "middle": large / 2})
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"strong", "middle", "weak"})
+	holdLeases(v, "strong", "q", "r")
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"middle", "strong", "weak"})
+	holdLeases(v, "middle", "s", "t", "u", "v")
+	holdLeases(v, "weak", "w")
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"strong", "middle", "weak"})
 
-	same := newBoardWith("me", small, otherHosts{"a": small, "b": small, "c": small})
+	same := newLeaseViewWith("me", small, otherHosts{"a": small, "b": small, "c": small})
 	holdLeases(same, "a", "q")
 	assert.Equal(t, addrs(same.Peers("p"))[2], "a", "the one of equal hosts that has more leases is last")
 }
 
 // An address that only a lease row names is that of a host of unknown capacity.
 func TestPeersIncludeHoldersWithoutAnEntryRow(t *testing.T) {
-	b := newBoardWith("me", small, otherHosts{"a": small})
-	holdLeases(b, "b", "q")
-	assert.DeepEqual(t, addrs(b.Peers("p")), []string{"a", "b"})
+	v := newLeaseViewWith("me", small, otherHosts{"a": small})
+	holdLeases(v, "b", "q")
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"a", "b"})
 }
 
 // Guards against a pool that stays for good on a host that is too small for it: large hosts started
@@ -122,9 +122,9 @@
 	for _, tt := range []struct {
 		name          string
 		capacity      float64
-		held          int
+		leases        int
 		otherCapacity float64
-		otherHeld     int
+		otherLeases   int
 		want          bool
 	}{
 		{"equal hosts, two against none", small, 2, small, 0, true},
@@ -143,7 +143,7 @@
 		{"no leases", small, 0, large, 0, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			here, there := terms.HostLoad{Leases: tt.held, Capacity: tt.capacity}, terms.HostLoad{Leases: tt.otherHeld, Capacity: tt.otherCapacity}
+			here, there := terms.HostLoad{Leases: tt.leases, Capacity: tt.capacity}, terms.HostLoad{Leases: tt.otherLeases, Capacity: tt.otherCapacity}
 			assert.Equal(t, here.ShouldMoveTo(there), tt.want)
 			if tt.want {
 				here.Leases--
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -1,10 +1,10 @@
 // Package terms decides which pools' leases this entry process should claim. It is a state machine
 // without input or output over the lease rows that were read from the table.
 //
-// A lease has run out when its row hasn't changed for the lease duration, the term. The time is
-// counted from when this entry first saw the row, which is later than the time that the holder
-// counts from. An entry that has just started would have to wait a whole term for a holder that may
-// be long dead; it uses the time of the last renewal by the table's clock, which the row has.
+// A lease has run out when its row hasn't changed for the lease duration. The time is counted from
+// when this entry first saw the row, which is later than the time that the holder counts from. An
+// entry that has just started would have to wait a whole lease duration for a holder that may be
+// long dead; it uses the time of the last renewal by the table's clock, which the row has.
 package terms
 
 import (
@@ -61,7 +61,7 @@
 	graceEnd         time.Duration             // end of the grace period in which holders can renew leases that ran out
 }
 
-// clockMargin covers the drift between two entries' steady clocks over one term.
+// clockMargin covers the drift between two entries' steady clocks over one lease duration.
 const clockMargin = 100 * time.Millisecond
 
 // tableClockMargin covers the errors with which a holder and this entry know the table's clock:
@@ -78,8 +78,8 @@
 
 // SetLease records a lease row that was read at a time. Clock is an upper bound of the table's
 // clock at that time, in milliseconds; 0: not known.
-func (b *LeaseView) SetLease(pool string, row gauge.LeaseRow, version int64, now time.Duration, clock int64) {
-	old, known := b.rows[pool]
+func (v *LeaseView) SetLease(pool string, row gauge.LeaseRow, version int64, now time.Duration, clock int64) {
+	old, known := v.rows[pool]
 	if known && version <= old.version {
 		return
 	}
@@ -87,59 +87,59 @@
 	if clock > 0 && row.RenewedAt > 0 {
 		s.renewalAge = time.Duration(clock-row.RenewedAt) * time.Millisecond
 	}
-	b.rows[pool] = s
+	v.rows[pool] = s
 }
 
 // MarkClaimUnanswered records that this entry's claim of a pool got no answer. If the claim was
 // executed, the row names this entry, which doesn't run the pool, and the other entries would wait
-// a whole term for a holder that does nothing.
-func (b *LeaseView) MarkClaimUnanswered(pool string) { b.unansweredClaims[pool] = true }
+// a whole lease duration for a holder that does nothing.
+func (v *LeaseView) MarkClaimUnanswered(pool string) { v.unansweredClaims[pool] = true }
 
 // MarkAlive records that a holder has answered this entry during a table outage.
-func (b *LeaseView) MarkAlive(holder string, now time.Duration) { b.answeredAt[holder] = now }
+func (v *LeaseView) MarkAlive(holder string, now time.Duration) { v.answeredAt[holder] = now }
 
 // StartGracePeriod records that the table is reachable again after an outage. Holders could not
 // renew their leases meanwhile, but continued to work: if their pools were taken over at once,
-// these would stand still until their new owners have the reports of all workers.
-func (b *LeaseView) StartGracePeriod(now time.Duration) { b.graceEnd = now + b.conf.GracePeriod }
+// these would start nothing until their new owners have the reports of all workers.
+func (v *LeaseView) StartGracePeriod(now time.Duration) { v.graceEnd = now + v.conf.GracePeriod }
 
 // MarkExited records that a holder's process has exited, so that its leases needn't run out.
-func (b *LeaseView) MarkExited(holder string) { b.exited[holder] = true }
+func (v *LeaseView) MarkExited(holder string) { v.exited[holder] = true }
 
 // OverdueAddrs returns the addresses of holders that should have renewed a lease by now: a holder
-// renews four times in a term, and two of these renewals are overdue.
-func (b *LeaseView) OverdueAddrs(now time.Duration) []string {
+// renews four times within the lease duration, and two of these renewals are overdue.
+func (v *LeaseView) OverdueAddrs(now time.Duration) []string {
 	var addrs []string
-	for _, s := range b.rows {
-		if b.isOverdue(&s, now) && s.row.Addr != b.conf.Addr && !slices.Contains(addrs, s.row.Addr) {
+	for _, s := range v.rows {
+		if v.isOverdue(&s, now) && s.row.Addr != v.conf.Addr && !slices.Contains(addrs, s.row.Addr) {
 			addrs = append(addrs, s.row.Addr)
 		}
 	}
 	return addrs
 }
 
-func (b *LeaseView) isOverdue(s *leaseState, now time.Duration) bool {
-	return b.conf.ProbeAfter > 0 && s.row.Holder != "" && now-s.readAt > b.conf.ProbeAfter && now >= b.graceEnd
+func (v *LeaseView) isOverdue(s *leaseState, now time.Duration) bool {
+	return v.conf.ProbeAfter > 0 && s.row.Holder != "" && now-s.readAt > v.conf.ProbeAfter && now >= v.graceEnd
 }
 
 // MarkUnanswered records that the holder at an address didn't answer a probe that was sent at a
 // time.
-func (b *LeaseView) MarkUnanswered(addr string, asked time.Duration) { b.unansweredAt[addr] = asked }
+func (v *LeaseView) MarkUnanswered(addr string, asked time.Duration) { v.unansweredAt[addr] = asked }
 
 // isDead reports whether a holder neither renews its lease nor answers. A host that lost power
-// doesn't refuse connections, so that nothing else shows its failure; its pools would stand still
+// doesn't refuse connections, so that nothing else shows its failure; its pools would start nothing
 // until their leases ran out, and no machine would move if it held the fleet lease. A holder that
 // is taken for dead by mistake can't give orders any more once the workers have been called by its
 // successor.
-func (b *LeaseView) isDead(s *leaseState, now time.Duration) bool {
-	probedAt, ok := b.unansweredAt[s.row.Addr]
-	return ok && probedAt > s.readAt && b.isOverdue(s, now)
+func (v *LeaseView) isDead(s *leaseState, now time.Duration) bool {
+	probedAt, ok := v.unansweredAt[s.row.Addr]
+	return ok && probedAt > s.readAt && v.isOverdue(s, now)
 }
 
 // HoldersAt returns the holders whose lease rows have an address.
-func (b *LeaseView) HoldersAt(addr string) []string {
+func (v *LeaseView) HoldersAt(addr string) []string {
 	var names []string
-	for _, s := range b.rows {
+	for _, s := range v.rows {
 		if s.row.Addr == addr && s.row.Holder != "" && !slices.Contains(names, s.row.Holder) {
 			names = append(names, s.row.Holder)
 		}
@@ -148,21 +148,21 @@
 }
 
 // MarkTableRead records that the table has been read completely: a pool without a row has no owner.
-func (b *LeaseView) MarkTableRead() { b.tableRead = true }
+func (v *LeaseView) MarkTableRead() { v.tableRead = true }
 
 // Lease returns the lease row of a pool; false if no entry holds the lease.
-func (b *LeaseView) Lease(pool string) (gauge.LeaseRow, bool) {
-	s, ok := b.rows[pool]
+func (v *LeaseView) Lease(pool string) (gauge.LeaseRow, bool) {
+	s, ok := v.rows[pool]
 	return s.row, ok && s.row.Holder != ""
 }
 
 // LeaseVersion returns the version of a pool's lease row as last read; 0: there is no row.
-func (b *LeaseView) LeaseVersion(pool string) int64 { return b.rows[pool].version }
+func (v *LeaseView) LeaseVersion(pool string) int64 { return v.rows[pool].version }
 
 // Pools returns the pools that have a lease row.
-func (b *LeaseView) Pools() []string {
-	names := make([]string, 0, len(b.rows))
-	for n := range b.rows {
+func (v *LeaseView) Pools() []string {
+	names := make([]string, 0, len(v.rows))
+	for n := range v.rows {
 		names = append(names, n)
 	}
 	return names
@@ -170,70 +170,70 @@
 
 // DueClaims returns the claims to make now, of pools that this entry doesn't have. Held is the
 // number of pools that it has.
-func (b *LeaseView) DueClaims(pools []string, held int, now time.Duration) []Claim {
-	if !b.tableRead {
+func (v *LeaseView) DueClaims(pools []string, held int, now time.Duration) []Claim {
+	if !v.tableRead {
 		return nil
 	}
 	var claims []Claim
 	for _, pool := range pools {
-		if !b.isFree(pool, now) {
-			delete(b.freeSince, pool)
+		if !v.isFree(pool, now) {
+			delete(v.freeSince, pool)
 			continue
 		}
-		since, known := b.freeSince[pool]
+		since, known := v.freeSince[pool]
 		if !known {
 			since = now
-			b.freeSince[pool] = now
+			v.freeSince[pool] = now
 		}
-		if !b.isOwnPrevious(pool) && now-since < b.claimDelay(pool, held+len(claims)) {
+		if !v.isHeldByEarlierStart(pool) && now-since < v.claimDelay(pool, held+len(claims)) {
 			continue
 		}
-		s := b.rows[pool]
-		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, PreviousLeaseLeft: b.remainingTerm(pool, now)})
-		delete(b.freeSince, pool) // if the claim fails, the next one is delayed again
-		delete(b.unansweredClaims, pool)
+		s := v.rows[pool]
+		claims = append(claims, Claim{Pool: pool, Version: s.version, Row: s.row, PreviousLeaseLeft: v.remainingLease(pool, now)})
+		delete(v.freeSince, pool) // if the claim fails, the next one is delayed again
+		delete(v.unansweredClaims, pool)
 	}
 	return claims
 }
 
-func (b *LeaseView) isFree(pool string, now time.Duration) bool {
-	s, ok := b.rows[pool]
-	if !ok || s.row.Holder == "" || b.isOwnPrevious(pool) || b.unansweredClaims[pool] && s.row.Holder == b.conf.Holder || b.exited[s.row.Holder] {
+func (v *LeaseView) isFree(pool string, now time.Duration) bool {
+	s, ok := v.rows[pool]
+	if !ok || s.row.Holder == "" || v.isHeldByEarlierStart(pool) || v.unansweredClaims[pool] && s.row.Holder == v.conf.Holder || v.exited[s.row.Holder] {
 		return true
 	}
-	if answered, ok := b.answeredAt[s.row.Holder]; ok && now < b.graceEnd && now-answered < b.conf.LeaseDuration {
+	if answered, ok := v.answeredAt[s.row.Holder]; ok && now < v.graceEnd && now-answered < v.conf.LeaseDuration {
 		return false
 	}
-	if b.isDead(&s, now) {
+	if v.isDead(&s, now) {
 		return true
 	}
 	unchanged := now - s.readAt
-	return unchanged > b.conf.LeaseDuration+clockMargin || unchanged+s.renewalAge > b.conf.LeaseDuration+clockMargin+tableClockMargin
+	return unchanged > v.conf.LeaseDuration+clockMargin || unchanged+s.renewalAge > v.conf.LeaseDuration+clockMargin+tableClockMargin
 }
 
-// remainingTerm returns how much of the lease of a holder that didn't answer a probe may not have
+// remainingLease returns how much of the lease of a holder that didn't answer a probe may not have
 // run out yet; 0 for other holders.
-func (b *LeaseView) remainingTerm(pool string, now time.Duration) time.Duration {
-	s := b.rows[pool]
-	if !b.isDead(&s, now) {
+func (v *LeaseView) remainingLease(pool string, now time.Duration) time.Duration {
+	s := v.rows[pool]
+	if !v.isDead(&s, now) {
 		return 0
 	}
-	return max(0, b.conf.LeaseDuration-(now-s.readAt))
+	return max(0, v.conf.LeaseDuration-(now-s.readAt))
 }
 
-// isOwnPrevious reports whether a pool's holder is an earlier start of this entry. That process has
-// exited, as this one listens at its address.
-func (b *LeaseView) isOwnPrevious(pool string) bool {
-	row := b.rows[pool].row
-	return row.Holder != "" && row.Holder != b.conf.Holder && row.Addr == b.conf.Addr
+// isHeldByEarlierStart reports whether a pool's lease is held by an earlier start of this entry.
+// That process has exited, as this one listens at its address.
+func (v *LeaseView) isHeldByEarlierStart(pool string) bool {
+	row := v.rows[pool].row
+	return row.Holder != "" && row.Holder != v.conf.Holder && row.Addr == v.conf.Addr
 }
 
 // claimDelay returns how long this entry waits before it claims a free pool. The time differs by
 // entry and pool, so that entries that see a pool free at the same time don't all write. It grows
 // with the number of leases of this entry, and more so the smaller its host is, so that pools are
 // distributed by the capacity of hosts.
-func (b *LeaseView) claimDelay(pool string, held int) time.Duration {
+func (v *LeaseView) claimDelay(pool string, held int) time.Duration {
 	const steps = 1 << 10
-	share := xxhash.Sum64String(b.conf.Holder+"/"+pool) % steps
-	return time.Duration(share)*b.conf.ClaimSpread/steps + time.Duration(held)*b.conf.DelayPerLease + b.smallHostDelay(held)
+	share := xxhash.Sum64String(v.conf.Holder+"/"+pool) % steps
+	return time.Duration(share)*v.conf.ClaimSpread/steps + time.Duration(held)*v.conf.DelayPerLease + v.smallHostDelay(held)
 }
