--- a/internal/owner/freshness.go
+++ b/internal/owner/freshness.go
@@ -30,9 +30,7 @@
 }
 
 // isOld reports whether a queue was read too long ago to report its count.
-func (s *readTimes) isOld(queue string, now time.Duration) bool {
-	return now-s.readAt(queue) > countTTL
-}
+func (s *readTimes) isOld(name string, now time.Duration) bool { return now-s.readAt(name) > countTTL }
 
 // recordScan records a scan that began at the given time, and the queues for which it failed.
 func (s *readTimes) recordScan(began time.Duration, failed []string) {
--- a/internal/sched/endreports_test.go
+++ b/internal/sched/endreports_test.go
@@ -236,7 +236,7 @@
 
 // Guards against a pool of which no change is written any more. Jobs with long checkpoints change;
 // a transaction with many of them exceeds a megabyte and is refused again and again, if only
-// entries are counted and not bytes.
+// operations are counted and not bytes.
 func TestTransactionStaysBelowItsSizeLimit(t *testing.T) {
 	const most = 1 << 19
 	g := newHarness(t)
