--- a/internal/sched/acknowledge_test.go
+++ b/internal/sched/acknowledge_test.go
@@ -46,7 +46,7 @@
 // Guards against tasks of a cancelled job that start. The notification of the cancellation is lost;
 // the owner's next write of the job's row is refused as the row has changed, and must not overwrite
 // the cancellation.
-func TestCancelFoundByAWriteConflictEndsTheJob(t *testing.T) {
+func TestCancellationFoundByAWriteConflictEndsTheJob(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -24,9 +24,9 @@
 	due      time.Duration
 }
 
-// before reports whether the candidate comes before another. It is called some thousand times a
+// isBefore reports whether the candidate comes before another. It is called some thousand times a
 // plan, so it compares the deciding fields first and stops at the first difference.
-func (c *candidate) before(o *candidate) bool {
+func (c *candidate) isBefore(o *candidate) bool {
 	a, b := &c.rank, &o.rank
 	switch {
 	case a.class != b.class:
@@ -47,7 +47,7 @@
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int           { return len(h) }
-func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h candidateHeap) Less(i, k int) bool { return h[i].isBefore(&h[k]) }
 func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
 // Push implements heap.Interface; nothing is added later.
--- a/internal/sched/correlation.go
+++ b/internal/sched/correlation.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		sameRack := l.rack != "" && w.info.Rack() == l.rack
-		if p.lostWith(w, l, now) && !w.sharesTask(l) {
+		if p.wasLostWith(w, l, now) && !w.sharesTask(l) {
 			c.add(sameRack, len(w.runs)+len(w.lostRuns) > 0, w.tasksRuledOut())
 			continue
 		}
@@ -113,8 +113,8 @@
 	return 0
 }
 
-// lostWith reports whether a worker stopped answering at about the time of a loss.
-func (p *Pool) lostWith(w *worker, l *loss, now time.Duration) bool {
+// wasLostWith reports whether a worker stopped answering at about the time of a loss.
+func (p *Pool) wasLostWith(w *worker, l *loss, now time.Duration) bool {
 	return w.reported && w.silent && !w.isLeaving(w.silentSince) && now-w.silentSince >= confirmedSilence && l.overlaps(w.earliestLoss(p.conf.HeartbeatWait), w.silentSince)
 }
 
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -38,9 +38,10 @@
 	}
 }
 
-// listedElsewhere handles a worker that is listed in another pool. An incarnation that began there
-// isn't this owner's, even if it has answered a heartbeat that was meant for the previous one.
-func (p *Pool) listedElsewhere(info gauge.Worker) {
+// handleListedElsewhere handles a worker that is listed in another pool. An incarnation that began
+// there isn't this owner's, even if it has answered a heartbeat that was meant for the previous
+// one.
+func (p *Pool) handleListedElsewhere(info gauge.Worker) {
 	w := p.workers[info.ID]
 	if w == nil || info.Incarnation().IsBefore(w.info.Incarnation()) || w.listedHere && info.Incarnation() == w.info.Incarnation() {
 		return
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -91,7 +91,7 @@
 // start their tasks again without knowing that the worker has crashed: an owner learns that only by
 // the answer of the worker's next incarnation, seconds later.
 func (p *Pool) recordAtRisk(w *worker) {
-	if w.atRiskRecorded || len(w.runs) == 0 || !p.fewSilent() {
+	if w.atRiskRecorded || len(w.runs) == 0 || !p.hasFewSilent() {
 		return
 	}
 	w.atRiskRecorded = true
@@ -103,9 +103,9 @@
 	}
 }
 
-// fewSilent reports whether only some workers don't answer. If most don't, the cause is this
+// hasFewSilent reports whether only some workers don't answer. If most don't, the cause is this
 // owner's network or the workers' power, and not a task.
-func (p *Pool) fewSilent() bool {
+func (p *Pool) hasFewSilent() bool {
 	silent, all := 0, 0
 	for _, w := range p.workers {
 		if w.listed && !w.dead {
@@ -274,9 +274,9 @@
 	p.replacedUnreported = nil
 }
 
-// unreportedWith counts the workers without a suspect that didn't report either: a single one may
-// have left the pool meanwhile; several were probably lost together, as with a rack.
-func (p *Pool) unreportedWith(l *loss) int {
+// countUnreportedWith counts the workers without a suspect that didn't report either: a single one
+// may have left the pool meanwhile; several were probably lost together, as with a rack.
+func (p *Pool) countUnreportedWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
 		n += boolToInt(o.isCorrelatedWith(l) && !p.suspectWorkers[o.incarnation])
--- a/internal/sched/orphan_test.go
+++ b/internal/sched/orphan_test.go
@@ -135,7 +135,7 @@
 // Guards against tasks of a cancelled job that start. The job is cancelled after a new owner read
 // its row and before the owner adopts it, or the notification of the cancellation overtakes that of
 // the job.
-func TestCancelBeforeItsJobIsKept(t *testing.T) {
+func TestCancellationBeforeItsJobIsKept(t *testing.T) {
 	for _, inherited := range []bool{true, false} {
 		g := newHarness(t)
 		g.listWorkers("w1")
@@ -167,7 +167,7 @@
 
 // Guards against a task of a cancelled job that runs on: its start got no answer, the job is
 // cancelled, the stop is lost, and then the start is executed.
-func TestStartExecutedAfterTheCancelIsStopped(t *testing.T) {
+func TestStartExecutedAfterTheCancellationIsStopped(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
 	g.report("w1", nil)
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -148,7 +148,7 @@
 		if !disabled.Has(gauge.MechanismScatter) {
 			score -= scoreSpread * float64(onWorker)
 		}
-		score -= scoreInterference * float64(w.interfering(st.spec.BestEffort))
+		score -= scoreInterference * float64(w.countInterfering(st.spec.BestEffort))
 		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
 			score -= scoreDrainSoon
 		}
@@ -159,9 +159,9 @@
 	return score
 }
 
-// interfering counts the runs that a task would disturb or be disturbed by: for a best-effort task
-// those that serve, and vice versa.
-func (w *worker) interfering(bestEffort bool) int {
+// countInterfering counts the runs that a task would disturb or be disturbed by: for a best-effort
+// task those that serve, and vice versa.
+func (w *worker) countInterfering(bestEffort bool) int {
 	if bestEffort {
 		return w.longRunning - w.longRunningBestEffort
 	}
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -113,7 +113,7 @@
 
 // recordPriorCrash records that a worker was dead before it reported to this owner.
 func (p *Pool) recordPriorCrash(t *task, record gauge.SuspectRun, now time.Duration) {
-	if others := p.unreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
+	if others := p.countUnreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
 		// Why these were lost isn't known. For a task that has already lost two workers the loss
 		// counts as a crash all the same, but not as one that shows its cause.
 		if !t.evidence().HasRepeatedCrashes() {
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -96,7 +96,7 @@
 			// sooner than that its own deadline has passed.
 			p.requestStop(r)
 		}
-		if !listed && !endsPending && r.overBy(rep.Clock) {
+		if !listed && !endsPending && r.isOverBy(rep.Clock) {
 			if r.phase == phaseLive {
 				p.conf.CountEvent(EventVanished)
 				p.conf.Logs.Info("run vanished", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", w.info.ID)
@@ -106,9 +106,9 @@
 	}
 }
 
-// overBy reports whether a run that the worker doesn't list is certainly over, as of a reading of
+// isOverBy reports whether a run that the worker doesn't list is certainly over, as of a reading of
 // the worker's clock.
-func (r *run) overBy(clock time.Duration) bool {
+func (r *run) isOverBy(clock time.Duration) bool {
 	switch r.phase {
 	case phaseLive, phaseStopping:
 		return clock > r.confirmedAt
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -120,7 +120,7 @@
 	seen := make(map[string]bool, len(list))
 	for _, info := range list {
 		if info.Pool != p.conf.Name {
-			p.listedElsewhere(info)
+			p.handleListedElsewhere(info)
 			continue
 		}
 		w := p.listedAs(info)
@@ -191,7 +191,7 @@
 	incarnations := make([]gauge.Incarnation, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
 	for _, w := range p.workersByID() {
-		if w.omittable() && !awaited[w.info.ID] {
+		if w.mayBeOmitted() && !awaited[w.info.ID] {
 			w.inLeaseRow = false
 			continue
 		}
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -158,7 +158,7 @@
 
 // Guards against failing a healthy long-running job because all workers lost power again and again
 // while each of them had tasks that had just started.
-func TestSoundJobIsNotFailedForPowerLosses(t *testing.T) {
+func TestHealthyJobIsNotFailedForPowerLosses(t *testing.T) {
 	w := newCrashHarness(t, 6)
 	w.restartDelay = 300 * time.Millisecond
 	id := w.submit(1, longRunningStep(2))
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -181,10 +181,10 @@
 	return nil
 }
 
-// omittable reports whether the lease row may leave the worker out: nothing runs there, it gets no
-// starts, and the table has all its end reports. A dead incarnation is left out even without them,
-// as it can't be asked any more.
-func (w *worker) omittable() bool {
+// mayBeOmitted reports whether the lease row may leave the worker out: nothing runs there, it gets
+// no starts, and the table has all its end reports. A dead incarnation is left out even without
+// them, as it can't be asked any more.
+func (w *worker) mayBeOmitted() bool {
 	if !w.reported || len(w.runs) > 0 || w.orphanCount > 0 {
 		return false
 	}
--- a/internal/terms/burden_test.go
+++ b/internal/terms/burden_test.go
@@ -96,13 +96,13 @@
 }
 
 func TestPeersAreOrderedByLoad(t *testing.T) {
-	v := newLeaseViewWith("me", small, otherHosts{"weak": small, "strong": large, "middle": large / 2})
-	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"strong", "middle", "weak"})
-	holdLeases(v, "strong", "q", "r")
-	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"middle", "strong", "weak"})
+	v := newLeaseViewWith("me", small, otherHosts{"small": small, "large": large, "middle": large / 2})
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"large", "middle", "small"})
+	holdLeases(v, "large", "q", "r")
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"middle", "large", "small"})
 	holdLeases(v, "middle", "s", "t", "u", "v")
-	holdLeases(v, "weak", "w")
-	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"strong", "middle", "weak"})
+	holdLeases(v, "small", "w")
+	assert.DeepEqual(t, addrs(v.Peers("p")), []string{"large", "middle", "small"})
 
 	same := newLeaseViewWith("me", small, otherHosts{"a": small, "b": small, "c": small})
 	holdLeases(same, "a", "q")
