--- a/internal/owner/backlog.go
+++ b/internal/owner/backlog.go
@@ -44,8 +44,8 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	b := o.pool.Backlog(now)
-	seen := o.orderLag.Counts(now)
-	b.EndedOrders, b.SlowOrders, b.SlowWorkers = seen.Calls, seen.Slow, seen.Peers
+	counts := o.orderLag.Counts(now)
+	b.EndedOrders, b.SlowOrders, b.SlowWorkers = counts.Calls, counts.Slow, counts.Peers
 	b.QueuedOrders = int(o.waitingOrders.Load())
 	return b
 }
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -172,12 +172,12 @@
 	o.mu.Lock()
 	isLagging := !o.conf.Disabled.Has(gauge.MechanismLag) && !o.pool.IsSilent(incarnation) && o.orderLag.Record(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
 	o.seekingSuccessor = o.seekingSuccessor || isLagging
-	seen := o.orderLag.Counts(now)
+	counts := o.orderLag.Counts(now)
 	o.mu.Unlock()
 	if !isLagging {
 		return
 	}
-	o.conf.Logs.Info("owner lags", "pool", o.conf.Pool, "took", took, "calls", seen.Calls, "slow", seen.Slow, "targets", seen.Peers)
+	o.conf.Logs.Info("owner lags", "pool", o.conf.Pool, "took", took, "calls", counts.Calls, "slow", counts.Slow, "targets", counts.Peers)
 	o.onStuck(0)
 	o.mu.Lock()
 	o.seekingSuccessor = false
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -151,13 +151,13 @@
 		g := newBusyHarness(t, tasks)
 		defer g.end()
 		g.workers.endRuns(tasks)
-		// Four entries for each job, of 98 per transaction, make 17 transactions of 10 ms, after
+		// Four operations for each job, of 98 per transaction, make 17 transactions of 10 ms, after
 		// one pause and a renewal that may be in progress.
 		g.advance(17*10*time.Millisecond + 10*time.Millisecond + 30*time.Millisecond)
 		assert.Equal(t, g.table.completedJobs(), tasks)
 		g.advance(time.Second)
 		assert.Equal(t, g.workers.reportedEnds, tasks, "each ended run is reported once")
-		assert.Assert(t, g.table.maxEntries <= 100, "%d entries", g.table.maxEntries)
+		assert.Assert(t, g.table.maxOperations <= 100, "%d operations", g.table.maxOperations)
 	})
 }
 
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -18,14 +18,14 @@
 // fakeTable stores rows of jobs, and answers each transaction after a delay.
 type fakeTable struct {
 	gauge.PartitionedTable
-	mu         sync.Mutex
-	delay      time.Duration // delay of each transaction
-	err        error         // returned for each transaction instead of carrying it out
-	version    int64
-	jobs       map[string]*gauge.JobRow
-	maxEntries int // entries of the largest transaction
-	txns       int
-	cutOff     int // transactions whose context ended before the answer
+	mu            sync.Mutex
+	delay         time.Duration // delay of each transaction
+	err           error         // returned for each transaction instead of carrying it out
+	version       int64
+	jobs          map[string]*gauge.JobRow
+	maxOperations int // number of operations of the largest transaction
+	txns          int
+	cutOff        int // transactions whose context ended before the answer
 }
 
 func (b *fakeTable) Partitions(context.Context, string) ([]string, error) { return nil, nil }
@@ -55,7 +55,7 @@
 	}
 	b.version++
 	b.txns++
-	b.maxEntries = max(b.maxEntries, len(t.Checks)+len(t.Writes)+len(t.Deletes))
+	b.maxOperations = max(b.maxOperations, len(t.Checks)+len(t.Writes)+len(t.Deletes))
 	for _, w := range t.Writes {
 		if w.Table != gauge.TableJobs {
 			continue
--- a/internal/owner/inherit_test.go
+++ b/internal/owner/inherit_test.go
@@ -15,12 +15,12 @@
 
 // newSuccessor returns an owner that has claimed a pool with one worker, with the given lease row
 // of the previous owner.
-func newSuccessor(t *testing.T, store *rowTable, w *fakeWorkers, term int, before gauge.LeaseRow) *owner.Owner {
+func newSuccessor(t *testing.T, store *rowTable, w *fakeWorkers, term int, previous gauge.LeaseRow) *owner.Owner {
 	t.Helper()
 	now := func() time.Duration { return time.Minute + time.Since(w.began) }
 	clock := func() int64 { return now().Milliseconds() }
 	o := startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
-		c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), before.Workers, before, now, clock
+		c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), previous.Workers, previous, now, clock
 		c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
 		c.Lease = tenure.New(tenure.Config{
 			Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
@@ -44,8 +44,8 @@
 		first := newSuccessor(t, store, w, 1, gauge.LeaseRow{})
 		assert.Assert(t, first.DrainWorker("w1", false))
 		first.Stop("the entry stops")
-		before, _ := first.LeaseOffer()
-		all, handover := before.Split()
+		previous, _ := first.LeaseOffer()
+		all, handover := previous.Split()
 		all.Join(&handover)
 
 		store.addJob(t, "sheets", jobID(2), "p")
--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -18,7 +18,7 @@
 type workersWithOneSilent struct{ *fakeWorkers }
 
 func (d workersWithOneSilent) Heartbeat(ctx context.Context, w *gauge.Worker, c gauge.Heartbeat) (*gauge.WorkerReport, error) {
-	if w.ID != "dark" {
+	if w.ID != "silent" {
 		return d.fakeWorkers.Heartbeat(ctx, w, c)
 	}
 	select {
@@ -42,19 +42,19 @@
 		store := newRowTable()
 		store.addJob(t, "sheets", jobID(2), "p")
 		w := workersWithOneSilent{&fakeWorkers{began: began, workers: make(map[string]*fakeWorker), runEnded: make(chan struct{})}}
-		take := func(term int, before gauge.LeaseRow) *owner.Owner {
+		take := func(term int, previous gauge.LeaseRow) *owner.Owner {
 			return startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
-				c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), before.Workers, before, now, clock
+				c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), previous.Workers, previous, now, clock
 				c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
 				c.Lease = tenure.New(tenure.Config{
 					Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 					LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
 				})
-			}, idleWorker("sound"), idleWorker("dark"))
+			}, idleWorker("healthy"), idleWorker("silent"))
 		}
-		before := gauge.LeaseRow{Workers: []string{"dark"}} // of the previous owner
+		previous := gauge.LeaseRow{Workers: []string{"silent"}} // of the previous owner
 		for term := range 3 {
-			o := take(term+1, before)
+			o := take(term+1, previous)
 			time.Sleep(3 * time.Second)
 			synctest.Wait()
 			if starts, _ := w.callCounts(); term < 2 {
@@ -63,7 +63,7 @@
 				assert.Equal(t, starts, 1, "nine seconds after anything may have been granted")
 			}
 			o.Stop("the entry stops")
-			before, _ = o.LeaseOffer()
+			previous, _ = o.LeaseOffer()
 		}
 	})
 }
--- a/internal/owner/slots_test.go
+++ b/internal/owner/slots_test.go
@@ -70,7 +70,7 @@
 	return len(s.stops)
 }
 
-// newStallingFixture returns a fixture whose owner has such workers.
+// newStallingFixture returns a fixture whose owner has stallingWorkers.
 func newStallingFixture(t *testing.T) (*fixture, *stallingWorkers) {
 	s := &stallingWorkers{}
 	g := newFixture(t, func(c *owner.Config) { c.Workers = s })
--- a/internal/sched/incarnation.go
+++ b/internal/sched/incarnation.go
@@ -8,7 +8,7 @@
 )
 
 // A worker is identified by its incarnation. Whatever names a worker to this package (a row of the
-// platform's list, an answer, a lease row of a previous owner) goes through this file, which
+// platform's list, an answer, a row that a previous owner wrote) goes through this file, which
 // decides which incarnation is meant, so that what is known of one is never applied to another. The
 // newest known incarnation counts; anything from an earlier one is too late.
 
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -24,7 +24,7 @@
 	inherited      bool           // it was there before this owner took over
 	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
 
-	revision      int  // of the row: grows with each change
+	revision      int  // of row; grows with each change
 	savedRevision int  // that the table has
 	urgent        bool // the changes justify a write of their own
 	dropped       bool // its spec and open-job mark are dropped from the table
@@ -75,11 +75,11 @@
 	isSuspect          bool         // it may crash the worker that starts it
 	recordedBefore     bool         // previous owners recorded a run of it
 	unrecordedPresumed bool         // crashes that previous owners may have failed to record have been presumed
-	countedRun         int          // last run that was counted as an unattributed start
+	countedRun         int          // last run that countUnprovenStart has counted
 	hasUnsettledRuns   bool         // previous owners recorded runs whose outcome isn't known
 	unclearRuns        int          // runs lost on workers that may have crashed or only be cut off
 	pendingLosses      int          // lost workers whose loss isn't attributed yet
-	requiredRevision   int          // revision of the job's row that has to be in the table before a suspect starts
+	requiredRevision   int          // of the job's row, which has to be in the table before a suspect starts
 	reservation        *reservation // where it is to start, while it is a suspect
 }
 
