--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -50,7 +50,7 @@
 					Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 					LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
 				})
-			}, idleWorker("healthy"), idleWorker("silent"))
+			}, idleWorker("working"), idleWorker("silent"))
 		}
 		previous := gauge.LeaseRow{Workers: []string{"silent"}} // of the previous owner
 		for term := range 3 {
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -25,7 +25,7 @@
 	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
 
 	revision      int  // of row; grows with each change
-	savedRevision int  // that the table has
+	savedRevision int  // revision of row that the table has
 	urgent        bool // the changes justify a write of their own
 	dropped       bool // its spec and open-job mark are dropped from the table
 
