--- a/internal/sched/probation.go
+++ b/internal/sched/probation.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// inheritProbation continues the probation of a run that a previous owner started in isolation.
+// inheritProbation continues the probation of a run that a previous owner recorded.
 func (p *Pool) inheritProbation(r *run) {
 	// The time of its start isn't known. Each run of a suspect is recorded until it has lasted for
 	// a while, and most runs of other tasks have lasted for as long.
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -180,8 +180,8 @@
 
 // LeaseRowWorkers returns the workers for the lease row: those to which this owner, or a previous
 // one whose runs aren't all known yet, may have given orders. A successor asks all of them before
-// it restarts anything that it inherits. It also excludes from starts the workers that it leaves
-// out, until LeaseRowWritten names them again.
+// it restarts anything that it inherits. LeaseRowWorkers also excludes from starts the workers that
+// it leaves out, until LeaseRowWritten names them again.
 //
 // Workers that run nothing, take no starts and have all their end reports in the table are left
 // out. Machines change pools several times a minute. If workers of machines that have left stayed
