--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -28,7 +28,7 @@
 	}
 	j := &job{
 		id: a.ID, queue: a.Queue, spec: a.Spec, row: *a.Row, version: a.Version, arrived: a.Arrived, inherited: a.Inherited,
-		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.CompletedOccurrences, longestChain: longestChain(a.Spec), index: &p.index,
+		occurrences: make(map[int]*occurrence), nextOccurrence: a.Row.CompletedOccurrences, criticalPath: criticalPath(a.Spec), index: &p.index,
 	}
 	p.jobs[a.ID] = j
 	p.adoptedWork += estimatedWork(a.Spec)
@@ -42,7 +42,7 @@
 		j.occurrence(0, now)
 		j.nextOccurrence = 1
 	}
-	p.cancelEarly(j)
+	p.applyEarlyCancel(j)
 	if a.Inherited && p.jobsMissing {
 		// Reports about its runs were ignored so far, also those that came while it was being read.
 		p.RequireFreshReports()
@@ -132,7 +132,7 @@
 		return "", false
 	}
 	if j.row.State.IsFinal() && j.row.State != gauge.JobCancelled && j.isDirty() {
-		return gauge.JobRunning, true // the final state isn't reported before the table has it; a cancellation it has
+		return gauge.JobRunning, true // a final state is reported only once the table has it; it always has a cancellation
 	}
 	if j.startOrdered && !j.row.State.IsFinal() {
 		return gauge.JobRunning, true
@@ -140,7 +140,7 @@
 	return j.row.State, true
 }
 
-// maxAttempts is how often a task of the job may fail.
+// maxAttempts returns the number of failures of one task with which its job fails.
 func (p *Pool) maxAttempts(j *job) int {
 	if q := p.policy(j); q != nil && q.MaxAttempts > 0 {
 		return q.MaxAttempts
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -13,7 +13,7 @@
 	at    time.Duration
 }
 
-// age returns how long items between the two counts have waited at least.
+// age returns how long the items that are in all but not in settled have waited at least.
 func (m *ageTracker) age(settled, all int64, now time.Duration) time.Duration {
 	if settled >= all {
 		*m = ageTracker{}
@@ -33,7 +33,7 @@
 		if j.isDirty() {
 			b.UnwrittenChanges++
 		}
-		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedChanges), int64(j.changes), now))
+		b.ChangeAge = max(b.ChangeAge, j.changeAge.age(int64(j.savedRevision), int64(j.revision), now))
 	}
 	for _, w := range p.workers {
 		if w.listed {
--- a/internal/sched/batch.go
+++ b/internal/sched/batch.go
@@ -10,12 +10,12 @@
 
 // Change is one job's row as it is to be written.
 type Change struct {
-	Job     string
-	Queue   string
-	Row     []byte
-	Version int64 // that the table is expected to have
-	Final   bool  // nothing runs any more: spec and marker can be dropped
-	changes int
+	Job      string
+	Queue    string
+	Row      []byte
+	Version  int64 // that the table is expected to have
+	Final    bool  // nothing runs any more: spec and open-job mark can be dropped
+	revision int   // of the row that was encoded
 }
 
 // Batch is a set of changes for one transaction.
@@ -26,37 +26,37 @@
 }
 
 const (
-	// jobEntries is how many entries of a transaction a job's change takes: its check and its
-	// write. endEntries is how many more it takes to drop spec and marker.
-	jobEntries = 2
-	endEntries = 2
+	// jobOperations is how many operations of a transaction a job's change takes: its check and its
+	// write. dropOperations is how many more it takes to drop spec and open-job mark.
+	jobOperations  = 2
+	dropOperations = 2
 	// batchBytes bounds the rows of a batch. A transaction may have 1 MB in all, and rows grow by a
 	// third when encoded, but over an entry's slow link this much takes 0.3 s.
 	batchBytes = 256 << 10
 )
 
 // NextBatch returns changes of one queue that the table doesn't have yet, urgent ones first, as
-// many as fit into a transaction with the given number of entries. Queues to avoid are left out:
+// many as fit into a transaction with the given number of operations. Queues to avoid are left out:
 // their partition doesn't answer, and would delay the others. Now is the table's clock in
 // milliseconds. It fails if a row can't be encoded.
-func (p *Pool) NextBatch(entries int, now int64, avoid func(queue string) bool) (Batch, error) {
+func (p *Pool) NextBatch(operations int, now int64, avoid func(queue string) bool) (Batch, error) {
 	b := Batch{}
 	waiting := p.writable(avoid)
 	if len(waiting) == 0 {
 		return b, nil
 	}
 	b.Queue = slices.MinFunc(waiting, byUrgency).queue
-	due, left, size := 0, entries, 0
+	due, left, size := 0, operations, 0
 	for _, j := range waiting {
-		due += j.entryCount(j.row.State.IsFinal())
+		due += j.operationCount(j.row.State.IsFinal())
 	}
-	b.HasMore = due > entries
-	for _, j := range firstOf(waiting, b.Queue, max(1, entries/jobEntries)) {
+	b.HasMore = due > operations
+	for _, j := range firstOf(waiting, b.Queue, max(1, operations/jobOperations)) {
 		c, err := j.change(now)
 		if err != nil {
 			return b, err
 		}
-		left -= j.entryCount(c.Final)
+		left -= j.operationCount(c.Final)
 		size += len(c.Row)
 		if len(b.Changes) > 0 && (left < 0 || size > batchBytes) {
 			b.HasMore = true
@@ -67,12 +67,12 @@
 	return b, nil
 }
 
-// entryCount is how many entries of a transaction the job's change takes.
-func (j *job) entryCount(final bool) int {
+// operationCount is how many operations of a transaction the job's change takes.
+func (j *job) operationCount(final bool) int {
 	if final {
-		return jobEntries + endEntries
+		return jobOperations + dropOperations
 	}
-	return jobEntries
+	return jobOperations
 }
 
 // change returns the job's row as it is to be written.
@@ -86,11 +86,12 @@
 	}
 	return Change{
 		Job: j.id, Queue: j.queue, Row: row, Version: j.version,
-		Final: j.row.State.IsFinal() && len(j.liveRuns()) == 0, changes: j.changes,
+		Final: j.row.State.IsFinal() && len(j.liveRuns()) == 0, revision: j.revision,
 	}, nil
 }
 
-// HasUrgent reports whether a change waits that justifies a write of its own.
+// HasUrgent reports whether something waits that is to be written at once: an urgent change, an end
+// report, or a worker for the lease row.
 func (p *Pool) HasUrgent() bool {
 	if p.index.hasUrgent() {
 		return true
@@ -137,8 +138,8 @@
 	return first
 }
 
-// isDroppable reports whether a job that has ended has nothing left but its spec and marker in the
-// table.
+// isDroppable reports whether a job that has ended has nothing left but its spec and open-job mark
+// in the table.
 func (j *job) isDroppable() bool {
 	return j.row.State.IsFinal() && !j.dropped && len(j.liveRuns()) == 0
 }
@@ -151,7 +152,7 @@
 			continue
 		}
 		j.version = version
-		j.savedChanges = max(j.savedChanges, c.changes)
+		j.savedRevision = max(j.savedRevision, c.revision)
 		if !j.isDirty() {
 			j.urgent = false
 		}
@@ -167,8 +168,8 @@
 }
 
 // RowConflicted handles a row as the table has it, after a batch was refused. A row that a caller's
-// cancellation has changed ends the job here. A row that was changed by an earlier batch without an
-// answer is merely newer.
+// cancellation has changed ends the job here. If an earlier batch that got no answer has changed
+// the row, only its version is taken over.
 func (p *Pool) RowConflicted(id string, row *gauge.JobRow, version int64) {
 	j := p.jobs[id]
 	if j == nil || version <= j.version {
--- a/internal/sched/candidate.go
+++ b/internal/sched/candidate.go
@@ -24,9 +24,9 @@
 	due      time.Duration
 }
 
-// before reports whether the candidate comes before another. It is called some thousand times a
+// isBefore reports whether the candidate comes before another. It is called some thousand times a
 // plan, so it compares the deciding fields first and stops at the first difference.
-func (c *candidate) before(o *candidate) bool {
+func (c *candidate) isBefore(o *candidate) bool {
 	a, b := &c.rank, &o.rank
 	switch {
 	case a.class != b.class:
@@ -47,13 +47,13 @@
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int           { return len(h) }
-func (h candidateHeap) Less(i, k int) bool { return h[i].before(&h[k]) }
+func (h candidateHeap) Less(i, k int) bool { return h[i].isBefore(&h[k]) }
 func (h candidateHeap) Swap(i, k int)      { h[i], h[k] = h[k], h[i] }
 
 // Push implements heap.Interface; nothing is added later.
 func (h *candidateHeap) Push(any) {}
 
-// Pop implements heap.Interface. What it returns has been read already.
+// Pop implements heap.Interface. It returns nil: next reads the first element before it calls Pop.
 func (h *candidateHeap) Pop() any {
 	*h = (*h)[:len(*h)-1]
 	return nil
@@ -93,7 +93,7 @@
 	if j.policy != nil {
 		stretch, target = j.policy.Stretch, j.policy.Target
 	}
-	j.objective = time.Duration(stretch*float64(j.longestChain)) + target
+	j.objective = time.Duration(stretch*float64(j.criticalPath)) + target
 	return j.policy
 }
 
@@ -132,7 +132,7 @@
 	case p.conf.Disabled.Has(gauge.MechanismTimely):
 	case left < -j.objective*(lateFactor-1):
 		r.lateness = 2
-	case left < o.chain()/2:
+	case left < o.remainingCriticalPath()/2:
 		r.lateness = 1
 	}
 	return r
--- a/internal/sched/crash_test.go
+++ b/internal/sched/crash_test.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxCrashes is the bound on a task's crashes: after the third, two more starts are allowed,
-	// which may crash as well.
+	// maxCrashes is the most workers that a task may crash: after three crashes it may be started
+	// twice more.
 	maxCrashes = 5
 	// maxCrashesIsolated is the bound where the task can be started on a worker without other work.
 	maxCrashesIsolated = 3
@@ -164,8 +164,8 @@
 	assert.Equal(t, w.jobState(others[2]), gauge.JobCompleted)
 }
 
-// Guards against failing a sound job whose workers are lost again and again right after its starts:
-// alone, with their rack, or with all other workers.
+// Guards against failing a healthy job whose workers are lost again and again right after its
+// starts: alone, with their rack, or with all other workers.
 func TestHealthyJobIsNotFailed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
--- a/internal/sched/job.go
+++ b/internal/sched/job.go
@@ -18,22 +18,22 @@
 	arrived        time.Duration // when it was accepted, on the local clock
 	occurrences    map[int]*occurrence
 	nextOccurrence int            // first occurrence that isn't created yet
-	longestChain   time.Duration  // estimated duration of the longest chain of steps
+	criticalPath   time.Duration  // estimated duration of the steps on the critical path
 	startOrdered   bool           // a start of one of its tasks was ordered
 	started        bool           // a worker has reported a run of it
 	inherited      bool           // it was there before this owner took over
 	barrier        *reportBarrier // reports that its tasks wait for, if it was read late
 
-	changes      int  // grows with each change of the row
-	savedChanges int  // changes that the table has
-	urgent       bool // the changes justify a write of their own
-	dropped      bool // its spec and marker are dropped from the table
+	revision      int  // of row; grows with each change
+	savedRevision int  // revision of row that the table has
+	urgent        bool // the changes justify a write of their own
+	dropped       bool // its spec and open-job mark are dropped from the table
 
 	index     *poolIndex    // of its pool
 	site      *gauge.Site   // configuration in which its queue was looked up ...
 	policy    *gauge.Queue  // ... its queue there ...
 	objective time.Duration // ... and how long after its arrival it should be done
-	changeAge ageTracker    // of changes, for Backlog
+	changeAge ageTracker    // of changes, for Pool.Backlog
 }
 
 // occurrence is one execution of a job's steps; a scheduled job has several.
@@ -42,8 +42,8 @@
 	steps     []*stage
 	remaining int // tasks that aren't done
 
-	longestChain time.Duration // result of the last call of chain
-	chainStale   bool          // the result has to be computed again
+	criticalPath      time.Duration // result of the last call of remainingCriticalPath
+	criticalPathStale bool          // the result has to be computed again
 }
 
 // stage is one step of one occurrence.
@@ -74,12 +74,12 @@
 
 	isSuspect          bool         // it may crash the worker that starts it
 	recordedBefore     bool         // previous owners recorded a run of it
-	unrecordedAllowed  bool         // unrecorded crashes before this owner are allowed for
-	countedRun         int          // last run that was counted as an unattributed start
+	unrecordedPresumed bool         // crashes that previous owners may have failed to record have been presumed
+	countedRun         int          // last run that countUnprovenStart has counted
 	hasUnsettledRuns   bool         // previous owners recorded runs whose outcome isn't known
-	undecidedRuns      int          // runs lost on workers that may have crashed or only be cut off
-	unattributedLosses int          // lost workers whose loss isn't attributed yet
-	requiredChange     int          // change of the job's row that has to be in the table before a suspect starts
+	unclearRuns        int          // runs lost on workers that may have crashed or only be cut off
+	pendingLosses      int          // lost workers whose loss isn't attributed yet
+	requiredRevision   int          // of the job's row, which has to be in the table before a suspect starts
 	reservation        *reservation // where it is to start, while it is a suspect
 }
 
@@ -118,12 +118,12 @@
 
 // touch records a change of the row.
 func (j *job) touch(urgent bool) {
-	j.changes++
+	j.revision++
 	j.urgent = j.urgent || urgent
 	j.index.changed[j] = true
 }
 
-func (j *job) isDirty() bool { return j.changes > j.savedChanges }
+func (j *job) isDirty() bool { return j.revision > j.savedRevision }
 
 // isOpen reports whether tasks of the job may still start.
 func (j *job) isOpen() bool { return !j.row.State.IsFinal() }
@@ -133,7 +133,7 @@
 	if o := j.occurrences[number]; o != nil {
 		return o
 	}
-	o := &occurrence{number: number, chainStale: true}
+	o := &occurrence{number: number, criticalPathStale: true}
 	done := j.row.Done[number]
 	for i := range j.spec.Steps {
 		st := &stage{spec: &j.spec.Steps[i], job: j, occ: o, earliestReady: now}
@@ -184,9 +184,10 @@
 	return true
 }
 
-// release records when the tasks of steps that waited for this one became ready. If that were
-// counted from the job's arrival, it wouldn't show how long a task has waited for room.
-func (o *occurrence) release(done *stage, now time.Duration) {
+// markReady records when tasks became ready whose steps waited for this one. Their waiting time
+// counts from then, not from the job's arrival, so that it shows how long they have waited for
+// room.
+func (o *occurrence) markReady(done *stage, now time.Duration) {
 	for _, st := range o.steps {
 		if !slices.Contains(st.spec.After, done.tasks[0].id.Step) || !o.isReady(st) {
 			continue
@@ -215,8 +216,8 @@
 	t.stage.remaining--
 	o.remaining--
 	if t.stage.remaining == 0 {
-		o.chainStale = true
-		o.release(t.stage, now)
+		o.criticalPathStale = true
+		o.markReady(t.stage, now)
 		o.enqueue() // other steps may have waited for this one
 	}
 	if j.row.Done == nil {
@@ -242,7 +243,7 @@
 	j.advance()
 }
 
-// advance moves the mark of completed occurrences, and completes the job with the last of them.
+// advance updates the count of completed occurrences, and completes the job with the last of them.
 func (j *job) advance() {
 	for {
 		o := j.occurrences[j.row.CompletedOccurrences]
@@ -258,7 +259,7 @@
 	}
 }
 
-// fail ends the job for good.
+// fail ends an open job as failed.
 func (j *job) fail() {
 	if j.isOpen() {
 		j.close(gauge.JobFailed)
@@ -286,11 +287,11 @@
 	return rs
 }
 
-// chain is the estimated duration of the longest chain of steps that are left. It changes only when
-// a step is done.
-func (o *occurrence) chain() time.Duration {
-	if !o.chainStale {
-		return o.longestChain
+// remainingCriticalPath returns the estimated duration of the longest chain of steps that are left.
+// It changes only when a step is done.
+func (o *occurrence) remainingCriticalPath() time.Duration {
+	if !o.criticalPathStale {
+		return o.criticalPath
 	}
 	ends := make([]time.Duration, len(o.steps))
 	var longest time.Duration
@@ -303,12 +304,12 @@
 		}
 		longest = max(longest, ends[i])
 	}
-	o.longestChain, o.chainStale = longest, false
+	o.criticalPath, o.criticalPathStale = longest, false
 	return longest
 }
 
-// longestChain is the estimated duration of the longest chain of a job's steps.
-func longestChain(spec *gauge.JobSpec) time.Duration {
+// criticalPath returns the estimated duration of the longest chain of a job's steps.
+func criticalPath(spec *gauge.JobSpec) time.Duration {
 	ends := make([]time.Duration, len(spec.Steps))
 	var longest time.Duration
 	for i := range spec.Steps {
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -12,8 +12,8 @@
 	// attributionDelay is the time after a worker's loss until others that were lost with it are
 	// known. Before, the loss can't be attributed, and the lost tasks wait.
 	attributionDelay = time.Second
-	// pauseThreshold without a tick, of which there are ten a second, means that this process stood
-	// still and noticed no losses meanwhile.
+	// pauseThreshold without a tick, of which there are ten a second, means that this process was
+	// suspended and noticed no losses meanwhile.
 	pauseThreshold = 500 * time.Millisecond
 	// lossRetention is how long a loss is remembered, to be compared with others.
 	lossRetention = 10 * time.Second
@@ -21,17 +21,17 @@
 
 // lostRun is a run that ended with its worker's incarnation or lease.
 type lostRun struct {
-	task     *task
-	number   int
-	lived    time.Duration
-	reported bool // its worker has reported it
-	passedOn *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
+	task       *task
+	number     int
+	minRunTime time.Duration
+	reported   bool // its worker has reported it
+	passedOn   *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
 }
 
-// isNotLost reports whether the run turned out not to be lost.
-func (l lostRun) isNotLost() bool { return l.passedOn != nil && l.passedOn.notLost }
+// isRevoked reports whether the run turned out not to be lost with its worker.
+func (l lostRun) isRevoked() bool { return l.passedOn != nil && l.passedOn.lossRevoked }
 
-// loss is a worker whose incarnation is dead.
+// loss is the loss of a worker's incarnation: it is dead, or silent and no longer listed.
 type loss struct {
 	incarnation gauge.Incarnation
 	rack        string
@@ -47,21 +47,21 @@
 	unreported bool
 }
 
-// lose ends a run together with its worker. The log line says how long the run lived at least and
+// lose ends a run together with its worker. The log line says how long the run lasted at least and
 // how many others were lost with it: a task that crashes its workers shows as runs that are lost
 // soon after their starts, on one worker after the other.
 func (p *Pool) lose(r *run, reason string, others int, now time.Duration) {
 	p.conf.CountEvent(EventLost)
 	p.conf.Logs.Info("run lost", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", r.worker.info.ID,
-		"addr", r.worker.info.Addr, "lived", r.lived(), "started", now-r.orderedAt, "with", others, "reason", reason)
-	r.worker.addLost(lostRun{task: r.task, number: r.number, lived: r.lived(), reported: r.reportedAt > 0})
+		"addr", r.worker.info.Addr, "lived", r.minRunTime(), "started", now-r.orderedAt, "with", others, "reason", reason)
+	r.worker.addLost(lostRun{task: r.task, number: r.number, minRunTime: r.minRunTime(), reported: r.reportedAt > 0})
 	r.lost = true
 	p.endRun(r, now)
 }
 
 // addLost keeps a lost run until it is known what became of the worker.
 func (w *worker) addLost(l lostRun) {
-	l.task.undecidedRuns++
+	l.task.unclearRuns++
 	w.lostRuns = append(w.lostRuns, l)
 }
 
@@ -84,28 +84,28 @@
 	}
 }
 
-// lived is how long the run has lived at least, up to its worker's last report of it.
-func (r *run) lived() time.Duration { return r.livedBefore + max(0, r.reportedAt-r.orderedAt) }
+// minRunTime returns how long the run has lasted at least, up to its worker's last report of it.
+func (r *run) minRunTime() time.Duration { return r.priorRunTime + max(0, r.reportedAt-r.orderedAt) }
 
 // recordAtRisk records the runs on a worker that has stopped answering. Otherwise a successor would
 // start their tasks again without knowing that the worker has crashed: an owner learns that only by
 // the answer of the worker's next incarnation, seconds later.
 func (p *Pool) recordAtRisk(w *worker) {
-	if w.atRiskRecorded || len(w.runs) == 0 || !p.fewSilent() {
+	if w.atRiskRecorded || len(w.runs) == 0 || !p.hasFewSilent() {
 		return
 	}
 	w.atRiskRecorded = true
 	singleJob := w.runsSingleJob()
 	for r := range w.runs {
 		if r.isolatedFor == nil && r.task.job.isOpen() {
-			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: singleJob && r.reportedAt > 0, RunTime: r.lived()})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: w.info.ID, StartedAt: w.info.StartedAt, SoleJob: singleJob && r.reportedAt > 0, RunTime: r.minRunTime()})
 		}
 	}
 }
 
-// fewSilent reports whether only some workers don't answer. If most don't, the cause is this
+// hasFewSilent reports whether only some workers don't answer. If most don't, the cause is this
 // owner's network or the workers' power, and not a task.
-func (p *Pool) fewSilent() bool {
+func (p *Pool) hasFewSilent() bool {
 	silent, all := 0, 0
 	for _, w := range p.workers {
 		if w.listed && !w.dead {
@@ -118,7 +118,8 @@
 	return silent <= 1 || fewDivisor*silent <= all
 }
 
-// fewDivisor: at most a quarter of the workers count as few.
+// fewDivisor is the divisor of the number of workers up to which workers count as few: at most one
+// in four.
 const fewDivisor = 4
 
 // clearAtRisk takes back what was recorded for a worker that answers again: it hasn't crashed.
@@ -131,7 +132,7 @@
 		}
 	}
 	for _, l := range w.lostRuns {
-		l.task.undecidedRuns--
+		l.task.unclearRuns--
 		p.dropUnconfirmed(l.task, l.number)
 	}
 	w.atRiskRecorded, w.lostRuns = false, nil
@@ -158,19 +159,19 @@
 // tasksRuledOut reports whether a worker had runs, none of which can be the cause of its loss.
 func (w *worker) tasksRuledOut() bool {
 	for r := range w.runs {
-		if r.lived() < proof.StartPhase || r.isolatedFor != nil || r.task.leadTask().isSuspect {
+		if r.minRunTime() < proof.StartPhase || r.isolatedFor != nil || r.task.leadTask().isSuspect {
 			return false
 		}
 	}
 	for _, l := range w.lostRuns {
-		if l.lived < proof.StartPhase || l.task.leadTask().isSuspect {
+		if l.minRunTime < proof.StartPhase || l.task.leadTask().isSuspect {
 			return false
 		}
 	}
 	return len(w.runs)+len(w.lostRuns) > 0
 }
 
-// recordLoss records that a worker is dead, with the runs that were lost there. The loss is
+// recordLoss records the loss of a worker, with the runs that were lost there. The loss is
 // attributed a little later.
 func (p *Pool) recordLoss(w *worker, now time.Duration) {
 	l := &loss{
@@ -183,11 +184,11 @@
 	// Machines are ordered to leave only when they are empty.
 	l.planned = w.info.Draining || len(l.runs) == 0 && w.isLeaving(l.noticedAt)
 	for _, r := range l.runs {
-		r.task.undecidedRuns--
-		r.task.unattributedLosses++
+		r.task.unclearRuns--
+		r.task.pendingLosses++
 		if !l.planned && !r.task.done && r.task.job.isOpen() {
 			// The successor has to know, should this owner not get to attribute the loss.
-			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, SoleJob: l.singleJob && r.reported, RunTime: r.lived})
+			p.recordSuspectRun(r.task, gauge.SuspectRun{Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, SoleJob: l.singleJob && r.reported, RunTime: r.minRunTime})
 		}
 	}
 	w.lostRuns = nil
@@ -209,8 +210,8 @@
 }
 
 func (p *Pool) attributeLoss(l *loss, now time.Duration) {
-	others := p.correlatedLosses(l, now)
-	correlated := others.areCorrelated()
+	others := p.countCorrelatedLosses(l, now)
+	correlated := others.hasExternalCause()
 	if len(l.runs) > 0 {
 		p.conf.CountEvent(EventCrashed)
 		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.StartedAt, "runs", len(l.runs), "alone", l.singleJob,
@@ -218,13 +219,13 @@
 	}
 	likelierCause := l.tasksWithLikelierCause()
 	for _, r := range l.runs {
-		r.task.unattributedLosses--
-		if r.isNotLost() {
+		r.task.pendingLosses--
+		if r.isRevoked() {
 			p.dropUnconfirmed(r.task, r.number)
 			continue
 		}
 		if correlated || l.planned {
-			p.excuse(r.task, r.number, r.lived)
+			p.recordUnattributed(r.task, r.number, r.minRunTime)
 			continue
 		}
 		if r.task.done || !r.task.job.isOpen() {
@@ -232,19 +233,20 @@
 		}
 		p.recordSuspectRun(r.task, gauge.SuspectRun{
 			Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, Crashed: true, SoleJob: !others.isAmbiguous() && l.provesCrash(r),
-			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.lived,
+			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.minRunTime,
 		})
 		p.failIfCause(r.task)
 	}
 }
 
-// provesCrash reports whether nothing but the task can have crashed its worker: the run ended as
-// soon after its start as those before, and no other job's task was there.
+// provesCrash reports whether nothing but the task can have crashed its worker: the run ended
+// within its probation, and no other job's task was there.
 func (l *loss) provesCrash(r lostRun) bool {
-	return l.singleJob && r.reported && r.lived < r.task.probation(r.number)
+	return l.singleJob && r.reported && r.minRunTime < r.task.probation(r.number)
 }
 
-// lossOf is the loss of a worker that never reported to this owner.
+// lossOf returns the recorded loss of an incarnation, or else one as of now that counts as
+// unreported.
 func (p *Pool) lossOf(incarnation gauge.Incarnation, now time.Duration) *loss {
 	for _, l := range p.losses {
 		if l.incarnation == incarnation {
@@ -256,28 +258,28 @@
 
 // loseUnreported records that a worker of a previous owner, which has never reported to this one,
 // can't run anything any more.
-func (p *Pool) loseUnreported(l gauge.Incarnation, now time.Duration) {
+func (p *Pool) loseUnreported(incarnation gauge.Incarnation, now time.Duration) {
 	p.lostUnreported = true
-	if p.workers[l.Worker] == nil {
-		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	if p.workers[incarnation.Worker] == nil {
+		p.losses = append(p.losses, &loss{incarnation: incarnation, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 }
 
 // loseReplaced records the loss of incarnations that were replaced before they reported to this
 // owner. Why they were lost isn't known.
 func (p *Pool) loseReplaced(now time.Duration) {
-	for _, l := range p.replacedUnreported {
-		p.losses = append(p.losses, &loss{incarnation: l, earliest: now, noticedAt: now, attributed: true, unreported: true})
+	for _, incarnation := range p.replacedUnreported {
+		p.losses = append(p.losses, &loss{incarnation: incarnation, earliest: now, noticedAt: now, attributed: true, unreported: true})
 	}
 	p.replacedUnreported = nil
 }
 
-// unreportedWith counts the workers without a suspect that didn't report either: one may have left
-// the pool meanwhile, several are a rack.
-func (p *Pool) unreportedWith(l *loss) int {
+// countUnreportedWith counts the workers without a suspect that didn't report either: a single one
+// may have left the pool meanwhile; several were probably lost together, as with a rack.
+func (p *Pool) countUnreportedWith(l *loss) int {
 	n := 0
 	for _, o := range p.losses {
-		n += boolToInt(o.isCorrelatedWith(l) && !p.isolatedBefore[o.incarnation])
+		n += boolToInt(o.isCorrelatedWith(l) && !p.suspectWorkers[o.incarnation])
 	}
 	return n
 }
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -129,9 +129,9 @@
 	// scoreInterference keeps best-effort tasks away from tasks with a bound on their tail latency,
 	// which they disturb.
 	scoreInterference = 10.0
-	// scoreSoon keeps long-running tasks off workers that are to be drained soon, where they would
-	// have to leave again. It outweighs scoreGather and any free capacity.
-	scoreSoon = 8.0
+	// scoreDrainSoon keeps long-running tasks off workers that are to be drained soon, where they
+	// would have to leave again. It outweighs scoreGather and any free capacity.
+	scoreDrainSoon = 8.0
 )
 
 // score rates how well a worker suits; larger is better. The fullest worker with room is the best,
@@ -148,9 +148,9 @@
 		if !disabled.Has(gauge.MechanismScatter) {
 			score -= scoreSpread * float64(onWorker)
 		}
-		score -= scoreInterference * float64(w.interfering(st.spec.BestEffort))
+		score -= scoreInterference * float64(w.countInterfering(st.spec.BestEffort))
 		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
-			score -= scoreSoon
+			score -= scoreDrainSoon
 		}
 		if w.longRunning > 0 && !disabled.Has(gauge.MechanismGather) {
 			score += scoreGather
@@ -159,10 +159,10 @@
 	return score
 }
 
-// interfering counts the runs that a task would disturb or be disturbed by: for a best-effort task
-// those that serve, and vice versa.
-func (w *worker) interfering(fills bool) int {
-	if fills {
+// countInterfering counts the runs that a task would disturb or be disturbed by: for a best-effort
+// task those that serve, and vice versa.
+func (w *worker) countInterfering(bestEffort bool) int {
+	if bestEffort {
 		return w.longRunning - w.longRunningBestEffort
 	}
 	return w.longRunningBestEffort
--- a/internal/sched/report.go
+++ b/internal/sched/report.go
@@ -9,15 +9,15 @@
 // HandleReport handles the answer to a heartbeat to an incarnation of a worker; false if the
 // incarnation no longer counts.
 func (p *Pool) HandleReport(incarnation gauge.Incarnation, call gauge.Heartbeat, rep *gauge.WorkerReport, now time.Duration) bool {
-	w := p.answering(incarnation, rep.StartedAt, now)
+	w := p.workerThatAnswered(incarnation, rep.StartedAt, now)
 	if w == nil {
 		return false
 	}
 	id := w.info.ID
-	if w.restarted && !w.fencePending && call.Fence >= w.fence {
+	if w.staleCallsPossible && !w.fencePending && call.Fence >= w.fence {
 		// From now on no call that was meant for the previous incarnation is carried out. Until now
 		// one may have extended the lease.
-		w.restarted = false
+		w.staleCallsPossible = false
 		w.leaseExpiry = max(w.leaseExpiry, now+p.conf.MaxWorkerLease)
 	}
 	if w.silent {
@@ -29,8 +29,8 @@
 		p.conf.Logs.Info("first report of worker", "pool", p.conf.Name, "worker", id, "born", rep.StartedAt, "running", len(rep.Running), "ended", len(rep.Ended))
 	}
 	w.silent, w.startUnanswered, w.reported, w.answeredAt = false, false, true, now
-	// It is compared only with earlier reports: answers to orders overtake reports all the time at
-	// a busy worker, and what they say is recorded with each run.
+	// The report's clock is compared only with those of earlier reports: answers to orders overtake
+	// reports all the time at a busy worker, and what they say is recorded with each run.
 	newest := rep.Clock >= w.reportClock
 	w.readClock(rep.Clock, now)
 	endsPending := len(rep.Ended) >= maxEndsListed // there may be more
@@ -91,12 +91,12 @@
 	p.pruneOrphans(w, rep.Running)
 	for r := range w.runs {
 		listed := r.lastReport == w.reportCount
-		if !listed && r.phase == phaseUnsure {
+		if !listed && r.phase == phaseUnanswered {
 			// Once a stop is answered the start can't be carried out any more, which is known
 			// sooner than that its own deadline has passed.
 			p.requestStop(r)
 		}
-		if !listed && !endsPending && r.overBy(rep.Clock) {
+		if !listed && !endsPending && r.isOverBy(rep.Clock) {
 			if r.phase == phaseLive {
 				p.conf.CountEvent(EventVanished)
 				p.conf.Logs.Info("run vanished", "job", r.task.id.Job, "task", r.task.id.String(), "run", r.number, "worker", w.info.ID)
@@ -106,9 +106,9 @@
 	}
 }
 
-// overBy reports whether a run that the worker doesn't list is certainly over, as of a reading of
+// isOverBy reports whether a run that the worker doesn't list is certainly over, as of a reading of
 // the worker's clock.
-func (r *run) overBy(clock time.Duration) bool {
+func (r *run) isOverBy(clock time.Duration) bool {
 	switch r.phase {
 	case phaseLive, phaseStopping:
 		return clock > r.confirmedAt
@@ -166,7 +166,7 @@
 	var took time.Duration
 	if r != nil {
 		took = now - r.orderedAt
-		p.markNotLost(r)
+		p.revokeLoss(r)
 		p.endRun(r, now)
 	}
 	p.conf.CountEvent("run " + string(e.Ending))
@@ -177,7 +177,7 @@
 		j.saveCheckpoint(t, e.Checkpoint)
 	}
 	if r != nil && r.onProbation && t == t.leadTask() && (e.Ending == gauge.EndStopped || e.Ending == gauge.EndGangIncomplete) && t.fewLeft() {
-		p.countStart(t, e.Run, true)
+		p.countUnprovenStart(t, e.Run, true)
 		p.failIfCause(t)
 	}
 	p.recordOutcome(w, j.id, e.Ending, now)
@@ -189,7 +189,7 @@
 		p.handleFailure(j, t, e.Run)
 	}
 	if t.stage.spec.Gang {
-		p.endGang(t, e)
+		p.stopGang(t, e)
 	}
 }
 
@@ -243,8 +243,9 @@
 	}
 }
 
-// endGang stops the runs of the other members: they can't work without it.
-func (p *Pool) endGang(t *task, e gauge.EndReport) {
+// stopGang stops the runs of a gang of which a member has ended, as the others can't work without
+// it, and takes over the checkpoint for all members.
+func (p *Pool) stopGang(t *task, e gauge.EndReport) {
 	for _, m := range t.stage.tasks {
 		for _, r := range m.runs {
 			if r.number == e.Run {
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -20,7 +20,7 @@
 		if !w.takesStarts(now) || w.isSetAside(now) || w.longRunning > 0 || !w.info.HasLabel(t.stage.spec.Label) || !w.info.Capacity.Contains(t.stage.spec.Reservation()) {
 			continue
 		}
-		if best == nil || w.busyFor(now) < best.busyFor(now) {
+		if best == nil || w.remainingTime(now) < best.remainingTime(now) {
 			best = w
 		}
 	}
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -11,10 +11,10 @@
 // A task may crash each worker that starts it, and with it all that runs there. No end report comes
 // of such a crash, so the task would start again on the next worker without limit, and take other
 // callers' work with it each time. So runs that were lost with a worker are recorded in the job's
-// row. A task that may be the cause is a suspect: it starts in isolation, which tells it from tasks
-// that merely ran beside it, and its job is failed when it must be the cause. Workers that are lost
-// together, or with no recently begun runs, were lost for another reason, which isn't held against
-// their tasks.
+// row. A task that may be the cause is a suspect: it starts in isolation if possible, which tells
+// it from tasks that merely ran beside it, and its job is failed when it must be the cause. Workers
+// that are lost together, or with no recently begun runs, were lost for another reason, and their
+// loss isn't attributed to their tasks.
 
 // leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
 func (t *task) leadTask() *task {
@@ -43,10 +43,10 @@
 		j.row.SuspectRuns[t.leadTask().key()] = records
 	}
 	j.touch(urgent)
-	t.leadTask().requiredChange = j.changes
+	t.leadTask().requiredRevision = j.revision
 }
 
-// evidence is what is known against the task.
+// evidence returns what is known of the task's starts and crashes.
 func (t *task) evidence() proof.Evidence {
 	c := proof.Evidence{SuspectRuns: t.suspectRuns(), Unattributed: t.unattributed(), LongRunning: t.stage.spec.LongRunning}
 	if c.Unattributed > 0 {
@@ -56,7 +56,7 @@
 }
 
 // unattributed counts the starts of the task that ended before it had shown that it survives, and
-// aren't held against it.
+// aren't attributed to it.
 func (t *task) unattributed() int {
 	if len(t.job.row.Unattributed) == 0 {
 		return 0
@@ -64,11 +64,12 @@
 	return t.job.row.Unattributed[t.leadTask().key()]
 }
 
-// countUnattributed counts one more start that proved nothing.
+// countUnattributed counts one more start that ended before the task had shown that it survives,
+// and isn't attributed to it.
 func (t *task) countUnattributed() {
 	t.job.row.Unattributed = increment(t.job.row.Unattributed, t.leadTask().key())
 	t.job.touch(true)
-	t.leadTask().requiredChange = t.job.changes
+	t.leadTask().requiredRevision = t.job.revision
 }
 
 func increment(counts map[string]int, key string) map[string]int {
@@ -91,20 +92,20 @@
 	t.job.touch(false)
 }
 
-// excuse records that a run was lost with its worker for another reason, as far as that can be
-// known.
-func (p *Pool) excuse(t *task, run int, lived time.Duration) {
+// recordUnattributed records that a run was lost with its worker for a cause other than its task,
+// as far as that can be known.
+func (p *Pool) recordUnattributed(t *task, run int, minRunTime time.Duration) {
 	isolated := t.suspectRuns().HasOpenIsolatedRun(run)
-	if lived < proof.StartPhase || isolated && lived < t.probation(run) {
-		p.countStart(t, run, isolated)
+	if minRunTime < proof.StartPhase || isolated && minRunTime < t.probation(run) {
+		p.countUnprovenStart(t, run, isolated)
 	}
 	p.dropUnconfirmed(t, run)
 	p.failIfCause(t)
 }
 
-// countStart counts a run that ended before its task had shown that it survives, and whether it was
-// isolated. All members of a gang report the same run.
-func (p *Pool) countStart(t *task, run int, isolated bool) {
+// countUnprovenStart counts a run that ended before its task had shown that it survives, and
+// whether the run was isolated. All members of a gang report the same run.
+func (p *Pool) countUnprovenStart(t *task, run int, isolated bool) {
 	lead := t.leadTask()
 	if t.done || !t.job.isOpen() || lead.countedRun == run {
 		return
@@ -120,7 +121,7 @@
 
 // recordSuspectRun adds or updates the record of a run whose worker may crash or has crashed.
 func (p *Pool) recordSuspectRun(t *task, record gauge.SuspectRun) {
-	p.allowForUnrecorded(t)
+	p.presumeUnrecorded(t)
 	records := slices.Clone(t.suspectRuns())
 	i := slices.IndexFunc(records, func(o gauge.SuspectRun) bool { return o.Run == record.Run && o.Incarnation() == record.Incarnation() })
 	if i < 0 {
@@ -189,8 +190,8 @@
 	p.requestJobStop(t.job)
 }
 
-// needsIsolation reports whether a task must not start beside others: it is a suspect, or may be
-// one.
+// needsIsolation reports whether the normal start of a task must leave it out: startSuspects starts
+// it, or its last losses aren't attributed yet.
 func (t *task) needsIsolation(now time.Duration) bool {
 	return t.leadTask().isSuspect || t.waitsForAttribution(now)
 }
@@ -206,12 +207,12 @@
 // waitsForAttribution reports whether a task has lost one worker after the other and the last
 // losses aren't attributed yet. After the first loss it starts again at once.
 func (t *task) waitsForAttribution(now time.Duration) bool {
-	lost := t.unattributedLosses + t.undecidedRuns
+	lost := t.pendingLosses + t.unclearRuns
 	if lost == 0 {
 		return false
 	}
 	if evidence := t.evidence(); lost+evidence.SuspectRuns.CrashCount() < attributionThreshold && !evidence.HasFewStartsLeft(lost) {
 		return false
 	}
-	return t.unattributedLosses > 0 || t.undecidedRuns > 0 && now < t.readyAt+attributionTimeout
+	return t.pendingLosses > 0 || t.unclearRuns > 0 && now < t.readyAt+attributionTimeout
 }
