--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -119,7 +119,7 @@
 	for _, name := range s.RecordNames(gauge.RecordPool) {
 		p := s.Pool(name)
 		byName[name] = leasable{
-			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.Reserve, Floor: p.Floor},
+			Fleet:      slots.Fleet{Hosts: capacities[name], Reserve: p.QuickReserve, Floor: p.LongReserve},
 			maxRunTime: maxRunTimes[name],
 		}
 		b.allocatorFor(name, maxWaiting[name]).SetHosts(byPool[name], p.Hosts)
--- a/internal/claim/claim.go
+++ b/internal/claim/claim.go
@@ -1,7 +1,7 @@
 // Package claim makes a request run at most once. Before it is dispatched, its claim row is
 // inserted if there is none yet, and the insertion is confirmed. The claim row stays: a second
-// request with the same key gets the stored answer, or is told that the first one is running or
-// that its outcome is unknown. It is never dispatched, since a paused holder of the claim may
+// request with the same key gets the stored answer, or an error: the first one is running, or
+// its outcome is unknown. It is never dispatched, since a paused holder of the claim may
 // resume and dispatch.
 package claim
 
--- a/internal/entry/http.go
+++ b/internal/entry/http.go
@@ -41,7 +41,7 @@
 	operators := e.app.Group("/admin/v1", e.checkKey)
 	query.New(query.Config{
 		State: e.follow.State, Entries: e.member.Revisions, Counts: e.broker.Counts,
-		Burn: e.burnReport, Holds: e.promisesReport, Waves: e.waves,
+		Burn: e.burnReport, Promises: e.promisesReport, Waves: e.waves,
 	}).Register(operators)
 	order.New(order.Config{Apply: e.apply.Apply, Applied: e.onApplied}).Register(operators)
 }
--- a/internal/intake/batcher.go
+++ b/internal/intake/batcher.go
@@ -37,7 +37,7 @@
 //
 // When a transaction and then a read of the partition both fail, the batcher's circuit breaker
 // opens: jobs are refused at once until a read is answered. Otherwise each job would be refused
-// only after its caller had waited in vain. And a job that is never sent certainly doesn't run,
+// only after its caller had waited for nothing. And a job that is never sent certainly doesn't run,
 // whereas a transaction without an answer may take effect later.
 type batcher struct {
 	intake *Intake
--- a/internal/node/follow.go
+++ b/internal/node/follow.go
@@ -70,7 +70,7 @@
 		if r.Deleted {
 			continue
 		}
-		site, wave, err := n.conf.Words.DecodeOperatorRow(r)
+		site, wave, err := n.conf.Codec.DecodeOperatorRow(r)
 		switch {
 		case err != nil:
 			n.conf.Logs.Error(err, "operator row not read", "key", r.Key, "version", r.Version)
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -57,7 +57,7 @@
 // configurationAge returns how long ago the configuration in force here was certain to be the
 // newest one. It reports false if it never was.
 func (n *Node) configurationAge() (time.Duration, bool) {
-	return n.freshness.age(n.conf.Words.OperatorTable(), n.conf.Now())
+	return n.freshness.age(n.conf.Codec.OperatorTable(), n.conf.Now())
 }
 
 // isConfigCurrent reports whether this entry would know of any change that has to be in force
@@ -92,7 +92,7 @@
 	age, _ := n.configurationAge()
 	n.conf.Logs.Info("queue not found", "host", truncate(host), "path", truncate(path), "version", site.Version, "age", age, "current", current)
 	if !current {
-		// The queue may have been added since. A caller that is told that there is none doesn't
+		// The queue may have been added since. A caller that gets a "not found" doesn't
 		// retry, although all other entries would have served it.
 		return nil, "", gauge.Errorf(gauge.KindUnready, "whether there is such a queue isn't known at the moment")
 	}
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -25,7 +25,7 @@
 // could be read.
 func (f *fleet) addNewWaves(ctx context.Context) bool {
 	f.node.mu.Lock()
-	var added []gauge.MaintenanceOrder
+	var added []gauge.MaintenanceWave
 	for _, w := range f.node.waves {
 		if !f.scheduler.HasWave(w.Wave) {
 			added = append(added, w)
@@ -113,7 +113,7 @@
 	}
 	txn := gauge.PartitionTxn{Writes: []gauge.RowWrite{{RowKey: waveKey(number), Value: value}}}
 	if done || !f.statusWritten[number] {
-		status, err := f.node.conf.Words.EncodeWaveStatus(number, done)
+		status, err := f.node.conf.Codec.EncodeWaveStatus(number, done)
 		if err != nil {
 			f.node.conf.Logs.Error(err, "wave not saved", "wave", number)
 			return false
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,14 +25,14 @@
 // Config sets up a Node.
 type Config struct {
 	Name                string  // name of this entry's host
-	Start               string  // identifies this process: differs between two starts on one host
+	StartID             string  // identifies this process: differs between two starts on one host
 	Addr                string  // ip:port at which other entries reach this one
 	CapacityCores       float64 // of this host, in cores of standard speed; 0: not known
 	Store               gauge.PartitionedTable
 	Workers             gauge.Workers
 	Machines            gauge.Machines   // nil: the platform has no machine service
 	Adviser             gauge.Adviser    // nil: the platform has no advice service
-	Words               gauge.TableCodec // reads and writes the rows of operator and workers
+	Codec               gauge.TableCodec // reads and writes the rows of operator and workers
 	Mesh                *mesh.Node
 	Logs                logr.Logger
 	Now                 func() time.Duration                   // monotonic clock
@@ -154,7 +154,7 @@
 	unresponsiveUntil map[string]time.Duration // by address: until when an unresponsive owner isn't called
 	workers           map[string]gauge.Worker
 	broadcasts        chan struct{} // semaphore of the broadcasts of unsettled submissions
-	waves             map[int64]gauge.MaintenanceOrder
+	waves             map[int64]gauge.MaintenanceWave
 }
 
 // ownerMove is where a pool's owner has moved, and the version of the lease row that was known at
@@ -171,9 +171,9 @@
 	}
 	fill.Zero(&c.MaxApplyDelay, defaultApplyDelay)
 	n := &Node{
-		conf: c, holder: c.Name + "/" + c.Start, workerListGate: gate.New(), freshness: newFreshness(),
+		conf: c, holder: c.Name + "/" + c.StartID, workerListGate: gate.New(), freshness: newFreshness(),
 		owners: make(map[string]*owner.Owner), leasesInUse: make(map[string]bool), claiming: make(map[string]chan struct{}),
-		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.MaintenanceOrder),
+		ownerMoves: make(map[string]ownerMove), lastOffers: make(map[string]time.Duration), unresponsiveUntil: make(map[string]time.Duration), probing: make(map[string]bool), workers: make(map[string]gauge.Worker), broadcasts: make(chan struct{}, maxConcurrentBroadcasts), waves: make(map[int64]gauge.MaintenanceWave),
 	}
 	n.leaseView = terms.New(terms.Config{Holder: n.holder, Addr: c.Addr, Capacity: c.CapacityCores, LeaseDuration: leaseDuration, ClaimSpread: claimSpread, DelayPerLease: claimDelayPerLease, ProbeAfter: suspectAfter(c.Disabled), GracePeriod: renewalGrace})
 	n.intake = intake.New(intake.Config{
@@ -221,7 +221,7 @@
 	n.running.Store(true)
 	n.group.Go(func() {
 		n.followTable(ctx, watch.Config{
-			Name: n.conf.Words.OperatorTable(), FeedWait: min(configPollTimeout, n.conf.MaxApplyDelay/configPollsPerApply), ConfirmEachWait: true, PollDelay: fixedDelay(0), OnRows: n.applyOperatorRows,
+			Name: n.conf.Codec.OperatorTable(), FeedWait: min(configPollTimeout, n.conf.MaxApplyDelay/configPollsPerApply), ConfirmEachWait: true, PollDelay: fixedDelay(0), OnRows: n.applyOperatorRows,
 		})
 	})
 	n.group.Go(func() {
@@ -254,7 +254,7 @@
 	var group conc.WaitGroup
 	for _, o := range owners {
 		group.Go(func() {
-			for !n.conf.Disabled.Has(gauge.MechanismCalm) && !o.IsTableFast() && n.conf.Now() < until && ctx.Err() == nil {
+			for !n.conf.Disabled.Has(gauge.MechanismKeepWhileSlow) && !o.IsTableFast() && n.conf.Now() < until && ctx.Err() == nil {
 				sleep(ctx, releaseCheckInterval)
 			}
 			n.handOver(ctx, o, "the entry stops")
--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -157,7 +157,7 @@
 // betterReply returns the reply that is ready, and of two that are, the one from the less loaded
 // host.
 func betterReply(best, r probeReply) probeReply {
-	if r.Ready && (!best.Ready || r.load().LoadWithOneMore() < best.load().LoadWithOneMore()) {
+	if r.Ready && (!best.Ready || r.load().NextLoad() < best.load().NextLoad()) {
 		return r
 	}
 	return best
--- a/internal/node/unsettled.go
+++ b/internal/node/unsettled.go
@@ -13,8 +13,8 @@
 
 // A submission that an entry sent to the table itself and that got no answer may be stored seconds
 // later. Its caller retries at another entry, which refuses it if the pool's owner says that it
-// isn't stored. So the owner has to know of the unsettled submission; otherwise a caller is told
-// that a job never runs, and it runs.
+// isn't stored. So the owner has to know of the unsettled submission; otherwise a caller gets the
+// answer that a job never runs, and it runs.
 
 // methodUnsettled notifies a pool's owner of a submission that may still be stored.
 const methodUnsettled = "job.doubt"
--- a/internal/node/workerlist.go
+++ b/internal/node/workerlist.go
@@ -27,7 +27,7 @@
 	listCtx, cancel := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	group.Go(func() {
-		n.followTable(listCtx, watch.Config{Name: n.conf.Words.WorkerTable(), FeedWait: workerPollTimeout, PollDelay: fixedDelay(workerPollDelay), OnRows: n.applyWorkerRows})
+		n.followTable(listCtx, watch.Config{Name: n.conf.Codec.WorkerTable(), FeedWait: workerPollTimeout, PollDelay: fixedDelay(workerPollDelay), OnRows: n.applyWorkerRows})
 	})
 	n.workerListGate.WaitClosed(ctx, workerListLinger)
 	cancel()
@@ -47,7 +47,7 @@
 			delete(n.workers, r.Key)
 			continue
 		}
-		w, err := n.conf.Words.DecodeWorkerRow(r)
+		w, err := n.conf.Codec.DecodeWorkerRow(r)
 		if err != nil {
 			// An earlier row may have described a worker, which may not be valid any more.
 			delete(n.workers, r.Key)
--- a/internal/owner/backlog_test.go
+++ b/internal/owner/backlog_test.go
@@ -17,7 +17,7 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// manualClock is a steady clock that only advances when it is told to.
+// manualClock is a steady clock that only advances when advance is called.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
@@ -158,8 +158,8 @@
 	g.workers = &blockingWorkers{clock: g.clock, reported: make(map[string]bool)}
 	c := owner.Config{
 		Pool: "p", Store: g.table, Workers: g.workers, Logs: g.lines.logger(), Now: g.clock.read, WallClock: time.Now,
-		Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: g.clock.read(), Store: g.table, Now: g.clock.read, TableClock: func() int64 { return 1 }}),
-		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		Lease:      tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: g.clock.read(), Store: g.table, Now: g.clock.read, TableClock: func() int64 { return 1 }}),
+		OrderGrace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	}
 	if adjust != nil {
@@ -233,11 +233,11 @@
 }
 
 // Guards against log lines that don't show whether a host or a few workers are slow: orders to most
-// workers take a third of a second and the owner asks for a successor. The line must tell more than
-// the duration of the last call.
+// workers take a third of a second and the owner asks for a successor. The line must give more
+// than the duration of the last call.
 func TestLaggingOwnerLogsSlowCalls(t *testing.T) {
 	g, s := newStallingFixture(t)
-	g.owner.OnStuck(time.Hour, func(time.Duration) {})
+	g.owner.OnHandoverNeeded(time.Hour, func(time.Duration) {})
 	g.start("w1", "w2", "w3", "w4", "w5", "w6")
 	g.waitUntil("all workers have reported", func() bool { return s.reportedCount() == 6 })
 	release := s.stall()
--- a/internal/owner/cost_bench_test.go
+++ b/internal/owner/cost_bench_test.go
@@ -126,8 +126,8 @@
 	ctx, cancel := context.WithCancel(b.Context())
 	o := owner.New(ctx, owner.Config{
 		Pool: "p", Store: table, Workers: on, Logs: log, Now: now, WallClock: time.Now,
-		Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: now(), Store: table, Now: now, TableClock: func() int64 { return 1 }}),
-		Grace: time.Second, LeaseExtension: 5 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		Lease:      tenure.New(tenure.Config{LeaseDuration: time.Hour, ClaimedAt: now(), Store: table, Now: now, TableClock: func() int64 { return 1 }}),
+		OrderGrace: time.Second, LeaseExtension: 5 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(e string) {
 			if e == sched.EventCompleted {
 				done <- struct{}{}
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -69,7 +69,7 @@
 	defer o.mu.Unlock()
 	o.lastPlan, o.planScheduled = now, false
 	if o.loaded && !o.ended && !o.stopping {
-		o.pool.SetGrantLimit(o.conf.Lease.Until() + o.conf.Grace)
+		o.pool.SetGrantLimit(o.conf.Lease.Until() + o.conf.OrderGrace)
 		orders = o.pool.Plan(now)
 	}
 	return orders, o.pool.HasUrgent()
@@ -170,7 +170,7 @@
 // nothing about this host, and an unreachable rack would move the pool from owner to owner.
 func (o *Owner) checkLag(incarnation gauge.Incarnation, took, now time.Duration) {
 	o.mu.Lock()
-	isLagging := !o.conf.Disabled.Has(gauge.MechanismLag) && !o.pool.IsSilent(incarnation) && o.orderLag.Record(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onStuck != nil
+	isLagging := !o.conf.Disabled.Has(gauge.MechanismLag) && !o.pool.IsSilent(incarnation) && o.orderLag.Record(incarnation.Worker, took, now) && !o.seekingSuccessor && !o.ended && o.onHandoverNeeded != nil
 	o.seekingSuccessor = o.seekingSuccessor || isLagging
 	counts := o.orderLag.Counts(now)
 	o.mu.Unlock()
@@ -178,7 +178,7 @@
 		return
 	}
 	o.conf.Logs.Info("owner lags", "pool", o.conf.Pool, "took", took, "calls", counts.Calls, "slow", counts.Slow, "targets", counts.Peers)
-	o.onStuck(0)
+	o.onHandoverNeeded(0)
 	o.mu.Lock()
 	o.seekingSuccessor = false
 	o.mu.Unlock()
@@ -188,7 +188,7 @@
 // probe. It fails if the lease is over, and for starts if the pool is being handed over.
 func (o *Owner) callWorker(order sched.Order, now time.Duration) (time.Duration, error) {
 	o.mu.Lock()
-	leaseOver := o.ended || now >= o.conf.Lease.Until()+o.conf.Grace
+	leaseOver := o.ended || now >= o.conf.Lease.Until()+o.conf.OrderGrace
 	stopping := o.stopping
 	o.mu.Unlock()
 	if leaseOver {
--- a/internal/owner/handover_test.go
+++ b/internal/owner/handover_test.go
@@ -35,7 +35,7 @@
 const maxHandoverTime = 500 * time.Millisecond
 
 // Guards against tasks starting again after a handover although their runs have completed: an owner
-// with a backlog receives the ends of hundreds of runs, and its entry is told to stop before they
+// with a backlog receives the ends of hundreds of runs, and its entry has to stop before they
 // are written. If they are dropped, and the workers are gone when the successor has read the jobs,
 // nobody knows of them.
 func TestPendingChangesAreWrittenBeforeHandover(t *testing.T) {
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -244,11 +244,11 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	g.owner = owner.New(ctx, owner.Config{
 		Pool: "p", Store: g.table, Workers: g.workers, Logs: log, Now: g.now, WallClock: time.Now, Fence: 2,
-		Lease: tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: g.now(), Version: 2, Store: g.table, Now: g.now, TableClock: clock}),
-		Grace: 6 * time.Second, LeaseExtension: 4 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		Lease:      tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: g.now(), Version: 2, Store: g.table, Now: g.now, TableClock: clock}),
+		OrderGrace: 6 * time.Second, LeaseExtension: 4 * time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: clock, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	})
-	g.owner.OnStuck(after, func(failing time.Duration) {
+	g.owner.OnHandoverNeeded(after, func(failing time.Duration) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		if failing > 0 {
--- a/internal/owner/inherit_test.go
+++ b/internal/owner/inherit_test.go
@@ -21,7 +21,7 @@
 	clock := func() int64 { return now().Milliseconds() }
 	o := startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
 		c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), previous.Workers, previous, now, clock
-		c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
+		c.OrderGrace, c.LeaseExtension = 6*time.Second, 4*time.Second
 		c.Lease = tenure.New(tenure.Config{
 			Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 			LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
@@ -60,7 +60,7 @@
 }
 
 // Guards against missed crashes: two owners in a row couldn't record all crashes, and the lease row
-// tells the third of one of them only.
+// informs the third of only one of them.
 func TestOwnerHandsOnCountOfUnrecordedCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newSuccessor(t, newRowTable(), newFakeWorkers(), 1, gauge.LeaseRow{UnrecordedOwners: 1})
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -29,7 +29,7 @@
 	PreviousRow     gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
 
 	PreviousLeaseLeft time.Duration // time left on the previous lease when this one was claimed: the previous holder may act until then
-	Grace             time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
+	OrderGrace        time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
 	JobRetention      time.Duration // how long the row of an ended job is kept
 	LeaseExtension    time.Duration // how far a heartbeat extends a worker's lease
 	// MaxWorkerLease is the longest lease that a worker grants.
@@ -58,8 +58,8 @@
 	cancel            context.CancelFunc
 	ctx               context.Context
 	wake              chan struct{}               // signals writeLoop that a change is due to be written
-	onStuck           func(failing time.Duration) // see OnStuck
-	stuckAfter        time.Duration               // how long writes may fail before onStuck is called
+	onHandoverNeeded  func(failing time.Duration) // see OnStuck
+	handoverAfter     time.Duration               // how long writes may fail before onHandoverNeeded is called
 	claimedAt         time.Duration               // when this owner was made, right after the claim
 	waitingOrders     atomic.Int64                // orders that wait for a slot at their worker
 	behindDetector    *lag.BehindDetector         // whether this owner is behind; used by tickLoop only
@@ -159,7 +159,7 @@
 		pool: sched.New(sched.Config{
 			Name: c.Pool, Fence: c.Fence, Term: c.Term, LeaseExtension: c.LeaseExtension, StartTimeout: startTimeout, HeartbeatWait: maxHeartbeatWait, StartWindow: maxUnansweredStarts, WorkerStartWindow: maxConcurrentOrders,
 			Disabled: c.Disabled, Logs: c.Logs, CountEvent: c.CountEvent, MaxWorkerLease: c.MaxWorkerLease,
-			PreviousWorkers: parseIncarnations(c.PreviousWorkers), PreviousRunsEnd: now + c.PreviousLeaseLeft + c.Grace + clockMargin, WorkerRunsEnd: runDeadlines(&c.PreviousRow, now),
+			PreviousWorkers: parseIncarnations(c.PreviousWorkers), PreviousRunsEnd: now + c.PreviousLeaseLeft + c.OrderGrace + clockMargin, WorkerRunsEnd: runDeadlines(&c.PreviousRow, now),
 			DrainedUntil: drainedUntil(&c.PreviousRow, now), UnrecordedOwners: c.PreviousRow.UnrecordedOwners,
 		}),
 	}
@@ -258,11 +258,11 @@
 	o.conf.Logs.Info("lease given up", "pool", o.conf.Pool, "fence", o.conf.Fence)
 }
 
-// OnStuck sets the function that is called repeatedly while writes have failed for longer than
-// after, with the time since the first failure, and while orders lag, with 0. It must be called
-// before Run.
-func (o *Owner) OnStuck(after time.Duration, do func(failing time.Duration)) {
-	o.stuckAfter, o.onStuck = after, do
+// OnHandoverNeeded sets the function that is called repeatedly while writes have failed for longer
+// than after, with the time since the first failure, and while orders lag, with 0. It must be
+// called before Run.
+func (o *Owner) OnHandoverNeeded(after time.Duration, do func(failing time.Duration)) {
+	o.handoverAfter, o.onHandoverNeeded = after, do
 }
 
 // Pool returns the pool's name.
--- a/internal/owner/owner_test.go
+++ b/internal/owner/owner_test.go
@@ -43,8 +43,8 @@
 		now := func() time.Duration { return time.Second }
 		o := owner.New(ctx, owner.Config{
 			Pool: "p", Store: emptyStore{}, Workers: silentWorkers{}, Logs: logr.Discard(), Now: now, WallClock: time.Now,
-			Lease: tenure.New(tenure.Config{LeaseDuration: time.Hour, Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
-			Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+			Lease:      tenure.New(tenure.Config{LeaseDuration: time.Hour, Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
+			OrderGrace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 			TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 		})
 		var group sync.WaitGroup
@@ -114,8 +114,8 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	o := owner.New(ctx, owner.Config{
 		Pool: "p", Store: emptyStore{}, Workers: w, Logs: log, Now: now, WallClock: time.Now,
-		Lease: tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
-		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		Lease:      tenure.New(tenure.Config{LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: emptyStore{}, Now: now, TableClock: func() int64 { return 1 }}),
+		OrderGrace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: func() int64 { return 1 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	})
 	var group sync.WaitGroup
--- a/internal/owner/rowtable_test.go
+++ b/internal/owner/rowtable_test.go
@@ -162,7 +162,7 @@
 			Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1",
 			Term: 1, LeaseDuration: time.Hour, Store: store, Now: frozenClock, TableClock: func() int64 { return 5000 },
 		}),
-		Grace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
+		OrderGrace: time.Second, LeaseExtension: time.Second, ObserveTableClock: func(gauge.TablePosition, time.Duration) {},
 		TableClock: func() int64 { return 5000 }, ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {},
 	}
 	if change != nil {
--- a/internal/owner/silentworkers_test.go
+++ b/internal/owner/silentworkers_test.go
@@ -45,7 +45,7 @@
 		take := func(term int, previous gauge.LeaseRow) *owner.Owner {
 			return startOwner(t, store, w, logr.Discard(), func(c *owner.Config) {
 				c.Term, c.Fence, c.PreviousWorkers, c.PreviousRow, c.Now, c.TableClock = term, gauge.FencingToken(term+1), previous.Workers, previous, now, clock
-				c.Grace, c.LeaseExtension = 6*time.Second, 4*time.Second
+				c.OrderGrace, c.LeaseExtension = 6*time.Second, 4*time.Second
 				c.Lease = tenure.New(tenure.Config{
 					Key: gauge.RowKey{Table: gauge.TableLeases, Partition: "p", Key: gauge.KeyOwner}, Holder: "e/1", Term: term,
 					LeaseDuration: 2 * time.Second, ClaimedAt: now(), Store: store, Now: now, TableClock: clock,
--- a/internal/owner/stop_test.go
+++ b/internal/owner/stop_test.go
@@ -11,7 +11,7 @@
 )
 
 // Guards against a busy pool that starts nothing for three seconds: the table gets 65 times slower,
-// the owner's entry is told to stop and hands the pool over at once, though it has seconds left,
+// the owner's entry has to stop and hands the pool over at once, though it has seconds left,
 // and the successor claims the lease and reads the pool with calls that take a third of a second
 // each.
 func TestOwnerReportsWhetherTableIsFast(t *testing.T) {
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -19,9 +19,9 @@
 			if failingSince == 0 {
 				failingSince = began
 			}
-			if now := o.conf.Now(); o.onStuck != nil && now-failingSince > o.stuckAfter+min(slowWriteRetries*lastWriteTook, maxSlowWriteDelay) {
+			if now := o.conf.Now(); o.onHandoverNeeded != nil && now-failingSince > o.handoverAfter+min(slowWriteRetries*lastWriteTook, maxSlowWriteDelay) {
 				o.recordWrite(true) // the callback may stop this owner, which must not wait for a write
-				o.onStuck(now - failingSince)
+				o.onHandoverNeeded(now - failingSince)
 			}
 			o.pause(nil, writeRetryDelay)
 			continue
--- a/internal/proof/proof.go
+++ b/internal/proof/proof.go
@@ -33,7 +33,7 @@
 	// serving tasks of the job are stopped when the job fails.
 	soleJobCrashesLongRunning = 3
 	// maxSoonCrashes is the number of crashes soon after a start that show the same where the task
-	// could not be told from other jobs' tasks, or its starts got no answer.
+	// could not be distinguished from other jobs' tasks, or its starts got no answer.
 	maxSoonCrashes = 4
 	// maxCrashes is the number of crashes at any time that show the same. By the users' rules a
 	// task may be started twice more after three crashes.
@@ -84,7 +84,7 @@
 	if e.LongRunning {
 		soleJob = soleJobCrashesLongRunning
 	}
-	soon := min(maxSoonCrashes, maxCrashes-min(e.Unattributed+e.SuspectRuns.UnlikelyCrashCountWithin(StartPhase), maxUnattributed))
+	soon := min(maxSoonCrashes, maxCrashes-min(e.Unattributed+e.SuspectRuns.OtherCauseCrashCountWithin(StartPhase), maxUnattributed))
 	return e.SuspectRuns.SoleJobCrashCount() >= soleJob || e.SuspectRuns.LikelyCrashCountWithin(StartPhase) >= soon || e.SuspectRuns.LikelyCrashCount() >= maxCrashes ||
 		e.UnprovenStarts() >= maxCrashes && e.hasConclusiveStarts()
 }
--- a/internal/query/query.go
+++ b/internal/query/query.go
@@ -17,12 +17,12 @@
 
 // Config sets up Queries.
 type Config struct {
-	State   func() gauge.State
-	Entries func() map[string]int64 // revision in force at each live entry, by entry id
-	Counts  func() []desk.Counts
-	Burn    func(ctx context.Context) []burn.ServiceReport
-	Holds   func(ctx context.Context) []holds.Result
-	Waves   func() []Wave
+	State    func() gauge.State
+	Entries  func() map[string]int64 // revision in force at each live entry, by entry id
+	Counts   func() []desk.Counts
+	Burn     func(ctx context.Context) []burn.ServiceReport
+	Promises func(ctx context.Context) []holds.Result
+	Waves    func() []Wave
 }
 
 // Wave is the progress of a wave in one pool, in hosts.
@@ -53,7 +53,7 @@
 	r.Get("/pools", q.handlePools)
 	r.Get("/waves", func(c fiber.Ctx) error { return c.JSON(q.conf.Waves()) })
 	r.Get("/reports/burn", func(c fiber.Ctx) error { return c.JSON(q.conf.Burn(c.Context())) })
-	r.Get("/reports/promises", func(c fiber.Ctx) error { return c.JSON(q.conf.Holds(c.Context())) })
+	r.Get("/reports/promises", func(c fiber.Ctx) error { return c.JSON(q.conf.Promises(c.Context())) })
 }
 
 type recordsBody struct {
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -29,7 +29,7 @@
 		}
 		w.lastFailedJob = job
 		w.failures++
-		if w.failures >= failuresBeforeBackoff && p.mayBackOff(now) && !p.conf.Disabled.Has(gauge.MechanismRest) {
+		if w.failures >= failuresBeforeBackoff && p.mayBackOff(now) && !p.conf.Disabled.Has(gauge.MechanismWorkerBackoff) {
 			w.backoffUntil = now + failureBackoff
 			w.failures = failuresBeforeBackoff - 1
 			p.conf.Logs.Info("worker rests", "pool", p.conf.Name, "worker", w.info.ID, "reason", "consecutive failures")
--- a/internal/sched/export_test.go
+++ b/internal/sched/export_test.go
@@ -37,13 +37,13 @@
 	for id, worker := range p.workers {
 		w.Urgent = w.Urgent || worker.lastEnd > worker.lastStoredEnd && !worker.dead || worker.waitsForLeaseRow()
 		if worker.listed && !worker.dead {
-			lasting := 0
+			longRunning := 0
 			for r := range worker.runs {
 				if r.task.stage.spec.LongRunning {
-					lasting++
+					longRunning++
 				}
 			}
-			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), LongRunning: lasting, AcceptsRuns: worker.takesStarts(now), RemainingTime: worker.remainingTime(now)})
+			w.Load.Workers = append(w.Load.Workers, gauge.WorkerLoad{ID: id, Runs: len(worker.runs), LongRunning: longRunning, AcceptsRuns: worker.takesStarts(now), RemainingTime: worker.remainingTime(now)})
 		}
 	}
 	slices.Sort(w.Changed)
--- a/internal/sched/longrunning_test.go
+++ b/internal/sched/longrunning_test.go
@@ -104,7 +104,7 @@
 }
 
 // Guards against a long-running task that is moved three times in one maintenance wave, to workers
-// that the wave drains later. The owner is told in advance which workers are to be drained.
+// that the wave drains later. The owner knows in advance which workers are to be drained.
 func TestLongRunningTasksAvoidWorkersThatAreDrainedSoon(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
@@ -112,7 +112,7 @@
 		want    string
 	}{
 		{"avoided", nil, "w4"},
-		{"mechanism disabled", gauge.Disabled{gauge.MechanismSoon}, "w2"}, // it has another long-running task
+		{"mechanism disabled", gauge.Disabled{gauge.MechanismAvoidDraining}, "w2"}, // it has another long-running task
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			g := newHarness(t, func(c *sched.Config) { c.Disabled = tt.without })
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -233,7 +233,7 @@
 		}
 		p.recordSuspectRun(r.task, gauge.SuspectRun{
 			Run: r.number, Worker: l.incarnation.Worker, StartedAt: l.incarnation.StartedAt, Crashed: true, SoleJob: !others.isAmbiguous() && l.provesCrash(r),
-			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasOpenIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.minRunTime,
+			Isolated: !others.isAmbiguous() && r.task.suspectRuns().HasUnresolvedIsolatedRun(r.number), LikelierCause: likelierCause[r.task], RunTime: r.minRunTime,
 		})
 		p.failIfCause(r.task)
 	}
--- a/internal/sched/place.go
+++ b/internal/sched/place.go
@@ -149,7 +149,7 @@
 			score -= scoreSpread * float64(onWorker)
 		}
 		score -= scoreInterference * float64(w.countInterfering(st.spec.BestEffort))
-		if w.drainSoon && !disabled.Has(gauge.MechanismSoon) {
+		if w.drainSoon && !disabled.Has(gauge.MechanismAvoidDraining) {
 			score -= scoreDrainSoon
 		}
 		if w.longRunning > 0 && !disabled.Has(gauge.MechanismGather) {
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -83,7 +83,7 @@
 		return false // stopping a run on probation would use up one of the last starts without a result
 	}
 	if !st.LongRunning {
-		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismFinish) || w.leavesBefore(r, now))
+		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismDrainFirst) || w.leavesBefore(r, now))
 	}
 	target := round.place(r.task.stage, r.task.stage.countByWorker(), round.promised, anyWorker)
 	if target == nil {
--- a/internal/sched/reserve.go
+++ b/internal/sched/reserve.go
@@ -63,7 +63,7 @@
 }
 
 // rackIsolatesOther reports whether another job's suspect is isolated on another worker of the
-// rack: if both workers were lost at once, that couldn't be told from a loss of the rack.
+// rack: if both workers were lost at once, that would look like a loss of the rack.
 func (p *Pool) rackIsolatesOther(w *worker, j *job) bool {
 	for _, o := range p.workers {
 		if o != w && o.numSuspects() > 0 && o.info.Rack() == w.info.Rack() && !o.isolatesOnlyJob(j) {
--- a/internal/sched/suspect.go
+++ b/internal/sched/suspect.go
@@ -11,10 +11,10 @@
 // A task may crash each worker that starts it, and with it all that runs there. No end report comes
 // of such a crash, so the task would start again on the next worker without limit, and take other
 // callers' work with it each time. So runs that were lost with a worker are recorded in the job's
-// row. A task that may be the cause is a suspect: it starts in isolation if possible, which tells
-// it from tasks that merely ran beside it, and its job is failed when it must be the cause. Workers
-// that are lost together, or with no recently begun runs, were lost for another reason, and their
-// loss isn't attributed to their tasks.
+// row. A task that may be the cause is a suspect: it starts in isolation if possible, which
+// distinguishes it from tasks that merely ran beside it, and its job is failed when it must be the
+// cause. Workers that are lost together, or with no recently begun runs, were lost for another
+// reason, and their loss isn't attributed to their tasks.
 
 // leadTask is the task with which suspect runs are recorded: the members of a gang count as one.
 func (t *task) leadTask() *task {
@@ -95,7 +95,7 @@
 // recordUnattributed records that a run was lost with its worker for a cause other than its task,
 // as far as that can be known.
 func (p *Pool) recordUnattributed(t *task, run int, minRunTime time.Duration) {
-	isolated := t.suspectRuns().HasOpenIsolatedRun(run)
+	isolated := t.suspectRuns().HasUnresolvedIsolatedRun(run)
 	if minRunTime < proof.StartPhase || isolated && minRunTime < t.probation(run) {
 		p.countUnprovenStart(t, run, isolated)
 	}
--- a/internal/schema/layout.go
+++ b/internal/schema/layout.go
@@ -28,7 +28,7 @@
 	if err := unmarshal(&v); err != nil {
 		return err
 	}
-	r.Pool = &gauge.Pool{Hosts: v.Hosts, Prefer: v.Prefer, Zones: v.Zones, Reserve: v.Reserve, Floor: v.Floor}
+	r.Pool = &gauge.Pool{Hosts: v.Hosts, Prefer: v.Prefer, Zones: v.Zones, QuickReserve: v.Reserve, LongReserve: v.Floor}
 	r.Pool.SetDefaults()
 	return nil
 }
@@ -54,7 +54,7 @@
 	}
 	r.Pool = &gauge.Pool{
 		Hosts: v.Promise.Hosts, Objective: v.Promise.Objective, Domain: v.Promise.Domain,
-		Prefer: v.Prefer, Zones: v.Zones, Reserve: v.Reserve, Floor: v.Floor,
+		Prefer: v.Prefer, Zones: v.Zones, QuickReserve: v.Reserve, LongReserve: v.Floor,
 		Cores: v.Needs.Cores, Memory: v.Needs.Memory, Accels: v.Needs.Accels,
 	}
 	r.Pool.SetDefaults()
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -157,7 +157,7 @@
 	assert.Assert(t, final == nil || gauge.IsKind(final, gauge.KindUnknown), "%v", final)
 }
 
-// Guards against a repeatable request whose caller is told to wait, or gets an error that
+// Guards against a repeatable request whose caller is asked to wait, or gets an error that
 // doesn't say whether the request ran. Each row lists the outcomes of its dispatches.
 func TestRepeatableRequestIsRetried(t *testing.T) {
 	for _, tt := range []struct {
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -315,7 +315,7 @@
 	if !s.conf.Disabled.Has(gauge.MechanismRise) {
 		rate = max(rate, arrivals.riseRate(now))
 	}
-	if !s.conf.Disabled.Has(gauge.MechanismAhead) {
+	if !s.conf.Disabled.Has(gauge.MechanismForecast) {
 		rate += arrivals.forecast(now)
 	}
 	return rate
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -253,8 +253,8 @@
 }
 
 // Guards against quick requests waiting while long ones have all the slots, or the reverse. One
-// class asks for all slots again and again; without the reserve and the floor, the class that asks
-// first would get them all.
+// class asks for all slots again and again; without the two reserves, the class that asks first
+// would get them all.
 func TestClassesKeepTheirSlots(t *testing.T) {
 	for _, tt := range []struct {
 		class       gauge.Class
--- a/internal/terms/burden.go
+++ b/internal/terms/burden.go
@@ -27,15 +27,15 @@
 	Capacity float64 // in cores of normal speed
 }
 
-// LoadWithOneMore returns the load per core with one more lease.
-func (l HostLoad) LoadWithOneMore() float64 { return float64(l.Leases+1) / l.Capacity }
+// NextLoad returns the load per core with one more lease.
+func (l HostLoad) NextLoad() float64 { return float64(l.Leases+1) / l.Capacity }
 
 // ShouldMoveTo reports whether a lease should move from this host to another one: the load of each
 // core here is at least twice what it would be there. Of two leases on one host and none on an
 // equal one, each host gets one. After a move the opposite isn't true, so that no lease moves back
 // and forth.
 func (l HostLoad) ShouldMoveTo(to HostLoad) bool {
-	return float64(l.Leases)/l.Capacity >= 2*to.LoadWithOneMore()
+	return float64(l.Leases)/l.Capacity >= 2*to.NextLoad()
 }
 
 // Peer is another entry process that may own pools.
@@ -85,7 +85,7 @@
 	}
 	delete(peers, v.conf.Addr)
 	return slices.SortedFunc(maps.Values(peers), func(x, y Peer) int {
-		return cmp.Or(cmp.Compare(x.LoadWithOneMore(), y.LoadWithOneMore()), cmp.Compare(xxhash.Sum64String(pool+x.Addr), xxhash.Sum64String(pool+y.Addr)))
+		return cmp.Or(cmp.Compare(x.NextLoad(), y.NextLoad()), cmp.Compare(xxhash.Sum64String(pool+x.Addr), xxhash.Sum64String(pool+y.Addr)))
 	})
 }
 
--- a/internal/timely/timely.go
+++ b/internal/timely/timely.go
@@ -1,7 +1,7 @@
 // Package timely finds out why a transaction has no answer yet, and sets its timeout accordingly.
 //
 // A lost answer never comes. A slow table answers after most of a second, and each attempt that
-// times out before makes it do the work in vain. No single timeout fits both: a long one blocks
+// times out before makes it do wasted work. No single timeout fits both: a long one blocks
 // a queue's submissions, or the renewal of a lease within its term, for each lost answer; a short
 // one fails every write while the table is slow. So when an answer is late, a read of a row of
 // the transaction tells the cases apart: if the read is fast, the answer is lost; if it is slow,
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -42,13 +42,13 @@
 // first.
 func (s *Scheduler) selectMachines(w *wave, left []gauge.Machine, force bool) {
 	budget := max(1, w.spec.MaxConcurrent) - len(w.selected)
-	if !s.conf.Disabled.Has(gauge.MechanismEarly) {
+	if !s.conf.Disabled.Has(gauge.MechanismDrainAhead) {
 		budget = int(float64(max(1, w.spec.MaxConcurrent))*drainAheadFactor) - len(w.selected)
 	}
 	if budget <= 0 {
 		return
 	}
-	sparing := !force && !s.conf.Disabled.Has(gauge.MechanismSpared)
+	sparing := !force && !s.conf.Disabled.Has(gauge.MechanismSpareShortPools)
 	pools := s.poolStates(w, left)
 	for ; budget > 0; budget-- {
 		p := nextPool(pools, sparing)
@@ -86,7 +86,7 @@
 			continue
 		}
 		p := stateOf(m.Pool)
-		if s.longRunningTasks(m) > 0 && !s.conf.Disabled.Has(gauge.MechanismChains) {
+		if s.longRunningTasks(m) > 0 && !s.conf.Disabled.Has(gauge.MechanismLongDrainsFirst) {
 			p.slow = append(p.slow, m)
 		} else {
 			p.fast = append(p.fast, m)
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -24,7 +24,7 @@
 		scheduler:   waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard(), Disabled: disabled}),
 		longRunning: make(map[string]int), machine: make(map[string]string),
 	}
-	wave := gauge.MaintenanceOrder{Wave: 1, Within: time.Minute, MaxConcurrent: atOnce}
+	wave := gauge.MaintenanceWave{Wave: 1, Within: time.Minute, MaxConcurrent: atOnce}
 	var list []gauge.Machine
 	for i := range count {
 		id := fmt.Sprintf("m-%03d", i)
@@ -63,7 +63,7 @@
 	all, slow := newFleet(nil, 100, 30, 40).selected(false)
 	assert.Equal(t, all, 34, "a third of the pool")
 	assert.Equal(t, slow, 17, "half of these")
-	_, slow = newFleet(gauge.Disabled{gauge.MechanismChains}, 100, 30, 40).selected(false)
+	_, slow = newFleet(gauge.Disabled{gauge.MechanismLongDrainsFirst}, 100, 30, 40).selected(false)
 	assert.Equal(t, slow, 0)
 }
 
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -33,7 +33,7 @@
 }
 
 type wave struct {
-	spec        gauge.MaintenanceOrder
+	spec        gauge.MaintenanceWave
 	seenAt      time.Duration            // by this lease holder
 	firstSeenAt time.Duration            // by the first lease holder
 	started     map[string]bool          // as recorded in the table
@@ -79,7 +79,7 @@
 
 // AddWave adds a wave; a wave that is known already stays as it is. Past is the progress recorded
 // in the table.
-func (s *Scheduler) AddWave(spec gauge.MaintenanceOrder, past StoredProgress, now time.Duration) {
+func (s *Scheduler) AddWave(spec gauge.MaintenanceWave, past StoredProgress, now time.Duration) {
 	if s.waves[spec.Wave] != nil {
 		return
 	}
--- a/internal/waves/waves_test.go
+++ b/internal/waves/waves_test.go
@@ -24,7 +24,7 @@
 
 func newHarness(pool string, count, atOnce int) *harness {
 	h := &harness{scheduler: waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()}), machines: make(map[string]*gauge.Machine)}
-	wave := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: atOnce}
+	wave := gauge.MaintenanceWave{Wave: 1, Within: 30 * time.Second, MaxConcurrent: atOnce}
 	for i := range count {
 		id := fmt.Sprintf("m-%d", i)
 		h.machines[id] = &gauge.Machine{ID: id, Pool: pool, State: gauge.MachineUp, Worker: "i-" + id}
@@ -116,7 +116,7 @@
 func TestWaveContinuesUnderANewHolder(t *testing.T) {
 	h := newHarness("spare", 3, 1)
 	scheduler := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
-	scheduler.AddWave(gauge.MaintenanceOrder{Wave: 1, Machines: []string{"m-0", "m-1", "m-2"}, Within: time.Minute, MaxConcurrent: 1}, waves.StoredProgress{Started: []string{"m-0"}}, h.now)
+	scheduler.AddWave(gauge.MaintenanceWave{Wave: 1, Machines: []string{"m-0", "m-1", "m-2"}, Within: time.Minute, MaxConcurrent: 1}, waves.StoredProgress{Started: []string{"m-0"}}, h.now)
 	h.scheduler = scheduler
 	h.scheduler.SetStandbyPools([]string{"spare"})
 	h.advance(time.Millisecond)
@@ -162,7 +162,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			scheduler := waves.New(waves.Config{MaintenanceDuration: maintenanceTime, Logs: logr.Discard()})
-			wave := gauge.MaintenanceOrder{Wave: 1, Within: 30 * time.Second, MaxConcurrent: 2}
+			wave := gauge.MaintenanceWave{Wave: 1, Within: 30 * time.Second, MaxConcurrent: 2}
 			var past waves.StoredProgress
 			var list []gauge.Machine
 			for i := range 20 {
--- a/mechanism_test.go
+++ b/mechanism_test.go
@@ -13,7 +13,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, w, gauge.Disabled{gauge.MechanismPack, gauge.MechanismRate})
 	assert.Assert(t, w.Has(gauge.MechanismRate))
-	assert.Assert(t, !w.Has(gauge.MechanismRest))
+	assert.Assert(t, !w.Has(gauge.MechanismWorkerBackoff))
 }
 
 func TestUnknownMechanismErrorListsTheKnownOnes(t *testing.T) {
--- a/partition.go
+++ b/partition.go
@@ -65,7 +65,7 @@
 	OperatorTable() string
 	WorkerTable() string
 	// DecodeOperatorRow returns a configuration or a wave, or neither for any other row.
-	DecodeOperatorRow(r PartitionRow) (*Site, *MaintenanceOrder, error)
+	DecodeOperatorRow(r PartitionRow) (*Site, *MaintenanceWave, error)
 	DecodeWorkerRow(r PartitionRow) (*Worker, error)
 	EncodeWaveStatus(wave int64, done bool) (RowWrite, error)
 }
--- a/pool.go
+++ b/pool.go
@@ -30,28 +30,28 @@
 
 // Pool is a set of hosts with a promised capacity.
 type Pool struct {
-	Hosts     int           `json:"hosts"`     // hosts that must be able to work at any moment
-	Objective float64       `json:"objective"` // share of requests answered as promised, 0 to 1
-	Prefer    Preference    `json:"prefer"`
-	Domain    FailureDomain `json:"domain"`           // the promise holds through the loss of the worst one
-	Reserve   int           `json:"reserve"`          // slots of each worker that long work may not take
-	Floor     int           `json:"floor"`            // slots of each worker that quick work may not take
-	Zones     []string      `json:"zones,omitempty"`  // data centres to take hosts from; empty: any
-	Cores     int           `json:"cores,omitempty"`  // least cores of a host
-	Memory    int           `json:"memory,omitempty"` // least GiB of a host
-	Accels    int           `json:"accels,omitempty"` // least accelerators of a host
+	Hosts        int           `json:"hosts"`     // hosts that must be able to work at any moment
+	Objective    float64       `json:"objective"` // share of requests answered as promised, 0 to 1
+	Prefer       Preference    `json:"prefer"`
+	Domain       FailureDomain `json:"domain"`           // the promise holds through the loss of the worst one
+	QuickReserve int           `json:"reserve"`          // slots of each worker that long work may not take
+	LongReserve  int           `json:"floor"`            // slots of each worker that quick work may not take
+	Zones        []string      `json:"zones,omitempty"`  // data centres to take hosts from; empty: any
+	Cores        int           `json:"cores,omitempty"`  // least cores of a host
+	Memory       int           `json:"memory,omitempty"` // least GiB of a host
+	Accels       int           `json:"accels,omitempty"` // least accelerators of a host
 }
 
 const (
-	defaultObjective = 0.999
-	defaultReserve   = 2
-	defaultFloor     = 1
+	defaultObjective    = 0.999
+	defaultQuickReserve = 2
+	defaultLongReserve  = 1
 )
 
 // SetDefaults sets the fields that an operator left out.
 func (p *Pool) SetDefaults() {
-	fill.Zero(&p.Reserve, defaultReserve)
-	fill.Zero(&p.Floor, defaultFloor)
+	fill.Zero(&p.QuickReserve, defaultQuickReserve)
+	fill.Zero(&p.LongReserve, defaultLongReserve)
 	fill.Zero(&p.Objective, defaultObjective)
 	fill.Zero(&p.Prefer, PreferBuffer)
 	fill.Zero(&p.Domain, DomainRack)
@@ -62,8 +62,8 @@
 	if p.Objective <= 0 || p.Objective >= 1 {
 		fs.Add("objective", "is %v, must lie between 0 and 1", p.Objective)
 	}
-	atLeast(fs, "reserve", p.Reserve, 0)
-	atLeast(fs, "floor", p.Floor, 0)
+	atLeast(fs, "reserve", p.QuickReserve, 0)
+	atLeast(fs, "floor", p.LongReserve, 0)
 	oneOf(fs, "domain", p.Domain, DomainRack, DomainZone)
 	oneOf(fs, "prefer", p.Prefer, PreferBuffer, PreferSpeed)
 	atLeast(fs, "cores", p.Cores, 0)
--- a/site.go
+++ b/site.go
@@ -119,10 +119,10 @@
 	return nil
 }
 
-// MaintenanceOrder is a wave of machines in the operator's table: it asks that they undergo
+// MaintenanceWave is a wave of machines in the operator's table: it asks that they undergo
 // maintenance within a time, with at most MaxConcurrent of them down at a time. A Wave, in
 // contrast, is declared by a record and reboots hosts.
-type MaintenanceOrder struct {
+type MaintenanceWave struct {
 	Wave          int64
 	Machines      []string
 	Within        time.Duration
--- a/suspect.go
+++ b/suspect.go
@@ -53,9 +53,9 @@
 	return s.count(func(r SuspectRun) bool { return r.Crashed && !r.LikelierCause })
 }
 
-// UnlikelyCrashCountWithin counts the crashed runs that ended within a span from their start and
+// OtherCauseCrashCountWithin counts the crashed runs that ended within a span from their start and
 // for which another task on the worker was a likelier cause.
-func (s SuspectRuns) UnlikelyCrashCountWithin(span time.Duration) int {
+func (s SuspectRuns) OtherCauseCrashCountWithin(span time.Duration) int {
 	return s.count(func(r SuspectRun) bool { return r.Crashed && r.LikelierCause && r.RunTime < span })
 }
 
@@ -75,9 +75,9 @@
 	return len(numbers)
 }
 
-// HasOpenIsolatedRun reports whether a run was recorded as isolated and it isn't known yet whether
-// its worker crashed.
-func (s SuspectRuns) HasOpenIsolatedRun(run int) bool {
+// HasUnresolvedIsolatedRun reports whether a run was recorded as isolated and it isn't known yet
+// whether its worker crashed.
+func (s SuspectRuns) HasUnresolvedIsolatedRun(run int) bool {
 	return slices.ContainsFunc(s, func(r SuspectRun) bool { return r.Run == run && r.Isolated && !r.Crashed })
 }
 
--- a/test/machines/site_test.go
+++ b/test/machines/site_test.go
@@ -149,9 +149,9 @@
 			Store: table, CheckDelay: 300 * time.Millisecond, MaxFastRead: 100 * time.Millisecond, ReadTimeout: 500 * time.Millisecond,
 			CommitTimeout: 1500 * time.Millisecond, Now: boot.Now,
 		}),
-		Name: name, Start: "1", Addr: peer.Addr().String(), Workers: workers,
+		Name: name, StartID: "1", Addr: peer.Addr().String(), Workers: workers,
 		Machines: platform.NewMachines(platform.MachinesConfig{Addr: s.machines.Addr(), Timeout: time.Second, Clock: time.Now}),
-		Words:    platform.TableCodec{}, Mesh: e.mesh, Logs: s.log().WithValues("entry", name), Now: on.now, WallClock: time.Now, CapacityCores: on.capacity,
+		Codec:    platform.TableCodec{}, Mesh: e.mesh, Logs: s.log().WithValues("entry", name), Now: on.now, WallClock: time.Now, CapacityCores: on.capacity,
 		ObserveCall: func(string, time.Duration) {}, CountEvent: func(string) {}, MaxWorkerLease: 10 * time.Second, MinOrderInterval: time.Second, MaintenanceDuration: 200 * time.Millisecond,
 	})
 	e.front = platform.NewFrontend(platform.FrontendConfig{Jobs: e.node.Jobs(), Site: e.node.ServingSite, Route: e.node.Route, Ready: e.node.Ready, Logs: s.log()})
