--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -70,8 +70,8 @@
 	leasableByName map[string]leasable // of the configuration in force
 }
 
-// leasable is what can be leased out under one name: a pool's slots, or a team's quota as the slots
-// of a single made-up host.
+// leasable is what can be leased out under one name: a pool's slots, or a team's quota, which is
+// represented as the slots of a single placeholder host.
 type leasable struct {
 	slots.Fleet
 	maxRunTime time.Duration // longest run of a request
@@ -134,7 +134,7 @@
 	b.mu.Unlock()
 }
 
-// quotaHost is the made-up host whose slots are a team's quota.
+// quotaHost is the placeholder host whose slots are a team's quota.
 const quotaHost = "quota"
 
 // poolLimits returns for each pool how many requests may wait at one entry and how long one may
--- a/internal/ctrl/ctrl.go
+++ b/internal/ctrl/ctrl.go
@@ -23,16 +23,17 @@
 
 // Config sets up a Controller.
 type Config struct {
-	Log            *revlog.Log
-	Leases         *lease.Leases
-	Platform       gauge.Platform
-	Planner        *plan.Planner
-	State          func() gauge.State
-	LastHostList   func() (gauge.HostList, time.Time) // the last host list and when it was read
-	IsConfirmed    func(revision int64) bool          // every entry has the revision in force or is dead
-	OwnsDuty       func(unit string) bool             // whether this entry is to control a unit
-	CatchUpTo      func(revision int64)               // polls at once for a revision that has probably been accepted
-	OnHostAdded    func(pool string)                  // a host was added to a pool
+	Log          *revlog.Log
+	Leases       *lease.Leases
+	Platform     gauge.Platform
+	Planner      *plan.Planner
+	State        func() gauge.State
+	LastHostList func() (gauge.HostList, time.Time) // the last host list and when it was read
+	IsConfirmed  func(revision int64) bool          // whether every entry has the revision in force or is dead
+	OwnsDuty     func(unit string) bool             // whether this entry is to control a unit
+	// CatchUpTo polls at once for a revision that has probably been accepted.
+	CatchUpTo      func(revision int64)
+	OnHostAdded    func(pool string) // called when a host was added to a pool
 	Clock          gauge.Clock
 	Logs           logr.Logger
 	RoundInterval  time.Duration // between two rounds; default 1 s
@@ -59,10 +60,13 @@
 	hostsByID  map[string]gauge.ListedHost
 	listReadAt time.Time
 
-	// Since when hosts have been observed in a state; kept in memory only. After a takeover the
-	// waiting times start again, so a step may come later but never too early.
-	quiescedSince map[string]observation // since when all entries are known to have confirmed that the host is leaving
-	failedSince   map[string]observation // since when a host has been marked as failed
+	// When hosts were first observed in a state, by host ID; kept in memory only. After a takeover
+	// the waiting times start again, so a step may come later but never too early.
+	//
+	// quiescedSince: all entries are known to have confirmed that the host is leaving.
+	// failedSince: the host is marked as failed.
+	quiescedSince map[string]observation
+	failedSince   map[string]observation
 
 	mu    sync.Mutex
 	waits map[string][]plan.Wait // by unit
@@ -213,7 +217,8 @@
 	return nil
 }
 
-// updateObservations records since when hosts have been failed, or certain to get no new requests.
+// updateObservations records when hosts were first observed as failed, or as certain to get no new
+// requests.
 func (c *Controller) updateObservations(s gauge.State) {
 	now := c.conf.Clock()
 	for id, h := range s.ByHost {
--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -178,7 +178,7 @@
 }
 
 // waitingCounts returns how many requests wait for slots of each class. If some can't use the idle
-// slots, it adds the number of idle slots, as package hold deducts idle slots from what it requests.
+// slots, it adds the number of idle slots, as package hold deducts those from what it requests.
 func (a *Allocator) waitingCounts() (quick, long int) {
 	quick, long = a.queue.Len(gauge.ClassQuick), a.queue.Len(gauge.ClassLong)
 	if a.blockedRetries == 0 {
@@ -193,7 +193,7 @@
 	return quick, long
 }
 
-// HasUntriedHost reports whether there is a host that a request wasn't tried on.
+// HasUntriedHost reports whether there is a host on which a request hasn't been tried.
 func (a *Allocator) HasUntriedHost(tried gauge.Attempts) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/eject/eject.go
+++ b/internal/eject/eject.go
@@ -22,7 +22,7 @@
 	defaultFailureRatio = 0.5
 	defaultInitial      = 5 * time.Second
 	defaultMax          = 2 * time.Minute
-	// decay is the factor by which the weight of older outcomes drops with each new one.
+	// decay is the factor by which the weight of older outcomes is multiplied at each new one.
 	decay = 0.9
 	// peersFactor is the factor by which a worker's failure ratio must exceed that of the others:
 	// if all fail alike, the requests or the network are at fault, not the workers.
@@ -83,8 +83,8 @@
 	}
 }
 
-// RecordOutcome records how a request at a host ended. It reports whether the host is ejected for
-// it.
+// RecordOutcome records how a request at a host ended. It reports whether the host is ejected as a
+// result.
 func (e *Ejector) RecordOutcome(now time.Time, host string, failed bool) bool {
 	sc := e.hosts[host]
 	if sc == nil {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -53,10 +53,11 @@
 	HeartbeatInterval time.Duration // interval between heartbeats
 	MemberRowInterval time.Duration // interval between writes of the member row
 	LeaseDuration     time.Duration // of a slot lease
-	RoundInterval     time.Duration // interval between renewals of slot leases, and between controller rounds
+	RoundInterval     time.Duration // interval between slot lease renewals and controller rounds
 	ListInterval      time.Duration // interval between reads of the platform's host list
-	DrainDelay        time.Duration // how long the load balancer may take to notice that this entry is not ready
-	ShutdownTimeout   time.Duration // longest wait for requests in flight at shutdown
+	// DrainDelay is how long the load balancer may take to notice that this entry is not ready.
+	DrainDelay      time.Duration
+	ShutdownTimeout time.Duration // longest wait for requests in flight at shutdown
 }
 
 // Entry is one entry process.
--- a/internal/hold/hold.go
+++ b/internal/hold/hold.go
@@ -28,12 +28,13 @@
 	targets      map[string]gauge.Target // hosts that may be given new requests
 	leaseExpires time.Time
 	seq          uint64
-	fullSeq      uint64      // sequence number of the last full request
-	requestedAt  time.Time   // when that request was sent
-	renewed      bool        // that request was answered
-	maxUsed      int         // maximum number of slots to use while other entries have too few; 0: no limit
+	fullSeq      uint64    // sequence number of the last full request
+	requestedAt  time.Time // when that request was sent
+	renewed      bool      // whether that request was answered
+	// maxUsed is the maximum number of slots to use while other entries have too few; 0: no limit.
+	maxUsed      int
 	maxIdle      int         // maximum number of idle slots of a class to keep
-	wanted       classCounts // slots wanted, as the owner knows
+	wanted       classCounts // slots wanted, as the owner knows: last requested, less those granted since
 	becomingLong []*gauge.Slot
 	used         int
 }
@@ -98,7 +99,8 @@
 
 const newRackBonus = 1 << 20 // outweighs any number of idle slots
 
-// rankOf returns the preference for a host, higher is better: 0 for one that was tried already.
+// rankOf returns the preference for a host: the higher the better, and 0 for a host that was already
+// tried.
 func rankOf(t gauge.Target, idle int, earlier gauge.Attempts) int {
 	r := idle + newRackBonus
 	for _, a := range earlier {
@@ -228,7 +230,7 @@
 
 const (
 	minReserve     = 1
-	usedPerReserve = 4 // slots in use for each idle one
+	usedPerReserve = 4 // slots in use for each idle slot that is kept
 )
 
 // reserve returns how many idle slots of a class to keep, so that a request needn't wait for a
--- a/internal/mesh/link.go
+++ b/internal/mesh/link.go
@@ -18,9 +18,10 @@
 	connecting chan struct{} // semaphore: held by the goroutine that connects
 	writeMu    sync.Mutex    // serialises writes to conn
 
-	mu           sync.Mutex
-	conn         net.Conn
-	err          error                       // why the connection was closed; nil: it is open, or not yet connected
+	mu   sync.Mutex
+	conn net.Conn
+	// err is why the connection was closed; nil: it is open, or not yet connected.
+	err          error
 	lastID       uint64                      // ID of the last request
 	pending      map[uint64]chan frame.Frame // where to pass each answer, by the request's ID
 	lastReceived time.Time                   // when the last frame was received
@@ -148,8 +149,8 @@
 }
 
 // closeIfSilent closes the connection if no frame has been received since a call was sent. A
-// firewall between the two ends may have dropped its state: all calls on it would time out, while
-// a new connection would work.
+// firewall between the two ends may have dropped the connection's state: all calls on it would time
+// out, while a new connection would work.
 func (k *link) closeIfSilent(since time.Time) {
 	k.mu.Lock()
 	silent := k.lastReceived.Before(since)
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -45,7 +45,7 @@
 	Revision     int64        `msgpack:"r"`           // configuration revision in force at the sender
 	View         uint64       `msgpack:"v"`           // hash of the sender's live entries
 	ZoneLive     []string     `msgpack:"o,omitempty"` // live entries of the sender's data centre
-	ZoneSameView []string     `msgpack:"s,omitempty"` // those of ZoneLive with the same view as the sender
+	ZoneSameView []string     `msgpack:"s,omitempty"` // those of ZoneLive with the sender's view
 	MinRevision  int64        `msgpack:"l,omitempty"` // lowest revision in force among ZoneLive
 }
 
@@ -193,7 +193,7 @@
 
 // Share returns how many entries have the same view as this one, itself included, and how many
 // entries are known. An entry that knows others but receives no heartbeat of them, and can't read
-// the table either, has no share at all: the others may have deleted its row and no longer know it.
+// the table either, has no share at all, as the others may have deleted its row and no longer know it.
 func (s *Set) Share(now time.Time) (same, known int) {
 	same, known = 1, 1+len(s.known)
 	isolated := true
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -151,8 +151,8 @@
 }
 
 // shortfall returns how many hosts a pool lacks. A failed host counts as a member until the pool
-// gives it up, so that a host that is briefly down causes no move, unless the next failure would
-// then break the promise.
+// gives it up, so that a host that is briefly down causes no move. It doesn't count if the next
+// failure would then break the promise.
 func (a *assignment) shortfall(pool string) int {
 	members, serving := 0, 0
 	for _, h := range a.members[pool] {
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -150,7 +150,7 @@
 
 // planWaves takes hosts out for the waves that cover the pool, the oldest first. A reboot counts
 // for every wave that was declared before it began: two waves over one pool don't reboot a host
-// twice, and never overwrite each other's marks.
+// twice, and they never overwrite each other's marks.
 func (p *Planner) planWaves(in Input, pool string, hosts gauge.Hosts, moved map[string]bool, out *Plan) {
 	rec := in.State.Pool(pool)
 	if rec == nil {
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -119,8 +119,9 @@
 	}
 }
 
-// exhaustedError returns KindPoison for a request that failed on more than one worker, in
-// every attempt, and the final error where workers could not be reached.
+// exhaustedError returns the error of a request that has no attempts left: one of KindPoison if it
+// may have run in every attempt, on more than one worker; otherwise the final error, as some workers
+// could not be reached.
 func exhaustedError(attempts gauge.Attempts, err error) error {
 	ran := 0
 	for _, a := range attempts {
@@ -134,8 +135,8 @@
 	return finalError(attempts, err)
 }
 
-// finalError returns the error for the caller. If no attempt can have run, that is a refusal, which
-// says so; otherwise it is err.
+// finalError returns the error for the caller: err if an attempt may have run, otherwise a refusal,
+// which tells the caller that nothing ran.
 func finalError(attempts gauge.Attempts, err error) error {
 	if attempts.MayHaveRun() {
 		return err
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// kindOf returns the kind of an error, or "" for nil.
+// kindOf returns the kind of an error, or "" if it is nil.
 func kindOf(err error) gauge.Kind {
 	if err == nil {
 		return ""
--- a/internal/sizing/rate.go
+++ b/internal/sizing/rate.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// minRateWindow is the shortest time over which arrivals are counted: a longer one would delay
-	// the machines, and until they come jobs of a busy queue miss their objective. Each tenth of a
-	// second counts.
+	// minRateWindow is the shortest time over which arrivals are counted. With a longer one machines
+	// would come later, and until they come jobs of a busy queue miss their objective: each tenth of
+	// a second makes a difference.
 	minRateWindow = 500 * time.Millisecond
 	// maxRateWindow is the time over which arrivals are counted if they are few.
 	maxRateWindow = 3 * time.Second
-	// minSamples is how many samples with arrivals make a rate. With fewer, occasional large jobs
+	// minSamples is how many samples with arrivals are needed to compute a rate. With fewer, occasional large jobs
 	// would make the wanted number of machines swing between none and all.
 	minSamples = 5
 	// riseWindow and minRiseJobs are the time and the number of jobs that are enough to detect a
 	// rise. The peak of a large pool brings some ten jobs in a quarter of a second; when arrivals
-	// in five samples were required, its machines came most of a second later, which is all the
-	// delay that its shortest jobs can have and still meet their objective.
+	// in five samples were required, its machines came most of a second later, and its shortest
+	// jobs can be delayed by no more than that and still meet their objective.
 	riseWindow  = 250 * time.Millisecond
 	minRiseJobs = 8
 	// riseFactor is how many times the rate over maxRateWindow counts as a rise: less is within the
@@ -92,7 +92,7 @@
 
 // forecast returns how many more cores the arrivals will need when a machine that is requested now
 // is ready; 0 unless the number of arrivals rises significantly. A queue's demand rises over some
-// seconds: a pool sized by past arrivals is always one move's duration behind.
+// seconds, so a pool sized by past arrivals would always be behind by the duration of a move.
 func (a arrivals) forecast(now time.Duration) float64 {
 	jobs, before, work := 0.0, 0.0, 0.0
 	for _, n := range a {
--- a/internal/sizing/retention.go
+++ b/internal/sizing/retention.go
@@ -4,13 +4,13 @@
 
 const (
 	// minRetention is how long a pool must have too many machines before it gives some to standby,
-	// as long as nothing else was learnt: demand dips briefly within a queue's peak.
+	// unless a longer retention was learnt: demand dips briefly within a queue's peak.
 	minRetention = 4 * time.Second
 	// maxRetention bounds the learnt retention: this long after the last work, all machines but
 	// those for long-running tasks are on standby.
 	maxRetention = 30 * time.Second
 	// minAdjustInterval is the minimum time between two adjustments: one rise in demand takes
-	// machines back for about a second, and counts once.
+	// machines back for about a second, and must count only once.
 	minAdjustInterval = time.Second
 	// decayAfter is how long no machine must have been taken back for the retention to be halved.
 	decayAfter = 2 * time.Minute
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -30,7 +30,7 @@
 	From       string
 	To         string
 	Worker     string
-	Drained    bool // nothing runs there any more: the move can be ordered
+	Drained    bool // nothing runs there any more, so the move can be ordered
 	chosenAt   time.Duration
 	inFlight   bool // a call for it is in flight: it must not change until the call has ended
 	unanswered bool // an order got no answer: it is repeated until one does
@@ -101,8 +101,8 @@
 }
 
 const (
-	// headroom is the factor over the cores in demand: not all cores are usable, since tasks don't
-	// fit exactly, and estimates are off by half.
+	// headroom is the factor by which the cores in demand are multiplied: not all cores are usable,
+	// since tasks don't fit exactly, and estimates are off by half.
 	headroom = 1.25
 	// minPoolMachines is the least number of machines that a pool keeps, so that new work starts at
 	// once and long-running tasks find room elsewhere.
--- a/internal/slots/compare_test.go
+++ b/internal/slots/compare_test.go
@@ -91,7 +91,9 @@
 	duration  time.Duration
 	slot      *gauge.Slot
 
-	paused bool // its entry was paused when it arrived, so its waiting time says nothing about the way of sharing
+	// paused: its entry was paused when it arrived, so its waiting time says nothing about how slots
+	// are shared.
+	paused bool
 }
 
 func base() time.Time { return time.Unix(1_000_000, 0) }
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -19,8 +19,10 @@
 type Config struct {
 	Pool          string
 	LeaseDuration time.Duration
-	MaxRunTime    time.Duration // longest run of a request: how long a slot may stay in use after its lease expired
-	OwnerSince    time.Time     // when this entry became the owner
+	// MaxRunTime is the longest run of a request: how long a slot may stay in use after its lease
+	// expired.
+	MaxRunTime time.Duration
+	OwnerSince time.Time // when this entry became the owner
 }
 
 // Fleet is the capacity that an owner may lease out. Its share of each worker's slots is the
@@ -41,14 +43,16 @@
 
 // Owner leases out the slots of one pool.
 type Owner struct {
-	conf           Config
-	fleet          Fleet
-	leased         map[string]classCounts  // by host
-	holders        map[string]*holderState // by entry
-	unconfirmed    []unconfirmedSlots
-	firstLeaseOver bool // the first lease duration is over, and slots that no holder reported are unconfirmed
-	capacity       int  // slots that this owner may lease out
-	leasedCount    int  // slots leased
+	conf        Config
+	fleet       Fleet
+	leased      map[string]classCounts  // by host
+	holders     map[string]*holderState // by entry
+	unconfirmed []unconfirmedSlots
+	// firstLeaseOver: the first lease duration is over, and the slots that no holder reported have
+	// been marked as unconfirmed.
+	firstLeaseOver bool
+	capacity       int // slots that this owner may lease out
+	leasedCount    int // slots leased
 }
 
 type classCounts struct{ quick, long int }
@@ -78,9 +82,9 @@
 	}
 }
 
-// HandleRequest records what a holder has, gives back and wants. It returns the answer, and the
-// grants for other holders that this makes possible. A request whose sequence number isn't above
-// the last one seen was overtaken by a later one: it changes nothing and is rejected.
+// HandleRequest records the slots that a holder has, gives back and wants. It returns the answer,
+// and the grants for other holders that this makes possible. A request whose sequence number isn't
+// above the last one seen was overtaken by a later one: it changes nothing and is rejected.
 func (o *Owner) HandleRequest(now time.Time, req LeaseRequest) (Grant, []Push) {
 	o.expireLeases(now)
 	h := o.holders[req.Holder]
@@ -325,8 +329,8 @@
 	return false
 }
 
-// idleDivisor determines which part of the free slots the holders together may keep idle; the rest
-// stays with the owner for the next entry that requests slots.
+// idleDivisor is the divisor that gives the part of the free slots that the holders together may
+// keep idle; the rest stays with the owner for the next entry that requests slots.
 const idleDivisor = 2
 
 // maxIdle returns how many idle slots each holder may keep.
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -35,15 +35,17 @@
 // world has several holders, one owner at a time, and messages that may be lost, delayed or
 // reordered.
 type world struct {
-	now          time.Time
-	owner        *slots.Owner
-	holders      []*hold.Holder
-	requests     []slots.LeaseRequest
-	grants       []addressedGrant
-	running      []*request
-	hosts        int
-	size         int
-	reservedLong int // slots of each worker reserved for long requests; twice as many are reserved for quick ones
+	now      time.Time
+	owner    *slots.Owner
+	holders  []*hold.Holder
+	requests []slots.LeaseRequest
+	grants   []addressedGrant
+	running  []*request
+	hosts    int
+	size     int
+	// reservedLong is the number of slots of each worker that are reserved for long requests; twice as
+	// many are reserved for quick ones.
+	reservedLong int
 }
 
 type addressedGrant struct {
@@ -331,7 +333,8 @@
 	w.sendFull(1, 0, 0)
 	w.deliverAll()
 	assert.Assert(t, w.owner.InUse("w0") > 0)
-	w.owner.ObserveUsage("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
+	// Read before the lease expired, so it proves nothing.
+	w.owner.ObserveUsage("w0", 0, w.now.Add(-time.Second))
 	assert.Assert(t, w.owner.InUse("w0") > 0)
 	w.owner.ObserveUsage("w0", 0, w.now.Add(time.Second))
 	assert.Equal(t, w.owner.InUse("w0"), 0)
--- a/internal/slots/unconfirmed.go
+++ b/internal/slots/unconfirmed.go
@@ -59,8 +59,8 @@
 	o.unconfirmed = slices.DeleteFunc(o.unconfirmed, func(u unconfirmedSlots) bool { return u.holder == holder })
 }
 
-// ObserveUsage records how many slots of a host the platform saw in use at a time. Of the slots that
-// became unconfirmed before that time, no more than these can still be in use.
+// ObserveUsage records how many slots of a host were in use at a given time, as reported by the
+// platform. Of the slots that became unconfirmed before that time, no more can still be in use.
 func (o *Owner) ObserveUsage(host string, used int, at time.Time) {
 	for i := range o.unconfirmed {
 		u := &o.unconfirmed[i]
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -10,8 +10,8 @@
 // A machine with long-running tasks drains slowly: only a few tasks of a step may be unplaced at a
 // time, and the next ones leave only when these run elsewhere. A wave takes at least as long as its
 // slowest drain. When such machines were taken among the others, in the order of their names, 140
-// of 250 machines started maintenance within eight seconds and the last forty one by one until
-// after the end of the wave. So slow drains start first and run all the time, and other machines
+// of 250 machines started maintenance within eight seconds, and the last 40 followed one by one
+// until after the end of the wave. So slow drains start first and run all the time, and other machines
 // use the remaining capacity.
 
 const (
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -328,8 +328,8 @@
 
 const (
 	// forceShare is the share of a wave's time after which tasks that don't end by themselves are
-	// stopped if the wave would be late otherwise. It is also the lead over the elapsed time that
-	// the wave's progress must have, as a share of the remaining time.
+	// stopped if the wave would be late otherwise. It would be late if its progress isn't ahead of
+	// the elapsed time by at least the same share of the remaining time.
 	forceShare = 0.4
 	// lateMargin is how long before the end of a wave it counts as late if any machines remain,
 	// however few: a machine with long-running tasks takes three to four seconds to drain, one task
--- a/test/machines/config_test.go
+++ b/test/machines/config_test.go
@@ -55,9 +55,9 @@
 // the queue was added, while other entries serve it. An entry receives no changes of the
 // configuration for some seconds, in which a queue is added, and is then asked for that queue.
 //
-// The entry used its configuration however long ago it had last been confirmed as the newest.
+// The entry used its configuration no matter how long ago that was last confirmed as the newest.
 // On hosts that ran out of processor time, two entries had changes in force 2.7 and 4.4 s late,
-// and nothing kept them from answering 404 meanwhile. Without the fix the test fails in each run.
+// and nothing kept them from answering 404 meanwhile. Without the fix the test fails in every run.
 func TestEntryWithStaleConfigDoesNotAnswerThatQueueIsMissing(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 1)
@@ -88,7 +88,7 @@
 // Guards against a job that is refused with 404 by an entry that otherwise serves its queue. The
 // owner of a pool receives no changes of the configuration while a queue is added; an entry that has
 // the new configuration forwards a job of that queue to it. The owner's answer that there is no
-// such queue was trusted whichever configuration it was based on. Without the fix the answer is
+// such queue was trusted, no matter which configuration it was based on. Without the fix the answer is
 // 404 in each run.
 func TestOwnerWithStaleConfigRefusesNoJobOfNewQueue(t *testing.T) {
 	t.Parallel()
--- a/test/machines/link_test.go
+++ b/test/machines/link_test.go
@@ -108,7 +108,7 @@
 
 // Guards against an entry that refuses its clients although other entries could serve them. The
 // entry is cut off from the table; it gets submissions, state queries and a cancel. Each entry
-// had only its own path to the table.
+// reached the table only over its own connections, never through another entry.
 func TestEntryCutOffFromTableServesThroughOwner(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 3)
--- a/test/machines/rebalance_test.go
+++ b/test/machines/rebalance_test.go
@@ -188,7 +188,7 @@
 }
 
 // startFakePeer starts a peer that accepts any lease and reports that it holds some already. It
-// answers probes once after is closed; nil: at once.
+// answers probes once the channel after is closed; nil: at once.
 func (s *site) startFakePeer(name string, capacity float64, leases int, after <-chan struct{}) *fakePeer {
 	p := &fakePeer{mesh: mesh.New(mesh.Config{}), answered: make(chan struct{})}
 	answer := map[string]any{"r": true, "h": name + "/1", "n": leases, "c": capacity}
@@ -243,13 +243,13 @@
 
 // Guards against pools of a stopping entry that are taken only after their leases have expired.
 // Dozens of large hosts have lost power and answer nothing; they are the least loaded that the
-// entry knows. The entry asked four hosts at a time and waited for each four.
+// entry knows. The entry asked four hosts at a time and waited for each group of four.
 func TestStoppingEntryDoesNotWaitForSilentHosts(t *testing.T) {
 	t.Parallel()
 	const (
 		silent = 60
 		// stopTimeout is the time that the entry has to stop: a third of what it would take to wait
-		// for each four hosts, and twice what it takes without waiting.
+		// for each group of four hosts, and twice what it takes without waiting.
 		stopTimeout = 3 * time.Second
 	)
 	s := newSite(t, 0, 1)
--- a/test/soak/crash_test.go
+++ b/test/soak/crash_test.go
@@ -16,7 +16,7 @@
 	// disturbances is the same as without crashes.
 	crashStream    = 3 << 32
 	capacityStream = 4 << 32
-	// crashInterval is the pause between two jobs that crash their workers. There are few workers,
+	// crashInterval is the pause between two jobs that crash their workers: there are few workers,
 	// and each that crashes is unavailable for some tenths of a second.
 	crashInterval = 3 * time.Second
 	// powerLossRatio: one in so many changes of capacity is a power loss of all workers instead.
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -17,7 +17,8 @@
 	modeSlow   mode = "slow"   // bytes are delayed
 	modeReset  mode = "reset"  // connections break, new ones are refused
 	modeOneWay mode = "oneway" // answers are dropped silently
-	modeSilent mode = "silent" // bytes of both directions are dropped silently, also on connections that were open before
+	// bytes of both directions are dropped silently, also on connections that were open before
+	modeSilent mode = "silent"
 )
 
 // slowDelay is the delay of each chunk of bytes.
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -56,7 +56,7 @@
 			// A healthy long-running job was failed: its workers lost power together while their
 			// owner was paused, and another entry took the pool.
 			{seed: 501, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
-			// A task went on crashing workers: several owners in a row couldn't write to the
+			// A task continued to crash workers: several owners in a row couldn't write to the
 			// table, or stopped before they knew of a crash.
 			{seed: 525, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
 			{seed: 528, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
