--- a/internal/ctrl/ctrl_test.go
+++ b/internal/ctrl/ctrl_test.go
@@ -99,7 +99,7 @@
 	})
 }
 
-// Guards against a wave that stops for good or goes over a host twice, because an action wasn't
+// Guards against a wave that stops for good or covers a host twice, because an action wasn't
 // written before it began or its result wasn't read back. The controller meets each fault at each
 // of its calls to the table, and in half of the cases dies there, so that another one takes over.
 func TestWaveCompletesAfterEachFault(t *testing.T) {
--- a/internal/eject/eject.go
+++ b/internal/eject/eject.go
@@ -140,9 +140,9 @@
 	if sc.ejections == 0 && e.countEjected() >= e.maxEjected {
 		return false
 	}
-	length := e.conf.Initial << min(sc.ejections, 16) // 16 keeps the shift from overflowing
+	duration := e.conf.Initial << min(sc.ejections, 16) // 16 keeps the shift from overflowing
 	sc.ejections++
-	sc.until = now.Add(min(length, e.conf.Max))
+	sc.until = now.Add(min(duration, e.conf.Max))
 	sc.total, sc.failures = 0, 0
 	return true
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -84,7 +84,7 @@
 	hostList atomic.Pointer[hostList]
 }
 
-// hostList is the platform's host list and when the call that read it was made.
+// hostList is the platform's host list, and the time just before the call that read it.
 type hostList struct {
 	list gauge.HostList
 	at   time.Time
@@ -224,8 +224,8 @@
 	if err := e.app.ShutdownWithContext(ctx); err != nil {
 		e.conf.Logs.Info("HTTP server did not close in time", "reason", err.Error())
 	}
-	leaveCtx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), time.Second)
+	defer cancelLeave()
 	if err := e.member.Leave(leaveCtx); err != nil {
 		e.conf.Logs.Info("member row not dropped", "reason", err.Error())
 	}
--- a/internal/entry/peer.go
+++ b/internal/entry/peer.go
@@ -77,8 +77,8 @@
 	return s.WithIndex()
 }
 
-// ownsDuty reports whether this entry is responsible for the duty with a name. Duties are spread
-// over the live entries.
+// ownsDuty reports whether this entry is responsible for the duty of the given name. Duties are
+// spread over the live entries.
 func (e *Entry) ownsDuty(duty string) bool {
 	return peers.Owner(e.member.View().Live, duty).ID == e.conf.Self.ID
 }
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// Guards against entries that take each other for dead after a table outage of an hour:
+// Guards against entries that consider each other dead after a table outage of an hour:
 // rows can be neither read nor written; afterwards an entry that was cut off from its peers
 // too writes its row a moment later than it is read. The time of the outage must not count
 // towards the term.
--- a/internal/plan/fleet.go
+++ b/internal/plan/fleet.go
@@ -113,8 +113,8 @@
 
 // WantedHosts returns how many hosts a pool should have: the sum of the promised number, the number
 // in its largest failure domain with the present spread, and a reserve for waves: one more domain
-// if speed is preferred, else one host while an unpaused wave has hosts of the pool left to reboot.
-// It is 0 if none are promised.
+// if speed is preferred, otherwise one host while an unpaused wave has hosts of the pool left to
+// reboot. It is 0 if none are promised.
 func WantedHosts(s gauge.State, pool string, members gauge.Hosts) int {
 	rec := s.Pool(pool)
 	worst := max(1, largestDomain(rec, members))
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -143,7 +143,7 @@
 
 // mustRepeatReboot reports whether the platform shows no sign of a reboot: the previous controller
 // may have died between writing the row and asking for the reboot. Both requests have the same
-// token, by which gauge.Platform reboots the host once.
+// token, so that gauge.Platform reboots the host only once.
 func mustRepeatReboot(h gauge.Host, s gauge.ListedHost) bool {
 	return h.State == gauge.HostRebooting && s.Status == gauge.StatusLive && s.Boots == h.Boots
 }
--- a/internal/serve/async.go
+++ b/internal/serve/async.go
@@ -71,9 +71,9 @@
 	}
 	resp, _, err := s.run(ctx, c)
 	s.recordEnd(c, resp, err)
-	store, stop := context.WithTimeout(context.Background(), storeTimeout)
-	defer stop()
-	if err := s.conf.Claims.StoreOutcome(store, running, outcomeOf(resp, err)); err != nil {
+	storeCtx, cancelStore := context.WithTimeout(context.Background(), storeTimeout)
+	defer cancelStore()
+	if err := s.conf.Claims.StoreOutcome(storeCtx, running, outcomeOf(resp, err)); err != nil {
 		s.conf.Logs.Error(err, "answer not stored", "request", row.Key.ID)
 	}
 }
--- a/internal/serve/current_test.go
+++ b/internal/serve/current_test.go
@@ -11,8 +11,8 @@
 
 // Guards against an entry that answers from an outdated configuration that a service or team
 // doesn't exist, although the operator has been told that it is in force. This happened when
-// the entry reached neither the table nor its peers while the record was added: it answered by
-// its last state, however long ago that had been confirmed.
+// the entry reached neither the table nor its peers while the record was added: it answered from
+// its last state, no matter how long ago that had been confirmed.
 func TestUnconfirmedStateIsNotReportedAsMissing(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
--- a/internal/serve/run.go
+++ b/internal/serve/run.go
@@ -12,7 +12,7 @@
 // may have to be leased from another entry, before it is refused.
 const quotaTimeout = 250 * time.Millisecond
 
-// run dispatches the request to workers until one answers or no further attempt is due.
+// run dispatches the request to workers until one answers or no further attempt is to be made.
 func (s *Server) run(ctx context.Context, c *call) (gauge.Response, gauge.Attempts, error) {
 	if c.quota != nil {
 		slot, err := s.acquireQuota(ctx, c)
--- a/internal/sizing/move.go
+++ b/internal/sizing/move.go
@@ -108,29 +108,29 @@
 // findEasiestToDrain finds the machine of a pool that takes the least work to drain. Machines with
 // long-running tasks don't qualify: these tasks would have to move, and their users would notice.
 func (s *Sizer) findEasiestToDrain(pool string, isTaken, isPending func(string) bool) (gauge.Machine, bool) {
-	runs := s.loads[pool].workers
+	workers := s.loads[pool].workers
 	var best gauge.Machine
 	found := false
 	for _, m := range s.index.machines[pool] {
 		if m.State != gauge.MachineUp || s.moves[m.ID] != nil || isTaken(m.ID) {
 			continue
 		}
-		w := runs[m.Worker]
+		w := workers[m.Worker]
 		if w.LongRunning > 0 {
 			continue
 		}
-		if !found || lessDisruptive(m, w, best, runs[best.Worker], isPending) {
+		if !found || isLessDisruptive(m, w, best, workers[best.Worker], isPending) {
 			best, found = m, true
 		}
 	}
 	return best, found
 }
 
-// lessDisruptive reports whether machine a is a better choice than b: one that no wave will take
+// isLessDisruptive reports whether machine a is a better choice than b: one that no wave will take
 // comes first, then the one with less work left, then the one with fewer runs, then the lower ID.
-func lessDisruptive(a gauge.Machine, onA gauge.WorkerLoad, b gauge.Machine, onB gauge.WorkerLoad, isPending func(string) bool) bool {
+func isLessDisruptive(a gauge.Machine, loadA gauge.WorkerLoad, b gauge.Machine, loadB gauge.WorkerLoad, isPending func(string) bool) bool {
 	if isPending(a.ID) != isPending(b.ID) {
 		return isPending(b.ID)
 	}
-	return cmp.Or(cmp.Compare(onA.RemainingTime, onB.RemainingTime), cmp.Compare(onA.Runs, onB.Runs), cmp.Compare(a.ID, b.ID)) < 0
+	return cmp.Or(cmp.Compare(loadA.RemainingTime, loadB.RemainingTime), cmp.Compare(loadA.Runs, loadB.Runs), cmp.Compare(a.ID, b.ID)) < 0
 }
--- a/internal/sizing/rate.go
+++ b/internal/sizing/rate.go
@@ -12,8 +12,8 @@
 	minRateWindow = 500 * time.Millisecond
 	// maxRateWindow is the time over which arrivals are counted if they are few.
 	maxRateWindow = 3 * time.Second
-	// minSamples is how many samples with arrivals are needed to compute a rate. With fewer, occasional large jobs
-	// would make the wanted number of machines swing between none and all.
+	// minSamples is how many samples with arrivals are needed to compute a rate. With fewer,
+	// occasional large jobs would make the wanted number of machines swing between none and all.
 	minSamples = 5
 	// riseWindow and minRiseJobs are the time and the number of jobs that are enough to detect a
 	// rise. The peak of a large pool brings some ten jobs in a quarter of a second; when arrivals
--- a/internal/sizing/rise_test.go
+++ b/internal/sizing/rise_test.go
@@ -43,8 +43,8 @@
 
 // Guards against late jobs in the first three seconds of each peak of a large pool. The rate of
 // arrivals rises twentyfold; its machines were requested after a second, and take two more to come,
-// because a rate needed arrivals in five samples, however many jobs these had, and until then was
-// taken over three seconds.
+// because a rate needed arrivals in five samples, no matter how many jobs these had, and until
+// then was computed over three seconds.
 func TestARiseOfManyArrivalsIsDetectedWithinAFewSamples(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
--- a/internal/sizing/share.go
+++ b/internal/sizing/share.go
@@ -12,7 +12,7 @@
 // share divides the available machines: each pool gets its base, then timely work is served and
 // then late work, in proportion to the needs where there aren't enough machines for all.
 func share(needs map[string]need, pools []string, supply int) map[string]int {
-	got := make(map[string]int, len(pools))
+	machines := make(map[string]int, len(pools))
 	for _, part := range []func(need) int{
 		func(n need) int { return n.base },
 		func(n need) int { return n.timely },
@@ -23,11 +23,11 @@
 			requested[i] = part(needs[p])
 		}
 		for i, n := range divide(requested, supply) {
-			got[pools[i]] += n
+			machines[pools[i]] += n
 			supply -= n
 		}
 	}
-	return got
+	return machines
 }
 
 // divide gives each pool what it asks for, or a proportional share if the sum exceeds the supply;
@@ -40,22 +40,22 @@
 	if sum <= supply {
 		return requested
 	}
-	got := make([]int, len(requested))
+	shares := make([]int, len(requested))
 	if supply <= 0 {
-		return got
+		return shares
 	}
 	order := make([]int, len(requested))
 	left := supply
 	for i, a := range requested {
-		got[i] = a * supply / sum
-		left -= got[i]
+		shares[i] = a * supply / sum
+		left -= shares[i]
 		order[i] = i
 	}
 	sort.SliceStable(order, func(x, y int) bool {
 		return requested[order[x]]*supply%sum > requested[order[y]]*supply%sum
 	})
 	for _, i := range order[:left] {
-		got[i]++
+		shares[i]++
 	}
-	return got
+	return shares
 }
--- a/internal/sizing/sizing.go
+++ b/internal/sizing/sizing.go
@@ -133,17 +133,17 @@
 	if ok && l.ArrivedCoreSeconds >= old.ArrivedCoreSeconds {
 		s.arrivals[l.Pool] = s.arrivals[l.Pool].add(arrival{at: now, previous: old.receivedAt, coreSeconds: l.ArrivedCoreSeconds - old.ArrivedCoreSeconds, jobs: l.ArrivedJobs - old.ArrivedJobs})
 	}
-	runs := make(map[string]gauge.WorkerLoad, len(l.Workers))
+	workers := make(map[string]gauge.WorkerLoad, len(l.Workers))
 	for _, w := range l.Workers {
-		runs[w.ID] = w
+		workers[w.ID] = w
 		s.longRunning[w.ID] = w.LongRunning
 	}
 	for id := range old.workers {
-		if _, there := runs[id]; !there {
+		if _, listed := workers[id]; !listed {
 			delete(s.longRunning, id)
 		}
 	}
-	s.loads[l.Pool] = load{PoolLoad: l, receivedAt: now, workers: runs}
+	s.loads[l.Pool] = load{PoolLoad: l, receivedAt: now, workers: workers}
 }
 
 // SetMachines replaces the list of machines and the standby pools. RequestedAt is when the list was
@@ -155,9 +155,9 @@
 	}
 	s.standbyPools = standby
 	for id, v := range s.moves {
-		m, there := s.machines[id]
+		m, listed := s.machines[id]
 		switch {
-		case !there, m.Pool == v.To && m.State == gauge.MachineUp:
+		case !listed, m.Pool == v.To && m.State == gauge.MachineUp:
 			delete(s.moves, id)
 		case v.unanswered || v.orderedAt > 0 && requestedAt < v.orderedAt+listDelay:
 		case v.orderedAt > 0 && m.State == gauge.MachineUp && m.Pool == v.From:
--- a/internal/sizing/sizing_test.go
+++ b/internal/sizing/sizing_test.go
@@ -38,7 +38,7 @@
 
 func (g *harness) list() { g.sizer.SetMachines(g.machines, []string{"spare"}, g.now) }
 
-// load reports a load of a pool whose machines all run something, the given number of them
+// load reports a load of a pool whose machines all run something; the given number of them run
 // long-running tasks.
 func (g *harness) load(l gauge.PoolLoad, longRunning int) {
 	for i, m := range g.machines {
@@ -279,7 +279,7 @@
 
 // Guards against a pool that waits at its peak for three to four seconds for machines of a pool
 // whose own peak is over. A machine is drained once its longest run ends; machines with the fewest
-// runs went first, whatever time those runs had left.
+// runs went first, no matter how much time those runs had left.
 func TestMachinesThatDrainSoonestMove(t *testing.T) {
 	g := newHarness(map[string]int{"a": 9, "b": 3})
 	l := gauge.PoolLoad{Pool: "a"}
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { fixed.Flags{Checks: "5000", Steps: "60"}.Main(m) }
 
-// request runs on a worker, whatever becomes of its holder.
+// request runs on a worker, no matter what happens to its holder.
 type request struct {
 	slot    *gauge.Slot
 	holder  int
@@ -281,7 +281,7 @@
 	}
 }
 
-// Guards against one entry keeping all the slots while the others' requests wait for ever. The first
+// Guards against one entry keeping all the slots while the others' requests wait forever. The first
 // entry takes all slots for an endless flow of requests before the others request any; without a
 // fair share, each slot that becomes free would go back to its last holder.
 func TestFairShare(t *testing.T) {
--- a/internal/waves/choose.go
+++ b/internal/waves/choose.go
@@ -11,8 +11,8 @@
 // time, and the next ones leave only when these run elsewhere. A wave takes at least as long as its
 // slowest drain. When such machines were taken among the others, in the order of their names, 140
 // of 250 machines started maintenance within eight seconds, and the last 40 followed one by one
-// until after the end of the wave. So slow drains start first and run all the time, and other machines
-// use the remaining capacity.
+// until after the end of the wave. So slow drains start first and run all the time, and other
+// machines use the remaining capacity.
 
 const (
 	// maxUnavailableShare is the largest share of a pool's machines that are being drained or down
@@ -48,10 +48,10 @@
 	if budget <= 0 {
 		return
 	}
-	sparing := !force && !s.conf.Disabled.Has(gauge.MechanismSpareShortPools)
+	spareShortPools := !force && !s.conf.Disabled.Has(gauge.MechanismSpareShortPools)
 	pools := s.poolStates(w, left)
 	for ; budget > 0; budget-- {
-		p := nextPool(pools, sparing)
+		p := nextPool(pools, spareShortPools)
 		if p == nil {
 			return
 		}
@@ -114,10 +114,10 @@
 
 // nextPool returns the pool with the smallest unavailable share among those of which a machine may
 // be selected, or nil if there is none.
-func nextPool(pools []*poolState, sparing bool) *poolState {
+func nextPool(pools []*poolState, spareShortPools bool) *poolState {
 	var best *poolState
 	for _, p := range pools {
-		if p.canSelect(sparing) && (best == nil || p.nextShare() < best.nextShare()) {
+		if p.canSelect(spareShortPools) && (best == nil || p.nextShare() < best.nextShare()) {
 			best = p
 		}
 	}
@@ -128,11 +128,11 @@
 // taken.
 func (p *poolState) nextShare() float64 { return float64(p.unavailable+1) / float64(max(1, p.size)) }
 
-func (p *poolState) canSelect(sparing bool) bool {
+func (p *poolState) canSelect(spareShortPools bool) bool {
 	switch {
 	case len(p.slow)+len(p.fast) == 0:
 		return false
-	case p.standby || !sparing:
+	case p.standby || !spareShortPools:
 		return true
 	case p.short:
 		return len(p.slow) > 0 && p.nextShare() <= shortPoolShare
--- a/internal/waves/choose_test.go
+++ b/internal/waves/choose_test.go
@@ -57,8 +57,8 @@
 
 // Guards against a wave in which 140 of 250 machines start within eight seconds and the last forty
 // one by one until after its end. The last ones have long-running tasks, of which only a few may be
-// unplaced at a time; this came from taking machines in the order of their names, whatever ran
-// there.
+// unplaced at a time; this came from taking machines in the order of their names, regardless of
+// what ran there.
 func TestSlowDrainsStartWithTheOthers(t *testing.T) {
 	all, slow := newFleet(nil, 100, 30, 40).selected(false)
 	assert.Equal(t, all, 34, "a third of the pool")
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -2,7 +2,7 @@
 // machine without input or output. It guarantees that no more machines of a wave are down at once
 // than the operator allows, counting unanswered orders; that a machine starts maintenance only
 // after its pool's owner has reported that nothing runs there; and that a wave is completed only
-// when each of its machines that is still in the fleet has started.
+// when each of its machines that is still in the fleet has started maintenance.
 package waves
 
 import (
@@ -77,17 +77,17 @@
 	Age     time.Duration // time since a lease holder first saw the wave
 }
 
-// AddWave adds a wave; a wave that is known already stays as it is. Past is the progress recorded
-// in the table.
-func (s *Scheduler) AddWave(spec gauge.MaintenanceWave, past StoredProgress, now time.Duration) {
+// AddWave adds a wave; a wave that is known already stays as it is. Stored is its progress as
+// recorded in the table.
+func (s *Scheduler) AddWave(spec gauge.MaintenanceWave, stored StoredProgress, now time.Duration) {
 	if s.waves[spec.Wave] != nil {
 		return
 	}
 	w := &wave{
-		spec: spec, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
-		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: past.Done,
+		spec: spec, seenAt: now, firstSeenAt: now - stored.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
+		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: stored.Done,
 	}
-	for _, m := range past.Started {
+	for _, m := range stored.Started {
 		w.started[m] = true
 		// The machine may still be down: an earlier holder sent the order.
 		w.downSince[m] = now
@@ -299,7 +299,7 @@
 }
 
 // unrecorded counts the machines of a wave that may be down by an order that isn't in the table: a
-// previous holder sent it and could no longer write it down.
+// previous holder sent it but could no longer record it.
 func (s *Scheduler) unrecorded(w *wave) int {
 	n := 0
 	for _, id := range w.spec.Machines {
--- a/test/machines/count_test.go
+++ b/test/machines/count_test.go
@@ -36,7 +36,7 @@
 
 // Guards against a stale count of queued jobs: 0 jobs were reported where hundreds waited. An
 // entry no longer receives changes from the table while jobs are submitted at the others; it
-// reported the last count that it had read, however old.
+// reported the last count that it had read, no matter how old.
 func TestCountThatIsStaleIsFetchedFromOwner(t *testing.T) {
 	t.Parallel()
 	s, cutOff := newSiteWithCutOffEntry(t)
@@ -46,7 +46,7 @@
 	})
 }
 
-// Guards against a count of queued jobs that can't be known and is reported all the same: 0 jobs
+// Guards against a count of queued jobs that can't be known but is reported nevertheless: 0 jobs
 // were reported where hundreds waited. An entry no longer receives changes from the table, and
 // the owner of the pool has ended.
 func TestCountThatIsUnknownIsRefused(t *testing.T) {
--- a/test/machines/crash_test.go
+++ b/test/machines/crash_test.go
@@ -37,8 +37,8 @@
 	return total
 }
 
-// Guards against a task that crashes the workers of a pool one after the other without end, and
-// other clients' tasks with them. The task ends its worker some milliseconds after the start; the
+// Guards against a task that endlessly crashes the workers of a pool one after the other, and other
+// clients' tasks with them. The task ends its worker some milliseconds after the start; the
 // owner notices that another incarnation answers at the worker's address and starts the task on
 // the next worker.
 //
@@ -99,8 +99,8 @@
 	return status == http.StatusOK
 }
 
-// A healthy job must not be failed: the workers that run it crash repeatedly, for causes of their
-// own, and each time others that run nothing of it crash with them. Crashes count only against
+// A healthy job must not be failed: the workers that run it crash repeatedly, for reasons that have
+// nothing to do with it, and each time others that run none of its tasks crash with them. Crashes count only against
 // tasks that may have caused them.
 func TestJobOnWorkersThatCrashTogetherIsNotFailed(t *testing.T) {
 	t.Parallel()
@@ -128,8 +128,8 @@
 	s.checkNoViolations()
 }
 
-// A worker must not be given more than it has room for: its room shrinks while tasks run there
-// and others are started. The owner must use the room that the worker reported last.
+// A worker must not be given more than its capacity, which shrinks while tasks run there and others
+// are started. The owner must use the capacity that the worker reported last.
 func TestRoomThatShrinksIsNotExceeded(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 2)
@@ -141,14 +141,14 @@
 	}
 	s.waitFor("work has begun", func() bool { return s.journal.StartCount(fmt.Sprintf("%016x.0.0.0", 0)) > 0 })
 	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(1000) })
-	until := time.Now().Add(6 * time.Second) // longer than the grace period for room that has shrunk
+	until := time.Now().Add(6 * time.Second) // longer than the grace period for capacity that has shrunk
 	for n := 6; time.Now().Before(until); n++ {
 		assert.Assert(t, s.submit(n, twoSteps(100)))
 		jobs = append(jobs, n)
 		time.Sleep(150 * time.Millisecond) // interval between submissions
 	}
 	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(0) })
-	time.Sleep(5 * time.Second) // no room at all, for longer than that grace period
+	time.Sleep(5 * time.Second) // no capacity at all, for longer than that grace period
 	assert.Assert(t, s.submit(1000, twoSteps(100)))
 	s.machines.EachWorker(func(w *fakes.Worker) { w.Resize(4000) })
 	s.waitCompleted(append(jobs, 1000))
@@ -156,7 +156,7 @@
 }
 
 // A long-running task must not end because the next owner doesn't renew the lease of its worker,
-// whose room has shrunk to nothing.
+// whose capacity has shrunk to zero.
 func TestWorkerWithoutRoomKeepsItsTask(t *testing.T) {
 	t.Parallel()
 	s := newSite(t, 1, 2)
--- a/test/machines/machines_test.go
+++ b/test/machines/machines_test.go
@@ -145,7 +145,7 @@
 }
 
 // Guards against jobs that are lost, run twice or run although they were refused, and workers
-// that get more than they have room for. A tenth to a third of all calls to the table, or to the
+// that get more than their capacity allows. A tenth to a third of all calls to the table, or to the
 // workers, is refused, breaks before or after it took effect, or is carried out late. A call
 // without an answer must be assumed neither carried out nor not carried out.
 func TestCallFaultsLoseAndDuplicateNoJobs(t *testing.T) {
