--- a/internal/desk/desk.go
+++ b/internal/desk/desk.go
@@ -224,7 +224,7 @@
 }
 
 // RecordOutcome rates a worker by how a request ended there; successes add to the retry budget. It
-// returns true if the worker is ejected for it.
+// reports whether the worker is ejected as a result.
 func (a *Allocator) RecordOutcome(host string, failed bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/mesh/handshake.go
+++ b/internal/mesh/handshake.go
@@ -60,12 +60,12 @@
 
 // proveAsCaller answers the server's nonce with a proof and a nonce, and checks the server's proof.
 func (n *Node) proveAsCaller(c net.Conn) error {
-	theirs, err := readProof(c)
+	serverProof, err := readProof(c)
 	if err != nil {
 		return err
 	}
 	nonce := newNonce()
-	if err := sendProof(c, proof{Nonce: nonce, MAC: n.mac(roleCaller, theirs.Nonce)}); err != nil {
+	if err := sendProof(c, proof{Nonce: nonce, MAC: n.mac(roleCaller, serverProof.Nonce)}); err != nil {
 		return err
 	}
 	p, err := readProof(c)
--- a/internal/mesh/mesh.go
+++ b/internal/mesh/mesh.go
@@ -165,15 +165,15 @@
 	var writeMu sync.Mutex
 	var running conc.WaitGroup
 	defer running.Wait()
-	slots := make(chan struct{}, maxConcurrentCalls)
+	callSlots := make(chan struct{}, maxConcurrentCalls)
 	for {
 		f, err := frame.Read(c, n.conf.Limit)
 		if err != nil {
 			return
 		}
-		slots <- struct{}{}
+		callSlots <- struct{}{}
 		running.Go(func() {
-			defer func() { <-slots }()
+			defer func() { <-callSlots }()
 			answer := n.answer(ctx, f)
 			writeMu.Lock()
 			defer writeMu.Unlock()
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// Live returns the entries that are alive, this one among them, sorted by id.
+// Live returns the entries that are alive, this one among them, sorted by ID.
 func (s *Set) Live(now time.Time) []gauge.Member {
 	live := []gauge.Member{s.conf.Self}
 	for _, p := range s.known {
@@ -193,7 +193,8 @@
 
 // Share returns how many entries have the same view as this one, itself included, and how many
 // entries are known. An entry that knows others but receives no heartbeat of them, and can't read
-// the table either, has no share at all, as the others may have deleted its row and no longer know it.
+// the table either, has no share at all, as the others may have deleted its row and no longer know
+// it.
 func (s *Set) Share(now time.Time) (same, known int) {
 	same, known = 1, 1+len(s.known)
 	isolated := true
@@ -280,7 +281,7 @@
 }
 
 // Revisions returns the configuration revision that each live entry reported as in force, by
-// entry id.
+// entry ID.
 func (s *Set) Revisions(now time.Time) map[string]int64 {
 	out := make(map[string]int64)
 	for id, p := range s.known {
--- a/test/machines/rebalance_test.go
+++ b/test/machines/rebalance_test.go
@@ -36,12 +36,11 @@
 // fleetLease is the fleet lease, whose holder moves machines between pools.
 const fleetLease = ""
 
-// waitLeasesHeldBy waits until all leases are held by entries whose names begin with
-// a prefix.
-func (s *site) waitLeasesHeldBy(by string) {
+// waitLeasesHeldBy waits until all leases are held by entries whose names begin with a prefix.
+func (s *site) waitLeasesHeldBy(prefix string) {
 	s.t.Helper()
-	s.waitFor("leases held by "+by, func() bool {
-		return strings.HasPrefix(s.leaseHolder(poolName), by) && strings.HasPrefix(s.leaseHolder(fleetLease), by)
+	s.waitFor("leases held by "+prefix, func() bool {
+		return strings.HasPrefix(s.leaseHolder(poolName), prefix) && strings.HasPrefix(s.leaseHolder(fleetLease), prefix)
 	})
 }
 
--- a/test/soak/config_test.go
+++ b/test/soak/config_test.go
@@ -79,10 +79,10 @@
 	modes := []mode{modeReset, modeOneWay, modeSilent}
 	for ctx.Err() == nil {
 		e := s.entries[random.IntN(len(s.entries))]
-		e.link.set(modes[random.IntN(len(modes))])
+		e.link.setMode(modes[random.IntN(len(modes))])
 		s.storeNextVersion()
 		sleep(ctx, cutOffDuration)
-		e.link.set(modeOpen)
+		e.link.setMode(modeOpen)
 		sleep(ctx, time.Duration(random.IntN(1000))*time.Millisecond)
 	}
 }
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -39,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	k := &link{tableAddr: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
-	t.Cleanup(func() { _ = l.Close(); k.set(modeReset) })
+	t.Cleanup(func() { _ = l.Close(); k.setMode(modeReset) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -54,8 +54,8 @@
 
 func (k *link) addr() string { return k.listen.Addr().String() }
 
-// set changes the mode. Connections that were open while the mode was silent stay silent.
-func (k *link) set(m mode) {
+// setMode changes the mode. Connections that were open while the mode was silent stay silent.
+func (k *link) setMode(m mode) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode = m
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -195,8 +195,8 @@
 		s.stop(e, afterwards)
 	case 3, 4:
 		modes := []mode{modeSlow, modeReset, modeOneWay, modeSilent}
-		e.link.set(modes[s.random.IntN(len(modes))])
-		afterwards(func() { e.link.set(modeOpen) })
+		e.link.setMode(modes[s.random.IntN(len(modes))])
+		afterwards(func() { e.link.setMode(modeOpen) })
 	case 5:
 		s.platform.request(fmt.Sprintf("/faults?share=%.2f&seed=%d", 0.02+0.2*s.random.Float64(), s.random.Uint64()))
 		afterwards(func() { s.platform.request("/faults?share=0") })
@@ -236,7 +236,7 @@
 	_ = s.platform.process.Process.Signal(syscall.SIGCONT)
 	s.platform.request("/faults?share=0")
 	for _, e := range s.entries {
-		e.link.set(modeOpen)
+		e.link.setMode(modeOpen)
 		e.signal(syscall.SIGCONT)
 		e.start()
 	}
