--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -53,10 +53,11 @@
 	HeartbeatInterval time.Duration // interval between heartbeats
 	MemberRowInterval time.Duration // interval between writes of the member row
 	LeaseDuration     time.Duration // of a slot lease
-	RoundInterval     time.Duration // interval between renewals of slot leases, and between controller rounds
+	RoundInterval     time.Duration // interval between slot lease renewals and controller rounds
 	ListInterval      time.Duration // interval between reads of the platform's host list
-	DrainDelay        time.Duration // how long the load balancer may take to notice that this entry is not ready
-	ShutdownTimeout   time.Duration // longest wait for requests in flight at shutdown
+	// DrainDelay is how long the load balancer may take to notice that this entry is not ready.
+	DrainDelay      time.Duration
+	ShutdownTimeout time.Duration // longest wait for requests in flight at shutdown
 }
 
 // Entry is one entry process.
@@ -83,7 +84,7 @@
 	hostList atomic.Pointer[hostList]
 }
 
-// hostList is the platform's host list and when the call that read it was made.
+// hostList is the platform's host list, and the time just before the call that read it.
 type hostList struct {
 	list gauge.HostList
 	at   time.Time
@@ -223,8 +224,8 @@
 	if err := e.app.ShutdownWithContext(ctx); err != nil {
 		e.conf.Logs.Info("HTTP server did not close in time", "reason", err.Error())
 	}
-	leaveCtx, stop := context.WithTimeout(context.Background(), time.Second)
-	defer stop()
+	leaveCtx, cancelLeave := context.WithTimeout(context.Background(), time.Second)
+	defer cancelLeave()
 	if err := e.member.Leave(leaveCtx); err != nil {
 		e.conf.Logs.Info("member row not dropped", "reason", err.Error())
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -143,14 +143,14 @@
 
 // mustRepeatReboot reports whether the platform shows no sign of a reboot: the previous controller
 // may have died between writing the row and asking for the reboot. Both requests have the same
-// token, by which gauge.Platform reboots the host once.
+// token, so that gauge.Platform reboots the host only once.
 func mustRepeatReboot(h gauge.Host, s gauge.ListedHost) bool {
 	return h.State == gauge.HostRebooting && s.Status == gauge.StatusLive && s.Boots == h.Boots
 }
 
 // planWaves takes hosts out for the waves that cover the pool, the oldest first. A reboot counts
 // for every wave that was declared before it began: two waves over one pool don't reboot a host
-// twice, and never overwrite each other's marks.
+// twice, and they never overwrite each other's marks.
 func (p *Planner) planWaves(in Input, pool string, hosts gauge.Hosts, moved map[string]bool, out *Plan) {
 	rec := in.State.Pool(pool)
 	if rec == nil {
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { fixed.Flags{Checks: "5000", Steps: "60"}.Main(m) }
 
-// request runs on a worker, whatever becomes of its holder.
+// request runs on a worker, no matter what happens to its holder.
 type request struct {
 	slot    *gauge.Slot
 	holder  int
@@ -35,15 +35,17 @@
 // world has several holders, one owner at a time, and messages that may be lost, delayed or
 // reordered.
 type world struct {
-	now          time.Time
-	owner        *slots.Owner
-	holders      []*hold.Holder
-	requests     []slots.LeaseRequest
-	grants       []addressedGrant
-	running      []*request
-	hosts        int
-	size         int
-	reservedLong int // slots of each worker reserved for long requests; twice as many are reserved for quick ones
+	now      time.Time
+	owner    *slots.Owner
+	holders  []*hold.Holder
+	requests []slots.LeaseRequest
+	grants   []addressedGrant
+	running  []*request
+	hosts    int
+	size     int
+	// reservedLong is the number of slots of each worker that are reserved for long requests; twice as
+	// many are reserved for quick ones.
+	reservedLong int
 }
 
 type addressedGrant struct {
@@ -279,7 +281,7 @@
 	}
 }
 
-// Guards against one entry keeping all the slots while the others' requests wait for ever. The first
+// Guards against one entry keeping all the slots while the others' requests wait forever. The first
 // entry takes all slots for an endless flow of requests before the others request any; without a
 // fair share, each slot that becomes free would go back to its last holder.
 func TestFairShare(t *testing.T) {
@@ -331,7 +333,8 @@
 	w.sendFull(1, 0, 0)
 	w.deliverAll()
 	assert.Assert(t, w.owner.InUse("w0") > 0)
-	w.owner.ObserveUsage("w0", 0, w.now.Add(-time.Second)) // read before the lease expired, so it proves nothing
+	// Read before the lease expired, so it proves nothing.
+	w.owner.ObserveUsage("w0", 0, w.now.Add(-time.Second))
 	assert.Assert(t, w.owner.InUse("w0") > 0)
 	w.owner.ObserveUsage("w0", 0, w.now.Add(time.Second))
 	assert.Equal(t, w.owner.InUse("w0"), 0)
--- a/internal/waves/waves.go
+++ b/internal/waves/waves.go
@@ -2,7 +2,7 @@
 // machine without input or output. It guarantees that no more machines of a wave are down at once
 // than the operator allows, counting unanswered orders; that a machine starts maintenance only
 // after its pool's owner has reported that nothing runs there; and that a wave is completed only
-// when each of its machines that is still in the fleet has started.
+// when each of its machines that is still in the fleet has started maintenance.
 package waves
 
 import (
@@ -77,17 +77,17 @@
 	Age     time.Duration // time since a lease holder first saw the wave
 }
 
-// AddWave adds a wave; a wave that is known already stays as it is. Past is the progress recorded
-// in the table.
-func (s *Scheduler) AddWave(spec gauge.MaintenanceWave, past StoredProgress, now time.Duration) {
+// AddWave adds a wave; a wave that is known already stays as it is. Stored is its progress as
+// recorded in the table.
+func (s *Scheduler) AddWave(spec gauge.MaintenanceWave, stored StoredProgress, now time.Duration) {
 	if s.waves[spec.Wave] != nil {
 		return
 	}
 	w := &wave{
-		spec: spec, seenAt: now, firstSeenAt: now - past.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
-		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: past.Done,
+		spec: spec, seenAt: now, firstSeenAt: now - stored.Age, started: make(map[string]bool), downSince: make(map[string]time.Duration),
+		retriedAt: make(map[string]time.Duration), drained: make(map[string]bool), selected: make(map[string]bool), completed: stored.Done,
 	}
-	for _, m := range past.Started {
+	for _, m := range stored.Started {
 		w.started[m] = true
 		// The machine may still be down: an earlier holder sent the order.
 		w.downSince[m] = now
@@ -299,7 +299,7 @@
 }
 
 // unrecorded counts the machines of a wave that may be down by an order that isn't in the table: a
-// previous holder sent it and could no longer write it down.
+// previous holder sent it but could no longer record it.
 func (s *Scheduler) unrecorded(w *wave) int {
 	n := 0
 	for _, id := range w.spec.Machines {
@@ -328,8 +328,8 @@
 
 const (
 	// forceShare is the share of a wave's time after which tasks that don't end by themselves are
-	// stopped if the wave would be late otherwise. It is also the lead over the elapsed time that
-	// the wave's progress must have, as a share of the remaining time.
+	// stopped if the wave would be late otherwise. It would be late if its progress isn't ahead of
+	// the elapsed time by at least the same share of the remaining time.
 	forceShare = 0.4
 	// lateMargin is how long before the end of a wave it counts as late if any machines remain,
 	// however few: a machine with long-running tasks takes three to four seconds to drain, one task
--- a/test/soak/link_test.go
+++ b/test/soak/link_test.go
@@ -17,7 +17,8 @@
 	modeSlow   mode = "slow"   // bytes are delayed
 	modeReset  mode = "reset"  // connections break, new ones are refused
 	modeOneWay mode = "oneway" // answers are dropped silently
-	modeSilent mode = "silent" // bytes of both directions are dropped silently, also on connections that were open before
+	// bytes of both directions are dropped silently, also on connections that were open before
+	modeSilent mode = "silent"
 )
 
 // slowDelay is the delay of each chunk of bytes.
@@ -38,7 +39,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	k := &link{tableAddr: to, listen: l, mode: modeOpen, conns: make(map[net.Conn]bool), lost: make(map[net.Conn]bool)}
-	t.Cleanup(func() { _ = l.Close(); k.set(modeReset) })
+	t.Cleanup(func() { _ = l.Close(); k.setMode(modeReset) })
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -53,8 +54,8 @@
 
 func (k *link) addr() string { return k.listen.Addr().String() }
 
-// set changes the mode. Connections that were open while the mode was silent stay silent.
-func (k *link) set(m mode) {
+// setMode changes the mode. Connections that were open while the mode was silent stay silent.
+func (k *link) setMode(m mode) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.mode = m
--- a/test/soak/soak_test.go
+++ b/test/soak/soak_test.go
@@ -56,7 +56,7 @@
 			// A healthy long-running job was failed: its workers lost power together while their
 			// owner was paused, and another entry took the pool.
 			{seed: 501, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
-			// A task went on crashing workers: several owners in a row couldn't write to the
+			// A task continued to crash workers: several owners in a row couldn't write to the
 			// table, or stopped before they knew of a crash.
 			{seed: 525, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
 			{seed: 528, entries: defaultEntries, seconds: defaultSeconds, crashes: true},
@@ -195,8 +195,8 @@
 		s.stop(e, afterwards)
 	case 3, 4:
 		modes := []mode{modeSlow, modeReset, modeOneWay, modeSilent}
-		e.link.set(modes[s.random.IntN(len(modes))])
-		afterwards(func() { e.link.set(modeOpen) })
+		e.link.setMode(modes[s.random.IntN(len(modes))])
+		afterwards(func() { e.link.setMode(modeOpen) })
 	case 5:
 		s.platform.request(fmt.Sprintf("/faults?share=%.2f&seed=%d", 0.02+0.2*s.random.Float64(), s.random.Uint64()))
 		afterwards(func() { s.platform.request("/faults?share=0") })
@@ -236,7 +236,7 @@
 	_ = s.platform.process.Process.Signal(syscall.SIGCONT)
 	s.platform.request("/faults?share=0")
 	for _, e := range s.entries {
-		e.link.set(modeOpen)
+		e.link.setMode(modeOpen)
 		e.signal(syscall.SIGCONT)
 		e.start()
 	}
