--- a/internal/node/claim.go
+++ b/internal/node/claim.go
@@ -139,11 +139,13 @@
 
 // takenLease is a lease that this entry has just taken.
 type takenLease struct {
-	lease             *tenure.Tenure
-	token             gauge.FencingToken
-	term              int // number of previous holders
-	previousRow       gauge.LeaseRow
-	previousLeaseLeft time.Duration // how much of the previous holder's lease may be left; above 0 only if that holder didn't answer a probe
+	lease       *tenure.Tenure
+	token       gauge.FencingToken
+	term        int // number of previous holders
+	previousRow gauge.LeaseRow
+	// previousLeaseLeft is how much of the previous holder's lease may be left; it is above 0 only
+	// if that holder didn't answer a probe.
+	previousLeaseLeft time.Duration
 }
 
 // fleetPool is the key of the fleet lease, whose holder moves machines and starts their
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -48,8 +48,10 @@
 
 	moveTarget atomic.Pointer[string] // address of the entry that the lease is to move to
 
-	orderMu     sync.Mutex // guards ordersEnded, so that no order is permitted after the orders were listed for the successor
-	ordersEnded bool       // no more orders
+	// orderMu guards ordersEnded, so that no order is permitted after the orders were listed for
+	// the successor.
+	orderMu     sync.Mutex
+	ordersEnded bool // no more orders
 }
 
 // runFleet runs the fleet until its lease is lost or given up.
--- a/internal/node/freshness.go
+++ b/internal/node/freshness.go
@@ -60,9 +60,9 @@
 	return n.freshness.age(n.conf.Codec.OperatorTable(), n.conf.Now())
 }
 
-// isConfigCurrent reports whether this entry would know of any change that has to be in force
-// everywhere by now. The result applies to a configuration that is loaded after this call; one
-// loaded before may have been replaced in between.
+// isConfigCurrent reports whether this entry has certainly learnt of every configuration change
+// that has to be in force everywhere by now. The result applies to a configuration that is loaded
+// after this call; one loaded before may have been replaced in between.
 func (n *Node) isConfigCurrent() bool {
 	age, ok := n.configurationAge()
 	return ok && age <= n.conf.MaxApplyDelay
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -16,9 +16,11 @@
 
 // waveRow is the stored state of a wave.
 type waveRow struct {
-	Ordered   []string `msgpack:"b"`
-	Done      bool     `msgpack:"d"`
-	FirstSeen int64    `msgpack:"s,omitempty"` // when the wave was first seen, by the table's clock in milliseconds; 0: not known
+	Ordered []string `msgpack:"b"`
+	Done    bool     `msgpack:"d"`
+	// FirstSeen is when the wave was first seen, by the table's clock in milliseconds; 0: not
+	// known.
+	FirstSeen int64 `msgpack:"s,omitempty"`
 }
 
 // addNewWaves passes new waves to the scheduler, with their stored state. It reports whether all
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -24,28 +24,32 @@
 
 // Config sets up a Node.
 type Config struct {
-	Name                string  // name of this entry's host
-	StartID             string  // identifies this process: differs between two starts on one host
-	Addr                string  // ip:port at which other entries reach this one
-	CapacityCores       float64 // of this host, in cores of standard speed; 0: not known
-	Store               gauge.PartitionedTable
-	Workers             gauge.Workers
-	Machines            gauge.Machines   // nil: the platform has no machine service
-	Adviser             gauge.Adviser    // nil: the platform has no advice service
-	Codec               gauge.TableCodec // reads and writes the rows of operator and workers
-	Mesh                *mesh.Node
-	Logs                logr.Logger
-	Now                 func() time.Duration                   // monotonic clock
-	WallClock           func() time.Time                       // wall clock
-	ObserveCall         func(event string, took time.Duration) // records the duration of a call
-	CountEvent          func(event string)                     // counts an event that an operator should see
-	ObserveBacklog      func(pool string, b *gauge.Backlog)    // receives the backlog of each pool that is owned here; nil: it is not reported
-	MaxWorkerLease      time.Duration                          // longest lease that a worker accepts
-	MaxApplyDelay       time.Duration                          // a configuration change is in force at all entries this long after it was stored; default 2 s
-	MinOrderInterval    time.Duration                          // minimum time between orders of two entries for the same machine
-	MaintenanceDuration time.Duration                          // duration of a machine's maintenance
-	JobRetention        time.Duration                          // how long callers can query an ended job
-	Disabled            gauge.Disabled                         // mechanisms that are switched off
+	Name          string  // name of this entry's host
+	StartID       string  // identifies this process: differs between two starts on one host
+	Addr          string  // ip:port at which other entries reach this one
+	CapacityCores float64 // of this host, in cores of standard speed; 0: not known
+	Store         gauge.PartitionedTable
+	Workers       gauge.Workers
+	Machines      gauge.Machines   // nil: the platform has no machine service
+	Adviser       gauge.Adviser    // nil: the platform has no advice service
+	Codec         gauge.TableCodec // reads and writes the rows of operator and workers
+	Mesh          *mesh.Node
+	Logs          logr.Logger
+	Now           func() time.Duration                   // monotonic clock
+	WallClock     func() time.Time                       // wall clock
+	ObserveCall   func(event string, took time.Duration) // records the duration of a call
+	CountEvent    func(event string)                     // counts an event that an operator should see
+	// ObserveBacklog receives the backlog of each pool that is owned here; nil: it is not reported.
+	ObserveBacklog func(pool string, b *gauge.Backlog)
+	MaxWorkerLease time.Duration // longest lease that a worker accepts
+	// MaxApplyDelay is how long after a configuration change was stored it is in force at all
+	// entries; default 2 s.
+	MaxApplyDelay time.Duration
+	// MinOrderInterval is the minimum time between orders of two entries for the same machine.
+	MinOrderInterval    time.Duration
+	MaintenanceDuration time.Duration  // duration of a machine's maintenance
+	JobRetention        time.Duration  // how long callers can query an ended job
+	Disabled            gauge.Disabled // mechanisms that are switched off
 }
 
 const (
@@ -125,28 +129,32 @@
 	holder         string // identifies this process as a holder of leases
 	intake         *intake.Intake
 	site           atomic.Pointer[gauge.Site]
-	clockOffset    atomic.Int64                    // table's clock minus the local one, in nanoseconds
-	workerListGate *gate.Gate                      // open while the list of workers is followed
-	running        atomic.Bool                     // set by Run, cleared by Release; no leases are taken while it is false
-	leasesRead     atomic.Bool                     // the leases were read at least once
-	ctx            atomic.Pointer[context.Context] // of Run
-	group          conc.WaitGroup
-	freshness      *freshness
+	clockOffset    atomic.Int64 // table's clock minus the local one, in nanoseconds
+	workerListGate *gate.Gate   // open while the list of workers is followed
+	// running is set by Run and cleared by Release; no leases are taken while it is false.
+	running    atomic.Bool
+	leasesRead atomic.Bool                     // the leases were read at least once
+	ctx        atomic.Pointer[context.Context] // of Run
+	group      conc.WaitGroup
+	freshness  *freshness
 
 	// offerMu is held from the search for a successor until it has answered the offer, so that
 	// leases that this entry offers one after the other go to different entries.
 	offerMu sync.Mutex
 
-	mu                sync.Mutex
-	leaseView         *terms.LeaseView // view of the lease table
-	tableBackAt       time.Duration    // when the table last became reachable again; 0: there was no outage
-	holdersCheckedAt  time.Duration    // last check of the holders during a table outage
-	leasesReadAt      time.Duration    // when the last successful read of the leases was sent
-	claimPauseUntil   time.Duration    // no pool is claimed before this
-	owners            map[string]*owner.Owner
-	leasesInUse       map[string]bool          // leases that are being claimed or held
-	claiming          map[string]chan struct{} // pools that are being claimed and have no owner here yet; closed when the claim has ended
-	ownerMoves        map[string]ownerMove     // where the owners of pools have moved, as other entries reported it
+	mu               sync.Mutex
+	leaseView        *terms.LeaseView // view of the lease table
+	tableBackAt      time.Duration    // when the table last became reachable again; 0: there was no outage
+	holdersCheckedAt time.Duration    // last check of the holders during a table outage
+	leasesReadAt     time.Duration    // when the last successful read of the leases was sent
+	claimPauseUntil  time.Duration    // no pool is claimed before this
+	owners           map[string]*owner.Owner
+	leasesInUse      map[string]bool // leases that are being claimed or held
+	// claiming holds, for each pool that is being claimed and has no owner here yet, a channel that
+	// is closed when the claim has ended.
+	claiming map[string]chan struct{}
+	// ownerMoves holds where the owners of pools have moved, as other entries reported it.
+	ownerMoves        map[string]ownerMove
 	lastOffers        map[string]time.Duration // by pool: last search for a successor
 	reservedUntil     time.Duration            // end of the reservation for a lease that is about to move here
 	fleet             *fleet                   // nil: another entry holds the fleet lease
--- a/internal/node/rebalance.go
+++ b/internal/node/rebalance.go
@@ -11,8 +11,8 @@
 
 // Leases are claimed by entries that see them free, and stay while their holders are healthy. So a
 // small host would keep its pool while a larger one that started later, or was down for a while,
-// has nothing to do. Therefore a holder that is far more loaded than another moves its leases
-// there, one at a time, with the same hand-over as at SIGTERM.
+// had nothing to do. Therefore a holder that is far more loaded than another moves its leases
+// there, one at a time, with the same handover as at SIGTERM.
 
 const (
 	// rebalanceInterval is the time between two moves of leases away from here; within it, the
--- a/internal/owner/backlog_test.go
+++ b/internal/owner/backlog_test.go
@@ -17,7 +17,7 @@
 	"sapphiregauge/internal/tenure"
 )
 
-// manualClock is a steady clock that only advances when advance is called.
+// manualClock is a monotonic clock that only advances when advance is called.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Duration
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -184,7 +184,7 @@
 	o.mu.Unlock()
 }
 
-// callWorker calls the worker of an order and returns the reading of its steady clock, or 0 for a
+// callWorker calls the worker of an order and returns the reading of its monotonic clock, or 0 for a
 // probe. It fails if the lease is over, and for starts if the pool is being handed over.
 func (o *Owner) callWorker(order sched.Order, now time.Duration) (time.Duration, error) {
 	o.mu.Lock()
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -273,7 +273,7 @@
 	return g
 }
 
-// now is a steady clock that doesn't start at 0, because 0 stands for never.
+// now is a monotonic clock that doesn't start at 0, because 0 stands for never.
 func (g *harness) now() time.Duration { return time.Minute + time.Since(g.began) }
 
 // advance lets time pass and waits until all goroutines of the bubble are blocked.
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -25,26 +25,34 @@
 	Lease           *tenure.Tenure
 	Term            int // number of previous owners
 	Fence           gauge.FencingToken
-	PreviousWorkers []string       // incarnations of workers that the previous owner named
-	PreviousRow     gauge.LeaseRow // the lease row as it was when claimed; its counts are reported until this owner has its own
+	PreviousWorkers []string // incarnations of workers that the previous owner named
+	// PreviousRow is the lease row as it was when claimed; its counts are reported until this owner
+	// has its own.
+	PreviousRow gauge.LeaseRow
 
-	PreviousLeaseLeft time.Duration // time left on the previous lease when this one was claimed: the previous holder may act until then
-	OrderGrace        time.Duration // how long orders and heartbeats may reach beyond the end of this owner's lease
-	JobRetention      time.Duration // how long the row of an ended job is kept
-	LeaseExtension    time.Duration // how far a heartbeat extends a worker's lease
+	// PreviousLeaseLeft is the time left on the previous lease when this one was claimed: the
+	// previous holder may act until then.
+	PreviousLeaseLeft time.Duration
+	// OrderGrace is how long orders and heartbeats may reach beyond the end of this owner's lease.
+	OrderGrace     time.Duration
+	JobRetention   time.Duration // how long the row of an ended job is kept
+	LeaseExtension time.Duration // how far a heartbeat extends a worker's lease
 	// MaxWorkerLease is the longest lease that a worker grants.
 	MaxWorkerLease time.Duration
 
-	Store             gauge.PartitionedTable
-	Workers           gauge.Workers
-	Adviser           gauge.Adviser // nil: there is no advice service
-	Logs              logr.Logger
-	Now               func() time.Duration
-	WallClock         func() time.Time
-	ObserveTableClock func(s gauge.TablePosition, sent time.Duration) // receives each reading of the table's clock, with the local time at which the call was sent
-	TableClock        func() int64                                    // the table's clock in milliseconds, approximately
-	ObserveCall       func(event string, took time.Duration)          // records the duration of a call or write
-	CountEvent        func(event string)                              // counts an event that operators should see
+	Store     gauge.PartitionedTable
+	Workers   gauge.Workers
+	Adviser   gauge.Adviser // nil: there is no advice service
+	Logs      logr.Logger
+	Now       func() time.Duration
+	WallClock func() time.Time
+	// ObserveTableClock receives each reading of the table's clock, with the local time at which
+	// the call was sent.
+	ObserveTableClock func(s gauge.TablePosition, sent time.Duration)
+	// TableClock returns the approximate time of the table's clock in milliseconds.
+	TableClock  func() int64
+	ObserveCall func(event string, took time.Duration) // records the duration of a call or write
+	CountEvent  func(event string)                     // counts an event that operators should see
 	// ObserveBacklog receives the owner's backlog several times a second, and nil when this owner
 	// has ended. A nil function disables the reports.
 	ObserveBacklog func(pool string, b *gauge.Backlog)
@@ -58,7 +66,7 @@
 	cancel            context.CancelFunc
 	ctx               context.Context
 	wake              chan struct{}               // signals writeLoop that a change is due to be written
-	onHandoverNeeded  func(failing time.Duration) // see OnStuck
+	onHandoverNeeded  func(failing time.Duration) // see OnHandoverNeeded
 	handoverAfter     time.Duration               // how long writes may fail before onHandoverNeeded is called
 	claimedAt         time.Duration               // when this owner was made, right after the claim
 	waitingOrders     atomic.Int64                // orders that wait for a slot at their worker
@@ -81,12 +89,14 @@
 	seekingSuccessor bool                                // a successor is being looked for
 	loaded           bool                                // the first read of the pool's jobs is over
 	site             *gauge.Site
-	workerList       []gauge.Worker           // newest list of workers from the platform
-	scanCount        int                      // used by scanLoop only
-	lastScan         time.Duration            // when the last scan began; used by scanLoop only
-	heldBackUntil    map[string]time.Duration // queues whose changes are held back, and until when; used by writeLoop only
-	unread           map[string]bool          // queues of which not all open jobs have been read
-	readTimes        readTimes                // when each queue's open jobs were last read
+	workerList       []gauge.Worker // newest list of workers from the platform
+	scanCount        int            // used by scanLoop only
+	lastScan         time.Duration  // when the last scan began; used by scanLoop only
+	// heldBackUntil holds the queues whose changes are held back, and until when; used by writeLoop
+	// only.
+	heldBackUntil map[string]time.Duration
+	unread        map[string]bool // queues of which not all open jobs have been read
+	readTimes     readTimes       // when each queue's open jobs were last read
 }
 
 const (
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -133,14 +133,14 @@
 // changes, then renews the lease.
 func (o *Owner) holdBack(queue string) {
 	if queue != "" {
-		o.heldBackUntil[queue] = o.conf.Now() + holdBackFor
+		o.heldBackUntil[queue] = o.conf.Now() + holdBackDelay
 	}
 }
 
 func (o *Owner) isHeldBack(queue string) bool { return o.conf.Now() < o.heldBackUntil[queue] }
 
-// holdBackFor is the pause between two attempts to write a queue's changes.
-const holdBackFor = 400 * time.Millisecond
+// holdBackDelay is the pause between two attempts to write a queue's changes.
+const holdBackDelay = 400 * time.Millisecond
 
 func (o *Owner) prepareWrite() (pendingWrite, error) {
 	o.mu.Lock()
@@ -178,9 +178,9 @@
 	return row
 }
 
-// unrecordedCrashesFor is how long an owner hands on that previous owners may not have recorded all
-// crashes. After that, the tasks from before have run for long enough, or have crashed under this
-// owner.
+// unrecordedCrashesFor is how long an owner keeps saying in the lease row that previous owners may
+// not have recorded all crashes. After that, the tasks from before have run for long enough, or
+// have crashed under this owner.
 const unrecordedCrashesFor = 30 * time.Second
 
 // unrecordedCrashes returns how many of the previous owners may not have recorded all crashes.
--- a/internal/sched/acknowledge_test.go
+++ b/internal/sched/acknowledge_test.go
@@ -10,9 +10,9 @@
 	"sapphiregauge/internal/sched"
 )
 
-// Guards against a worker that forgets an end which the table doesn't have, so that the task runs
-// again: if a heartbeat acknowledged ends as soon as they are reported, the owner might die before
-// it wrote them.
+// Guards against a worker that forgets an end report which the table doesn't have, so that the task
+// runs again: if a heartbeat acknowledged end reports as soon as they arrive, the owner might die
+// before it wrote them.
 func TestEndsAreAcknowledgedOnlyOnceWritten(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -29,8 +29,9 @@
 	assert.Equal(t, call.LastSeenEnd, int64(1))
 }
 
-// Guards against a job that fails although its task failed only once. The end "failed" is written,
-// but the owner dies before it acknowledges it, and the worker reports it again to the next owner.
+// Guards against a job that fails although its task failed only once. The end report "failed" is
+// written, but the owner dies before it acknowledges it, and the worker reports it again to the
+// next owner.
 func TestFailureReportedTwiceCountsOnce(t *testing.T) {
 	g := newHarness(t, withPredecessor())
 	task := gauge.TaskID{Job: jobID(1)}
@@ -109,10 +110,10 @@
 	assert.Equal(t, len(b.Changes), 1, "one queue at a time")
 }
 
-// Guards against a task that runs again although it has ended done. An owner hasn't read one queue
-// yet; a worker lists the end of a job of that queue, followed by the end of a run that this owner
-// started. The owner leaves both ends with the worker, and must not take the run that isn't listed
-// as running for lost.
+// Guards against a task that runs again although it was done. An owner hasn't read one queue yet; a
+// worker lists the end report of a run of that queue, followed by that of a run that this owner
+// started. The owner leaves both end reports with the worker, and must not take the run that isn't
+// listed as running for lost.
 func TestRunsWithUnacknowledgedEndsAreNotLost(t *testing.T) {
 	g := newHarness(t)
 	g.pool.SetJobsMissing(true)
@@ -137,7 +138,7 @@
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
-// The same with more unacknowledged ends than a worker lists at a time.
+// The same with more unacknowledged end reports than a worker lists at a time.
 func TestRunsBeyondAFullListOfEndsAreNotLost(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -132,7 +132,8 @@
 		return "", false
 	}
 	if j.row.State.IsFinal() && j.row.State != gauge.JobCancelled && j.isDirty() {
-		return gauge.JobRunning, true // a final state is reported only once the table has it; it always has a cancellation
+		// A final state is reported only once the table has it. Cancellations are always there.
+		return gauge.JobRunning, true
 	}
 	if j.startOrdered && !j.row.State.IsFinal() {
 		return gauge.JobRunning, true
--- a/internal/sched/advice.go
+++ b/internal/sched/advice.go
@@ -53,20 +53,20 @@
 	if c.advice == nil || a.queryInFlight {
 		return
 	}
-	var about []*worker
+	var queried []*worker
 	for _, w := range round.workers {
 		asked, known := a.queriedAt[w.info.Incarnation()]
 		if w.free().Contains(c.stage.spec.Reservation()) && (!known || now > asked+max(adviceRetryDelay, c.advice.TicketValidity)) {
-			about = append(about, w)
+			queried = append(queried, w)
 		}
 	}
-	if len(about) == 0 {
+	if len(queried) == 0 {
 		return
 	}
-	slices.SortFunc(about, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
+	slices.SortFunc(queried, func(x, y *worker) int { return cmp.Compare(y.free().MilliCPU, x.free().MilliCPU) })
 	a.queryInFlight = true
 	order := Order{Kind: OrderAdvise, stage: c.stage, Step: c.stage.tasks[0].id.StepName(), validity: c.advice.TicketValidity}
-	for _, w := range about[:min(len(about), maxAdviceWorkers)] {
+	for _, w := range queried[:min(len(queried), maxAdviceWorkers)] {
 		order.AdviceWorkers = append(order.AdviceWorkers, w.info.ID)
 		order.incarnations = append(order.incarnations, w.info.Incarnation())
 	}
--- a/internal/sched/backlog.go
+++ b/internal/sched/backlog.go
@@ -13,7 +13,8 @@
 	at    time.Duration
 }
 
-// age returns how long the items that are in all but not in settled have waited at least.
+// age returns a lower bound on how long the oldest unsettled item has waited. All counts the items
+// so far, and settled those of them that no longer wait.
 func (m *ageTracker) age(settled, all int64, now time.Duration) time.Duration {
 	if settled >= all {
 		*m = ageTracker{}
--- a/internal/sched/backoff.go
+++ b/internal/sched/backoff.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// failuresBeforeBackoff failures in a row without a success mean that a worker fails whatever
-	// it starts. At most three in a hundred healthy runs fail, so three in a row happen by chance
-	// once in 30,000.
+	// failuresBeforeBackoff is the number of failures in a row, without a success, from which a
+	// worker is taken to fail whatever it starts. At most three in a hundred healthy runs fail, so
+	// three in a row happen by chance once in 30,000.
 	failuresBeforeBackoff = 3
 	// failureBackoff is how long such a worker gets no starts. After it one failure is enough for
 	// the next back-off.
--- a/internal/sched/drain.go
+++ b/internal/sched/drain.go
@@ -7,10 +7,10 @@
 // answer to this request to its effect.
 const drainSpan = 4 * time.Second
 
-// DrainWorker has a worker drained, and reports whether nothing runs there and the table has all
-// its end reports. Otherwise these would be lost with its machine, and the successor would start
-// their tasks again. An unknown worker isn't drained: starts may go there as soon as it is known.
-// With force, runs that don't end by themselves are stopped.
+// DrainWorker drains a worker, and reports whether nothing runs there and the table has all its end
+// reports. If its machine left before that, the unwritten end reports would be lost, and the
+// successor would start their tasks again. An unknown worker isn't drained: starts may go there as
+// soon as it is known. With force, runs that don't end by themselves are stopped.
 func (p *Pool) DrainWorker(id string, force bool, now time.Duration) bool {
 	w := p.workers[id]
 	if w == nil {
--- a/internal/sched/endreports_test.go
+++ b/internal/sched/endreports_test.go
@@ -24,16 +24,17 @@
 	return starts[0]
 }
 
-// ackedEnd is the number of the last end that the next heartbeat to a worker acknowledges.
+// ackedEnd is the number of the last end report that the next heartbeat to a worker acknowledges.
 func (g *harness) ackedEnd(id string) int64 {
 	_, call, _ := g.pool.NextHeartbeat(incarnation(id), g.now)
 	return call.LastSeenEnd
 }
 
-// Guards against a task that starts again although a run of it has ended done. An owner receives
-// the end and calls the worker drained; the worker's machine is moved; the owner is replaced before
+// Guards against a task that starts again although it was done. An owner receives the end report
+// and says that the worker is drained; the worker's machine is moved; the owner is replaced before
 // it has written the end. Its successor reads the job without the end and can't ask the worker any
-// more, so a worker must not count as drained while only it and the owner's memory have an end.
+// more, so a worker must not count as drained while an end report is held only by the worker and in
+// the owner's memory.
 func TestWorkerIsNotDrainedBeforeItsEndsAreWritten(t *testing.T) {
 	g := newHarness(t)
 	start := g.runTask("w1", 1)
@@ -43,7 +44,7 @@
 	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
-// The same with more ends on the worker than it lists at a time.
+// The same with more end reports on the worker than it lists at a time.
 func TestWorkerWithAFullListOfEndsIsNotDrained(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -61,7 +62,8 @@
 	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
-// The same with the end of a job that could not be read yet, and that is left with the worker.
+// The same with an end report for a job that could not be read yet; the report is left with the
+// worker.
 func TestWorkerWithUnacknowledgedEndsIsNotDrained(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
 	g.pool.SetJobsMissing(true)
@@ -79,10 +81,9 @@
 	assert.Assert(t, g.pool.DrainWorker("w1", false, g.now))
 }
 
-// Guards against a task that starts again on a new owner although a run of it has ended done. A
-// worker that drains lists the end; the owner is replaced before it has written it. If the lease
-// row left out workers without runs, the next owner would start the task without asking that
-// worker.
+// Guards against a task that starts again on a new owner although it was done. A worker that drains
+// lists the end report; the owner is replaced before it has written the end. If the lease row left
+// out workers without runs, the next owner would start the task without asking that worker.
 func TestLeaseRowNamesWorkerUntilItsEndsAreWritten(t *testing.T) {
 	draining := newWorker("w1")
 	draining.Draining = true
@@ -128,9 +129,9 @@
 	return false
 }
 
-// Guards against workers that can't forget any end under load, so that each report lists hundreds
-// of old ones. More changes wait than fit in one transaction, all the time; a write that leaves
-// some of them pending must still acknowledge the ends that it contains.
+// Guards against workers that can't forget any end reports under load, so that each answer lists
+// hundreds of old ones. More changes wait than fit in one transaction, all the time; a write that
+// leaves some of them pending must still acknowledge the end reports that it contains.
 func TestEndsAreAcknowledgedWhileOtherChangesArePending(t *testing.T) {
 	g := newHarness(t)
 	start := g.runTask("w1", 1)
@@ -146,8 +147,8 @@
 	assert.Assert(t, !g.pool.HasUrgent(), "only a start is still to be written")
 }
 
-// An acknowledgement covers all earlier ends: one that the table doesn't have holds back those
-// after it.
+// An acknowledgement covers all earlier end reports, so one that the table doesn't have delays the
+// acknowledgement of those after it.
 func TestEndsAreAcknowledgedInOrder(t *testing.T) {
 	g := newHarness(t)
 	g.listWorkers("w1")
@@ -191,8 +192,9 @@
 	assert.Equal(t, g.ackedEnd("w1"), int64(2))
 }
 
-// Guards against an owner with hundreds of ends a second that falls further and further behind: a
-// transaction must not be limited to the number of jobs that would fit if all of them had ended.
+// Guards against an owner with hundreds of ended runs a second that falls further and further
+// behind: a transaction must not be limited to the number of jobs that would fit if all of them had
+// ended.
 func TestTransactionUsesAllItsOperations(t *testing.T) {
 	const operations = 98
 	for name, ended := range map[string]bool{"starts": false, "ended jobs": true} {
@@ -270,8 +272,8 @@
 	}
 }
 
-// Guards against a task that runs again after a takeover although it has ended done. A worker has
-// more ends than it lists at a time, and the end of an inherited task is not among the first; the
+// Guards against a task that runs again after a takeover although it was done. A worker has more
+// end reports than it lists at a time, and that of an inherited task is not among the first; the
 // worker's first report to the new owner must not count as complete.
 func TestInheritedTaskWaitsForEndsBeyondAFullList(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
@@ -293,8 +295,8 @@
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
-// The same with an end that follows one of a job which can't be read yet, and that is left with the
-// worker for longer than any lease of the previous owner.
+// The same with an end report that follows one for a job which can't be read yet. Both are left
+// with the worker for longer than any lease of the previous owner.
 func TestInheritedTaskWaitsForUnacknowledgedEnds(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1"))
 	g.pool.SetJobsMissing(true)
@@ -316,7 +318,7 @@
 	assert.Equal(t, state, gauge.JobCompleted)
 }
 
-// A worker that can't be reached any more holds nothing back.
+// Inherited tasks don't wait for the end reports of a worker that can't be reached any more.
 func TestInheritedTaskDoesNotWaitForADeadWorker(t *testing.T) {
 	for name, loseWorker := range map[string]func(g *harness){
 		"another incarnation": func(g *harness) {
--- a/internal/sched/isolate.go
+++ b/internal/sched/isolate.go
@@ -17,15 +17,15 @@
 	// isolationTimeout is how long a task that has crashed two workers waits for a worker that is
 	// free of other work. It must not be delayed for longer, even if no such worker is available.
 	isolationTimeout = 2 * time.Second
-	// lastStartsTimeout is the same once few of its starts are left: a start beside other jobs'
-	// tasks would be inconclusive.
+	// lastStartsTimeout is the same time once the task has few starts left: a start beside other
+	// jobs' tasks would be inconclusive.
 	lastStartsTimeout = 6 * time.Second
 	// reservationSpan is how long a reservation is kept until the table has the record of the
 	// isolated run. A write takes about 10 ms, and 60 times as long when the table is slow.
 	reservationSpan = 700 * time.Millisecond
 )
 
-// reservation is where a suspect will start, once the table has the record of it.
+// reservation holds the workers on which a suspect will start once the table has the record of it.
 type reservation struct {
 	workers   []*worker // one for each task of a gang
 	number    int
@@ -88,7 +88,7 @@
 	return []*task{t}
 }
 
-// mayReserve reports whether a suspect's start lacks nothing but a worker.
+// mayReserve reports whether a suspect could start if it had a worker.
 func (p *Pool) mayReserve(t *task, now time.Duration) bool {
 	if !t.stage.occ.isReady(t.stage) || t.reservation == nil && !t.isRecorded() {
 		return false
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -12,8 +12,8 @@
 	// attributionDelay is the time after a worker's loss until others that were lost with it are
 	// known. Before, the loss can't be attributed, and the lost tasks wait.
 	attributionDelay = time.Second
-	// pauseThreshold without a tick, of which there are ten a second, means that this process was
-	// suspended and noticed no losses meanwhile.
+	// pauseThreshold is the time without a tick after which this process counts as having been
+	// suspended, so that it noticed no losses meanwhile. There are ten ticks a second.
 	pauseThreshold = 500 * time.Millisecond
 	// lossRetention is how long a loss is remembered, to be compared with others.
 	lossRetention = 10 * time.Second
@@ -25,7 +25,9 @@
 	number     int
 	minRunTime time.Duration
 	reported   bool // its worker has reported it
-	passedOn   *run // its worker hasn't reported it, and the next incarnation may have received the order; else nil
+	// passedOn is the run itself if its worker hasn't reported it and the next incarnation may have
+	// received the order; else nil.
+	passedOn *run
 }
 
 // isRevoked reports whether the run turned out not to be lost with its worker.
@@ -118,8 +120,7 @@
 	return silent <= 1 || fewDivisor*silent <= all
 }
 
-// fewDivisor is the divisor of the number of workers up to which workers count as few: at most one
-// in four.
+// fewDivisor defines what counts as few workers: at most one in fewDivisor.
 const fewDivisor = 4
 
 // clearAtRisk takes back what was recorded for a worker that answers again: it hasn't crashed.
--- a/internal/sched/orphan.go
+++ b/internal/sched/orphan.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// orphanAnswered handles the outcome of such a stop.
+// orphanAnswered handles the outcome of a stop of an orphan run.
 func (p *Pool) orphanAnswered(o *orphanRun, clock time.Duration, err error, now time.Duration) {
 	o.stopInFlight = false
 	o.worker.readClock(clock, now)
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -135,8 +135,8 @@
 // other work took the room meanwhile, the task would not serve until some run ends.
 const keepTargetSpan = 700 * time.Millisecond
 
-// leavesBefore reports whether a leaving worker has left before a run there has ended, by
-// estimates.
+// leavesBefore reports whether a leaving worker will probably have left before a run there ends, by
+// estimates of both.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
@@ -161,9 +161,9 @@
 const minProbeInterval = 250 * time.Millisecond
 
 // probeStarting probes the workers on which tasks of a stage are starting up, while other tasks
-// can't leave their workers until these serve. A heartbeat without an end takes up to a second. If
-// progress came by heartbeats alone, each further task would leave a second later, and a wave lasts
-// as long as its longest chain of them.
+// can't leave their workers until these serve. A heartbeat without an end report takes up to a
+// second. If progress came by heartbeats alone, each further task would leave a second later, and a
+// maintenance wave lasts as long as its longest sequence of such moves.
 func (p *Pool) probeStarting(st *stage, now time.Duration) {
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -7,9 +7,10 @@
 	gauge "sapphiregauge"
 )
 
-// What an owner knew of crashes and couldn't write is lost with it. So owners tell their successor
-// in the lease row that there may be some, and the successor makes up for them by presuming
-// crashes. It also finds out what became of the runs that previous owners recorded.
+// Crashes that an owner knew of but couldn't write to the table are forgotten when it ends. So
+// owners tell their successor in the lease row that there may be unrecorded crashes, and the
+// successor presumes some in their place. It also finds out what became of the runs that previous
+// owners recorded.
 
 // maxPresumed bounds how many unrecorded crashes of a task are presumed, by all owners together.
 const maxPresumed = 2
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -61,25 +61,33 @@
 	workers         map[string]*worker           // by id: there is one incarnation at a time
 	unreported      map[string]gauge.Incarnation // workers of the previous owner that haven't reported yet
 	newIncarnations []gauge.Worker               // incarnations without heartbeats yet
-	leaseRowVersion gauge.FencingToken           // version of the newest write of the lease row; the next fencing token that a worker can get, see fence
+	// leaseRowVersion is the version of the newest write of the lease row, and the next fencing
+	// token that a worker can get; see fence.
+	leaseRowVersion gauge.FencingToken
 	// barriers are the open report barriers; newestBarrier is the latest of them.
-	barriers           []*reportBarrier
-	newestBarrier      *reportBarrier
-	jobsMissing        bool // jobs may be missing: some could not be read yet
-	orders             []Order
-	toStop             map[*run]bool // runs that are to end
-	orphans            map[*orphanRun]bool
-	suspects           map[*task]bool             // tasks that may crash their workers
-	losses             []*loss                    // workers lost recently
-	replacedUnreported []gauge.Incarnation        // ended before they reported to this owner, and not among the losses yet
-	suspectWorkers     map[gauge.Incarnation]bool // workers for which previous owners recorded a suspect run whose outcome they didn't know
-	earlyCancels       map[string]earlyCancel     // cancellations of unknown jobs
-	lastTick           time.Duration              // time of the last tick
-	resumedAt          time.Duration              // time of the last tick that followed a pause of this process
-	adoptedWork        float64                    // core-seconds of all jobs adopted so far
-	adoptedJobs        int                        // number of jobs adopted so far
-	inheritedTasksWait bool                       // inherited tasks have to wait for reports, as of the last round of starts
-	inFlight           int                        // starts that have no answer yet
+	barriers      []*reportBarrier
+	newestBarrier *reportBarrier
+	jobsMissing   bool // jobs may be missing: some could not be read yet
+	orders        []Order
+	toStop        map[*run]bool // runs that are to end
+	orphans       map[*orphanRun]bool
+	suspects      map[*task]bool // tasks that may crash their workers
+	losses        []*loss        // workers lost recently
+	// replacedUnreported are incarnations that ended before they reported to this owner, and not
+	// among the losses yet.
+	replacedUnreported []gauge.Incarnation
+	// suspectWorkers are the workers for which previous owners recorded a suspect run whose outcome
+	// they didn't know.
+	suspectWorkers map[gauge.Incarnation]bool
+	earlyCancels   map[string]earlyCancel // cancellations of unknown jobs
+	lastTick       time.Duration          // time of the last tick
+	resumedAt      time.Duration          // time of the last tick that followed a pause of this process
+	adoptedWork    float64                // core-seconds of all jobs adopted so far
+	adoptedJobs    int                    // number of jobs adopted so far
+	// inheritedTasksWait says that inherited tasks have to wait for reports, as of the last round
+	// of starts.
+	inheritedTasksWait bool
+	inFlight           int // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
 
--- a/internal/sched/worker.go
+++ b/internal/sched/worker.go
@@ -20,49 +20,57 @@
 // run is one start of a task that may exist on a worker. It is removed only when it is certainly
 // over and can't begin any more: a start before that might run the task twice at once.
 type run struct {
-	task             *task
-	worker           *worker
-	number           int
-	phase            phase
-	resources        gauge.Resources
-	orderedAt        time.Duration // when it was ordered, or found
-	inherited        bool          // a previous owner started it
-	inFlight         bool          // its start has no answer yet, and counts for the start window
-	startDeadline    time.Duration // on the worker's clock: the start is refused if it arrives later
-	confirmedAt      time.Duration // on the worker's clock: last time that the worker is known to have had the run, or its stop
-	priorRunTime     time.Duration // how long it had run at least when this owner found it
-	reportedAt       time.Duration // when its worker last reported it
-	toStop           bool          // it is to end
-	unanswered       bool          // its start got no answer
-	nextStopAt       time.Duration // no stop is sent before
-	stopInFlight     bool          // a stop is in flight
-	progress         int           // percent of its work done; 100: a long-running task serves
-	pace             int           // percent of full speed that it was last told to work at
-	load             int           // as reported: tail in ms of a task that serves users, else processor use in thousandths
-	paceInFlight     bool          // a change of pace is in flight
-	lastReport       int           // number of the last report that listed it
-	onProbation      bool          // the row has a record of this run, which is dropped once the run has lasted for its probation
-	survivalRecorded bool          // the row has that it has lasted for proof.StartPhase
-	isolatedFor      *task         // the suspect that it is a run of, while its worker is closed to other jobs
-	lost             bool          // it ended with its worker's incarnation or lease
-	lossRevoked      bool          // it was recorded as lost, but its order reached the next incarnation or none
+	task          *task
+	worker        *worker
+	number        int
+	phase         phase
+	resources     gauge.Resources
+	orderedAt     time.Duration // when it was ordered, or found
+	inherited     bool          // a previous owner started it
+	inFlight      bool          // its start has no answer yet, and counts for the start window
+	startDeadline time.Duration // on the worker's clock: the start is refused if it arrives later
+	// confirmedAt is the last time, on the worker's clock, that the worker is known to have had the
+	// run, or its stop.
+	confirmedAt  time.Duration
+	priorRunTime time.Duration // how long it had run at least when this owner found it
+	reportedAt   time.Duration // when its worker last reported it
+	toStop       bool          // it is to end
+	unanswered   bool          // its start got no answer
+	nextStopAt   time.Duration // no stop is sent before
+	stopInFlight bool          // a stop is in flight
+	progress     int           // percent of its work done; 100: a long-running task serves
+	pace         int           // percent of full speed that it was last told to work at
+	// load is as reported: the tail latency in ms of a task that serves users, else the processor
+	// use in thousandths.
+	load         int
+	paceInFlight bool // a change of pace is in flight
+	lastReport   int  // number of the last report that listed it
+	// onProbation says that the row has a record of this run, which is dropped once the run has
+	// lasted for its probation.
+	onProbation      bool
+	survivalRecorded bool  // the row has that it has lasted for proof.StartPhase
+	isolatedFor      *task // the suspect that it is a run of, while its worker is closed to other jobs
+	lost             bool  // it ended with its worker's incarnation or lease
+	lossRevoked      bool  // it was recorded as lost, but its order reached the next incarnation or none
 }
 
 // worker is one incarnation of a worker as this owner sees it.
 type worker struct {
-	info               gauge.Worker
-	listed             bool               // it is on the platform's list
-	listedHere         bool               // it has been listed in this pool
-	knownSince         time.Duration      // when this owner first learnt of it
-	inLeaseRow         bool               // the lease row names it: a successor asks it first
-	fence              gauge.FencingToken // for this worker, see Pool.fence
-	fencePending       bool               // earlier calls may still be carried out: its token has to rise
-	staleCallsPossible bool               // calls for an earlier incarnation may still be carried out and extend its lease
-	reported           bool               // it has answered a call with this owner's fencing token
-	startUnanswered    bool               // a start got no answer, and no report has come since
-	inFlight           int                // starts that have no answer yet
-	silent             bool               // its last heartbeat got no answer
-	dead               bool               // it is certainly over
+	info         gauge.Worker
+	listed       bool               // it is on the platform's list
+	listedHere   bool               // it has been listed in this pool
+	knownSince   time.Duration      // when this owner first learnt of it
+	inLeaseRow   bool               // the lease row names it: a successor asks it first
+	fence        gauge.FencingToken // for this worker, see Pool.fence
+	fencePending bool               // earlier calls may still be carried out: its token has to rise
+	// staleCallsPossible says that calls for an earlier incarnation may still be carried out and
+	// extend its lease.
+	staleCallsPossible bool
+	reported           bool // it has answered a call with this owner's fencing token
+	startUnanswered    bool // a start got no answer, and no report has come since
+	inFlight           int  // starts that have no answer yet
+	silent             bool // its last heartbeat got no answer
+	dead               bool // it is certainly over
 
 	runs map[*run]bool
 	used gauge.Resources
--- a/jobrow.go
+++ b/jobrow.go
@@ -32,15 +32,19 @@
 // worker crashed, and the newest checkpoint of a task that isn't running. Facts are only added, so
 // writing the same row twice does no harm.
 type JobRow struct {
-	State                JobState               `msgpack:"s"`
-	Pool                 string                 `msgpack:"p"` // pool that runs the job, as routed when it was accepted
-	Accepted             int64                  `msgpack:"a"` // by the table's clock, in milliseconds
-	Ended                int64                  `msgpack:"e,omitempty"`
-	Done                 map[int][][]byte       `msgpack:"d,omitempty"` // occurrence -> step -> bitmap of completed tasks
-	CompletedOccurrences int                    `msgpack:"o,omitempty"` // occurrences below this one are completed
-	Failures             map[string][]int       `msgpack:"f,omitempty"` // task -> runs that ended "failed"; an end reported twice counts once
-	Checkpoints          map[string]string      `msgpack:"c,omitempty"` // task -> checkpoint
-	SuspectRuns          map[string]SuspectRuns `msgpack:"t,omitempty"` // task -> runs that may have crashed their workers
+	State JobState `msgpack:"s"`
+	// Pool is the pool that runs the job, as routed when it was accepted.
+	Pool     string `msgpack:"p"`
+	Accepted int64  `msgpack:"a"` // by the table's clock, in milliseconds
+	Ended    int64  `msgpack:"e,omitempty"`
+	// Done maps occurrence -> step -> bitmap of completed tasks.
+	Done                 map[int][][]byte `msgpack:"d,omitempty"`
+	CompletedOccurrences int              `msgpack:"o,omitempty"` // occurrences below this one are completed
+	// Failures maps task -> runs that ended "failed"; an end reported twice counts once.
+	Failures    map[string][]int  `msgpack:"f,omitempty"`
+	Checkpoints map[string]string `msgpack:"c,omitempty"` // task -> checkpoint
+	// SuspectRuns maps task -> runs that may have crashed their workers.
+	SuspectRuns map[string]SuspectRuns `msgpack:"t,omitempty"`
 	// Unattributed counts crashes soon after a task's start that aren't attributed to it: other
 	// workers were lost at the same moment, or no owner may have recorded them.
 	Unattributed map[string]int `msgpack:"x,omitempty"`
--- a/jobspec.go
+++ b/jobspec.go
@@ -40,12 +40,16 @@
 	Label       string        `msgpack:"l"` // label that the worker must have
 	DataRack    string        `msgpack:"d"` // slower on any other rack
 	PerWorker   int           `msgpack:"w"` // most tasks of an occurrence on one worker; 0: unlimited
-	Speculative bool          `msgpack:"x"` // a task may run as two speculative copies at once; the first end counts
+	// Speculative says that a task may run as two speculative copies at once; the first end counts.
+	Speculative bool          `msgpack:"x"`
 	LongRunning bool          `msgpack:"t"` // runs until the job is cancelled
 	Image       string        `msgpack:"i"` // image of the tasks; tasks of one image behave alike
 	TailTarget  time.Duration `msgpack:"v"` // bound on the tail latency of a long-running task; 0: none
-	BestEffort  bool          `msgpack:"f"` // best effort: uses processor time that others leave, and reserves none
-	MaxUnplaced int           `msgpack:"u"` // for a long-running step: most tasks that may be unplaced at a time by this software's own decisions
+	// BestEffort says that the tasks use processor time that others leave, and reserve none.
+	BestEffort bool `msgpack:"f"`
+	// MaxUnplaced is, for a long-running step, the most tasks that may be unplaced at a time by
+	// this software's own decisions.
+	MaxUnplaced int `msgpack:"u"`
 }
 
 // Reservation returns the part of a worker's capacity that a task of the step reserves.
--- a/leaserow.go
+++ b/leaserow.go
@@ -14,10 +14,12 @@
 // a row of their own, see HandoverRow. They are in this row while the lease is handed from a holder
 // to its successor, and in rows of older versions of this software.
 type LeaseRow struct {
-	Holder  string   `msgpack:"h"`           // name of the entry and its start; empty: the lease was given up
-	Addr    string   `msgpack:"a"`           // ip:port for calls from other entries
-	Term    int      `msgpack:"t"`           // number of previous owners
-	Workers []string `msgpack:"w,omitempty"` // workers that may have orders of this owner or, if they haven't reported since, of an earlier one
+	Holder string `msgpack:"h"` // name of the entry and its start; empty: the lease was given up
+	Addr   string `msgpack:"a"` // ip:port for calls from other entries
+	Term   int    `msgpack:"t"` // number of previous owners
+	// Workers are the workers that may have orders of this owner or, if they haven't reported
+	// since, of an earlier one.
+	Workers []string `msgpack:"w,omitempty"`
 	// RemainingLeases is how much longer at most, in milliseconds, anything may run on workers that
 	// don't answer. It is set when the lease is handed over, and only for workers for which it is
 	// known. The time between writing and reading the row makes the wait longer than necessary.
@@ -27,13 +29,21 @@
 	// RemainingLeases is.
 	DrainedFor map[string]int64 `msgpack:"y,omitempty"`
 	// UnrecordedOwners is how many recent holders may not have recorded all crashes.
-	UnrecordedOwners int              `msgpack:"z,omitempty"`
-	Depths           map[string]int   `msgpack:"d"`           // by queue: jobs without a started task; a queue that isn't listed has none
-	UnreadQueues     []string         `msgpack:"u,omitempty"` // queues that the owner has not read yet: their depths are unknown
-	Counted          int64            `msgpack:"k,omitempty"` // when Depths was counted, by the table's clock in milliseconds; 0: at the renewal
-	RenewedAt        int64            `msgpack:"n"`           // when this row was sent, by the table's clock in milliseconds, up to 0.1 s early
-	OwnOrders        map[string]int64 `msgpack:"o,omitempty"` // fleet lease only: recently ordered machines and when each was ordered, by the table's clock in milliseconds
-	PreviousOrders   map[string]int64 `msgpack:"e,omitempty"` // the same, for machines that earlier holders ordered
+	UnrecordedOwners int `msgpack:"z,omitempty"`
+	// Depths holds, by queue, the number of jobs without a started task; a queue that isn't listed
+	// has none.
+	Depths map[string]int `msgpack:"d"`
+	// UnreadQueues are the queues that the owner has not read yet: their depths are unknown.
+	UnreadQueues []string `msgpack:"u,omitempty"`
+	// Counted is when Depths was counted, by the table's clock in milliseconds; 0: at the renewal.
+	Counted int64 `msgpack:"k,omitempty"`
+	// RenewedAt is when this row was sent, by the table's clock in milliseconds, up to 0.1 s early.
+	RenewedAt int64 `msgpack:"n"`
+	// OwnOrders holds, for the fleet lease only, the recently ordered machines and when each was
+	// ordered, by the table's clock in milliseconds.
+	OwnOrders map[string]int64 `msgpack:"o,omitempty"`
+	// PreviousOrders is the same, for machines that earlier holders ordered.
+	PreviousOrders map[string]int64 `msgpack:"e,omitempty"`
 	// Retention is, for the fleet lease only, the learnt retention of surplus machines in
 	// milliseconds.
 	Retention int64 `msgpack:"p,omitempty"`
--- a/load.go
+++ b/load.go
@@ -24,9 +24,11 @@
 
 // PoolLoad is the work of a pool, as its owner reports it.
 type PoolLoad struct {
-	Pool               string        `msgpack:"p"`
-	LongRunningCores   float64       `msgpack:"l"` // cores of long-running tasks
-	MinWorkers         int           `msgpack:"x"` // workers that the widest long-running step needs, given its bound on tasks per worker
+	Pool             string  `msgpack:"p"`
+	LongRunningCores float64 `msgpack:"l"` // cores of long-running tasks
+	// MinWorkers is the number of workers that the widest long-running step needs, given its bound
+	// on tasks per worker.
+	MinWorkers         int           `msgpack:"x"`
 	Unplaced           int           `msgpack:"y"` // long-running tasks that wait for a worker
 	Timely             Demand        `msgpack:"d"` // of jobs that can still meet their objective
 	Late               Demand        `msgpack:"e"` // of jobs that can't any more
--- a/mechanism.go
+++ b/mechanism.go
@@ -12,29 +12,39 @@
 
 // The mechanisms.
 const (
-	MechanismPack            Mechanism = "pack"     // tasks go to the fullest worker with room
-	MechanismGather          Mechanism = "gather"   // long-running tasks of different steps go to the same workers
-	MechanismScatter         Mechanism = "scatter"  // long-running tasks of one step go to different workers
-	MechanismDeadline        Mechanism = "deadline" // jobs with the earliest objective start first
-	MechanismTimely          Mechanism = "timely"   // jobs that can meet their objective start before those that can't
-	MechanismWorkerBackoff   Mechanism = "rest"     // a worker that fails what it starts gets no tasks for a while
-	MechanismDrainFirst      Mechanism = "finish"   // machines that are to move finish their work first
-	MechanismRate            Mechanism = "rate"     // pools are sized by the rate of arrivals as well as by the present work
-	MechanismStandby         Mechanism = "standby"  // machines that no pool needs go to standby
-	MechanismRedirect        Mechanism = "redirect" // a machine on its way to standby goes to a pool that needs it instead
-	MechanismOverdue         Mechanism = "overdue"  // late work gets the machines that are left over
-	MechanismDrainAhead      Mechanism = "early"    // a wave drains more machines than may be down
-	MechanismSpareShortPools Mechanism = "spared"   // waves take no machines from pools that are short of them
-	MechanismLongDrainsFirst Mechanism = "chains"   // waves start with machines that have long-running tasks, also in pools that are short of machines
-	MechanismAvoidDraining   Mechanism = "soon"     // long-running tasks avoid workers that a wave is about to drain
-	MechanismRise            Mechanism = "rise"     // a rise in arrivals is detected from a few of them
-	MechanismForecast        Mechanism = "ahead"    // pools are sized for the expected rate of arrivals when a machine has come
-	MechanismBalance         Mechanism = "balance"  // leases move to hosts that hold fewer
-	MechanismSuspect         Mechanism = "suspect"  // a lease that isn't renewed is taken sooner if its holder doesn't answer
-	MechanismKeepWhileSlow   Mechanism = "calm"     // an entry that stops keeps its pools while the table is slow
-	MechanismLag             Mechanism = "lag"      // an owner whose orders take long hands its pool over
-	MechanismRelay           Mechanism = "relay"    // jobs are stored by the owner of their pool
-	MechanismBackoff         Mechanism = "backoff"  // callers retry later the longer a table outage lasts
+	MechanismPack     Mechanism = "pack"     // tasks go to the fullest worker with room
+	MechanismGather   Mechanism = "gather"   // long-running tasks of different steps go to the same workers
+	MechanismScatter  Mechanism = "scatter"  // long-running tasks of one step go to different workers
+	MechanismDeadline Mechanism = "deadline" // jobs with the earliest objective start first
+	// MechanismTimely starts jobs that can meet their objective before those that can't.
+	MechanismTimely        Mechanism = "timely"
+	MechanismWorkerBackoff Mechanism = "rest"   // a worker that fails what it starts gets no tasks for a while
+	MechanismDrainFirst    Mechanism = "finish" // machines that are to move finish their work first
+	// MechanismRate sizes pools by the rate of arrivals as well as by the present work.
+	MechanismRate    Mechanism = "rate"
+	MechanismStandby Mechanism = "standby" // machines that no pool needs go to standby
+	// MechanismRedirect sends a machine on its way to standby to a pool that needs it instead.
+	MechanismRedirect        Mechanism = "redirect"
+	MechanismOverdue         Mechanism = "overdue" // late work gets the machines that are left over
+	MechanismDrainAhead      Mechanism = "early"   // a wave drains more machines than may be down
+	MechanismSpareShortPools Mechanism = "spared"  // waves take no machines from pools that are short of them
+	// MechanismLongDrainsFirst lets waves start with machines that have long-running tasks, also in
+	// pools that are short of machines.
+	MechanismLongDrainsFirst Mechanism = "chains"
+	// MechanismAvoidDraining keeps long-running tasks off workers that a wave is about to drain.
+	MechanismAvoidDraining Mechanism = "soon"
+	MechanismRise          Mechanism = "rise" // a rise in arrivals is detected from a few of them
+	// MechanismForecast sizes pools for the rate of arrivals that is expected once an ordered
+	// machine has come.
+	MechanismForecast Mechanism = "ahead"
+	MechanismBalance  Mechanism = "balance" // leases move to hosts that hold fewer
+	// MechanismSuspect lets a lease that isn't renewed be taken sooner if its holder doesn't
+	// answer.
+	MechanismSuspect       Mechanism = "suspect"
+	MechanismKeepWhileSlow Mechanism = "calm"    // an entry that stops keeps its pools while the table is slow
+	MechanismLag           Mechanism = "lag"     // an owner whose orders take long hands its pool over
+	MechanismRelay         Mechanism = "relay"   // jobs are stored by the owner of their pool
+	MechanismBackoff       Mechanism = "backoff" // callers retry later the longer a table outage lasts
 )
 
 // Mechanisms lists all mechanisms.
--- a/worker.go
+++ b/worker.go
@@ -90,9 +90,9 @@
 type Heartbeat struct {
 	Fence FencingToken
 	Until time.Duration // by the worker's clock; 0: no extension
-	// LastSeenEnd is the number up to which the worker may forget ends. It is sent only to an
-	// incarnation that has answered a heartbeat before: another incarnation would forget its own
-	// ends.
+	// LastSeenEnd is the number up to which the worker may forget end reports. It is sent only to
+	// an incarnation that has answered a heartbeat before: another incarnation would forget its own
+	// end reports.
 	LastSeenEnd int64
 	Wait        time.Duration // answer as soon as a run ends, at the latest after this time
 }
