--- a/claim.go
+++ b/claim.go
@@ -25,7 +25,8 @@
 
 // Claim is the row that ensures that a request runs at most once.
 type Claim struct {
-	Token  string           `json:"token"` // identifies the attempt to claim, so that a lost answer can be read back
+	// Token identifies the attempt to claim, so that a lost answer can be read back.
+	Token  string           `json:"token"`
 	Entry  string           `json:"entry"` // ID/start ID of the entry that runs the request
 	State  ClaimState       `json:"state"`
 	Hash   uint64           `json:"hash"`             // hash of the request, to detect a reused key
--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -215,8 +215,10 @@
 	began        time.Time
 	mu           sync.Mutex
 	logs         []string
-	lagCallbacks int             // times a successor was asked for because orders lag
-	failingTimes []time.Duration // for each time a successor was asked for because writes fail, how long they had failed
+	lagCallbacks int // times a successor was asked for because orders lag
+	// failingTimes says, for each time a successor was asked for because writes fail, how long they
+	// had failed.
+	failingTimes []time.Duration
 	end          func()
 }
 
--- a/internal/owner/owner.go
+++ b/internal/owner/owner.go
@@ -140,9 +140,9 @@
 	writeRetryDelay = 150 * time.Millisecond
 	// scanInterval is how often the table is searched for jobs whose notification was lost.
 	scanInterval = 1500 * time.Millisecond
-	// fullScanEvery: one in so many scans covers the queues of all pools.
+	// fullScanEvery is the number of scans of which one covers the queues of all pools.
 	fullScanEvery = 4
-	// clockMargin covers the difference between the steady clocks of two entries.
+	// clockMargin covers the difference between the monotonic clocks of two entries.
 	clockMargin = 200 * time.Millisecond
 	// heartbeatRetryDelay is the pause after a failed heartbeat.
 	heartbeatRetryDelay = 200 * time.Millisecond
@@ -353,7 +353,7 @@
 	return ok
 }
 
-// arrivalTime converts the time of acceptance, on the table's clock, to this process's steady
+// arrivalTime converts the time of acceptance, on the table's clock, to this process's monotonic
 // clock.
 func (o *Owner) arrivalTime(row *gauge.JobRow, now time.Duration) time.Duration {
 	age := time.Duration(o.conf.TableClock()-row.Accepted) * time.Millisecond
--- a/internal/sched/adopt.go
+++ b/internal/sched/adopt.go
@@ -51,22 +51,24 @@
 		j.barrier = p.newestBarrier
 	}
 	if a.Inherited && p.conf.Term > 0 {
-		j.skipNumbers(p.conf.Term)
+		j.skipRunNumbers(p.conf.Term)
 	}
 	p.inheritSuspectRuns(j, now)
 	p.conf.Logs.Info("job adopted", "job", a.ID, "queue", a.Queue, "pool", p.conf.Name, "version", a.Version,
 		"state", a.Row.State, "inherited", a.Inherited, "age", now-a.Arrived)
 }
 
-// numbersPerTerm is how many run numbers each owner has to itself for the jobs that it inherits, so
-// that an unreported run of a previous owner is never mistaken for one of this owner's.
-const numbersPerTerm = 1000
+// runNumbersPerTerm is how many run numbers each owner has to itself for the jobs that it inherits,
+// so that an unreported run of a previous owner is never mistaken for one of this owner's.
+const runNumbersPerTerm = 1000
 
-func (j *job) skipNumbers(term int) {
+// skipRunNumbers leaves the run numbers of previous owners to them: the job's next runs get higher
+// ones.
+func (j *job) skipRunNumbers(term int) {
 	for _, o := range j.occurrences {
 		for _, st := range o.steps {
 			for _, t := range st.tasks {
-				t.lastRun = max(t.lastRun, term*numbersPerTerm)
+				t.lastRun = max(t.lastRun, term*runNumbersPerTerm)
 			}
 		}
 	}
--- a/internal/sched/barrier_test.go
+++ b/internal/sched/barrier_test.go
@@ -10,8 +10,8 @@
 )
 
 // Guards against a long-running task that doesn't run for ten seconds though its worker and its
-// owner are well. An owner takes a pool over, reads a small queue at once and has reports of all
-// workers; a large queue is read page by page over many seconds. Only the jobs of a new page may
+// owner work normally. An owner takes a pool over, reads a small queue at once and has reports of
+// all workers; a large queue is read in chunks over many seconds. Only the jobs of a new chunk may
 // have to wait for fresh reports of all workers.
 func TestReadJobsDoNotWaitForJobsThatAreReadLate(t *testing.T) {
 	g := newHarness(t, withPredecessor("w1", "w2"))
--- a/internal/sched/crash_harness_test.go
+++ b/internal/sched/crash_harness_test.go
@@ -16,25 +16,28 @@
 // so.
 type crashHarness struct {
 	*harness
-	lastWorker       int
-	rackOfAlive      map[string]string            // by id, of workers that are alive
-	rackOf           map[string]string            // by id, of all workers that ever were
-	runs             map[string][]sched.Order     // on the workers that are alive
-	badTask          gauge.TaskID                 // crashes the worker that starts it
-	badTasks         map[gauge.TaskID]bool        // more such tasks
-	crashDelay       time.Duration                // how long after their start they crash the worker
-	crashDue         map[string]time.Duration     // workers that they will crash, and when
-	crashed          map[string]time.Duration     // workers that crashed, and when another incarnation answers
-	movedAway        map[string]time.Duration     // workers of machines that have left, and until when they stay listed
-	crashes          int                          // caused by bad tasks
-	starts           map[gauge.TaskID]int         // by task
-	lost             map[gauge.TaskID]int         // runs that were lost with a worker, by task
-	done             map[gauge.TaskID]bool        // tasks that have ended done
-	accepted         map[string]sched.AcceptedJob // jobs as submitted
-	rows             map[string]*gauge.JobRow     // stored job rows
-	version          int64
-	tableDown        bool          // the table is unavailable
-	unrecorded       int           // successive owners that may not have recorded all crashes, as the lease row says
+	lastWorker  int
+	rackOfAlive map[string]string        // by id, of workers that are alive
+	rackOf      map[string]string        // by id, of all workers that ever were
+	runs        map[string][]sched.Order // on the workers that are alive
+	badTask     gauge.TaskID             // crashes the worker that starts it
+	badTasks    map[gauge.TaskID]bool    // more such tasks
+	crashDelay  time.Duration            // how long after their start they crash the worker
+	crashDue    map[string]time.Duration // workers that they will crash, and when
+	crashed     map[string]time.Duration // workers that crashed, and when another incarnation answers
+	// movedAway holds the workers of machines that have left, and until when they stay listed.
+	movedAway map[string]time.Duration
+	crashes   int                          // caused by bad tasks
+	starts    map[gauge.TaskID]int         // by task
+	lost      map[gauge.TaskID]int         // runs that were lost with a worker, by task
+	done      map[gauge.TaskID]bool        // tasks that have ended done
+	accepted  map[string]sched.AcceptedJob // jobs as submitted
+	rows      map[string]*gauge.JobRow     // stored job rows
+	version   int64
+	tableDown bool // the table is unavailable
+	// unrecorded is the number of successive owners that may not have recorded all crashes, as the
+	// lease row says.
+	unrecorded       int
 	startsUnanswered bool          // starts get no answer
 	restartDelay     time.Duration // how long after a crash another incarnation answers
 }
--- a/internal/sched/incarnation_test.go
+++ b/internal/sched/incarnation_test.go
@@ -238,7 +238,8 @@
 	assert.Equal(t, g.pool.RemainingLeases(g.now)[incarnationAt("w1", 2)], maxLease)
 
 	g.advance(3 * time.Second)
-	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), 300) // the token rises; until the worker has answered to it, older grants may reach it
+	// The token rises. Until the worker has answered a call with it, older grants may reach it.
+	g.pool.LeaseRowWritten(g.pool.LeaseRowWorkers(), 300)
 	g.answerHeartbeat(incarnationAt("w1", 2), 2, 4*time.Second, nil)
 	g.failHeartbeatOf(incarnationAt("w1", 2))
 	assert.Equal(t, g.pool.RemainingLeases(g.now)[incarnationAt("w1", 2)], maxLease)
--- a/internal/sched/loss.go
+++ b/internal/sched/loss.go
@@ -25,8 +25,8 @@
 	number     int
 	minRunTime time.Duration
 	reported   bool // its worker has reported it
-	// passedOn is the run itself if its worker hasn't reported it and the next incarnation may have
-	// received the order; else nil.
+	// passedOn is the run itself if it was passed on to the next incarnation, which may have
+	// received its order, because its worker hadn't reported it; else nil.
 	passedOn *run
 }
 
@@ -212,11 +212,11 @@
 
 func (p *Pool) attributeLoss(l *loss, now time.Duration) {
 	others := p.countCorrelatedLosses(l, now)
-	correlated := others.hasExternalCause()
+	externalCause := others.hasExternalCause()
 	if len(l.runs) > 0 {
 		p.conf.CountEvent(EventCrashed)
 		p.conf.Logs.Info("worker crashed", "pool", p.conf.Name, "worker", l.incarnation.Worker, "born", l.incarnation.StartedAt, "runs", len(l.runs), "alone", l.singleJob,
-			"together", correlated, "planned", l.planned, "age", now-l.noticedAt)
+			"together", externalCause, "planned", l.planned, "age", now-l.noticedAt)
 	}
 	likelierCause := l.tasksWithLikelierCause()
 	for _, r := range l.runs {
@@ -225,7 +225,7 @@
 			p.dropUnconfirmed(r.task, r.number)
 			continue
 		}
-		if correlated || l.planned {
+		if externalCause || l.planned {
 			p.recordUnattributed(r.task, r.number, r.minRunTime)
 			continue
 		}
--- a/internal/sched/perworker_test.go
+++ b/internal/sched/perworker_test.go
@@ -13,7 +13,8 @@
 // Guards against several suspects of one step that start on one worker, beyond the step's limit of
 // tasks on a worker.
 func TestSuspectsKeepToThePerWorkerLimit(t *testing.T) {
-	for _, crashes := range []int{1, 2} { // after the second crash their reserved room waits for a write to the table
+	// After the second crash their reserved room waits for a write to the table.
+	for _, crashes := range []int{1, 2} {
 		g := newHarness(t)
 		limited := gauge.Step{Count: 3, Needs: gauge.Resources{MilliCPU: 500, MemoryMB: 10}, LongRunning: true, PerWorker: 2}
 		job := g.adopt(1, false, limited)
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -78,19 +78,19 @@
 // machine a second or two sooner at best. On a day with steady demand every tenth run was stopped,
 // and of the largest jobs, whose slack is three seconds, two in five were late.
 func (p *Pool) mayEvacuate(w *worker, r *run, round *placementRound, now time.Duration) bool {
-	st := r.task.stage.spec
+	spec := r.task.stage.spec
 	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
 		return false // stopping a run on probation would use up one of the last starts without a result
 	}
-	if !st.LongRunning {
-		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismDrainFirst) || w.leavesBefore(r, now))
+	if !spec.LongRunning {
+		return w.forceDrain || spec.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismDrainFirst) || w.leavesBefore(r, now))
 	}
 	target := round.place(r.task.stage, r.task.stage.countByWorker(), round.promised, anyWorker)
 	if target == nil {
 		p.keepRoom(r, round, now)
 		return false
 	}
-	if !w.info.Draining && st.MaxUnplaced > 0 && r.task.stage.countNotServing(r.task, now) >= st.MaxUnplaced {
+	if !w.info.Draining && spec.MaxUnplaced > 0 && r.task.stage.countNotServing(r.task, now) >= spec.MaxUnplaced {
 		p.probeStarting(r.task.stage, now)
 		return false
 	}
@@ -198,7 +198,7 @@
 
 // orderStarts places the waiting tasks in order of rank.
 func (p *Pool) orderStarts(now time.Duration) {
-	if now >= p.limit {
+	if now >= p.grantLimit {
 		return // another owner may have taken over
 	}
 	if p.isWindowFull() {
@@ -288,7 +288,7 @@
 
 // orderStart orders a run; nil if the worker can't be given a deadline.
 func (p *Pool) orderStart(c *candidate, t *task, w *worker, number int, now time.Duration) *run {
-	until := w.grant(now, min(p.conf.StartTimeout, p.limit-now))
+	until := w.grant(now, min(p.conf.StartTimeout, p.grantLimit-now))
 	if until == 0 {
 		return nil
 	}
--- a/internal/sched/plan_cost_test.go
+++ b/internal/sched/plan_cost_test.go
@@ -9,10 +9,10 @@
 	"sapphiregauge/internal/sched"
 )
 
-// Guards against an owner of a large pool that uses up its processor, so that its plans, heartbeats
-// and writes come late and it loses the pool to another owner that fares no better. With all
-// workers full and a thousand jobs waiting, each ended run leads to a plan; none may list, rank and
-// sort all waiting jobs before it checks whether there is room for any.
+// Guards against an owner of a large pool that uses up its processor time, so that its plans,
+// heartbeats and writes come late and it loses the pool to another owner, which then has the same
+// problem. With all workers full and a thousand jobs waiting, each ended run leads to a plan; none
+// may list, rank and sort all waiting jobs before it checks whether there is room for any.
 func TestPlanWithoutRoomCostsNothingPerWaitingJob(t *testing.T) {
 	few, many := newFullLargePool(t, 20, 10), newFullLargePool(t, 20, 1000)
 	cost := func(p *sched.Pool) float64 {
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -114,7 +114,7 @@
 
 // recordPriorCrash records that a worker was dead before it reported to this owner.
 func (p *Pool) recordPriorCrash(t *task, record gauge.SuspectRun, now time.Duration) {
-	if others := p.countUnreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
+	if lostWithOthers := p.countUnreportedWith(p.lossOf(record.Incarnation(), now)) > 1; lostWithOthers {
 		// Why these were lost isn't known. For a task that has already lost two workers the loss
 		// counts as a crash all the same, but not as one that shows that the task is the cause.
 		if !t.evidence().HasRepeatedCrashes() {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -55,7 +55,7 @@
 type Pool struct {
 	conf            Config
 	site            *gauge.Site
-	limit           time.Duration // no grant reaches beyond this
+	grantLimit      time.Duration // no grant reaches beyond this
 	jobs            map[string]*job
 	endedJobs       map[string]endedJob          // jobs that have ended here
 	workers         map[string]*worker           // by id: there is one incarnation at a time
@@ -121,7 +121,7 @@
 
 // SetGrantLimit sets the time beyond which no grant may reach. No other owner can have taken over
 // before it.
-func (p *Pool) SetGrantLimit(t time.Duration) { p.limit = t }
+func (p *Pool) SetGrantLimit(t time.Duration) { p.grantLimit = t }
 
 // UpdateWorkers updates the workers from the platform's list.
 func (p *Pool) UpdateWorkers(list []gauge.Worker) {
@@ -193,8 +193,8 @@
 //
 // Workers that run nothing, take no starts and have all their end reports in the table are left
 // out. Machines change pools several times a minute. If workers of machines that have left stayed
-// listed until their leases expire, a successor would wait seconds for them, with the whole pool's
-// work.
+// in the row until their leases expire, a successor would wait seconds for them, with the whole
+// pool's work.
 func (p *Pool) LeaseRowWorkers() []gauge.Incarnation {
 	incarnations := make([]gauge.Incarnation, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
@@ -252,7 +252,7 @@
 		c.LastSeenEnd = w.lastStoredEnd
 		// A worker that doesn't answer gets no extension: its runs have to expire some time, so
 		// that their tasks can start elsewhere.
-		c.Until = w.grant(now, min(p.conf.LeaseExtension, p.limit-now))
+		c.Until = w.grant(now, min(p.conf.LeaseExtension, p.grantLimit-now))
 		c.Wait = p.conf.HeartbeatWait
 	}
 	return w.info, c, true
--- a/internal/sched/simulation_events_test.go
+++ b/internal/sched/simulation_events_test.go
@@ -76,8 +76,8 @@
 	w.reports[m.id] = heartbeatAnswer{asked, call, r}
 }
 
-// withAck is a heartbeat as an incarnation receives it: ends are acknowledged only on a connection
-// on which the same incarnation has answered.
+// withAck is a heartbeat as an incarnation receives it: end reports are acknowledged only on a
+// connection on which the same incarnation has answered.
 func (w *simulation) withAck(m *simWorker, startedAt int64, call gauge.Heartbeat) gauge.Heartbeat {
 	if startedAt != m.startedAt {
 		call.LastSeenEnd = 0
--- a/internal/sched/simulation_test.go
+++ b/internal/sched/simulation_test.go
@@ -27,7 +27,7 @@
 	runs              map[gauge.TaskID]int
 	stopped           map[gauge.TaskID]int
 	ends              []gauge.EndReport
-	lastEnd           int64 // number of its last end
+	lastEnd           int64 // number of its last end report
 	capacity          taskCapacity
 }
 
@@ -67,14 +67,15 @@
 	delayedHeartbeats []delayedHeartbeat // the same for heartbeats
 	reports           map[string]heartbeatAnswer
 	heartbeatsTo      map[string]gauge.Incarnation // incarnations that the owner sends heartbeats to
-	connectedTo       map[string]int64             // by worker: incarnation that answered last on the open connection
-	leaseWorkers      []gauge.Incarnation          // workers in the stored lease row
-	faultFree         bool                         // no faults are injected any more
-	rows              map[string][]byte            // stored job rows
-	versions          map[string]int64
-	specs             map[string]*gauge.JobSpec
-	lastVersion       int64
-	runCount          map[gauge.TaskID]int // current runs of a task on all workers
+	// connectedTo holds, by worker, the incarnation that answered last on the open connection.
+	connectedTo  map[string]int64
+	leaseWorkers []gauge.Incarnation // workers in the stored lease row
+	faultFree    bool                // no faults are injected any more
+	rows         map[string][]byte   // stored job rows
+	versions     map[string]int64
+	specs        map[string]*gauge.JobSpec
+	lastVersion  int64
+	runCount     map[gauge.TaskID]int // current runs of a task on all workers
 	// done are tasks that must never start again. Members of gangs are left out, as they end one by
 	// one here.
 	done map[gauge.TaskID]bool
@@ -83,7 +84,9 @@
 	unread    map[string]bool // jobs that the owner hasn't been able to read yet
 	rereading bool            // the owner has begun to read them
 
-	runsEndBy map[gauge.Incarnation]time.Duration // when the runs of silent workers have ended, as reported by the owner that hands the pool over
+	// runsEndBy is when the runs of silent workers have ended, as reported by the owner that hands
+	// the pool over.
+	runsEndBy map[gauge.Incarnation]time.Duration
 }
 
 // delayedHeartbeat is a heartbeat that got no answer and is executed later.
@@ -241,7 +244,7 @@
 	}
 }
 
-// discardEnds lets tasks start again whose ends a worker still lists.
+// discardEnds lets tasks start again whose end reports a worker still lists.
 func (w *simulation) discardEnds(m *simWorker) {
 	for _, e := range m.ends {
 		delete(w.done, e.Task)
--- a/internal/sched/start_limit_test.go
+++ b/internal/sched/start_limit_test.go
@@ -143,7 +143,7 @@
 			g.confirm(g.planStops())
 			g.advance(50 * time.Millisecond)
 			g.answerHeartbeat(incarnationAt("w1", startedAt+1), startedAt+1, 2*time.Second, nil, g.endReport("w1", o.Start.Task, o.Start.Run, gauge.EndStopped))
-			g.ends = make(map[string]int64) // the next incarnation numbers its ends from 1
+			g.ends = make(map[string]int64) // the next incarnation numbers its end reports from 1
 		}
 		for range 40 {
 			g.advance(100 * time.Millisecond)
