--- a/internal/intake/batcher.go
+++ b/internal/intake/batcher.go
@@ -212,9 +212,9 @@
 
 func (b *batcher) commitEach(batch []*pendingJob) (retry []*pendingJob, failed bool) {
 	for _, p := range batch {
-		undone, bad := b.commit([]*pendingJob{p})
-		retry = append(retry, undone...)
-		failed = failed || bad
+		remaining, commitFailed := b.commit([]*pendingJob{p})
+		retry = append(retry, remaining...)
+		failed = failed || commitFailed
 	}
 	return retry, failed
 }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -36,9 +36,9 @@
 	return o.err
 }
 
-// unsettledFor is how long a submission without an answer may still take effect: some seconds
+// unsettledSpan is how long a submission without an answer may still take effect: some seconds
 // according to the platform, with a margin of as much again.
-const unsettledFor = 15 * time.Second
+const unsettledSpan = 15 * time.Second
 
 // recordUnsettled records the id of an unsettled submission: a caller that repeats it must not be
 // told that the job never runs.
@@ -47,7 +47,7 @@
 	defer n.mu.Unlock()
 	now := n.conf.Now()
 	if gauge.IsKind(err, gauge.KindExpired) {
-		n.unsettledUntil[id] = now + unsettledFor
+		n.unsettledUntil[id] = now + unsettledSpan
 	}
 	n.pruneUnsettled(now)
 }
@@ -57,13 +57,13 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := n.conf.Now()
-	n.unsettledUntil[id] = now + unsettledFor
+	n.unsettledUntil[id] = now + unsettledSpan
 	n.pruneUnsettled(now)
 }
 
 // pruneUnsettled drops the ids of submissions that can't take effect any more. n.mu is held.
 func (n *Intake) pruneUnsettled(now time.Duration) {
-	if now < n.prunedAt+unsettledFor {
+	if now < n.prunedAt+unsettledSpan {
 		return
 	}
 	n.prunedAt = now
--- a/internal/owner/dispatch.go
+++ b/internal/owner/dispatch.go
@@ -211,7 +211,7 @@
 }
 
 // askAdvice queries the advice service.
-func (o *Owner) askAdvice(order sched.Order, asked time.Duration) {
+func (o *Owner) askAdvice(order sched.Order, queriedAt time.Duration) {
 	var tickets []gauge.Ticket
 	var valid time.Duration
 	var err error = gauge.Errorf(gauge.KindOutage, "no advice service is configured")
@@ -221,7 +221,7 @@
 	if err != nil {
 		o.pause(nil, adviseRetryDelay)
 	}
-	o.update(func(time.Duration) { o.pool.AdviceAnswered(order, tickets, valid, err, asked) })
+	o.update(func(time.Duration) { o.pool.AdviceAnswered(order, tickets, valid, err, queriedAt) })
 }
 
 // probeWorker asks a worker for its report without waiting for a run to end.
--- a/internal/owner/heartbeat.go
+++ b/internal/owner/heartbeat.go
@@ -95,9 +95,9 @@
 	defer cancel()
 	for {
 		o.mu.Lock()
-		behind, writeDone := o.pool.HasUnstoredEnds(incarnation), o.writeDone
+		hasUnstored, writeDone := o.pool.HasUnstoredEnds(incarnation), o.writeDone
 		o.mu.Unlock()
-		if !behind {
+		if !hasUnstored {
 			return
 		}
 		select {
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -48,7 +48,7 @@
 	// pool went to an entry for which the table was just as slow: the pool started nothing for
 	// 1.5 s, and did so again 3 s later.
 	slowWriteRetries = 2
-	// maxSlowWriteDelay bounds that addition, because the pool has to be offered before its lease
+	// maxSlowWriteDelay bounds what is added, because the pool has to be offered before its lease
 	// is over.
 	maxSlowWriteDelay = 700 * time.Millisecond
 )
@@ -178,15 +178,15 @@
 	return row
 }
 
-// unrecordedCrashesFor is how long an owner keeps saying in the lease row that previous owners may
+// unrecordedCrashesSpan is how long an owner keeps saying in the lease row that previous owners may
 // not have recorded all crashes. After that, the tasks from before have run for long enough, or
 // have crashed under this owner.
-const unrecordedCrashesFor = 30 * time.Second
+const unrecordedCrashesSpan = 30 * time.Second
 
 // unrecordedCrashes returns how many of the previous owners may not have recorded all crashes.
 func (o *Owner) unrecordedCrashes() int {
 	switch {
-	case o.conf.Now()-o.claimedAt >= unrecordedCrashesFor:
+	case o.conf.Now()-o.claimedAt >= unrecordedCrashesSpan:
 		return 0
 	case o.pool.HasUnreportedLosses():
 		return o.conf.PreviousRow.UnrecordedOwners + 1
--- a/internal/sched/index.go
+++ b/internal/sched/index.go
@@ -65,16 +65,16 @@
 
 // unwrittenJobs returns the jobs with something to write.
 func (x *poolIndex) unwrittenJobs() []*job {
-	var some []*job
+	var unwritten []*job
 	for j := range x.changed {
 		switch {
 		case !j.dropped && (j.isDirty() || j.isDroppable()):
-			some = append(some, j)
+			unwritten = append(unwritten, j)
 		case j.dropped || j.isOpen():
 			delete(x.changed, j) // any other job becomes droppable when its last run has ended
 		}
 	}
-	return some
+	return unwritten
 }
 
 // hasUrgent reports whether a change justifies a write of its own.
--- a/internal/sched/load.go
+++ b/internal/sched/load.go
@@ -90,8 +90,8 @@
 		if r.task.stage.spec.LongRunning {
 			continue
 		}
-		passed := now - r.orderedAt
-		left := max(r.task.stage.spec.Estimate-passed, time.Duration(float64(passed)*overrunShare))
+		elapsed := now - r.orderedAt
+		left := max(r.task.stage.spec.Estimate-elapsed, time.Duration(float64(elapsed)*overrunShare))
 		longest = max(longest, left)
 	}
 	return longest
