--- a/internal/node/offer.go
+++ b/internal/node/offer.go
@@ -34,16 +34,16 @@
 	// maxTakeOverViewAge is the maximum age of the lease table view of an entry that takes over a
 	// lease. Entries poll every 0.3 s, and the poll takes as long in a slow period of the table.
 	maxTakeOverViewAge = 800 * time.Millisecond
-	// maxConcurrentProbes entries are probed at first, and as many more after each nextProbesDelay
-	// while none is ready. A call takes some milliseconds, and 100 ms more where a quota of
-	// processor time is used up.
+	// maxConcurrentProbes is how many entries are probed at first, and how many more after each
+	// nextProbesDelay while none is ready. A call takes some milliseconds, and 100 ms more where a
+	// quota of processor time is used up.
 	maxConcurrentProbes = 4
 	nextProbesDelay     = 100 * time.Millisecond
 	// readyGatherTimeout is how long answers of other entries are awaited after the first one that
 	// is ready: a call takes some milliseconds.
 	readyGatherTimeout = 30 * time.Millisecond
-	// offerClaimAttempts covers one renewal of the holder that lands between an offer and its
-	// claim, and one more that got no answer.
+	// offerClaimAttempts allows for one renewal by the holder that takes effect between an offer
+	// and its claim, and for another one that got no answer.
 	offerClaimAttempts = 3
 )
 
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -43,10 +43,10 @@
 
 const (
 	// slowWriteRetries is how many times the duration of the last successful write is added to the
-	// time before a pool whose writes fail is left, so that a failed write can be retried as often.
-	// While the table was slow, one lost answer and the retry took longer than that time, and the
-	// pool went to an entry for which the table was just as slow: the pool started nothing for
-	// 1.5 s, and did so again 3 s later.
+	// time after which a pool whose writes fail is offered to another entry, so that a failed write
+	// can be retried as often. While the table was slow, one lost answer and the retry took longer
+	// than that time, and the pool went to an entry for which the table was just as slow: the pool
+	// started nothing for 1.5 s, and did so again 3 s later.
 	slowWriteRetries = 2
 	// maxSlowWriteDelay bounds what is added, because the pool has to be offered before its lease
 	// is over.
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -135,8 +135,8 @@
 // other work took the room meanwhile, the task would not serve until some run ends.
 const keepTargetSpan = 700 * time.Millisecond
 
-// leavesBefore reports whether a leaving worker will probably have left before a run there ends, by
-// estimates of both.
+// leavesBefore reports whether a leaving worker may have left before a run there ends, by the
+// estimate of the run's duration.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
