--- a/internal/owner/harness_test.go
+++ b/internal/owner/harness_test.go
@@ -215,8 +215,10 @@
 	began        time.Time
 	mu           sync.Mutex
 	logs         []string
-	lagCallbacks int             // times a successor was asked for because orders lag
-	failingTimes []time.Duration // for each time a successor was asked for because writes fail, how long they had failed
+	lagCallbacks int // times a successor was asked for because orders lag
+	// failingTimes says, for each time a successor was asked for because writes fail, how long they
+	// had failed.
+	failingTimes []time.Duration
 	end          func()
 }
 
@@ -273,7 +275,7 @@
 	return g
 }
 
-// now is a steady clock that doesn't start at 0, because 0 stands for never.
+// now is a monotonic clock that doesn't start at 0, because 0 stands for never.
 func (g *harness) now() time.Duration { return time.Minute + time.Since(g.began) }
 
 // advance lets time pass and waits until all goroutines of the bubble are blocked.
--- a/internal/owner/write.go
+++ b/internal/owner/write.go
@@ -43,12 +43,12 @@
 
 const (
 	// slowWriteRetries is how many times the duration of the last successful write is added to the
-	// time before a pool whose writes fail is left, so that a failed write can be retried as often.
-	// While the table was slow, one lost answer and the retry took longer than that time, and the
-	// pool went to an entry for which the table was just as slow: the pool started nothing for
-	// 1.5 s, and did so again 3 s later.
+	// time after which a pool whose writes fail is offered to another entry, so that a failed write
+	// can be retried as often. While the table was slow, one lost answer and the retry took longer
+	// than that time, and the pool went to an entry for which the table was just as slow: the pool
+	// started nothing for 1.5 s, and did so again 3 s later.
 	slowWriteRetries = 2
-	// maxSlowWriteDelay bounds that addition, because the pool has to be offered before its lease
+	// maxSlowWriteDelay bounds what is added, because the pool has to be offered before its lease
 	// is over.
 	maxSlowWriteDelay = 700 * time.Millisecond
 )
@@ -133,14 +133,14 @@
 // changes, then renews the lease.
 func (o *Owner) holdBack(queue string) {
 	if queue != "" {
-		o.heldBackUntil[queue] = o.conf.Now() + holdBackFor
+		o.heldBackUntil[queue] = o.conf.Now() + holdBackDelay
 	}
 }
 
 func (o *Owner) isHeldBack(queue string) bool { return o.conf.Now() < o.heldBackUntil[queue] }
 
-// holdBackFor is the pause between two attempts to write a queue's changes.
-const holdBackFor = 400 * time.Millisecond
+// holdBackDelay is the pause between two attempts to write a queue's changes.
+const holdBackDelay = 400 * time.Millisecond
 
 func (o *Owner) prepareWrite() (pendingWrite, error) {
 	o.mu.Lock()
@@ -178,15 +178,15 @@
 	return row
 }
 
-// unrecordedCrashesFor is how long an owner hands on that previous owners may not have recorded all
-// crashes. After that, the tasks from before have run for long enough, or have crashed under this
-// owner.
-const unrecordedCrashesFor = 30 * time.Second
+// unrecordedCrashesSpan is how long an owner keeps saying in the lease row that previous owners may
+// not have recorded all crashes. After that, the tasks from before have run for long enough, or
+// have crashed under this owner.
+const unrecordedCrashesSpan = 30 * time.Second
 
 // unrecordedCrashes returns how many of the previous owners may not have recorded all crashes.
 func (o *Owner) unrecordedCrashes() int {
 	switch {
-	case o.conf.Now()-o.claimedAt >= unrecordedCrashesFor:
+	case o.conf.Now()-o.claimedAt >= unrecordedCrashesSpan:
 		return 0
 	case o.pool.HasUnreportedLosses():
 		return o.conf.PreviousRow.UnrecordedOwners + 1
--- a/internal/sched/plan.go
+++ b/internal/sched/plan.go
@@ -78,19 +78,19 @@
 // machine a second or two sooner at best. On a day with steady demand every tenth run was stopped,
 // and of the largest jobs, whose slack is three seconds, two in five were late.
 func (p *Pool) mayEvacuate(w *worker, r *run, round *placementRound, now time.Duration) bool {
-	st := r.task.stage.spec
+	spec := r.task.stage.spec
 	if r.onProbation && r.task.fewLeft() && !w.forceDrain {
 		return false // stopping a run on probation would use up one of the last starts without a result
 	}
-	if !st.LongRunning {
-		return w.forceDrain || st.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismDrainFirst) || w.leavesBefore(r, now))
+	if !spec.LongRunning {
+		return w.forceDrain || spec.Checkpoints && (p.conf.Disabled.Has(gauge.MechanismDrainFirst) || w.leavesBefore(r, now))
 	}
 	target := round.place(r.task.stage, r.task.stage.countByWorker(), round.promised, anyWorker)
 	if target == nil {
 		p.keepRoom(r, round, now)
 		return false
 	}
-	if !w.info.Draining && st.MaxUnplaced > 0 && r.task.stage.countNotServing(r.task, now) >= st.MaxUnplaced {
+	if !w.info.Draining && spec.MaxUnplaced > 0 && r.task.stage.countNotServing(r.task, now) >= spec.MaxUnplaced {
 		p.probeStarting(r.task.stage, now)
 		return false
 	}
@@ -135,8 +135,8 @@
 // other work took the room meanwhile, the task would not serve until some run ends.
 const keepTargetSpan = 700 * time.Millisecond
 
-// leavesBefore reports whether a leaving worker has left before a run there has ended, by
-// estimates.
+// leavesBefore reports whether a leaving worker may have left before a run there ends, by the
+// estimate of the run's duration.
 func (w *worker) leavesBefore(r *run, now time.Duration) bool {
 	if !w.info.Draining {
 		return false
@@ -161,9 +161,9 @@
 const minProbeInterval = 250 * time.Millisecond
 
 // probeStarting probes the workers on which tasks of a stage are starting up, while other tasks
-// can't leave their workers until these serve. A heartbeat without an end takes up to a second. If
-// progress came by heartbeats alone, each further task would leave a second later, and a wave lasts
-// as long as its longest chain of them.
+// can't leave their workers until these serve. A heartbeat without an end report takes up to a
+// second. If progress came by heartbeats alone, each further task would leave a second later, and a
+// maintenance wave lasts as long as its longest sequence of such moves.
 func (p *Pool) probeStarting(st *stage, now time.Duration) {
 	for _, t := range st.tasks {
 		for _, r := range t.runs {
@@ -198,7 +198,7 @@
 
 // orderStarts places the waiting tasks in order of rank.
 func (p *Pool) orderStarts(now time.Duration) {
-	if now >= p.limit {
+	if now >= p.grantLimit {
 		return // another owner may have taken over
 	}
 	if p.isWindowFull() {
@@ -288,7 +288,7 @@
 
 // orderStart orders a run; nil if the worker can't be given a deadline.
 func (p *Pool) orderStart(c *candidate, t *task, w *worker, number int, now time.Duration) *run {
-	until := w.grant(now, min(p.conf.StartTimeout, p.limit-now))
+	until := w.grant(now, min(p.conf.StartTimeout, p.grantLimit-now))
 	if until == 0 {
 		return nil
 	}
--- a/internal/sched/predecessor.go
+++ b/internal/sched/predecessor.go
@@ -7,9 +7,10 @@
 	gauge "sapphiregauge"
 )
 
-// What an owner knew of crashes and couldn't write is lost with it. So owners tell their successor
-// in the lease row that there may be some, and the successor makes up for them by presuming
-// crashes. It also finds out what became of the runs that previous owners recorded.
+// Crashes that an owner knew of but couldn't write to the table are forgotten when it ends. So
+// owners tell their successor in the lease row that there may be unrecorded crashes, and the
+// successor presumes some in their place. It also finds out what became of the runs that previous
+// owners recorded.
 
 // maxPresumed bounds how many unrecorded crashes of a task are presumed, by all owners together.
 const maxPresumed = 2
@@ -113,7 +114,7 @@
 
 // recordPriorCrash records that a worker was dead before it reported to this owner.
 func (p *Pool) recordPriorCrash(t *task, record gauge.SuspectRun, now time.Duration) {
-	if others := p.countUnreportedWith(p.lossOf(record.Incarnation(), now)) > 1; others {
+	if lostWithOthers := p.countUnreportedWith(p.lossOf(record.Incarnation(), now)) > 1; lostWithOthers {
 		// Why these were lost isn't known. For a task that has already lost two workers the loss
 		// counts as a crash all the same, but not as one that shows that the task is the cause.
 		if !t.evidence().HasRepeatedCrashes() {
--- a/internal/sched/sched.go
+++ b/internal/sched/sched.go
@@ -55,31 +55,39 @@
 type Pool struct {
 	conf            Config
 	site            *gauge.Site
-	limit           time.Duration // no grant reaches beyond this
+	grantLimit      time.Duration // no grant reaches beyond this
 	jobs            map[string]*job
 	endedJobs       map[string]endedJob          // jobs that have ended here
 	workers         map[string]*worker           // by id: there is one incarnation at a time
 	unreported      map[string]gauge.Incarnation // workers of the previous owner that haven't reported yet
 	newIncarnations []gauge.Worker               // incarnations without heartbeats yet
-	leaseRowVersion gauge.FencingToken           // version of the newest write of the lease row; the next fencing token that a worker can get, see fence
+	// leaseRowVersion is the version of the newest write of the lease row, and the next fencing
+	// token that a worker can get; see fence.
+	leaseRowVersion gauge.FencingToken
 	// barriers are the open report barriers; newestBarrier is the latest of them.
-	barriers           []*reportBarrier
-	newestBarrier      *reportBarrier
-	jobsMissing        bool // jobs may be missing: some could not be read yet
-	orders             []Order
-	toStop             map[*run]bool // runs that are to end
-	orphans            map[*orphanRun]bool
-	suspects           map[*task]bool             // tasks that may crash their workers
-	losses             []*loss                    // workers lost recently
-	replacedUnreported []gauge.Incarnation        // ended before they reported to this owner, and not among the losses yet
-	suspectWorkers     map[gauge.Incarnation]bool // workers for which previous owners recorded a suspect run whose outcome they didn't know
-	earlyCancels       map[string]earlyCancel     // cancellations of unknown jobs
-	lastTick           time.Duration              // time of the last tick
-	resumedAt          time.Duration              // time of the last tick that followed a pause of this process
-	adoptedWork        float64                    // core-seconds of all jobs adopted so far
-	adoptedJobs        int                        // number of jobs adopted so far
-	inheritedTasksWait bool                       // inherited tasks have to wait for reports, as of the last round of starts
-	inFlight           int                        // starts that have no answer yet
+	barriers      []*reportBarrier
+	newestBarrier *reportBarrier
+	jobsMissing   bool // jobs may be missing: some could not be read yet
+	orders        []Order
+	toStop        map[*run]bool // runs that are to end
+	orphans       map[*orphanRun]bool
+	suspects      map[*task]bool // tasks that may crash their workers
+	losses        []*loss        // workers lost recently
+	// replacedUnreported are incarnations that ended before they reported to this owner, and not
+	// among the losses yet.
+	replacedUnreported []gauge.Incarnation
+	// suspectWorkers are the workers for which previous owners recorded a suspect run whose outcome
+	// they didn't know.
+	suspectWorkers map[gauge.Incarnation]bool
+	earlyCancels   map[string]earlyCancel // cancellations of unknown jobs
+	lastTick       time.Duration          // time of the last tick
+	resumedAt      time.Duration          // time of the last tick that followed a pause of this process
+	adoptedWork    float64                // core-seconds of all jobs adopted so far
+	adoptedJobs    int                    // number of jobs adopted so far
+	// inheritedTasksWait says that inherited tasks have to wait for reports, as of the last round
+	// of starts.
+	inheritedTasksWait bool
+	inFlight           int // starts that have no answer yet
 	index              poolIndex
 	lastSweep          time.Duration // when ended jobs were last forgotten
 
@@ -113,7 +121,7 @@
 
 // SetGrantLimit sets the time beyond which no grant may reach. No other owner can have taken over
 // before it.
-func (p *Pool) SetGrantLimit(t time.Duration) { p.limit = t }
+func (p *Pool) SetGrantLimit(t time.Duration) { p.grantLimit = t }
 
 // UpdateWorkers updates the workers from the platform's list.
 func (p *Pool) UpdateWorkers(list []gauge.Worker) {
@@ -185,8 +193,8 @@
 //
 // Workers that run nothing, take no starts and have all their end reports in the table are left
 // out. Machines change pools several times a minute. If workers of machines that have left stayed
-// listed until their leases expire, a successor would wait seconds for them, with the whole pool's
-// work.
+// in the row until their leases expire, a successor would wait seconds for them, with the whole
+// pool's work.
 func (p *Pool) LeaseRowWorkers() []gauge.Incarnation {
 	incarnations := make([]gauge.Incarnation, 0, len(p.workers))
 	awaited := p.awaitedWorkers()
@@ -244,7 +252,7 @@
 		c.LastSeenEnd = w.lastStoredEnd
 		// A worker that doesn't answer gets no extension: its runs have to expire some time, so
 		// that their tasks can start elsewhere.
-		c.Until = w.grant(now, min(p.conf.LeaseExtension, p.limit-now))
+		c.Until = w.grant(now, min(p.conf.LeaseExtension, p.grantLimit-now))
 		c.Wait = p.conf.HeartbeatWait
 	}
 	return w.info, c, true
